--- a/crates/core/src/archive.rs
+++ b/crates/core/src/archive.rs
@@ -78,9 +78,11 @@
 /// Part of the state service's rate of changes that moving takes at most, beyond
 /// what ends anyway; and only while the leader has half of its own to spare.
 const MOVES: f64 = 0.125;
-/// Images that are remembered of a machine, and parts of them in all.
+/// Images that are remembered of a machine, parts of them in all, and parts that are written
+/// in a worker's lease.
 const IMAGES_EACH: usize = 6;
-const MOST_PARTS: usize = 64;
+const MOST_PARTS: usize = 1024;
+const PARTS_A_LEASE: usize = 64;
 
 impl Archive {
     /// Whether jobs that end may move at once.
@@ -372,7 +374,7 @@
         let version = l.archive.images.get(&n).map_or(0, |s| s.1);
         l.archive.images_busy = Some((n, part.clone()));
         // Spread over the time until the next look.
-        l.archive.images_at = now + every / MOST_PARTS as f64;
+        l.archive.images_at = now + every / PARTS_A_LEASE as f64;
         let key = images_key(n);
         let leads = Condition { key: LEADER_KEY.to_string(), version: token };
         let conditions = vec![leads, Condition { key: key.clone(), version }];
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -22,6 +22,9 @@
     pub list_at: Time,
     list_sent: Time,
     list: Vec<ListedMachine>,
+    /// The list goes on after that machine, and when its next page is due.
+    list_after: Option<String>,
+    page_at: Time,
     pub listed_once: bool,
     types_busy: bool,
     /// The rental whose outcome is not known yet.
@@ -116,6 +119,9 @@
     }
 }
 
+/// Machines of the cloud's list that are looked at.
+const MOST_MACHINES: usize = 20_000;
+
 /// Machines that are remembered as deleted.
 const MOST_BURIED: usize = 20_000;
 
@@ -158,13 +164,27 @@
             }
         }
         let Role::Leader(l) = &mut self.role else { return };
-        if !l.fleet.listing && now >= l.fleet.list_at && self.cloud_budget() {
+        // One that takes too long is begun anew: its first pages tell nothing any more.
+        if !l.fleet.listing && now - l.fleet.list_sent > self.settings.params.workers.lease_s {
+            l.fleet.list_after = None;
+        }
+        let after = l.fleet.list_after.clone();
+        let due = if after.is_some() { l.fleet.page_at } else { l.fleet.list_at };
+        if !l.fleet.listing && now >= due && self.cloud_budget() {
+            // Every page is a call of its own. Half of the calls are left for the rest, but
+            // nothing goes on before the first list is whole. (Pages beyond the first were once
+            // asked for at once: with some thousand machines the cloud refused every list.)
+            let pace = 2.0 / self.settings.params.cloud.rps;
             let Role::Leader(l) = &mut self.role else { return };
             l.fleet.listing = true;
-            l.fleet.list_sent = now;
-            l.fleet.list.clear();
-            l.fleet.list_at = now + (lag * 0.75).max(2.0 / self.settings.params.cloud.rps);
-            self.cloud(Purpose::CloudList { token }, CloudOp::List { after: None });
+            l.fleet.page_at = if l.fleet.listed_once { now + pace } else { now };
+            l.fleet.list_at = l.fleet.list_at.max(now + pace);
+            if after.is_none() {
+                l.fleet.list_sent = now;
+                l.fleet.list.clear();
+                l.fleet.list_at = now + (lag * 0.75).max(pace);
+            }
+            self.cloud(Purpose::CloudList { token }, CloudOp::List { after });
         }
         let Role::Leader(l) = &mut self.role else { return };
         // It looks at every machine and place, and no return is that urgent.
@@ -247,18 +267,15 @@
         let now = self.now;
         let lag = self.settings.params.cloud.list_lag_s;
         let Some(l) = self.lead(token) else { return };
-        let CloudReply::List(page) = r else {
-            l.fleet.listing = false;
-            return;
-        };
+        l.fleet.listing = false;
+        // A page that failed is asked for again.
+        let CloudReply::List(page) = r else { return };
         let after = page.machines.last().map(|m| m.id.clone());
         l.fleet.list.extend(page.machines);
-        if page.more && after.is_some() && l.fleet.list.len() < 20_000 {
-            self.cloud(Purpose::CloudList { token }, CloudOp::List { after });
+        l.fleet.list_after = after.filter(|_| page.more && l.fleet.list.len() < MOST_MACHINES);
+        if l.fleet.list_after.is_some() {
             return;
         }
-        let Some(l) = self.lead(token) else { return };
-        l.fleet.listing = false;
         let first = !l.fleet.listed_once;
         l.fleet.listed_once = true;
         let list = std::mem::take(&mut l.fleet.list);
--- a/crates/core/src/planning.rs
+++ b/crates/core/src/planning.rs
@@ -132,7 +132,7 @@
     }
 }
 
-/// Most tasks of one job that one planning round looks at.
+/// Most tasks of one job that one planning round looks at; gangs are looked at whole.
 const MOST_TASKS: usize = 256;
 /// Most jobs that one planning round looks at.
 const MOST_JOBS: usize = 1000;
@@ -407,6 +407,8 @@
             let waiting = match (probe, s.shape) {
                 (true, Shape::Array | Shape::Service) if !job.places.is_empty() => continue,
                 (true, Shape::Array | Shape::Service) => job.waiting(1),
+                // A gang is placed as a whole or not at all.
+                (_, Shape::Gang) => job.waiting(usize::MAX),
                 _ => job.waiting(MOST_TASKS),
             };
             let mut waiting = waiting;
--- a/crates/core/src/workers.rs
+++ b/crates/core/src/workers.rs
@@ -20,8 +20,10 @@
     pub idle: bool,
 }
 
-/// Most workers whose reports are counted.
-const MOST_WORKERS: usize = 10_000;
+/// Most workers whose reports are counted. Beyond it those make room that were silent for that
+/// many leases: no copy of their reports is that late.
+const MOST_WORKERS: usize = 20_000;
+const FORGOTTEN_LEASES: Time = 10.0;
 
 impl Core {
     pub(crate) fn on_report(&mut self, req: RequestId, body: &[u8]) {
@@ -32,6 +34,11 @@
         let now = self.now;
         // A copy that comes late, or a report that was held for long, is no hearing.
         let place = (report.session, report.seq);
+        if self.workers_heard.len() >= MOST_WORKERS && !self.workers_heard.contains_key(&report.machine) {
+            // (Nobody ever left, and once so many had come no new worker was counted.)
+            let since = now - self.settings.params.workers.lease_s * FORGOTTEN_LEASES;
+            self.workers_heard.retain(|_, (at, _)| *at > since);
+        }
         let room = self.workers_heard.len() < MOST_WORKERS;
         match self.workers_heard.get_mut(&report.machine) {
             Some(last) if place > last.1 => {
--- a/crates/membership/src/gateway.rs
+++ b/crates/membership/src/gateway.rs
@@ -38,8 +38,8 @@
 /// Reports that one request passes on at most, and about how many bytes.
 const MOST_ENTRIES: usize = 400;
 const MOST_BYTES: usize = 48 * 1024;
-/// Most workers that a node remembers.
-const MOST_WORKERS: usize = 10_000;
+/// Most workers that a node remembers: those that came within the last twelve reports.
+const MOST_WORKERS: usize = 20_000;
 
 /// A report whose answer waits.
 struct Held {
--- a/crates/membership/src/spread.rs
+++ b/crates/membership/src/spread.rs
@@ -32,8 +32,9 @@
 /// Moves to a node that has no workers, until one has stayed: it may be one
 /// that they do not reach.
 const PROBES: u32 = 4;
-/// Moves that are remembered.
-const MOST_MOVES: usize = 4_000;
+/// Moves that are remembered before old ones are dropped. Half a lease has at most half of
+/// this node's part of the workers.
+const MOST_MOVES: usize = 12_000;
 
 /// Hands out moves at a steady rate, so that no storm comes of them.
 #[derive(Debug)]
@@ -85,8 +86,8 @@
             return None;
         }
         let node = best.node.clone();
+        let lease_s = self.lease_s;
         if best.workers == 0 {
-            let lease_s = self.lease_s;
             let (tried, since) = self.probes.entry(node.clone()).or_insert((0, now));
             if now - *since > lease_s {
                 (*tried, *since) = (0, now);
@@ -100,7 +101,8 @@
         }
         self.level -= 1.0;
         if self.moves.len() >= MOST_MOVES {
-            self.moves.clear();
+            // Later than that no return counts. (All of them were once forgotten.)
+            self.moves.retain(|_, (_, sent)| now - *sent < lease_s / 2.0);
         }
         self.moves.insert(machine.to_string(), (node.clone(), now));
         Some(node)
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -22,6 +22,10 @@
     pub capacity: usize,
     pub lag: f64,
     pub deleted: Vec<String>,
+    /// Calls a second that are served, with what is left of one second's; None: all are.
+    pub rate: Option<(f64, f64, f64)>,
+    /// Calls that were refused for that.
+    pub refused: u64,
 }
 
 impl Cloud {
@@ -46,6 +50,8 @@
             capacity,
             lag,
             deleted: Vec::new(),
+            rate: None,
+            refused: 0,
         }
     }
 
@@ -61,7 +67,9 @@
             })
             .collect();
         self.history.push((now, list));
-        self.history.retain(|(t, _)| now - t < 60.0);
+        // Nobody is shown an older one.
+        let oldest = now - 2.0 * self.lag - 1.0;
+        self.history.retain(|(t, _)| *t > oldest);
     }
 
     pub fn remove(&mut self, id: &str) {
@@ -69,19 +77,36 @@
         self.deleted.push(id.to_string());
     }
 
+    /// Whether the rate allows one more call.
+    fn admits(&mut self, now: f64) -> bool {
+        let Some((rate, level, at)) = &mut self.rate else { return true };
+        *level = (*level + (now - *at) * *rate).min(rate.max(1.0));
+        *at = now;
+        let served = *level >= 1.0;
+        *level -= f64::from(u8::from(served));
+        self.refused += u64::from(!served);
+        served
+    }
+
     pub fn execute(&mut self, now: f64, op: &CloudOp, late: f64, boot: f64) -> CloudReply {
+        if !self.admits(now) {
+            return CloudReply::Refused;
+        }
         match op {
             CloudOp::Types => CloudReply::Types(MachineTypes { types: self.types.clone() }),
-            CloudOp::List { .. } => {
+            CloudOp::List { after } => {
                 let as_of = now - self.lag * late;
-                let machines = self
+                let mut machines = self
                     .history
                     .iter()
                     .rev()
                     .find(|(t, _)| *t <= as_of)
                     .map(|(_, l)| l.clone())
                     .unwrap_or_default();
-                CloudReply::List(MachineList { machines, more: false })
+                machines.retain(|m| after.as_ref().is_none_or(|a| m.id > *a));
+                let more = machines.len() > MOST_LISTED;
+                machines.truncate(MOST_LISTED);
+                CloudReply::List(MachineList { machines, more })
             }
             CloudOp::Rent(r) => {
                 if let Some(done) = self.answered.get(&r.request) {
--- a/crates/testkit/src/sim.rs
+++ b/crates/testkit/src/sim.rs
@@ -1275,10 +1275,10 @@
     fn gangs_go_on(&mut self) {
         let now = self.now;
         let peer_s = self.settings.params.workers.gang_peer_s;
-        let mut members: BTreeMap<(String, u64), (u32, u32)> = BTreeMap::new();
+        let mut members: BTreeMap<(&str, u64), (u32, u32)> = BTreeMap::new();
         for w in self.workers.values() {
             for (key, t) in &w.tasks {
-                let m = members.entry((key.0.clone(), t.attempt)).or_default();
+                let m = members.entry((&key.0, t.attempt)).or_default();
                 match t.phase {
                     Phase::Waiting { .. } => m.0 += 1,
                     Phase::Running { .. } if now >= w.hung_until => m.1 += 1,
@@ -1286,32 +1286,41 @@
                 }
             }
         }
+        // Those that begin, with how long they run, and those that have lost a task.
+        let mut begin: BTreeMap<(String, u64), f64> = BTreeMap::new();
+        let mut torn: BTreeSet<(String, u64)> = BTreeSet::new();
         for ((job, attempt), (waiting, running)) in members {
-            let spec = self.ledger.specs[&job].clone();
+            let spec = &self.ledger.specs[job];
             let gang = spec.shape == Shape::Gang;
             let run = spec.estimate_s * self.rng.gen_range(0.5..1.6);
             let run = if spec.shape == Shape::Service { f64::MAX / 4.0 } else { run };
-            for w in self.workers.values_mut() {
-                let mut changed = false;
-                for (key, t) in &mut w.tasks {
-                    if key.0 != job || t.attempt != attempt {
-                        continue;
-                    }
-                    let begin = !gang || waiting == spec.tasks;
-                    if matches!(t.phase, Phase::Waiting { .. }) && begin {
+            if waiting > 0 && (!gang || waiting == spec.tasks) {
+                begin.insert((job.to_string(), attempt), run);
+            }
+            if gang && running > 0 && running < spec.tasks {
+                torn.insert((job.to_string(), attempt));
+            }
+        }
+        if begin.is_empty() && torn.is_empty() {
+            return;
+        }
+        for w in self.workers.values_mut() {
+            let mut changed = false;
+            for (key, t) in &mut w.tasks {
+                let member = (key.0.clone(), t.attempt);
+                match (&t.phase, begin.get(&member)) {
+                    (Phase::Waiting { .. }, Some(run)) => {
                         t.phase = Phase::Running { until: now + run };
                         changed = true;
-                    } else if gang
-                        && running > 0
-                        && running < spec.tasks
-                        && matches!(t.phase, Phase::Running { .. })
-                    {
+                    }
+                    (Phase::Running { .. }, _) if torn.contains(&member) => {
                         t.phase = Phase::Orphaned { until: now + peer_s };
                     }
+                    _ => {}
                 }
-                if changed {
-                    w.hurry(now);
-                }
+            }
+            if changed {
+                w.hurry(now);
             }
         }
     }
@@ -1675,6 +1684,17 @@
         self.format_said = Some(format);
     }
 
+    /// The cloud serves no more calls a second than the settings name.
+    pub fn limit_cloud(&mut self) {
+        let rate = self.settings.params.cloud.rps;
+        self.cloud.rate = Some((rate, rate, self.now));
+    }
+
+    /// Calls that it refused for that.
+    pub fn refused_by_cloud(&self) -> u64 {
+        self.cloud.refused
+    }
+
     pub fn rented(&self) -> u32 {
         self.cloud.rented()
     }
