--- /dev/null
+++ b/crates/testkit/tests/scale.rs
@@ -0,0 +1,117 @@
+//! The operators' size: 4,500 machines at work, through the end of the leader, an outage of the
+//! state service and a cold start.
+
+mod common;
+
+use anisecroft_testkit::{Fault, Setup, Sim};
+use common::*;
+use std::collections::BTreeSet;
+use wire::job::*;
+
+const MACHINES: u32 = 4_500;
+
+/// Settings as in a deployment of that size: reports seldom, sockets for all workers at two of
+/// three controllers.
+fn large(run_s: f64, faults: Vec<(f64, Fault)>) -> Setup {
+    let mut s = setup(1, faults);
+    unlimited(&mut s);
+    let w = &mut s.settings.params.workers;
+    (w.report_s, w.lease_s, w.cancel_s) = (6.0, 31.0, 62.0);
+    s.settings.params.resources.max_connections = 4_000;
+    s.settings.params.cloud.rps = 6.0;
+    s.capacity = MACHINES as usize;
+    // Every task takes a machine to itself, so that all of them have to come up and work.
+    let array = |n: u32| JobSpec {
+        team: "fleet".into(),
+        cores: 16.0,
+        accelerators: 4.0,
+        memory_gb: 32.0,
+        estimate_s: run_s,
+        ..plain_array(&format!("req-{n}"), MACHINES / 9)
+    };
+    s.jobs = (0..9).map(|n| (1.0 + f64::from(n) * 0.1, array(n), None)).collect();
+    (s.broken, s.loss) = (BTreeSet::new(), 0.0);
+    s
+}
+
+fn all_crash(at: f64) -> impl Iterator<Item = (f64, Fault)> {
+    (0..3).map(move |node| (at, Fault::Crash { node, for_s: 5.0 }))
+}
+
+/// Until `rest_s` after the last trouble: all machines are up and at work before the first, and
+/// known again.
+fn returns(run_s: f64, faults: &[(f64, Fault)], rest_s: f64) -> Sim {
+    let (first, last) = (faults[0].0, faults[faults.len() - 1].0);
+    let mut sim = Sim::new(large(run_s, faults.to_vec()));
+    sim.limit_cloud();
+    assert_eq!(sim.run(first), []);
+    assert_eq!((sim.rented(), sim.starts), (MACHINES, u64::from(MACHINES)), "at {first}");
+    assert_eq!(sim.run(last + rest_s), []);
+    assert!(sim.has_loaded());
+    assert_eq!(sim.unheard(), Vec::<&str>::new());
+    assert_eq!(sim.answered(31.0), MACHINES as usize);
+    sim
+}
+
+/// Each machine was rented once and each task started once: nothing that lived was given up.
+fn stays_whole(sim: &Sim) {
+    eprintln!(
+        "{} reports, {} relayed, {} changes, leaderless {:.1} s, {} refused by the cloud",
+        sim.reports,
+        sim.relayed,
+        sim.changes,
+        sim.leaderless_s,
+        sim.refused_by_cloud()
+    );
+    assert_eq!((sim.rented(), sim.starts), (MACHINES, u64::from(MACHINES)));
+    assert!(sim.given_up_alive.is_empty(), "{} given up alive", sim.given_up_alive.len());
+    assert!(sim.ghosts.is_empty(), "{} ghosts", sim.ghosts.len());
+}
+
+/// The leader ends, the state service is down for a while, and all controllers end and are back.
+fn troubles_at(first: f64, apart_s: f64) -> Vec<(f64, Fault)> {
+    let mut faults = vec![
+        (first, Fault::CrashLeader { for_s: 10.0 }),
+        (first + apart_s, Fault::StateOutage { for_s: 15.0 }),
+    ];
+    faults.extend(all_crash(first + 2.0 * apart_s));
+    faults
+}
+
+#[test]
+fn thousands_of_machines_work_through_every_return() {
+    let mut sim = returns(600.0, &troubles_at(105.0, 25.0), 45.0);
+    assert_eq!(sim.run(205.0), []);
+    stays_whole(&sim);
+}
+
+/// The same with work that lasts through all of it.
+#[test]
+#[ignore = "takes minutes"]
+fn long_work_on_thousands_of_machines_lasts_through_every_return() {
+    let mut sim = returns(800.0, &troubles_at(120.0, 90.0), 60.0);
+    assert_eq!(sim.run(1600.0), []);
+    stays_whole(&sim);
+    assert_eq!(sim.unfinished(), Vec::<String>::new());
+}
+
+/// Gangs were once cut to the first 256 of their tasks, and waited for the others for ever.
+#[test]
+fn a_gang_of_hundreds_starts_as_a_whole() {
+    let mut s = setup(1, vec![]);
+    unlimited(&mut s);
+    s.capacity = 30;
+    let gang = JobSpec {
+        shape: Shape::Gang,
+        team: "fleet".into(),
+        accelerators: 0.0,
+        memory_gb: 1.0,
+        estimate_s: 20.0,
+        ..plain_array("req-1", 300)
+    };
+    s.jobs = vec![(1.0, gang, None)];
+    let mut sim = Sim::new(s);
+    assert_eq!(sim.run(300.0), []);
+    assert_eq!(sim.unfinished(), Vec::<String>::new());
+    assert_eq!(sim.starts, 300);
+}
