--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -10,4 +10,4 @@
 pub mod worker;
 
 pub use rules::{Broken, Rule};
-pub use sim::{Border, Fault, Setup, Sim, Trouble};
+pub use sim::{Border, Digest, Fault, Setup, Sim, Trouble};
--- a/crates/testkit/src/sim.rs
+++ b/crates/testkit/src/sim.rs
@@ -2,10 +2,12 @@
 //! stand-ins, and a network that loses, delays and holds messages.
 
 mod border;
+mod digest;
 mod looks;
 mod order;
 
 pub use border::{Border, Crossing, Trouble};
+pub use digest::Digest;
 pub use looks::{LookCounts, LostWrite};
 
 use crate::cloud::Cloud;
@@ -425,6 +427,8 @@
     idle: order::Idle,
     /// What strikes at which message; None: nothing is numbered.
     interference: Option<border::Interference>,
+    /// Of what goes into the cores and comes out of them; None: none is taken.
+    digest: Option<Digest>,
     /// Tasks that began after their job's cancellation had been told, with machine and when.
     pub late_starts: Vec<(f64, TaskKey, String)>,
     /// Relays between controllers, the reports in them and their bytes, and
@@ -526,6 +530,7 @@
             kept: order::Kept::default(),
             idle: order::Idle::default(),
             interference: None,
+            digest: None,
             late_starts: Vec::new(),
             relays: 0,
             relayed: 0,
@@ -599,7 +604,13 @@
         let node = &mut self.nodes[n];
         let Some(core) = &mut node.core else { return };
         let steady = (now - node.started) * node.rate;
+        if let Some(digest) = &mut self.digest {
+            digest.input(now, n, &input);
+        }
         let out = core.handle(steady, 1e9 + now, input);
+        if let Some(digest) = &mut self.digest {
+            out.iter().for_each(|o| digest.output(now, n, o));
+        }
         for o in out {
             // It may have ended at one of them.
             if self.nodes[n].core.is_none() {
--- a/crates/testkit/tests/common/mod.rs
+++ b/crates/testkit/tests/common/mod.rs
@@ -210,3 +210,29 @@
     faults.push((60.0, Fault::Deaf { nth: seed as usize % 5, for_s }));
     faults
 }
+
+/// The usual day, with every job but the services made part of something: chains, diamonds,
+/// ancestors in common, other teams' jobs and ordinary ones.
+#[allow(dead_code)]
+pub fn linked(seed: u64, faults: Vec<(f64, Fault)>) -> Setup {
+    let mut s = setup(seed, faults);
+    let mut rng = SmallRng::seed_from_u64(seed ^ 0x11a6);
+    s.jobs.sort_by(|a, b| a.0.total_cmp(&b.0));
+    let mut earlier: Vec<String> = Vec::new();
+    for (_, spec, cancel) in &mut s.jobs {
+        if spec.shape == Shape::Service {
+            continue;
+        }
+        let most = rng.gen_range(0..4usize).min(earlier.len());
+        let awaits: BTreeSet<String> = (0..most)
+            .map(|_| earlier[earlier.len() - 1 - rng.gen_range(0..earlier.len().min(6))].clone())
+            .collect();
+        spec.awaits = awaits.into_iter().collect();
+        spec.estimate_s = spec.estimate_s.min(12.0);
+        if rng.gen_bool(0.6) {
+            *cancel = None;
+        }
+        earlier.push(spec.id.clone());
+    }
+    s
+}
--- /dev/null
+++ b/crates/testkit/tests/digests.rs
@@ -0,0 +1,205 @@
+//! What the controllers do on two hundred seeded days, message by message, is what it was: each
+//! day's digest (`Digest`: wire form, simulated time, border, node and call) is the one recorded
+//! in `digests.txt`, a line a day with its name, its messages and its digest.
+//!
+//! A change that is meant to change no behaviour leaves that file as it is. After one that is
+//! meant to, record anew and read which days moved:
+//! `RECORD_DIGESTS=1 cargo test -p anisecroft-testkit --test digests`
+
+mod common;
+
+use anisecroft_testkit::explore::{guards, SCRIPTS};
+use anisecroft_testkit::{Fault, Setup, Sim, Trouble};
+use common::*;
+use rand::{rngs::SmallRng, Rng, SeedableRng};
+use rayon::prelude::*;
+use std::path::Path;
+use wire::job::*;
+
+/// How long most days go on: all troubles of the helpers have begun by 160 s.
+const DAY_S: f64 = 230.0;
+
+/// A day by name, and how it is played.
+struct Day {
+    name: String,
+    play: Box<dyn Fn() -> Sim + Send + Sync>,
+}
+
+fn day(kind: &str, seed: u64, play: impl Fn() -> Sim + Send + Sync + 'static) -> Day {
+    Day { name: format!("{kind}-{seed}"), play: Box::new(play) }
+}
+
+/// Runs a day from its setup, with the digest taken.
+fn run(setup: Setup, until: f64) -> Sim {
+    let mut sim = Sim::new(setup);
+    sim.record_digest();
+    sim.run(until);
+    sim
+}
+
+/// Eight troubles of those that the other helpers have not.
+fn further_troubles(seed: u64) -> Vec<(f64, Fault)> {
+    let mut rng = SmallRng::seed_from_u64(seed ^ 0xd19e);
+    let trouble = |_| {
+        let at = rng.gen_range(5.0..160.0);
+        let for_s: f64 = rng.gen_range(5.0..40.0);
+        let (node, nth) = (rng.gen_range(0..3), rng.gen_range(0..6));
+        let zone = ["a", "b"][nth % 2];
+        let fault = match rng.gen_range(0..24) {
+            0 | 1 => Fault::ZoneCut { zone, for_s },
+            2 => Fault::WorkersCut { node, zone, for_s },
+            3 => Fault::PeersRefuse { for_s },
+            4 => Fault::PeersCut { node, for_s },
+            5 => Fault::Wander { for_s },
+            6 => Fault::LateWrites { share: 0.2, for_s },
+            7 => Fault::LostAnswers { share: 0.3, for_s },
+            8 => Fault::SlowState { by_s: 1.5, for_s },
+            9 => Fault::HeldAnswers { by_s: 6.0, for_s },
+            10 => Fault::Copies { late_s: 40.0, for_s },
+            11 => Fault::CopiesForNext { after_s: 4.0, for_s },
+            12 => Fault::Alone { node, for_s },
+            13 => Fault::Deaf { nth, for_s },
+            14 => Fault::DeafZone { zone, for_s },
+            15 => Fault::Mute { nth, for_s },
+            16 => Fault::MuteZone { zone, for_s },
+            17 => Fault::FastBoots { for_s },
+            18 => Fault::CancelNow { count: 8, hang_s: for_s },
+            19 => Fault::CancelAtEnd { share: 0.5, for_s },
+            20 => Fault::OddRequests { for_s },
+            21 => Fault::CloseLooks { for_s },
+            22 => Fault::SlowFetch { nth, fetch_s: for_s },
+            _ => Fault::CrashLeader { for_s: for_s / 8.0 },
+        };
+        (at, fault)
+    };
+    (0..8).map(trouble).collect()
+}
+
+/// Jobs that fail everywhere until their users cancel them.
+fn with_broken_jobs(mut s: Setup) -> Setup {
+    for (at, spec, cancel) in s.jobs.iter_mut().step_by(5) {
+        s.broken.insert(spec.id.clone());
+        *cancel = Some(*at + 60.0);
+    }
+    s
+}
+
+/// Wide arrays in pages, a state service whose limits fall, and users that ask often.
+fn at_limits(seed: u64) -> Setup {
+    let mut s = setup(seed, troubles(seed));
+    unlimited(&mut s);
+    s.settings.params.state.next = Some(settings::NextLimits {
+        value_kb: Some(2.0),
+        txn_ops: Some(8),
+        ..settings::NextLimits::default()
+    });
+    for (_, spec, _) in s.jobs.iter_mut().step_by(5).filter(|j| j.1.shape == Shape::Array) {
+        (spec.tasks, spec.cores, spec.accelerators, spec.memory_gb) = (200, 0.25, 0.0, 0.25);
+    }
+    s.faults.push((60.0 + seed as f64 % 30.0, Fault::LimitsFall));
+    s.faults.push((70.0, Fault::Polls { factor: 8.0, for_s: 20.0 }));
+    Setup { capacity: 12, ..s }
+}
+
+/// The state service refuses the leader alone, users cancel, and the service is down for all
+/// while the successor takes over.
+fn meeting(seed: u64) -> Sim {
+    let mut sim = Sim::new(setup(seed, vec![]));
+    sim.record_digest();
+    sim.run(69.0 + seed as f64 % 7.0);
+    if let Some(node) = sim.leader() {
+        sim.strike(Fault::StateRefuses { node, for_s: 25.0 });
+    }
+    sim.strike(Fault::CancelNow { count: 6, hang_s: 10.0 });
+    sim.run(sim.now + 3.0);
+    sim.strike(Fault::StateOutage { for_s: 5.0 });
+    sim.run(sim.now + 12.0 + (seed % 5) as f64);
+    sim.strike(Fault::StateOutage { for_s: 40.0 });
+    sim.run(DAY_S);
+    sim
+}
+
+/// A script of the explorer's with a trouble of each of some kinds, at messages that the seed draws.
+fn scripted(nth: usize, seed: u64) -> Sim {
+    let script = &SCRIPTS[nth];
+    let mut rng = SmallRng::seed_from_u64(seed ^ 0x5c71);
+    let kinds = [
+        Trouble::Lost,
+        Trouble::Late(6.0),
+        Trouble::Copied(2.0),
+        Trouble::EndsBefore(0.2),
+        Trouble::EndsAfter(12.0),
+        Trouble::Cut(8.0),
+        Trouble::Refused(8.0),
+        Trouble::Hangs(12.0),
+        Trouble::Cancel,
+        Trouble::Ask,
+    ];
+    // None of these on the first seed.
+    let plan = (0..seed % 3).map(|_| (rng.gen_range(50..900), kinds[rng.gen_range(0..kinds.len())]));
+    let mut sim = Sim::new(script.setup(seed, guards(None)));
+    sim.interfere(plan.collect(), false);
+    sim.record_digest();
+    sim.run(script.until_s + 20.0);
+    sim
+}
+
+fn days() -> Vec<Day> {
+    let mut days = Vec::new();
+    let five = |s: Setup| Setup { nodes: 5, ..s };
+    days.extend((0..2).map(|n| day("quiet", n, move || run(setup(n, vec![]), DAY_S))));
+    days.extend((0..30).map(|n| day("troubles", n, move || run(setup(n, troubles(n)), DAY_S))));
+    days.extend((3080..3092).map(|n| day("late-returns", n, move || run(setup(n, late_returns(n)), DAY_S))));
+    days.extend((0..16).map(|n| day("newest", n, move || run(setup(n, newest_troubles(n)), DAY_S))));
+    days.extend((0..36).map(|n| day("further", n, move || run(setup(n, further_troubles(n)), DAY_S))));
+    days.extend((100..112).map(|n| day("five", n, move || run(five(setup(n, troubles(n))), DAY_S))));
+    days.extend(
+        (100..108).map(|n| day("five-further", n, move || run(five(setup(n, further_troubles(n))), DAY_S))),
+    );
+    days.extend(
+        (200..212)
+            .map(|n| day("broken-jobs", n, move || run(with_broken_jobs(setup(n, troubles(n))), DAY_S))),
+    );
+    days.extend((300..316).map(|n| day("pipelines", n, move || run(linked(n, troubles(n)), DAY_S))));
+    days.extend((400..410).map(|n| day("limits", n, move || run(at_limits(n), DAY_S))));
+    days.extend((500..512).map(|n| day("meeting", n, move || meeting(n))));
+    for (nth, script) in SCRIPTS.iter().enumerate() {
+        let kind = format!("script-{}", script.name);
+        days.extend((0..3).map(|n| day(&kind, n, move || scripted(nth, n))));
+    }
+    days
+}
+
+/// A day's line. A day that breaks a rule is none to compare with.
+fn line(day: &Day) -> String {
+    let sim = (day.play)();
+    assert_eq!(sim.ledger.broken, [], "{}", day.name);
+    let digest = sim.digest().expect("it was taken");
+    assert!(digest.messages > 1000, "{}: {} messages", day.name, digest.messages);
+    format!("{} {} {:016x}", day.name, digest.messages, digest.value)
+}
+
+#[test]
+fn every_day_is_as_it_was_recorded() {
+    let lines: Vec<String> = days().par_iter().with_max_len(1).map(line).collect();
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/digests.txt");
+    if std::env::var_os("RECORD_DIGESTS").is_some() {
+        std::fs::write(&path, lines.join("\n") + "\n").expect("the file can be written");
+    }
+    let recorded = std::fs::read_to_string(&path).unwrap_or_default();
+    let recorded: Vec<&str> = recorded.lines().collect();
+    let moved: Vec<String> = (0..lines.len().max(recorded.len()))
+        .map(|n| (recorded.get(n).copied(), lines.get(n).map(String::as_str)))
+        .filter(|(before, now)| before != now)
+        .map(|(before, now)| format!("{} is now {}", before.unwrap_or("none"), now.unwrap_or("none")))
+        .collect();
+    assert!(moved.is_empty(), "{} of {} days moved:\n{}", moved.len(), lines.len(), moved.join("\n"));
+}
+
+/// Two plays of one day are equal, and another seed's day is another.
+#[test]
+fn a_day_repeats_exactly() {
+    let play = |n| run(setup(n, troubles(n)), 60.0).digest().expect("it was taken");
+    assert_eq!(play(7), play(7));
+    assert_ne!(play(7), play(8));
+}
