--- a/crates/testkit/tests/digests.rs
+++ b/crates/testkit/tests/digests.rs
@@ -14,6 +14,7 @@
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use rayon::prelude::*;
 use std::path::Path;
+use wire::cloud::MachineType;
 use wire::job::*;
 
 /// How long most days go on: all troubles of the helpers have begun by 160 s.
@@ -84,6 +85,35 @@
     s
 }
 
+/// Jobs of every kind on machines of three types that hold a part of them: with checkpoints,
+/// deadlines, chosen types and all priorities, so that running work is stopped for other work.
+fn varied(seed: u64, faults: Vec<(f64, Fault)>) -> Setup {
+    let mut s = setup(seed, faults);
+    unlimited(&mut s);
+    let mut rng = SmallRng::seed_from_u64(seed ^ 0x7a61);
+    let big = s.types[0].clone();
+    s.types.push(MachineType {
+        name: "small".into(),
+        cores: 8.0,
+        accelerators: 2.0,
+        price: 2.2,
+        ..big.clone()
+    });
+    s.types.push(MachineType { name: "fast".into(), fetch_gb_per_s: 3.0, price: 6.0, boot_s: 4.0, ..big });
+    for (_, spec, _) in s.jobs.iter_mut() {
+        spec.priority =
+            [Priority::Low, Priority::Normal, Priority::High, Priority::Production][rng.gen_range(0..4)];
+        spec.due_s = rng.gen_bool(0.4).then(|| rng.gen_range(20.0..200.0));
+        if rng.gen_bool(0.5) {
+            (spec.checkpoint_s, spec.save_s) = (rng.gen_range(2.0..15.0), rng.gen_range(0.5..4.0));
+        }
+        if rng.gen_bool(0.3) {
+            spec.types = Some(vec![["big", "small", "fast"][rng.gen_range(0..3)].into(), "big".into()]);
+        }
+    }
+    Setup { capacity: 5, ..s }
+}
+
 /// Wide arrays in pages, a state service whose limits fall, and users that ask often.
 fn at_limits(seed: u64) -> Setup {
     let mut s = setup(seed, troubles(seed));
@@ -161,6 +191,8 @@
             .map(|n| day("broken-jobs", n, move || run(with_broken_jobs(setup(n, troubles(n))), DAY_S))),
     );
     days.extend((300..316).map(|n| day("pipelines", n, move || run(linked(n, troubles(n)), DAY_S))));
+    days.extend((600..608).map(|n| day("varied", n, move || run(varied(n, vec![]), DAY_S))));
+    days.extend((608..624).map(|n| day("varied", n, move || run(varied(n, troubles(n)), DAY_S))));
     days.extend((400..410).map(|n| day("limits", n, move || run(at_limits(n), DAY_S))));
     days.extend((500..512).map(|n| day("meeting", n, move || meeting(n))));
     for (nth, script) in SCRIPTS.iter().enumerate() {
