--- a/crates/report/src/main.rs
+++ b/crates/analysis/src/main.rs
@@ -1,7 +1,7 @@
 //! `anisecroft-report`: who was served, from controllers' logs and the journal, and days
 //! of our own.
 
-use anisecroft_report::*;
+use anisecroft_analysis::*;
 use clap::{Args, Parser, Subcommand};
 use std::io::BufRead;
 use std::path::{Path, PathBuf};
--- a/crates/report/tests/days.rs
+++ b/crates/analysis/tests/days.rs
@@ -1,6 +1,6 @@
 //! Days of our own, made for a site, and what is told of them.
 
-use anisecroft_report::*;
+use anisecroft_analysis::*;
 use proptest::prelude::*;
 use serde_json::json;
 
--- a/crates/report/tests/served.rs
+++ b/crates/analysis/tests/served.rs
@@ -1,6 +1,6 @@
 //! Counting by class and team.
 
-use anisecroft_report::{aims, Chains, Group, Served};
+use anisecroft_analysis::{aims, Chains, Group, Served};
 
 /// Two controllers say the same of a job, one is still on its way, one is
 /// cancelled, and other lines are of no interest.
--- a/crates/anisecroft/src/main.rs
+++ b/crates/anisecroft/src/main.rs
@@ -73,7 +73,7 @@
         Command::Serve { config, operator } => {
             logs();
             let Some((s, own)) = load(&config, operator.as_deref()) else { return ExitCode::FAILURE };
-            match net::run(s, own) {
+            match transport::run(s, own) {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(e) => {
                     eprintln!("anisecroft: cannot serve: {e}");
--- a/crates/core/src/archive.rs
+++ b/crates/controller/src/archive.rs
@@ -11,10 +11,10 @@
 use crate::leader::Role;
 use crate::record::*;
 use crate::{Budget, Core, Purpose, StateOp, StateReply, Time};
+use protocol::job::JobStatus;
+use protocol::state::{Change, Condition, Item, Txn};
 use std::collections::BTreeMap;
 use tracing::{debug, info};
-use wire::job::JobStatus;
-use wire::state::{Change, Condition, Item, Txn};
 
 /// A job that is over and still lies among those that run.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/core/src/bound.rs
+++ b/crates/controller/src/bound.rs
@@ -3,8 +3,8 @@
 
 use crate::fleet::{Fleet, Pool};
 use crate::io::Time;
+use protocol::cloud::MachineType;
 use std::collections::BTreeMap;
-use wire::cloud::MachineType;
 
 /// Machines without work, by type, zone and whether spot.
 #[derive(Default)]
@@ -47,7 +47,7 @@
 
 /// Work that waits for machines.
 pub struct Ask<'a> {
-    pub job: &'a plan::Job,
+    pub job: &'a planner::Job,
     /// Tasks that need a machine more.
     pub tasks: f64,
     /// Pools with how many tasks a machine holds, the cheapest first.
@@ -76,7 +76,7 @@
 impl<'a> Bound<'a> {
     /// Zones that `job` is bound to, with how many of its tasks each may have; None: it may run
     /// in any, or has yet to choose its only one.
-    fn bound_to(&self, job: &plan::Job) -> Option<Vec<(usize, f64)>> {
+    fn bound_to(&self, job: &planner::Job) -> Option<Vec<(usize, f64)>> {
         let any = f64::MAX;
         if let Some(z) = job.zone {
             return Some(vec![(z, any)]);
@@ -120,7 +120,7 @@
     /// Takes what is at hand in the job's zones off what it wants.
     fn take_at_hand(
         &mut self,
-        job: &plan::Job,
+        job: &planner::Job,
         pool: &Pool,
         n: f64,
         zones: &mut [(usize, f64)],
@@ -137,7 +137,7 @@
             let taken = self.at_hand.take(&kind.name, zone, job.spot, machines.min(room));
             let ready = self.idle.take(&kind.name, zone, job.spot, taken.min(idle - shunned));
             *self.need.entry(pool.clone()).or_insert(0.0) += f64::from(taken - ready);
-            if job.shape == plan::Shape::Gang {
+            if job.shape == planner::Shape::Gang {
                 *self.gathering.entry((pool.0.clone(), zone.clone())).or_insert(0) += taken;
             }
             let tasks = (f64::from(taken) * n).min(*left).min(*most);
--- a/crates/core/src/claim.rs
+++ b/crates/controller/src/claim.rs
@@ -7,8 +7,8 @@
 use crate::leader::{Lead, Role};
 use crate::record::*;
 use crate::{Core, Purpose, StateOp, StateReply, Time};
+use protocol::state::Item;
 use tracing::info;
-use wire::state::Item;
 
 #[derive(Debug, Clone, Copy)]
 pub struct Claim {
--- a/crates/core/src/commit.rs
+++ b/crates/controller/src/commit.rs
@@ -6,10 +6,10 @@
 use crate::planning::band;
 use crate::record::*;
 use crate::{Core, Purpose, StateOp, StateReply, Time};
+use protocol::job::JobStatus;
+use protocol::state::{Change, Condition, Event, Item, Txn, TXN_LIMIT};
 use std::collections::BTreeSet;
 use tracing::{debug, warn};
-use wire::job::JobStatus;
-use wire::state::{Change, Condition, Event, Item, Txn, TXN_LIMIT};
 
 /// What the leader is writing, and when it may go on.
 pub struct Writes {
--- a/crates/core/src/early.rs
+++ b/crates/controller/src/early.rs
@@ -2,8 +2,8 @@
 //! answer renews a lease, and what was cancelled it does not know.
 
 use crate::io::{RequestId, Time};
+use protocol::worker::Report;
 use std::collections::BTreeMap;
-use wire::worker::Report;
 
 struct Waiting {
     request: RequestId,
--- a/crates/core/src/fleet.rs
+++ b/crates/controller/src/fleet.rs
@@ -4,12 +4,12 @@
 use crate::machine::{Life, Machine};
 use crate::record::*;
 use crate::{Budget, CloudOp, CloudReply, Core, Purpose, StateOp, Time};
-use membership::Reach;
+use protocol::cloud::*;
+use protocol::state::{Change, Condition, Txn};
 use settings::Derived;
+use sharding::Reach;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use tracing::{info, warn};
-use wire::cloud::*;
-use wire::state::{Change, Condition, Txn};
 
 /// A kind of machine that can be rented: type and whether spot.
 pub type Pool = (String, bool);
--- a/crates/core/src/floors.rs
+++ b/crates/controller/src/floors.rs
@@ -1,10 +1,10 @@
-//! Classes and teams under their floors, for one plan (see `plan::floor`).
+//! Classes and teams under their floors, for one plan (see `planner::floor`).
 
 use crate::planning::needs;
-use plan::floor::{grants, keeps_until, overdue, under, Claim, Floor};
-use plan::{Amounts, Busy, Job, Shape};
+use planner::floor::{grants, keeps_until, overdue, under, Claim, Floor};
+use planner::{Amounts, Busy, Job, Shape};
+use protocol::job::JobSpec;
 use std::collections::BTreeMap;
-use wire::job::JobSpec;
 
 /// What each class and team holds and asks for.
 pub struct Floors {
--- a/crates/core/src/hedge.rs
+++ b/crates/controller/src/hedge.rs
@@ -10,9 +10,9 @@
 
 use crate::record::Value;
 use crate::{Budget, Core, Purpose, StateOp, StateReply, Time};
+use protocol::state::{Change, Conflict, Item, Txn};
 use settings::Derived;
 use std::collections::BTreeMap;
-use wire::state::{Change, Conflict, Item, Txn};
 
 /// Copies of a transaction that are sent at most, the first included.
 const MOST_COPIES: u32 = 3;
--- a/crates/core/src/io.rs
+++ b/crates/controller/src/io.rs
@@ -1,10 +1,10 @@
 //! What goes into the core and what comes out of it.
 
 use crate::record::Value;
-use wire::cloud::{MachineList, MachineTypes, Machines, Rent};
-use wire::peer::{RelayReply, RelayRequest, View};
-use wire::state::{Conflict, Events, Item, Page, Txn};
-use wire::worker::{DirectCommands, Report};
+use protocol::cloud::{MachineList, MachineTypes, Machines, Rent};
+use protocol::peer::{RelayReply, RelayRequest, View};
+use protocol::state::{Conflict, Events, Item, Page, Txn};
+use protocol::worker::{DirectCommands, Report};
 
 /// Seconds on the steady clock.
 pub type Time = f64;
--- a/crates/core/src/job.rs
+++ b/crates/controller/src/job.rs
@@ -4,10 +4,10 @@
 use crate::layout::Layout;
 use crate::limits::Limits;
 use crate::record::*;
+use protocol::job::{JobSpec, JobStatus, Shape};
+use protocol::state::Condition;
+use protocol::worker::TaskState;
 use std::collections::{BTreeMap, BTreeSet};
-use wire::job::{JobSpec, JobStatus, Shape};
-use wire::state::Condition;
-use wire::worker::TaskState;
 
 /// A task's place on a machine. It counts for quota, zones and "ran twice"
 /// from the moment it exists until proof that the task is not there.
@@ -48,7 +48,7 @@
     /// Where its specification is stored, if not in its record.
     pub parts: Option<Parts>,
     /// What those that need it asked of it when it was last planned for.
-    pub passed: Option<pipeline::Passed>,
+    pub passed: Option<dependencies::Passed>,
     pub status: JobStatus,
     pub done: Vec<bool>,
     pub done_count: u32,
--- a/crates/core/src/kin.rs
+++ b/crates/controller/src/kin.rs
@@ -7,8 +7,8 @@
 
 use crate::polls::{Ask, To};
 use crate::{Core, Time};
+use protocol::job::JobStatus;
 use std::collections::{BTreeSet, HashSet};
-use wire::job::JobStatus;
 
 /// Questions that wait until more is known of the jobs before.
 #[derive(Default)]
--- a/crates/core/src/leader.rs
+++ b/crates/controller/src/leader.rs
@@ -11,13 +11,13 @@
 use crate::relaying::Way;
 use crate::workers::Held;
 use crate::{CallId, Core, Output, Purpose, StateOp, StateReply, Time};
+use protocol::job::{JobSpec, JobStatus};
+use protocol::peer::RelayReply;
+use protocol::state::{Change, Condition, Event, Item, Txn};
+use protocol::worker::TaskState;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use tracing::{debug, info, warn};
-use wire::job::{JobSpec, JobStatus};
-use wire::peer::RelayReply;
-use wire::state::{Change, Condition, Event, Item, Txn};
-use wire::worker::TaskState;
 
 /// Older jobs tell nothing of a machine's images any more.
 const REMEMBERED_S: f64 = 3600.0;
@@ -169,7 +169,7 @@
     pub cached: HashMap<String, Vec<(u32, Time, f64)>>,
     pub types_at: Option<Time>,
     /// The nodes that answer reports on this leader's leave.
-    pub relays: membership::Relays,
+    pub relays: sharding::Relays,
     pub archive: crate::archive::Archive,
     /// Parts of specifications, while records are read.
     pub parts: crate::parts::PartsRead,
@@ -226,7 +226,7 @@
             booking: 0,
             cached: HashMap::new(),
             types_at: None,
-            relays: membership::Relays::default(),
+            relays: sharding::Relays::default(),
             archive: crate::archive::Archive::default(),
             parts: crate::parts::PartsRead::default(),
             unread: crate::unread::Unread::default(),
--- a/crates/core/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -35,14 +35,14 @@
 
 pub use io::*;
 use leader::{Lead, Role};
-pub use membership::GatewayGuards;
-use membership::{Gateway, Lateness, Presence, Spread};
+use protocol::cloud::MachineType;
+use protocol::job::JobStatus;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use record::JobRecord;
 use settings::{Derived, Operator, Settings};
+pub use sharding::GatewayGuards;
+use sharding::{Gateway, Lateness, Presence, Spread};
 use std::collections::{BTreeMap, VecDeque};
-use wire::cloud::MachineType;
-use wire::job::JobStatus;
 
 /// A rate that may be spent in bursts of one second's worth.
 #[derive(Debug, Clone)]
@@ -353,7 +353,7 @@
     /// number then.
     pub(crate) workers_heard: BTreeMap<String, (Time, (u64, u64))>,
     /// The other controllers' views, with when they came.
-    pub(crate) peers: BTreeMap<String, (wire::peer::View, Time)>,
+    pub(crate) peers: BTreeMap<String, (protocol::peer::View, Time)>,
     pub(crate) presence: Presence,
     pub(crate) operator: Operator,
     pub(crate) gateway: Gateway,
@@ -499,13 +499,13 @@
     }
 
     /// What this node tells the others.
-    pub fn view_for_peers(&self) -> wire::peer::View {
+    pub fn view_for_peers(&self) -> protocol::peer::View {
         let since = self.now - self.d.heard_s;
         let serves = match &self.role {
             Role::Leader(l) => l.authority.renews(self.now),
             Role::Follower => self.gateway.serves(self.now),
         };
-        wire::peer::View {
+        protocol::peer::View {
             node: self.settings.node.clone(),
             token: if let Role::Leader(l) = &self.role { l.token } else { 0 },
             state_reached: self.state_bad_since.is_none()
@@ -651,7 +651,7 @@
         id
     }
 
-    pub(crate) fn direct(&mut self, purpose: Purpose, addr: &str, body: wire::worker::DirectCommands) {
+    pub(crate) fn direct(&mut self, purpose: Purpose, addr: &str, body: protocol::worker::DirectCommands) {
         let id = self.call_id(purpose);
         self.out.push(Output::Worker(id, addr.to_string(), body));
     }
@@ -661,7 +661,7 @@
     }
 
     pub(crate) fn refuse(&mut self, id: RequestId, status: u16, why: &str) {
-        let body = wire::encode(&wire::job::Refusal { error: why.to_string() });
+        let body = protocol::encode(&protocol::job::Refusal { error: why.to_string() });
         // Users wait a second at least anyway; nothing is won by asking more.
         let retry_after_s = (status == 503).then_some(1);
         self.out.push(Output::Answer(id, Answer { status, body, retry_after_s }));
@@ -677,7 +677,7 @@
                 if self.users_better_elsewhere() {
                     self.refuse(id, 503, "state service not reached from here");
                 } else if self.types.is_some() {
-                    self.answer(id, 200, wire::encode(&self.health()));
+                    self.answer(id, 200, protocol::encode(&self.health()));
                 } else {
                     self.refuse(id, 503, "machine types not known yet");
                 }
--- a/crates/core/src/machine.rs
+++ b/crates/controller/src/machine.rs
@@ -2,11 +2,11 @@
 
 use crate::deaf::Ears;
 use crate::io::Time;
-use membership::Source;
+use protocol::worker::{Report, TaskReport};
 use settings::Derived;
+use sharding::Source;
 use std::collections::BTreeSet;
 use tracing::warn;
-use wire::worker::{Report, TaskReport};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Life {
--- a/crates/core/src/parts.rs
+++ b/crates/controller/src/parts.rs
@@ -3,8 +3,8 @@
 
 use crate::record::*;
 use crate::{Core, Purpose, StateOp, StateReply, Time};
+use protocol::state::{Change, Condition, Txn};
 use std::collections::BTreeMap;
-use wire::state::{Change, Condition, Txn};
 
 /// What a leader has read of parts, before the records that name them.
 #[derive(Default)]
@@ -57,7 +57,7 @@
     /// Stores the next parts of a submission, or at last its record.
     pub(crate) fn create_parts(&mut self, id: &str) {
         let most = self.limits.changes();
-        let (mut room, mut changes) = (wire::state::TXN_LIMIT * 7 / 8, Vec::new());
+        let (mut room, mut changes) = (protocol::state::TXN_LIMIT * 7 / 8, Vec::new());
         let left = self.users.parts_of(id);
         while let Some((key, value)) = left.pop() {
             let size = json_size(&value) + key.len() + 40;
--- a/crates/core/src/pipelines.rs
+++ b/crates/controller/src/pipelines.rs
@@ -4,11 +4,11 @@
 use crate::leader::{Lead, Role};
 use crate::record::*;
 use crate::{Core, Finals, Purpose, StateOp, StateReply, Time};
-use pipeline::{Effects, Fate, Graph};
+use dependencies::{Effects, Fate, Graph};
+use protocol::job::JobStatus;
+use protocol::state::Item;
 use std::collections::BTreeSet;
 use tracing::info;
-use wire::job::JobStatus;
-use wire::state::Item;
 
 /// The graph of live jobs, and awaited ones whose records are being read.
 #[derive(Default)]
--- a/crates/core/src/planning.rs
+++ b/crates/controller/src/planning.rs
@@ -10,13 +10,13 @@
 use crate::record::StoredPlacement;
 use crate::urgency::Urgency;
 use crate::Core;
-use plan::floor::Floor;
-use plan::{Amounts, Busy, Problem, Victim};
+use planner::floor::Floor;
+use planner::{Amounts, Busy, Problem, Victim};
+use protocol::cloud::MachineType;
+use protocol::job::{JobSpec, Priority, Shape};
+use protocol::worker::{split_task, TaskReport, TaskState};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use tracing::{debug, info};
-use wire::cloud::MachineType;
-use wire::job::{JobSpec, Priority, Shape};
-use wire::worker::{split_task, TaskReport, TaskState};
 
 /// What was learned of a class: how its run times compare to the estimates.
 #[derive(Debug, Clone, Default)]
@@ -210,7 +210,7 @@
         let ratio = |class: &str| l.classes.get(class).map_or(1.0, ClassStats::ratio);
         // Machines: what their places take, and until when.
         let mut names: Vec<String> = Vec::new();
-        let mut machines: Vec<plan::Machine> = Vec::new();
+        let mut machines: Vec<planner::Machine> = Vec::new();
         let mut index: HashMap<&str, usize> = HashMap::new();
         for m in l.machines.values().filter(|m| m.takes_work()) {
             let Some(kind) = types.iter().position(|t| t.name == m.machine_type) else { continue };
@@ -232,7 +232,7 @@
             };
             index.insert(&m.id, machines.len());
             names.push(m.id.clone());
-            machines.push(plan::Machine {
+            machines.push(planner::Machine {
                 kind,
                 zone,
                 spot: m.spot,
@@ -243,10 +243,10 @@
                 slowness: m.slowness,
             });
         }
-        let mut teams: Vec<plan::Team> = Vec::new();
+        let mut teams: Vec<planner::Team> = Vec::new();
         for t in &self.settings.params.teams {
             let cap = |x: f64| (x > 0.0).then_some(x);
-            teams.push(plan::Team {
+            teams.push(planner::Team {
                 cores_left: cap(t.cores_max),
                 accelerators_left: cap(t.accelerators_max),
             });
@@ -355,7 +355,7 @@
         }
         let mut open_jobs: Vec<(Urgency, usize, &String, &Job)> = Vec::new();
         let mut ids: Vec<String> = Vec::new();
-        let mut jobs: Vec<plan::Job> = Vec::new();
+        let mut jobs: Vec<planner::Job> = Vec::new();
         for (id, job) in by_age {
             let Some(team) = team_of(&job.spec.team) else { continue };
             if !job.nothing_waits() && !job.layout.changing() {
@@ -371,11 +371,11 @@
         // is under its limit. (Taking the oldest alone once left urgent newcomers out.)
         let under_limit = |team: usize, s: &JobSpec| {
             let fits = |left: Option<f64>, need: f64| left.is_none_or(|x| need <= x + 1e-6);
-            let t: &plan::Team = &teams[team];
+            let t: &planner::Team = &teams[team];
             fits(t.cores_left, s.cores) && fits(t.accelerators_left, s.accelerators)
         };
         open_jobs.sort_by_key(|j| std::cmp::Reverse((under_limit(j.1, &j.3.spec), j.0.band)));
-        let free_for = |s: &JobSpec, m: &plan::Machine| {
+        let free_for = |s: &JobSpec, m: &planner::Machine| {
             let kind = s.types.as_ref().is_none_or(|l| l.contains(&types[m.kind].name));
             let there = s.zone.as_ref().is_none_or(|z| *z == zones[m.zone]) && (s.spot || !m.spot);
             kind && there && m.ready <= now && m.free.holds(&needs(s))
@@ -453,12 +453,12 @@
                 continue;
             }
             ids.push(id.clone());
-            jobs.push(plan::Job {
+            jobs.push(planner::Job {
                 band: urgent.band,
                 shape: match s.shape {
-                    Shape::Array => plan::Shape::Array,
-                    Shape::Gang => plan::Shape::Gang,
-                    Shape::Service => plan::Shape::Service,
+                    Shape::Array => planner::Shape::Array,
+                    Shape::Gang => planner::Shape::Gang,
+                    Shape::Service => planner::Shape::Service,
                 },
                 waiting,
                 needs: needs(s),
@@ -528,7 +528,7 @@
             now,
             types: types
                 .iter()
-                .map(|t| plan::Type {
+                .map(|t| planner::Type {
                     size: size_of(t),
                     price: t.price,
                     spot_price: t.spot_price,
@@ -542,8 +542,8 @@
             bound_s: self.settings.params.workers.lease_s * 10.0,
             patience_s: if self.operator.preempt { self.settings.params.workers.report_s } else { f64::MAX },
         };
-        let made = plan::plan(&problem);
-        let passed: Vec<(String, pipeline::Passed)> = passed.into_iter().collect();
+        let made = planner::plan(&problem);
+        let passed: Vec<(String, dependencies::Passed)> = passed.into_iter().collect();
         let effort = (made.steps + steps) as f64 / (PLAN_STEPS * self.settings.params.resources.cpu_share);
         if let Role::Leader(l) = &mut self.role {
             l.gathers = Gathers(made.gathers.map(|(i, zone)| (ids[i].clone(), zone)));
@@ -566,7 +566,7 @@
         self.set_targets(&problem, &made, &types);
     }
 
-    fn carry_out(&mut self, p: &Problem, made: &plan::Plan, names: &[String], ids: &[String]) {
+    fn carry_out(&mut self, p: &Problem, made: &planner::Plan, names: &[String], ids: &[String]) {
         let now = self.now;
         let too_early = !self.guards.awaits;
         let Role::Leader(l) = &mut self.role else { return };
@@ -626,7 +626,7 @@
 
     /// How many machines each pool should have: what is used and waited for,
     /// and a reserve for what usually comes.
-    fn set_targets(&mut self, p: &Problem, made: &plan::Plan, types: &[wire::cloud::MachineType]) {
+    fn set_targets(&mut self, p: &Problem, made: &planner::Plan, types: &[protocol::cloud::MachineType]) {
         let now = self.now;
         let (reserve_share, d, guards) = (self.operator.reserve, self.d, self.guards);
         let Role::Leader(l) = &mut self.role else { return };
@@ -693,7 +693,7 @@
             // (What it failed on may stand idle there, and is no machine of its own.)
             if job.one_zone && job.zone.is_none() && job.avoid.is_empty() {
                 left = bound.gather(&ask).unwrap_or(left);
-            } else if guards.bound && job.shape == plan::Shape::Gang {
+            } else if guards.bound && job.shape == planner::Shape::Gang {
                 bound.keep_idle(&ask);
             }
             // The cheapest first, and what it has not got from the next.
--- a/crates/core/src/polls.rs
+++ b/crates/controller/src/polls.rs
@@ -18,9 +18,9 @@
 use crate::record::*;
 use crate::users::Found;
 use crate::{Core, Purpose, RequestId, StateOp, StateReply, Time};
+use protocol::job::{JobStatus, Shape};
+use protocol::state::{Condition, Event, Events, Item, Txn};
 use std::collections::{BTreeMap, HashSet};
-use wire::job::{JobStatus, Shape};
-use wire::state::{Condition, Event, Events, Item, Txn};
 
 /// Who asks after a job.
 pub(crate) enum To {
--- a/crates/core/src/record.rs
+++ b/crates/controller/src/record.rs
@@ -1,12 +1,12 @@
 //! What the controllers keep in the state service, and under which keys. `docs/upgrade.md`
 //! says which version reads and writes what.
 
+use protocol::cloud::MachineType;
+use protocol::job::{JobSpec, JobStatus};
 use serde::ser::SerializeTuple;
 use serde::{Deserialize, Serialize, Serializer};
 use serde_json::ser::Formatter;
 use std::io::{self, Write};
-use wire::cloud::MachineType;
-use wire::job::{JobSpec, JobStatus};
 
 pub const LEADER_KEY: &str = "a/leader";
 pub const TYPES_KEY: &str = "a/types";
--- a/crates/core/src/relaying.rs
+++ b/crates/controller/src/relaying.rs
@@ -5,12 +5,12 @@
 use crate::machine::{Life, Machine};
 use crate::workers::Held;
 use crate::{Core, Output, Purpose, RequestId, Time};
-use membership::{Act, Member, Source, Spans};
+use protocol::job::Health;
+use protocol::peer::{Entry, Order, Orders, RelayReply, RelayRequest};
+use protocol::worker::{split_task, Redirect, Report, ReportAnswer, TaskState};
+use sharding::{Act, Member, Source, Spans};
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{info, warn};
-use wire::job::Health;
-use wire::peer::{Entry, Order, Orders, RelayReply, RelayRequest};
-use wire::worker::{split_task, Redirect, Report, ReportAnswer, TaskState};
 
 /// Where a worker finds room.
 pub enum Room {
@@ -28,7 +28,7 @@
 
 impl Core {
     pub(crate) fn redirect(&mut self, req: RequestId, report_to: Option<String>) {
-        self.answer(req, 421, wire::encode(&Redirect { report_to }));
+        self.answer(req, 421, protocol::encode(&Redirect { report_to }));
     }
 
     /// A report at a node that does not lead.
@@ -99,7 +99,7 @@
     fn carry_acts(&mut self) {
         for act in self.gateway.take_acts() {
             match act {
-                Act::Answer(req, answer) => self.answer(req, 200, wire::encode(&answer)),
+                Act::Answer(req, answer) => self.answer(req, 200, protocol::encode(&answer)),
                 Act::Elsewhere(req, node) => self.redirect(req, node),
                 Act::Refuse(req, why) => self.refuse(req, 503, why),
                 Act::Call(node, request) => {
@@ -190,7 +190,7 @@
     /// Answers a report that was held here.
     pub(crate) fn answer_report(&mut self, machine: &str, held: Held, answer: ReportAnswer) {
         match held.way {
-            Way::Direct(request) => self.answer(request, 200, wire::encode(&answer)),
+            Way::Direct(request) => self.answer(request, 200, protocol::encode(&answer)),
             // Its node answers an idle machine by itself when its time is over.
             Way::Relayed(..) if held.idle && answer.commands.is_empty() => {}
             Way::Relayed(source, session, seq) => {
@@ -224,7 +224,7 @@
                 place.is_some_and(|p| p.machine == machine && p.attempt == attempt)
             };
             let live = m.tasks.iter().filter(|t| t.state != TaskState::Exited);
-            let stray = |t: &&wire::worker::TaskReport| {
+            let stray = |t: &&protocol::worker::TaskReport| {
                 split_task(&t.task).is_some_and(|(id, n)| !placed(id, n, t.attempt))
             };
             if live.filter(stray).count() > 0 {
--- a/crates/core/src/stops.rs
+++ b/crates/controller/src/stops.rs
@@ -5,8 +5,8 @@
 
 use crate::leader::Role;
 use crate::{Core, Purpose, Time, WorkerReply};
+use protocol::worker::*;
 use std::collections::{BTreeMap, BTreeSet};
-use wire::worker::*;
 
 /// Most commands in one call: a body is at most 64 KiB. What is left over comes again.
 pub const MOST_COMMANDS: usize = 400;
--- a/crates/core/src/unread.rs
+++ b/crates/controller/src/unread.rs
@@ -5,10 +5,10 @@
 use crate::job::Job;
 use crate::leader::Lead;
 use crate::record::{id_of, page_of_key};
-use plan::Amounts;
+use planner::Amounts;
+use protocol::worker::{split_task, TaskState};
 use std::collections::BTreeMap;
 use tracing::warn;
-use wire::worker::{split_task, TaskState};
 
 /// What such a job may take of its team's limit, if its own record could be read.
 struct Claim {
--- a/crates/core/src/urgency.rs
+++ b/crates/controller/src/urgency.rs
@@ -5,9 +5,9 @@
 use crate::leader::{Lead, Role};
 use crate::planning::{band, ClassStats};
 use crate::Core;
-use pipeline::{Own, Passed};
+use dependencies::{Own, Passed};
+use protocol::job::{JobSpec, Priority, Shape};
 use std::collections::HashMap;
-use wire::job::{JobSpec, Priority, Shape};
 
 /// No deadline.
 pub(crate) const NEVER: f64 = f64::MAX / 4.0;
--- a/crates/core/src/users.rs
+++ b/crates/controller/src/users.rs
@@ -3,14 +3,14 @@
 use crate::parts::{new_job, nonce};
 use crate::record::*;
 use crate::{Core, Purpose, RequestId, StateOp, StateReply};
-use plan::Amounts;
+use planner::Amounts;
+use protocol::cloud::MachineType;
+use protocol::job::{valid_id, JobSpec, JobStatus, JobView, Shape};
+use protocol::state::{Change, Condition, Item, Txn};
 use rand::Rng;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
-use wire::cloud::MachineType;
-use wire::job::{valid_id, JobSpec, JobStatus, JobView, Shape};
-use wire::state::{Change, Condition, Item, Txn};
 
 #[derive(Default)]
 pub struct Users {
@@ -115,21 +115,21 @@
     ) {
         let view =
             JobView { id: job.to_string(), status, done: counts.map(|c| c.0), running: counts.map(|c| c.1) };
-        self.answer(id, code, wire::encode(&view));
+        self.answer(id, code, protocol::encode(&view));
     }
 
     pub(crate) fn on_submit(&mut self, req: RequestId, body: &[u8]) {
-        let parsed: Result<JobSpec, String> = if body.len() > wire::BODY_LIMIT {
+        let parsed: Result<JobSpec, String> = if body.len() > protocol::BODY_LIMIT {
             Err("body over 64 KiB".to_string())
         } else {
-            wire::decode::<JobSpec>(body).and_then(|s| s.check().map(|()| s)).map_err(|e| e.to_string())
+            protocol::decode::<JobSpec>(body).and_then(|s| s.check().map(|()| s)).map_err(|e| e.to_string())
         };
         let spec = match parsed {
             Ok(spec) => spec,
             Err(why) => {
                 // A known job's repeated submission must never get 400, so
                 // the id is looked up if there is one.
-                let named = wire::first_map::<OnlyId>(body).ok().and_then(|(o, _)| o.id);
+                let named = protocol::first_map::<OnlyId>(body).ok().and_then(|(o, _)| o.id);
                 let id = named.filter(|id| valid_id(id));
                 match id {
                     Some(id) => self.inquire(req, &id, 400, &why),
--- a/crates/core/src/workers.rs
+++ b/crates/controller/src/workers.rs
@@ -7,10 +7,10 @@
 use crate::relaying::{Room, Way};
 use crate::stops::MOST_COMMANDS;
 use crate::{Core, Purpose, RequestId, StateOp, Time};
-use membership::Relays;
+use protocol::job::Shape;
+use protocol::worker::*;
+use sharding::Relays;
 use tracing::{info, warn};
-use wire::job::Shape;
-use wire::worker::*;
 
 /// A report whose answer waits a moment for the commit that its launches need.
 pub struct Held {
@@ -27,7 +27,7 @@
 
 impl Core {
     pub(crate) fn on_report(&mut self, req: RequestId, body: &[u8]) {
-        let report: Report = match wire::decode(body) {
+        let report: Report = match protocol::decode(body) {
             Ok(r) => r,
             Err(e) => return self.refuse(req, 400, &e.to_string()),
         };
@@ -89,14 +89,14 @@
         let Some(l) = self.lead(token) else { return };
         if !l.loaded {
             let answer = ReportAnswer { token, commands: Vec::new() };
-            return self.answer(req, 200, wire::encode(&answer));
+            return self.answer(req, 200, protocol::encode(&answer));
         }
         if !self.receive(report, None, now) {
             // Late, or overtaken by a copy of it or by the answer to a direct command. Its worker
             // may wait yet, and the answer renews its lease: it says what there is to tell.
             // (A copy that came first once took the stops with it, with every report.)
             let answer = self.commands_for(&report.machine);
-            return self.answer(req, 200, wire::encode(&answer));
+            return self.answer(req, 200, protocol::encode(&answer));
         }
         if let Some(node) = self.better_for(report) {
             return self.redirect(req, Some(node));
@@ -122,7 +122,7 @@
 
     /// Takes in a report that came here or to another node at `came`; false if it
     /// is not newer than the last, or speaks of a machine that is gone.
-    pub(crate) fn receive(&mut self, report: &Report, via: Option<membership::Source>, came: Time) -> bool {
+    pub(crate) fn receive(&mut self, report: &Report, via: Option<sharding::Source>, came: Time) -> bool {
         let (now, silent_s, order) = (self.now, self.d.silent_s, self.guards.order);
         let Role::Leader(l) = &mut self.role else { return false };
         let id = &report.machine;
--- a/crates/core/tests/records.rs
+++ b/crates/controller/tests/records.rs
@@ -1,6 +1,6 @@
 //! What is kept in the state service: older forms are read, sizes are known.
 
-use anisecroft_core::record::*;
+use anisecroft_controller::record::*;
 use serde::Serialize;
 
 /// Placements as records held them before they became lists.
@@ -23,9 +23,9 @@
         done: "f1".into(),
         places: vec![OldPlacement { task: 3, attempt: 2, machine: "vm-000012".into() }],
     };
-    let page: PageRecord = wire::decode(&wire::encode(&old)).unwrap();
+    let page: PageRecord = protocol::decode(&protocol::encode(&old)).unwrap();
     assert_eq!(page.places, [StoredPlacement { task: 3, attempt: 2, machine: "vm-000012".into() }]);
-    assert_eq!(wire::decode::<PageRecord>(&wire::encode(&page)).unwrap(), page);
+    assert_eq!(protocol::decode::<PageRecord>(&protocol::encode(&page)).unwrap(), page);
 }
 
 #[test]
--- a/crates/pipeline/tests/graph.rs
+++ b/crates/dependencies/tests/graph.rs
@@ -1,6 +1,6 @@
 //! The graph against a plain model over generated pipelines.
 
-use anisecroft_pipeline::{Fate, Graph, Own, Passed};
+use anisecroft_dependencies::{Fate, Graph, Own, Passed};
 use proptest::prelude::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/plan/tests/common/mod.rs
+++ b/crates/planner/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Small problems.
 
-use anisecroft_plan::*;
+use anisecroft_planner::*;
 
 /// Type 0: 4 slots at 4.0 (1.0 a slot); type 1: 2 slots at 6.0 (3.0 a slot).
 pub fn types() -> Vec<Type> {
--- a/crates/plan/tests/cura.rs
+++ b/crates/planner/tests/cura.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use anisecroft_plan::*;
+use anisecroft_planner::*;
 use common::*;
 use proptest::prelude::*;
 
--- a/crates/plan/tests/room.rs
+++ b/crates/planner/tests/room.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use anisecroft_plan::*;
+use anisecroft_planner::*;
 use common::*;
 
 /// A machine with one accelerator of four free; the rest is held until `end`.
--- a/crates/wire/tests/formats.rs
+++ b/crates/protocol/tests/formats.rs
@@ -1,8 +1,8 @@
 //! Formats against generated inputs and the examples of the protocol.
 
-use anisecroft_wire::job::*;
-use anisecroft_wire::worker::*;
-use anisecroft_wire::{decode, encode, Malformed};
+use anisecroft_protocol::job::*;
+use anisecroft_protocol::worker::*;
+use anisecroft_protocol::{decode, encode, Malformed};
 use proptest::prelude::*;
 
 fn spec() -> JobSpec {
--- a/crates/membership/src/gateway.rs
+++ b/crates/sharding/src/gateway.rs
@@ -1,10 +1,10 @@
 //! A node that takes workers' reports for the leader.
 
 use crate::{RequestId, Time};
+use protocol::peer::{Content, Entry, Orders, RelayReply, RelayRequest};
+use protocol::worker::{Report, ReportAnswer, TaskState};
 use settings::Derived;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use wire::peer::{Content, Entry, Orders, RelayReply, RelayRequest};
-use wire::worker::{Report, ReportAnswer, TaskState};
 
 /// What the node has to do.
 #[derive(Debug, PartialEq)]
--- a/crates/membership/src/relays.rs
+++ b/crates/sharding/src/relays.rs
@@ -1,9 +1,9 @@
 //! The leader's side: what it knows of the nodes that answer for it.
 
 use crate::{Hearing, RequestId, Time};
+use protocol::peer::{Attend, Orders, RelayReply, RelayRequest};
 use settings::DRIFT;
 use std::collections::{BTreeMap, VecDeque};
-use wire::peer::{Attend, Orders, RelayReply, RelayRequest};
 
 /// A start of a node's process.
 pub type Source = (String, u64);
--- a/crates/membership/tests/gateways.rs
+++ b/crates/sharding/tests/gateways.rs
@@ -1,12 +1,12 @@
 //! One worker, two nodes that take its reports, a leader and its successor, with
 //! every message between nodes delivered late, lost or out of turn.
 
-use anisecroft_membership::{Act, Gateway, GatewayGuards, Reach, Relays, RequestId, Source};
+use anisecroft_sharding::{Act, Gateway, GatewayGuards, Reach, Relays, RequestId, Source};
+use protocol::peer::{Op, Order, Orders, RelayReply, RelayRequest};
+use protocol::worker::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use settings::{Derived, Settings};
 use std::collections::BTreeMap;
-use wire::peer::{Op, Order, Orders, RelayReply, RelayRequest};
-use wire::worker::*;
 
 const NODES: [&str; 2] = ["chiefs-1", "chiefs-2"];
 const MACHINE: &str = "vm-000001";
--- a/crates/membership/tests/presence.rs
+++ b/crates/sharding/tests/presence.rs
@@ -1,6 +1,6 @@
 //! Which nodes have been there all along.
 
-use anisecroft_membership::Presence;
+use anisecroft_sharding::Presence;
 
 /// A process that ended and was back before its next view was missed is away all the same, as
 /// far as its workers go: they try the other nodes one after the other. (A live machine
--- a/crates/testkit/src/bin/explore.rs
+++ b/crates/simulation/src/bin/explore.rs
@@ -1,6 +1,6 @@
 //! `explore`: goes through scripts with each kind of trouble at each message.
 
-use anisecroft_testkit::explore::*;
+use anisecroft_simulation::explore::*;
 use clap::Parser;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::process::ExitCode;
--- a/crates/testkit/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -1,8 +1,8 @@
 //! The cloud: machines that boot, a list that lags.
 
-use engine::{CloudOp, CloudReply};
+use controller::{CloudOp, CloudReply};
+use protocol::cloud::*;
 use std::collections::BTreeMap;
-use wire::cloud::*;
 
 #[derive(Debug, Clone)]
 pub struct Rented {
--- a/crates/testkit/src/explore/line.rs
+++ b/crates/simulation/src/explore/line.rs
@@ -2,7 +2,7 @@
 
 use super::script::{script, Script, SCRIPTS};
 use crate::sim::Trouble;
-use engine::Guards;
+use controller::Guards;
 
 /// One run: a script, and which trouble strikes at which of its messages.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/testkit/src/explore/script.rs
+++ b/crates/simulation/src/explore/script.rs
@@ -1,12 +1,12 @@
 //! Short fixed runs of a few jobs, in which each message is a point for trouble.
 
 use crate::{Fault, Setup};
-use engine::Guards;
+use controller::Guards;
+use protocol::cloud::MachineType;
+use protocol::job::*;
 use settings::{Settings, Workers};
 use std::collections::BTreeSet;
 use std::sync::LazyLock;
-use wire::cloud::MachineType;
-use wire::job::*;
 
 /// A fixed run.
 #[derive(Debug, Clone, Copy)]
--- a/crates/testkit/src/rules.rs
+++ b/crates/simulation/src/rules.rs
@@ -1,7 +1,7 @@
 //! The protocol's rules, judged on what really happens.
 
+use protocol::job::{JobSpec, JobStatus};
 use std::collections::{BTreeMap, BTreeSet};
-use wire::job::{JobSpec, JobStatus};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
--- a/crates/testkit/src/sim.rs
+++ b/crates/simulation/src/sim.rs
@@ -14,16 +14,16 @@
 use crate::rules::{Broken, Ledger, Rule};
 use crate::state::{Limits, Store};
 use crate::worker::{Launch, Phase, TaskKey, Worker};
-use engine::*;
+use controller::*;
 use prost::Message;
+use protocol::cloud::MachineType;
+use protocol::job::*;
+use protocol::peer::RelayRequest;
+use protocol::worker::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use settings::{Derived, Operator, Peer, Settings};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use wire::cloud::MachineType;
-use wire::job::*;
-use wire::peer::RelayRequest;
-use wire::worker::*;
 
 /// Trouble at a set time.
 #[derive(Debug, Clone)]
@@ -1059,7 +1059,7 @@
         }
         match a.status {
             200 => {
-                let Ok(answer) = wire::decode::<ReportAnswer>(&a.body) else { return };
+                let Ok(answer) = protocol::decode::<ReportAnswer>(&a.body) else { return };
                 if answer.token < w.token {
                     return;
                 }
@@ -1069,7 +1069,7 @@
                 self.execute(vm, &answer.commands);
             }
             421 => {
-                let to = wire::decode::<Redirect>(&a.body).ok().and_then(|r| r.report_to);
+                let to = protocol::decode::<Redirect>(&a.body).ok().and_then(|r| r.report_to);
                 let known = to.and_then(|t| NODE_NAMES.iter().position(|n| *n == t)).filter(|&t| t != n);
                 w.next_report = now + if known.is_some() { 0.2 } else { 1.0 };
                 w.node = known.unwrap_or((w.node + 1) % nodes);
@@ -1109,13 +1109,13 @@
         if now < self.copies.0 && self.rng.gen_bool(0.3) {
             let late = now + self.rng.gen_range(1.0..self.copies.1);
             let to = self.rng.gen_range(0..self.nodes.len());
-            self.push(late, Ev::ReportArrives(vm.to_string(), u64::MAX, to, wire::encode(&report)));
+            self.push(late, Ev::ReportArrives(vm.to_string(), u64::MAX, to, protocol::encode(&report)));
         }
         self.keep_copy(vm, &report);
         let cut = self.worker_cut(vm, node);
         if !mute {
             if let Some(at) = self.through(cut) {
-                self.send(at, None, Ev::ReportArrives(vm.to_string(), seq, node, wire::encode(&report)));
+                self.send(at, None, Ev::ReportArrives(vm.to_string(), seq, node, protocol::encode(&report)));
             }
         }
         self.push(now + 4.0, Ev::ReportGivenUp(vm.to_string(), seq));
@@ -1435,13 +1435,13 @@
         let spec = &self.ledger.specs[id];
         let r = if !accepted {
             self.ledger.submitted.insert(id.to_string());
-            Request::Submit(wire::encode(spec))
+            Request::Submit(protocol::encode(spec))
         } else if u.cancel_at.is_some_and(|c| now >= c) {
             self.ledger.cancel_asked.insert(id.to_string());
             Request::Cancel(id.to_string())
         } else if self.rng.gen_bool(0.1) {
             // A repeated submission, which may come at any time.
-            Request::Submit(wire::encode(spec))
+            Request::Submit(protocol::encode(spec))
         } else {
             Request::Poll(id.to_string())
         };
@@ -1469,7 +1469,7 @@
         let mut pause = self.rng.gen_range(1.5..3.0);
         match a.status {
             200 | 201 => {
-                if let Ok(v) = wire::decode::<JobView>(&a.body) {
+                if let Ok(v) = protocol::decode::<JobView>(&a.body) {
                     // Ask on for a while after the end: it must stay so.
                     if v.status.is_final() {
                         pause = 10.0;
@@ -1662,7 +1662,7 @@
     /// Submits `spec` to node `n` and goes on until there is an answer. What becomes of the
     /// job is not judged.
     pub fn submit(&mut self, n: usize, spec: JobSpec) -> Answer {
-        let body = wire::encode(&spec);
+        let body = protocol::encode(&spec);
         self.ledger.submitted.insert(spec.id.clone());
         self.ledger.specs.insert(spec.id.clone(), spec);
         self.ask_by_hand(n, Request::Submit(body))
@@ -1685,7 +1685,7 @@
     }
 
     /// Looks at every value that is stored, with its key.
-    pub fn inspect(&mut self, look: fn(&str, &engine::record::Value)) {
+    pub fn inspect(&mut self, look: fn(&str, &controller::record::Value)) {
         self.store.inspect = Some(look);
     }
 
--- a/crates/testkit/src/sim/border.rs
+++ b/crates/simulation/src/sim/border.rs
@@ -252,7 +252,7 @@
             Ev::Reply(_, _, input) => reply_label(input),
             Ev::ReportArrives(_, _, to, body) => format!("report to {}: {}", self.role(*to), tasks(body)),
             Ev::AnswerArrives(_, _, n, a) => {
-                let commands = wire::decode::<ReportAnswer>(&a.body).map(|r| verbs(&r.commands));
+                let commands = protocol::decode::<ReportAnswer>(&a.body).map(|r| verbs(&r.commands));
                 format!("answer of {} {} {}", self.role(*n), a.status, commands.unwrap_or_default())
             }
             Ev::UserArrives(id, _, _, r) => {
@@ -260,7 +260,7 @@
                 format!("user {}, told {told}", first_word(r))
             }
             Ev::UserAnswer(_, _, a) => {
-                let status = wire::decode::<JobView>(&a.body).map(|v| first_word(&v.status));
+                let status = protocol::decode::<JobView>(&a.body).map(|v| first_word(&v.status));
                 format!("to user {} {}", a.status, status.unwrap_or_default())
             }
             _ => String::new(),
@@ -356,7 +356,7 @@
 }
 
 fn tasks(body: &[u8]) -> String {
-    let Ok(report) = wire::decode::<Report>(body) else { return String::new() };
+    let Ok(report) = protocol::decode::<Report>(body) else { return String::new() };
     let state = |t: &TaskReport| match t.cause {
         Some(cause) => format!("{:?} {cause:?}", t.state),
         None => first_word(&t.state),
@@ -383,9 +383,9 @@
     }
 }
 
-fn change_label(change: &wire::state::Change<engine::record::Value>) -> String {
-    use engine::record::Value;
-    use wire::state::Change;
+fn change_label(change: &protocol::state::Change<controller::record::Value>) -> String {
+    use controller::record::Value;
+    use protocol::state::Change;
     match change {
         Change::Delete { key } => format!("{} gone", prefix(key)),
         Change::Put { key, value: Value::Job(j), .. } => {
--- a/crates/testkit/src/sim/digest.rs
+++ b/crates/simulation/src/sim/digest.rs
@@ -3,11 +3,11 @@
 //! whatever their types and fields are called.
 
 use super::Sim;
-use engine::*;
+use controller::*;
 use prost::Message;
+use protocol::cloud::Machines;
+use protocol::state::{Committed, GrantLease, Lease, Missing};
 use serde::Serialize;
-use wire::cloud::Machines;
-use wire::state::{Committed, GrantLease, Lease, Missing};
 
 /// How many messages crossed so far, and the FNV-1a hash (64 bits) of all of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -72,7 +72,7 @@
 
     /// What is MessagePack on the wire.
     fn body<T: Serialize>(self, body: &T) -> Self {
-        let bytes = wire::encode(body);
+        let bytes = protocol::encode(body);
         assert!(!bytes.is_empty(), "a message has no wire form");
         self.bytes(&bytes)
     }
--- a/crates/testkit/src/sim/looks.rs
+++ b/crates/simulation/src/sim/looks.rs
@@ -93,7 +93,7 @@
             self.looks.counts.cancelled_at_once += 1;
             self.cancel_by_look(id, 0.0);
         }
-        let spec = wire::encode(&self.ledger.specs[id]);
+        let spec = protocol::encode(&self.ledger.specs[id]);
         for node in 0..self.nodes.len() {
             for _ in 0..2 {
                 let again = self.rng.gen_bool(0.4);
@@ -119,7 +119,7 @@
         }
         match a.status {
             200 | 201 => {
-                if let Ok(v) = wire::decode::<JobView>(&a.body) {
+                if let Ok(v) = protocol::decode::<JobView>(&a.body) {
                     self.looks.counts.close_answered += 1;
                     self.hear(&id, look.sent, Some(v.status));
                 }
@@ -186,7 +186,7 @@
     /// Users ask for every job that was submitted at every node, and repeat their submissions.
     pub(super) fn ask_all(&mut self) {
         for id in self.ledger.submitted.iter().cloned().collect::<Vec<_>>() {
-            let again = Request::Submit(wire::encode(&self.ledger.specs[&id]));
+            let again = Request::Submit(protocol::encode(&self.ledger.specs[&id]));
             for node in 0..self.nodes.len() {
                 self.look(&id, node, 0.0, Request::Poll(id.clone()), false);
                 self.look(&id, node, 0.0, again.clone(), false);
@@ -203,17 +203,17 @@
         let spec = self.ledger.specs[id].clone();
         match self.ledger.told.get(id) {
             Some(JobStatus::Done) => self.look(id, node, 0.0, Request::Cancel(id.to_string()), false),
-            Some(_) => self.look(id, node, 0.0, Request::Submit(wire::encode(&spec)), false),
+            Some(_) => self.look(id, node, 0.0, Request::Submit(protocol::encode(&spec)), false),
             None => {}
         }
         self.looks.unfit += 1;
         let id = format!("req-{}", 9_000_000 + self.looks.unfit);
         let spec = JobSpec { id: id.clone(), awaits: Vec::new(), ..spec };
         let body = match self.rng.gen_range(0..4) {
-            0 => wire::encode(&JobSpec { cores: 1e6, ..spec }),
-            1 => wire::encode(&JobSpec { team: "nobody".into(), ..spec }),
-            2 => wire::encode(&JobSpec { types: Some(vec!["none".into()]), ..spec }),
-            _ => wire::encode(&BTreeMap::from([("id", id.clone()), ("lane", spec.class)])),
+            0 => protocol::encode(&JobSpec { cores: 1e6, ..spec }),
+            1 => protocol::encode(&JobSpec { team: "nobody".into(), ..spec }),
+            2 => protocol::encode(&JobSpec { types: Some(vec!["none".into()]), ..spec }),
+            _ => protocol::encode(&BTreeMap::from([("id", id.clone()), ("lane", spec.class)])),
         };
         self.look(&id, node, 0.0, Request::Submit(body), true);
     }
@@ -223,7 +223,9 @@
         let StateOp::Commit(txn) = op else { return };
         if self.store.revision != before {
             let keys = txn.changes.iter().map(|c| match c {
-                wire::state::Change::Put { key, .. } | wire::state::Change::Delete { key } => key.clone(),
+                protocol::state::Change::Put { key, .. } | protocol::state::Change::Delete { key } => {
+                    key.clone()
+                }
             });
             self.lost_writes.push(LostWrite { at: self.now, node, keys: keys.collect() });
         }
--- a/crates/testkit/src/sim/order.rs
+++ b/crates/simulation/src/sim/order.rs
@@ -40,7 +40,7 @@
 
     pub(super) fn keep_copy(&mut self, vm: &str, report: &Report) {
         if self.now < self.kept.until && self.kept.due.is_none() && self.rng.gen_bool(0.3) {
-            self.kept.reports.push((vm.to_string(), wire::encode(report)));
+            self.kept.reports.push((vm.to_string(), protocol::encode(report)));
         }
     }
 
--- a/crates/testkit/src/state.rs
+++ b/crates/simulation/src/state.rs
@@ -1,9 +1,9 @@
 //! The state service.
 
-use engine::record::{json_size, Value};
-use engine::{StateOp, StateReply};
+use controller::record::{json_size, Value};
+use controller::{StateOp, StateReply};
+use protocol::state::*;
 use std::collections::BTreeMap;
-use wire::state::*;
 
 #[derive(Default)]
 pub struct Store {
@@ -158,7 +158,7 @@
 
     /// The format that is noted as read by all.
     pub fn format(&self) -> Option<u32> {
-        match self.items.get(engine::record::FORMAT_KEY) {
+        match self.items.get(controller::record::FORMAT_KEY) {
             Some((Value::Format(f), ..)) => Some(*f),
             _ => None,
         }
@@ -179,7 +179,7 @@
         let fits = txn.changes.len() <= l.txn_ops
             && txn.conditions.len() <= l.txn_ops.saturating_mul(4)
             && txn.changes.iter().all(value_fits);
-        if !fits || wire::encode(txn).len() > TXN_LIMIT {
+        if !fits || protocol::encode(txn).len() > TXN_LIMIT {
             self.invalid += 1;
             return StateReply::Invalid;
         }
--- a/crates/testkit/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -1,8 +1,8 @@
 //! A worker: leases, tokens, tasks, commands.
 
+use protocol::cloud::ListedMachine;
+use protocol::worker::*;
 use std::collections::{BTreeMap, BTreeSet};
-use wire::cloud::ListedMachine;
-use wire::worker::*;
 
 pub type TaskKey = (String, u32);
 
--- a/crates/testkit/tests/answers.rs
+++ b/crates/simulation/tests/answers.rs
@@ -4,20 +4,20 @@
 mod anyorder;
 mod common;
 
-use anisecroft_testkit::sim::LookCounts;
-use anisecroft_testkit::{Fault, Setup, Sim};
+use anisecroft_simulation::sim::LookCounts;
+use anisecroft_simulation::{Fault, Setup, Sim};
 use anyorder::*;
 use common::{setup, unlimited};
-use engine::record::*;
-use engine::*;
+use controller::record::*;
+use controller::*;
+use protocol::cloud::MachineType;
+use protocol::job::*;
+use protocol::state::{Change, Txn};
+use protocol::worker::{task_name, ExitCause, Report, TaskReport, TaskState};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::ops::Range;
-use wire::cloud::MachineType;
-use wire::job::*;
-use wire::state::{Change, Txn};
-use wire::worker::{task_name, ExitCause, Report, TaskReport, TaskState};
 
 fn play(seed: u64, course: Course, steps: usize) -> World {
     let mut w = World::new(seed, course);
@@ -78,7 +78,7 @@
         cause: Some(ExitCause::Done),
         saved: None,
     };
-    Request::Report(wire::encode(&Report {
+    Request::Report(protocol::encode(&Report {
         machine: "vm-000001".into(),
         addr: "10.1.0.1:9000".into(),
         machine_type: "big".into(),
@@ -467,7 +467,7 @@
 fn sent(body: &Body, id: &str) -> Request {
     let mut body = body.clone();
     body.insert("id", Sent::Id(id.into()));
-    Request::Submit(wire::encode(&body))
+    Request::Submit(protocol::encode(&body))
 }
 
 /// What is malformed gets 400, and what can never run 422.
--- a/crates/testkit/tests/anyorder/machines.rs
+++ b/crates/simulation/tests/anyorder/machines.rs
@@ -1,13 +1,13 @@
 //! The cloud and the workers of a world whose nodes lead themselves.
 
-use anisecroft_testkit::cloud::Cloud;
-use anisecroft_testkit::worker::{Launch, Phase, Task, TaskKey, Worker};
-use engine::*;
+use anisecroft_simulation::cloud::Cloud;
+use anisecroft_simulation::worker::{Launch, Phase, Task, TaskKey, Worker};
+use controller::*;
+use protocol::cloud::{MachineType, Rent};
+use protocol::job::JobSpec;
+use protocol::worker::ReportAnswer;
 use rand::{rngs::SmallRng, Rng};
 use std::collections::{BTreeMap, BTreeSet};
-use wire::cloud::{MachineType, Rent};
-use wire::job::JobSpec;
-use wire::worker::ReportAnswer;
 
 /// Requests of workers are numbered from there on.
 pub const FIRST: RequestId = 1 << 40;
@@ -68,7 +68,7 @@
                     }
                     Phase::Fetching { until } | Phase::Running { until } if now >= until => {
                         self.results.insert(key.clone());
-                        task.phase = Phase::Exited(wire::worker::ExitCause::Done);
+                        task.phase = Phase::Exited(protocol::worker::ExitCause::Done);
                     }
                     _ => {}
                 }
@@ -87,7 +87,7 @@
         w.in_flight = Some((w.seq, w.session, now));
         self.next += 1;
         self.open.insert((n, self.next), (id.clone(), w.seq));
-        Some((self.next, Request::Report(wire::encode(&report))))
+        Some((self.next, Request::Report(protocol::encode(&report))))
     }
 
     /// The answer to a report.
@@ -99,7 +99,7 @@
         };
         w.in_flight = None;
         w.expire(now, self.lease_s);
-        let answer = wire::decode::<ReportAnswer>(&a.body).ok();
+        let answer = protocol::decode::<ReportAnswer>(&a.body).ok();
         let Some(answer) = answer.filter(|r| a.status == 200 && session == w.session && r.token >= w.token)
         else {
             return;
--- a/crates/testkit/tests/anyorder/mod.rs
+++ b/crates/simulation/tests/anyorder/mod.rs
@@ -4,16 +4,16 @@
 pub mod machines;
 
 use crate::common::{plain_array, types};
-use anisecroft_testkit::state::Store;
-use engine::record::*;
-use engine::*;
+use anisecroft_simulation::state::Store;
+use controller::record::*;
+use controller::*;
 use machines::Machines;
+use protocol::cloud::MachineType;
+use protocol::job::*;
+use protocol::state::{Change, Condition, Txn};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use settings::{NextLimits, Operator, Peer, Settings};
 use std::collections::{BTreeMap, BTreeSet};
-use wire::cloud::MachineType;
-use wire::job::*;
-use wire::state::{Change, Condition, Txn};
 
 pub const NAMES: [&str; 5] = ["n-0", "n-1", "n-2", "n-3", "n-4"];
 
@@ -285,7 +285,7 @@
         self.statuses.entry(job.clone()).or_default().push(a.status);
         let said = match a.status {
             200 | 201 => {
-                let v: JobView = wire::decode(&a.body).unwrap();
+                let v: JobView = protocol::decode(&a.body).unwrap();
                 if v.status.is_final() {
                     Told::Over(v.status)
                 } else {
@@ -342,7 +342,7 @@
         for n in 0..self.cores.len() {
             self.met.close += 1;
             let r = match self.rng.gen_range(0..6) {
-                0 => Request::Submit(wire::encode(&self.spec(id))),
+                0 => Request::Submit(protocol::encode(&self.spec(id))),
                 1 => self.odd(id),
                 2 if cancels => Request::Cancel(id.to_string()),
                 _ => Request::Poll(id.to_string()),
@@ -363,7 +363,7 @@
             4 => JobSpec { awaits: vec![id.to_string()], ..s },
             _ => JobSpec { awaits: vec!["req-77777".into()], ..s },
         };
-        Request::Submit(wire::encode(&odd))
+        Request::Submit(protocol::encode(&odd))
     }
 
     /// Another leader's turn with job `id`: what it stores is conditional on what it knows, which
@@ -481,7 +481,7 @@
         let id = format!("req-{}", self.rng.gen_range(0..self.course.ids));
         let trouble = self.course.trouble;
         match self.rng.gen_range(0..40) {
-            0 | 1 => self.ask(n, &id, Request::Submit(wire::encode(&self.spec(&id)))),
+            0 | 1 => self.ask(n, &id, Request::Submit(protocol::encode(&self.spec(&id)))),
             2 if self.submitted.contains(&id) && self.rng.gen_bool(self.course.cancels) => {
                 self.ask(n, &id, Request::Cancel(id.clone()));
             }
--- a/crates/testkit/tests/at_limits.rs
+++ b/crates/simulation/tests/at_limits.rs
@@ -6,15 +6,15 @@
 #[path = "common/by_hand.rs"]
 mod by_hand;
 
-use anisecroft_testkit::state::Store;
-use anisecroft_testkit::{Fault, Setup, Sim};
+use anisecroft_simulation::state::Store;
+use anisecroft_simulation::{Fault, Setup, Sim};
 use by_hand::*;
 use common::*;
-use engine::record::*;
-use engine::*;
-use wire::job::*;
-use wire::state::{Change, Txn};
-use wire::worker::*;
+use controller::record::*;
+use controller::*;
+use protocol::job::*;
+use protocol::state::{Change, Txn};
+use protocol::worker::*;
 
 /// A job of one long task that fits a machine several times.
 fn one(id: &str) -> JobSpec {
--- a/crates/testkit/tests/common/by_hand.rs
+++ b/crates/simulation/tests/common/by_hand.rs
@@ -3,13 +3,13 @@
 
 #![allow(dead_code)]
 
-use anisecroft_testkit::state::Store;
-use engine::*;
+use anisecroft_simulation::state::Store;
+use controller::*;
+use protocol::cloud::*;
+use protocol::job::*;
+use protocol::worker::*;
 use settings::Operator;
 use std::collections::BTreeMap;
-use wire::cloud::*;
-use wire::job::*;
-use wire::worker::*;
 
 pub struct ByHand {
     pub core: Core,
@@ -264,7 +264,7 @@
     }
 
     pub fn submit(&mut self, spec: &JobSpec) {
-        assert_eq!(self.status(Request::Submit(wire::encode(spec))), 201);
+        assert_eq!(self.status(Request::Submit(protocol::encode(spec))), 201);
     }
 
     pub fn cancel(&mut self, job: &str) {
@@ -272,13 +272,13 @@
     }
 
     pub fn deliver(&mut self, report: &Report) -> RequestId {
-        self.ask(Request::Report(wire::encode(report)))
+        self.ask(Request::Report(protocol::encode(report)))
     }
 
     /// The 200 that a report was answered with by now.
     pub fn answer(&self, id: RequestId) -> Option<ReportAnswer> {
         let answer = self.answers.get(&id).filter(|a| a.status == 200)?;
-        wire::decode(&answer.body).ok()
+        protocol::decode(&answer.body).ok()
     }
 
     /// `hand` reports, waits and obeys; what it was told.
--- a/crates/testkit/tests/common/mod.rs
+++ b/crates/simulation/tests/common/mod.rs
@@ -1,12 +1,12 @@
 //! What the simulated days have in common.
 
-use anisecroft_testkit::{Fault, Setup};
-use engine::Guards;
+use anisecroft_simulation::{Fault, Setup};
+use controller::Guards;
+use protocol::cloud::MachineType;
+use protocol::job::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use settings::Settings;
 use std::collections::BTreeSet;
-use wire::cloud::MachineType;
-use wire::job::*;
 
 pub fn settings() -> Settings {
     let mut s = Settings::parse(include_str!("../../../../docs/example.toml")).unwrap();
--- a/crates/testkit/tests/day_end.rs
+++ b/crates/simulation/tests/day_end.rs
@@ -3,11 +3,11 @@
 
 mod common;
 
-use anisecroft_testkit::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Sim};
 use common::*;
-use engine::record::{job_key, Value};
-use engine::Guards;
-use wire::job::*;
+use controller::record::{job_key, Value};
+use controller::Guards;
+use protocol::job::*;
 
 /// Machines that hear nothing, one or a third of a zone, for less and for more than a lease:
 /// what was placed there runs elsewhere, gangs too, and the machine works again or goes.
--- a/crates/testkit/tests/digests.rs
+++ b/crates/simulation/tests/digests.rs
@@ -8,14 +8,14 @@
 
 mod common;
 
-use anisecroft_testkit::explore::{guards, SCRIPTS};
-use anisecroft_testkit::{Fault, Setup, Sim, Trouble};
+use anisecroft_simulation::explore::{guards, SCRIPTS};
+use anisecroft_simulation::{Fault, Setup, Sim, Trouble};
 use common::*;
+use protocol::cloud::MachineType;
+use protocol::job::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use rayon::prelude::*;
 use std::path::Path;
-use wire::cloud::MachineType;
-use wire::job::*;
 
 /// How long most days go on: all troubles of the helpers have begun by 160 s.
 const DAY_S: f64 = 230.0;
--- a/crates/testkit/tests/explore.rs
+++ b/crates/simulation/tests/explore.rs
@@ -1,8 +1,8 @@
 //! The explorer: what it plays repeats exactly, it finds what the guards keep, and bad input is
 //! refused in one line.
 
-use anisecroft_testkit::explore::*;
-use anisecroft_testkit::{Border, Sim, Trouble};
+use anisecroft_simulation::explore::*;
+use anisecroft_simulation::{Border, Sim, Trouble};
 use std::process::Command;
 
 fn options(every: usize) -> Options {
--- a/crates/testkit/tests/explored.rs
+++ b/crates/simulation/tests/explored.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use anisecroft_testkit::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Sim};
 use common::*;
-use wire::job::*;
+use protocol::job::*;
 
 /// Work that nobody waits for loses its machine when it has waited for long, and there is no other
 /// work: a machine is rented for it again. (It was taken for one place that is free anyway, for
--- a/crates/testkit/tests/floors.rs
+++ b/crates/simulation/tests/floors.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use anisecroft_testkit::{Setup, Sim};
+use anisecroft_simulation::{Setup, Sim};
 use common::*;
-use wire::job::*;
+use protocol::job::*;
 
 fn spec(id: String, class: &str, team: &str, shape: Shape, priority: Priority, tasks: u32) -> JobSpec {
     let (class, team) = (class.into(), team.into());
--- a/crates/testkit/tests/gateways.rs
+++ b/crates/simulation/tests/gateways.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
-use anisecroft_testkit::{Fault, Rule, Setup, Sim};
+use anisecroft_simulation::{Fault, Rule, Setup, Sim};
 use common::*;
-use engine::{GatewayGuards, Guards};
+use controller::{GatewayGuards, Guards};
+use protocol::job::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
-use wire::job::*;
 
 /// Troubles of gateways above all, and the older ones among them.
 fn troubles(seed: u64) -> Vec<(f64, Fault)> {
--- a/crates/testkit/tests/hand_over.rs
+++ b/crates/simulation/tests/hand_over.rs
@@ -5,12 +5,12 @@
 #[path = "common/by_hand.rs"]
 mod by_hand;
 
-use anisecroft_testkit::state::Store;
-use anisecroft_testkit::{Fault, Setup, Sim};
+use anisecroft_simulation::state::Store;
+use anisecroft_simulation::{Fault, Setup, Sim};
 use by_hand::*;
 use common::*;
-use engine::record::LEADER_KEY;
-use wire::job::JobSpec;
+use controller::record::LEADER_KEY;
+use protocol::job::JobSpec;
 
 /// An old copy of a report comes to a new leader that reads its records yet, after a live one: it
 /// is the live one's answer that a worker waits for.
--- a/crates/testkit/tests/left_lying.rs
+++ b/crates/simulation/tests/left_lying.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
-use anisecroft_testkit::{Fault, Rule, Setup, Sim};
+use anisecroft_simulation::{Fault, Rule, Setup, Sim};
 use common::*;
-use engine::Guards;
+use controller::Guards;
+use protocol::job::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
-use wire::job::*;
 
 /// An array of `tasks` that take `accelerators` each, for `estimate_s`.
 fn array(n: usize, tasks: u32, accelerators: f64, estimate_s: f64) -> JobSpec {
@@ -163,7 +163,7 @@
 fn left_beside_a_dear_machine(seed: u64, guards: Guards) -> Vec<Rule> {
     let mut s = setup(seed, vec![]);
     unlimited(&mut s);
-    s.types.push(wire::cloud::MachineType { name: "dear".into(), price: 40.0, ..s.types[0].clone() });
+    s.types.push(protocol::cloud::MachineType { name: "dear".into(), price: 40.0, ..s.types[0].clone() });
     let dear = JobSpec { types: Some(vec!["dear".into()]), ..array(1, 1, 1.0, 3000.0) };
     let idle = JobSpec { priority: Priority::Low, class: "spare".into(), ..array(2, 3, 1.0, 30.0) };
     let jobs = vec![(2.0, dear, None), (60.0, idle, None)];
@@ -211,7 +211,7 @@
     }
     let mut s = setup(seed, faults);
     let types = [None, Some(vec!["big".to_string()]), Some(vec!["dear".to_string()])];
-    s.types.push(wire::cloud::MachineType { name: "dear".into(), price: 12.0, ..s.types[0].clone() });
+    s.types.push(protocol::cloud::MachineType { name: "dear".into(), price: 12.0, ..s.types[0].clone() });
     for (at, spec, _) in &mut s.jobs {
         *at = at.min(100.0);
         spec.types = types[rng.gen_range(0..3usize)].clone();
--- a/crates/testkit/tests/limits.rs
+++ b/crates/simulation/tests/limits.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
-use anisecroft_testkit::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Sim};
 use common::*;
+use protocol::job::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use settings::NextLimits;
-use wire::job::*;
 
 /// Wide arrays beside the usual jobs, under limits of `kb` KiB that may fall to a part.
 fn wide(seed: u64, kb: f64, part: f64, faults: Vec<(f64, Fault)>) -> Setup {
--- a/crates/testkit/tests/lost_answers.rs
+++ b/crates/simulation/tests/lost_answers.rs
@@ -4,18 +4,18 @@
 mod common;
 mod stage;
 
-use anisecroft_testkit::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Sim};
 use common::{setup, unlimited};
-use engine::record::{
+use controller::record::{
     JobRecord, LeaderRecord, StoredPlacement, Value, FORMAT, FORMAT_KEY, LEADER_KEY, TYPES_KEY,
 };
-use engine::*;
+use controller::*;
+use protocol::job::*;
+use protocol::worker::TaskState;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use settings::NextLimits;
 use stage::*;
 use std::collections::{BTreeMap, BTreeSet};
-use wire::job::*;
-use wire::worker::TaskState;
 
 /// Loses the answers of the first `count` transactions that change a key with that beginning.
 fn lose(prefix: &'static str, count: usize) -> Box<dyn FnMut(&StateOp) -> Fate> {
--- a/crates/testkit/tests/meetings.rs
+++ b/crates/simulation/tests/meetings.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
-use anisecroft_testkit::{Fault, Rule, Setup, Sim};
+use anisecroft_simulation::{Fault, Rule, Setup, Sim};
 use common::*;
-use engine::Guards;
-use wire::job::*;
+use controller::Guards;
+use protocol::job::*;
 
 /// When the cancellations are asked for.
 const ASKED: f64 = 70.0;
--- a/crates/testkit/tests/pipelines.rs
+++ b/crates/simulation/tests/pipelines.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use anisecroft_testkit::{Fault, Rule, Setup, Sim};
+use anisecroft_simulation::{Fault, Rule, Setup, Sim};
 use common::*;
-use engine::record::{job_key, over_key, Value};
-use engine::Guards;
+use controller::record::{job_key, over_key, Value};
+use controller::Guards;
+use protocol::job::*;
 use settings::NextLimits;
-use wire::job::*;
 
 #[test]
 fn a_quiet_day_runs_every_pipeline_in_order() {
--- a/crates/testkit/tests/polls.rs
+++ b/crates/simulation/tests/polls.rs
@@ -1,15 +1,15 @@
 //! What nodes answer about jobs, with every message delivered in any order.
 
-use anisecroft_testkit::state::Store;
-use engine::record::{Value, FORMAT, FORMAT_KEY, TYPES_KEY};
-use engine::*;
+use anisecroft_simulation::state::Store;
+use controller::record::{Value, FORMAT, FORMAT_KEY, TYPES_KEY};
+use controller::*;
 use proptest::prelude::*;
+use protocol::cloud::MachineType;
+use protocol::job::*;
+use protocol::state::{Change, Txn};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use settings::{Operator, Settings};
 use std::collections::{BTreeMap, BTreeSet};
-use wire::cloud::MachineType;
-use wire::job::*;
-use wire::state::{Change, Txn};
 
 const NODES: usize = 3;
 
@@ -139,7 +139,7 @@
         self.answered += 1;
         let said = match a.status {
             200 | 201 => {
-                let v: JobView = wire::decode(&a.body).unwrap();
+                let v: JobView = protocol::decode(&a.body).unwrap();
                 assert!(self.submitted.contains(&job), "{job} was invented");
                 if v.status.is_final() {
                     Told::Over
@@ -164,7 +164,7 @@
         match self.rng.gen_range(0..20) {
             0 => {
                 self.submitted.insert(id.clone());
-                self.ask(n, &id, Request::Submit(wire::encode(&spec(&id))));
+                self.ask(n, &id, Request::Submit(protocol::encode(&spec(&id))));
             }
             1 if self.submitted.contains(&id) => self.ask(n, &id, Request::Cancel(id.clone())),
             2..=6 => {
@@ -235,7 +235,7 @@
     for n in 0..100 {
         let id = format!("req-{n}");
         w.submitted.insert(id.clone());
-        w.ask(n % NODES, &id, Request::Submit(wire::encode(&spec(&id))));
+        w.ask(n % NODES, &id, Request::Submit(protocol::encode(&spec(&id))));
         settle(&mut w, 0.1);
     }
     assert_eq!(w.told.values().filter(|t| **t == Told::Accepted).count(), 100);
--- a/crates/testkit/tests/returns.rs
+++ b/crates/simulation/tests/returns.rs
@@ -3,9 +3,9 @@
 
 mod common;
 
-use anisecroft_testkit::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Sim};
 use common::*;
-use wire::job::*;
+use protocol::job::*;
 
 /// A zone is cut off for so long that its machines are given back. When its
 /// gateway returns it passes on all that it knew, to a leader that gave them
--- a/crates/testkit/tests/rules.rs
+++ b/crates/simulation/tests/rules.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
-use anisecroft_testkit::rules::Ledger;
-use anisecroft_testkit::{Fault, Rule, Setup, Sim};
+use anisecroft_simulation::rules::Ledger;
+use anisecroft_simulation::{Fault, Rule, Setup, Sim};
 use common::*;
-use engine::Guards;
-use wire::job::*;
+use controller::Guards;
+use protocol::job::*;
 
 /// What users were told of one accepted job, by when they asked and were answered.
 fn told(answers: &[(f64, f64, JobStatus)]) -> Vec<Rule> {
--- a/crates/testkit/tests/scale.rs
+++ b/crates/simulation/tests/scale.rs
@@ -3,10 +3,10 @@
 
 mod common;
 
-use anisecroft_testkit::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Sim};
 use common::*;
+use protocol::job::*;
 use std::collections::BTreeSet;
-use wire::job::*;
 
 const MACHINES: u32 = 4_500;
 
--- a/crates/testkit/tests/short_work.rs
+++ b/crates/simulation/tests/short_work.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
-use anisecroft_testkit::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Sim};
 use common::*;
+use protocol::job::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use settings::NextLimits;
-use wire::job::*;
 
 /// Runs until `until` holds, for `most` seconds at most.
 fn run_until(sim: &mut Sim, most: f64, until: impl Fn(&Sim) -> bool) -> bool {
--- a/crates/testkit/tests/simulation.rs
+++ b/crates/simulation/tests/simulation.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
-use anisecroft_testkit::{Fault, Rule, Setup, Sim};
+use anisecroft_simulation::{Fault, Rule, Setup, Sim};
 use common::*;
-use engine::Guards;
+use controller::Guards;
+use protocol::job::*;
 use rand::{rngs::SmallRng, SeedableRng};
-use wire::job::*;
 
 #[test]
 fn a_quiet_day_runs_every_job() {
--- a/crates/testkit/tests/stage/mod.rs
+++ b/crates/simulation/tests/stage/mod.rs
@@ -1,15 +1,15 @@
 //! One controller before a state service whose answers a test loses or holds back as it likes.
 
 use crate::common::{plain_array, types};
-use anisecroft_testkit::state::Store;
-use engine::record::{Value, FORMAT, FORMAT_KEY};
-use engine::*;
+use anisecroft_simulation::state::Store;
+use controller::record::{Value, FORMAT, FORMAT_KEY};
+use controller::*;
+use protocol::cloud::*;
+use protocol::job::*;
+use protocol::state::{Change, Txn};
+use protocol::worker::*;
 use settings::{Operator, Settings};
 use std::collections::BTreeMap;
-use wire::cloud::*;
-use wire::job::*;
-use wire::state::{Change, Txn};
-use wire::worker::*;
 
 /// How long the driver waits for an answer.
 pub const TIMEOUT_S: f64 = 1.5;
@@ -166,7 +166,7 @@
     /// All other nodes say that they have this version.
     pub fn all_have_this_version(&mut self) {
         for node in ["chiefs-1", "chiefs-2"] {
-            let view = wire::peer::View { node: node.into(), token: 0, ..self.core.view_for_peers() };
+            let view = protocol::peer::View { node: node.into(), token: 0, ..self.core.view_for_peers() };
             self.feed(Input::Peer(view));
         }
     }
@@ -216,7 +216,7 @@
     }
 
     pub fn submit(&mut self, spec: &JobSpec) -> RequestId {
-        self.ask(Request::Submit(wire::encode(spec)))
+        self.ask(Request::Submit(protocol::encode(spec)))
     }
 
     /// The machine reports these tasks. Its answer may come later.
@@ -234,13 +234,13 @@
             notice_s: None,
             tasks: tasks.to_vec(),
         };
-        self.ask(Request::Report(wire::encode(&report)))
+        self.ask(Request::Report(protocol::encode(&report)))
     }
 
     /// What the answer to a report starts.
     pub fn started(&self, request: RequestId) -> Vec<String> {
         let answer = self.answers.get(&request).filter(|a| a.1.status == 200);
-        let commands = answer.map(|a| wire::decode::<ReportAnswer>(&a.1.body).unwrap().commands);
+        let commands = answer.map(|a| protocol::decode::<ReportAnswer>(&a.1.body).unwrap().commands);
         let starts = commands.into_iter().flatten().filter(|c| c.op == Verb::Start);
         starts.map(|c| c.task).collect()
     }
@@ -248,7 +248,7 @@
     /// Status and state that a user was told, and when.
     pub fn told(&self, request: RequestId) -> Option<(f64, u16, Option<JobStatus>)> {
         let (at, a) = self.answers.get(&request)?;
-        Some((*at, a.status, wire::decode::<JobView>(&a.body).ok().map(|v| v.status)))
+        Some((*at, a.status, protocol::decode::<JobView>(&a.body).ok().map(|v| v.status)))
     }
 
     /// Reads of keys with that beginning.
--- a/crates/testkit/tests/stored.rs
+++ b/crates/simulation/tests/stored.rs
@@ -5,14 +5,14 @@
 //! The bytes are never to be changed; a new kind or field gets a new file, written by
 //! `RECORD_STORED=1 cargo test -p anisecroft-testkit --test stored`, which leaves files that there are.
 
-use engine::record::*;
+use controller::record::*;
 use prost::Message;
+use protocol::cloud::MachineType;
+use protocol::job::*;
+use protocol::peer::*;
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 use std::path::{Path, PathBuf};
-use wire::cloud::MachineType;
-use wire::job::*;
-use wire::peer::*;
 
 fn path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored").join(name)
@@ -31,10 +31,10 @@
 
 /// A stored value, or a part of one.
 fn stored<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
-    let bytes = recorded(name, &wire::encode(value));
-    let read: T = wire::decode(&bytes).unwrap_or_else(|e| panic!("{name}: {e}"));
+    let bytes = recorded(name, &protocol::encode(value));
+    let read: T = protocol::decode(&bytes).unwrap_or_else(|e| panic!("{name}: {e}"));
     assert_eq!(&read, value, "{name} is read otherwise");
-    assert_eq!(wire::encode(&read), bytes, "{name} is not the same when written again");
+    assert_eq!(protocol::encode(&read), bytes, "{name} is not the same when written again");
 }
 
 /// A message between controllers.
--- a/crates/testkit/tests/takeover.rs
+++ b/crates/simulation/tests/takeover.rs
@@ -1,11 +1,11 @@
 //! What a takeover costs the state service, with any history.
 
-use anisecroft_testkit::state::{Limits, Store};
-use engine::record::*;
-use engine::*;
+use anisecroft_simulation::state::{Limits, Store};
+use controller::record::*;
+use controller::*;
+use protocol::job::*;
+use protocol::worker::{Report, ReportAnswer, TaskReport, TaskState, Verb};
 use settings::{NextLimits, Operator, Peer, Settings};
-use wire::job::*;
-use wire::worker::{Report, ReportAnswer, TaskReport, TaskState, Verb};
 
 fn settings() -> Settings {
     let mut s = Settings::parse(include_str!("../../../docs/example.toml")).unwrap();
@@ -66,7 +66,7 @@
     /// Watches that wait: until when, for which call.
     watches: Vec<(f64, CallId, StateOp)>,
     /// Another controller that hears no workers either, so that this one does not resign.
-    peer: Option<wire::peer::View>,
+    peer: Option<protocol::peer::View>,
 }
 
 impl World {
@@ -95,7 +95,7 @@
         let mut s = settings();
         let node = "n-1".to_string();
         s.peers = vec![Peer { node: node.clone(), zone: String::new(), addr: s.peer_listen }];
-        let view = wire::peer::View { node, state_reached: true, format: FORMAT, ..Default::default() };
+        let view = protocol::peer::View { node, state_reached: true, format: FORMAT, ..Default::default() };
         let core = Core::new(s, Operator::default(), 1);
         let mut w = World { core, peer: Some(view), now, ..World::new(store) };
         w.store.expire(now);
@@ -117,9 +117,9 @@
                 self.feed(Input::State(call, StateReply::Refused));
                 continue;
             }
-            let job = |c: &wire::state::Change<Value>| match c {
-                wire::state::Change::Put { key, .. } => key.starts_with(JOB_PREFIX),
-                wire::state::Change::Delete { .. } => false,
+            let job = |c: &protocol::state::Change<Value>| match c {
+                protocol::state::Change::Put { key, .. } => key.starts_with(JOB_PREFIX),
+                protocol::state::Change::Delete { .. } => false,
             };
             if matches!(&op, StateOp::Commit(txn) if self.hold_writes && txn.changes.iter().any(job)) {
                 self.held_writes.push(call);
@@ -138,9 +138,9 @@
                 continue;
             };
             self.bytes += match &reply {
-                StateReply::Item(i) => wire::encode(i).len() as u64,
-                StateReply::Page(p) => wire::encode(p).len() as u64,
-                StateReply::Events(e) => wire::encode(e).len() as u64,
+                StateReply::Item(i) => protocol::encode(i).len() as u64,
+                StateReply::Page(p) => protocol::encode(p).len() as u64,
+                StateReply::Events(e) => protocol::encode(e).len() as u64,
                 _ => 20,
             };
             self.feed(Input::State(call, reply));
@@ -344,7 +344,7 @@
 /// begins anew. No end and no place is lost.
 #[test]
 fn the_largest_array_is_divided_a_few_values_at_a_time() {
-    let (per_page, tasks) = (1224, wire::job::MOST_TASKS);
+    let (per_page, tasks) = (1224, protocol::job::MOST_TASKS);
     let page_of = |n: u32| {
         let first = n * per_page;
         let bits = if n % 3 == 0 { "f".repeat(200) } else { String::new() };
@@ -397,7 +397,7 @@
         notice_s: None,
         tasks,
     };
-    Input::Request(seq, Request::Report(wire::encode(&report)))
+    Input::Request(seq, Request::Report(protocol::encode(&report)))
 }
 
 /// Another node's cancellation is seen while a write of the same job is on its way, which the service
@@ -416,9 +416,9 @@
     let Some(StateReply::Item(item)) = w.store.execute(w.now, &StateOp::Get(key.clone())) else { panic!() };
     let Value::Job(record) = item.value else { panic!() };
     let value = Value::Job(Box::new(JobRecord { status: JobStatus::Cancelled, ..*record }));
-    let txn = wire::state::Txn {
-        conditions: vec![wire::state::Condition { key: key.clone(), version: item.version }],
-        changes: vec![wire::state::Change::Put { key, value, lease: None }],
+    let txn = protocol::state::Txn {
+        conditions: vec![protocol::state::Condition { key: key.clone(), version: item.version }],
+        changes: vec![protocol::state::Change::Put { key, value, lease: None }],
     };
     assert!(matches!(w.store.execute(w.now, &StateOp::Commit(txn)), Some(StateReply::Committed(_))));
     w.run(0.2);
@@ -435,7 +435,7 @@
     };
     w.feed(report("vm-000004", 1, vec![running]));
     w.run(3.9);
-    let answer: ReportAnswer = wire::decode(&w.answers[&1].body).unwrap();
+    let answer: ReportAnswer = protocol::decode(&w.answers[&1].body).unwrap();
     let stops = answer.commands.iter().filter(|c| c.op == Verb::Stop && c.task == "req-2/4");
     assert_eq!(stops.count(), 1, "{:?}", answer.commands);
 }
--- a/crates/testkit/tests/versions.rs
+++ b/crates/simulation/tests/versions.rs
@@ -3,15 +3,15 @@
 
 mod common;
 
-use anisecroft_testkit::{Setup, Sim};
+use anisecroft_simulation::{Setup, Sim};
 use common::*;
-use engine::record::*;
+use controller::record::*;
 use prost::Message;
+use protocol::cloud::MachineType;
+use protocol::job::{JobSpec, JobStatus, Priority, Shape};
+use protocol::state::{Events, Page};
 use serde::{Deserialize, Serialize};
 use settings::NextLimits;
-use wire::cloud::MachineType;
-use wire::job::{JobSpec, JobStatus, Priority, Shape};
-use wire::state::{Events, Page};
 
 /// Production's forms of what is stored, as they were: never to be changed.
 mod frozen {
@@ -84,7 +84,7 @@
 /// Everything that production stored is read, field by field.
 #[test]
 fn what_production_stored_is_read() {
-    let page: Page<Value> = wire::decode(include_bytes!("production/page.msgpack")).unwrap();
+    let page: Page<Value> = protocol::decode(include_bytes!("production/page.msgpack")).unwrap();
     assert_eq!(page.items.len(), 9);
     let mut kinds = Vec::new();
     for item in &page.items {
@@ -107,21 +107,22 @@
     }
     kinds.dedup();
     assert_eq!(kinds.len(), 7);
-    let events: Events<Value> = wire::decode(include_bytes!("production/events.msgpack")).unwrap();
+    let events: Events<Value> = protocol::decode(include_bytes!("production/events.msgpack")).unwrap();
     assert_eq!(events.events.len(), 9);
-    let spec: JobSpec = wire::decode(include_bytes!("production/submission.msgpack")).unwrap();
+    let spec: JobSpec = protocol::decode(include_bytes!("production/submission.msgpack")).unwrap();
     assert!(spec.check().is_ok() && spec.awaits.is_empty());
 }
 
 #[test]
 fn what_production_says_is_understood() {
-    let view = wire::peer::View::decode(&include_bytes!("production/view.protobuf")[..]).unwrap();
+    let view = protocol::peer::View::decode(&include_bytes!("production/view.protobuf")[..]).unwrap();
     assert_eq!((&view.node[..], view.token, view.format, view.room), ("n-1", 41, 2, 100));
-    let relay = wire::peer::RelayRequest::decode(&include_bytes!("production/relay.protobuf")[..]).unwrap();
+    let relay =
+        protocol::peer::RelayRequest::decode(&include_bytes!("production/relay.protobuf")[..]).unwrap();
     assert_eq!((relay.token, relay.entries.len(), relay.entries[0].age_ms), (41, 1, 120));
     let report = relay.entries.into_iter().next().and_then(|e| e.report()).unwrap();
     assert_eq!((report.tasks.len(), &report.tasks[0].task[..]), (1, "req-1/3"));
-    let reply = wire::peer::RelayReply::decode(&include_bytes!("production/reply.protobuf")[..]).unwrap();
+    let reply = protocol::peer::RelayReply::decode(&include_bytes!("production/reply.protobuf")[..]).unwrap();
     assert_eq!(reply.token, 41);
 }
 
@@ -131,9 +132,9 @@
 #[test]
 fn what_is_written_before_the_gate_is_productions() {
     fn look(key: &str, value: &Value) {
-        let bytes = wire::encode(value);
-        let read = wire::decode::<frozen::Value>(&bytes).unwrap_or_else(|e| panic!("{key}: {e}"));
-        assert_eq!(wire::encode(&read), bytes, "{key} loses something");
+        let bytes = protocol::encode(value);
+        let read = protocol::decode::<frozen::Value>(&bytes).unwrap_or_else(|e| panic!("{key}: {e}"));
+        assert_eq!(protocol::encode(&read), bytes, "{key} loses something");
         let known = ["a/", "j/", "jo/", "i/", "f/format"].iter().any(|p| key.starts_with(p));
         assert!(known || frozen::page_of_key(key).is_some(), "{key}");
         let format = matches!(value, Value::Format(f) if *f > FORMAT_MOVES);
--- a/crates/net/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -10,7 +10,8 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use client::Client;
-use engine::{Answer, CallId, Core, Input, Output, Request, RequestId};
+use controller::{Answer, CallId, Core, Input, Output, Request, RequestId};
+use protocol::worker::DirectCommands;
 use settings::{Derived, Operator, Settings};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -18,7 +19,6 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use wire::worker::DirectCommands;
 
 pub struct Driver {
     executor: Rc<LocalExecutor<'static>>,
--- a/crates/net/src/peers.rs
+++ b/crates/transport/src/peers.rs
@@ -4,9 +4,12 @@
 use crate::Driver;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use engine::{Input, RequestId};
+use controller::{Input, RequestId};
 use futures_lite::future;
 use hyper::client::conn::http2::SendRequest;
+use protocol::peer::peers_client::PeersClient;
+use protocol::peer::peers_server::{Peers, PeersServer};
+use protocol::peer::{RelayReply, RelayRequest, View};
 use smol_hyper::rt::FuturesIo;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -19,9 +22,6 @@
 use std::time::Duration;
 use tonic::body::BoxBody;
 use tracing::{debug, warn};
-use wire::peer::peers_client::PeersClient;
-use wire::peer::peers_server::{Peers, PeersServer};
-use wire::peer::{RelayReply, RelayRequest, View};
 
 /// Most connections of other controllers at a time.
 const MOST_PEERS: usize = 16;
--- a/crates/net/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -4,7 +4,7 @@
 use crate::Driver;
 use async_h1::server::{decode, Encoder};
 use async_io::{Async, Timer};
-use engine::Request as Input;
+use controller::Request as Input;
 use futures_lite::{io, AsyncReadExt};
 use http_types::{Method, Request, Response, StatusCode};
 use std::net::{TcpListener, TcpStream};
@@ -118,7 +118,7 @@
 /// Reads at most one byte over the limit: the core refuses what is longer.
 async fn body(driver: &Driver, request: &mut Request) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
-    let most = wire::BODY_LIMIT as u64 + 1;
+    let most = protocol::BODY_LIMIT as u64 + 1;
     let taken = request.take_body();
     let read = async {
         let mut limited = taken.take(most);
--- a/crates/net/src/services.rs
+++ b/crates/transport/src/services.rs
@@ -1,14 +1,14 @@
 //! The state service, the cloud and the workers, as calls of the core.
 
 use crate::client::{Client, Failure, Response};
-use engine::record::Value;
-use engine::{CloudOp, CloudReply, StateOp, StateReply, WorkerReply};
+use controller::record::Value;
+use controller::{CloudOp, CloudReply, StateOp, StateReply, WorkerReply};
 use http_types::Method;
+use protocol::state::*;
+use protocol::worker::{DirectCommands, Report};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 use tracing::{debug, warn};
-use wire::state::*;
-use wire::worker::{DirectCommands, Report};
 
 /// Percent-encodes what a query value may not hold.
 fn query(text: &str) -> String {
@@ -23,7 +23,7 @@
 }
 
 fn parsed<T: serde::de::DeserializeOwned>(body: &[u8], what: &str) -> Option<T> {
-    match wire::decode(body) {
+    match protocol::decode(body) {
         Ok(v) => Some(v),
         Err(e) => {
             warn!(what, error = %e, "malformed answer");
@@ -48,7 +48,7 @@
     T: serde::de::DeserializeOwned,
     L: serde::de::DeserializeOwned,
 {
-    wire::decode::<T>(body).ok().or_else(|| parsed::<L>(body, what).map(plain))
+    protocol::decode::<T>(body).ok().or_else(|| parsed::<L>(body, what).map(plain))
 }
 
 pub async fn state(client: &Client, addr: SocketAddrV4, op: StateOp, timeout: Duration) -> StateReply {
@@ -59,9 +59,9 @@
             let after = after.as_ref().map(|a| format!("&since={}", query(a))).unwrap_or_default();
             (Method::Get, format!("/kv?starts={}{after}&most=1000", query(prefix)), None, timeout * 2)
         }
-        StateOp::Commit(txn) => (Method::Post, "/commit".to_string(), Some(wire::encode(txn)), timeout),
+        StateOp::Commit(txn) => (Method::Post, "/commit".to_string(), Some(protocol::encode(txn)), timeout),
         StateOp::Grant { ttl_ms } => {
-            let body = wire::encode(&GrantLease { ttl_ms: *ttl_ms });
+            let body = protocol::encode(&GrantLease { ttl_ms: *ttl_ms });
             (Method::Post, "/grants".to_string(), Some(body), timeout)
         }
         StateOp::Renew(id) => (Method::Post, format!("/grants/{id}/renew"), None, timeout),
@@ -94,7 +94,7 @@
         }
         (StateOp::Commit(_), 409) => parsed::<Conflict>(&body, "conflict").map(StateReply::Conflict),
         (StateOp::Commit(_), 400) => {
-            let why = wire::decode::<wire::job::Refusal>(&body).map(|r| r.error).unwrap_or_default();
+            let why = protocol::decode::<protocol::job::Refusal>(&body).map(|r| r.error).unwrap_or_default();
             warn!(error = %why, "transaction refused");
             Some(if why == "no such lease" { StateReply::Gone } else { StateReply::Invalid })
         }
@@ -122,9 +122,9 @@
             let since = after.as_ref().map(|a| format!("since={}&", query(a))).unwrap_or_default();
             (Method::Get, format!("/rentals?{since}most=500"), None)
         }
-        CloudOp::Rent(r) => (Method::Post, "/rentals".to_string(), Some(wire::encode(r))),
+        CloudOp::Rent(r) => (Method::Post, "/rentals".to_string(), Some(protocol::encode(r))),
         CloudOp::Delete(names) => {
-            let body = wire::encode(&wire::cloud::Machines { machines: names.clone() });
+            let body = protocol::encode(&protocol::cloud::Machines { machines: names.clone() });
             (Method::Post, "/rentals/delete".to_string(), Some(body))
         }
     };
@@ -139,7 +139,8 @@
         (CloudOp::Rent(_), 200) => parsed(&body, "rental").map(CloudReply::Machines),
         (CloudOp::Delete(_), 200) => Some(CloudReply::Done),
         (CloudOp::Rent(_), 503) => {
-            let full = wire::decode::<wire::job::Refusal>(&body).is_ok_and(|r| r.error == "no capacity");
+            let full =
+                protocol::decode::<protocol::job::Refusal>(&body).is_ok_and(|r| r.error == "no capacity");
             Some(if full { CloudReply::NoCapacity } else { CloudReply::Refused })
         }
         (_, 400) => Some(CloudReply::Malformed),
@@ -150,7 +151,7 @@
 
 pub async fn worker(client: &Client, addr: &str, body: DirectCommands, timeout: Duration) -> WorkerReply {
     let Ok(addr) = addr.parse::<SocketAddrV4>() else { return WorkerReply::Failed };
-    let sent = client.call(addr, Method::Post, "/do", Some(wire::encode(&body)), timeout, false).await;
+    let sent = client.call(addr, Method::Post, "/do", Some(protocol::encode(&body)), timeout, false).await;
     match sent {
         Ok(r) if r.status == 200 || r.status == 409 => match parsed::<Report>(&r.body, "worker's report") {
             Some(report) => WorkerReply::Report { executed: r.status == 200, report: Box::new(report) },
