--- a/crates/controller/src/archive.rs
+++ b/crates/controller/src/archive.rs
@@ -9,7 +9,7 @@
 
 use crate::job::Job;
 use crate::leader::Role;
-use crate::record::*;
+use crate::records::*;
 use crate::{Budget, Core, Purpose, StateOp, StateReply, Time};
 use protocol::job::JobStatus;
 use protocol::state::{Change, Condition, Item, Txn};
@@ -271,7 +271,7 @@
         let most = self.limits.changes();
         let all = self.limits.write_rps();
         let Role::Leader(l) = &mut self.role else { return };
-        let (token, rate) = (l.token, all * crate::commit::LEADER_WRITES);
+        let (token, rate) = (l.token, all * crate::write_queue::LEADER_WRITES);
         let a = &mut l.archive;
         let nothing = a.waiting.is_empty() && a.stale.is_empty();
         if !a.open() || a.moving.is_some() || nothing || now < a.retry_at {
@@ -354,7 +354,7 @@
         let room = self.limits.value_bytes() * 3 / 4;
         let all = self.limits.write_rps();
         let Role::Leader(l) = &mut self.role else { return };
-        let (token, rate) = (l.token, all * crate::commit::LEADER_WRITES);
+        let (token, rate) = (l.token, all * crate::write_queue::LEADER_WRITES);
         let shared = l.fleet.write_budget(rate);
         if !l.archive.open() || l.archive.images_busy.is_some() || now < l.archive.images_at {
             return;
--- a/crates/controller/src/kin.rs
+++ b/crates/controller/src/cancellation_lineage.rs
@@ -5,7 +5,7 @@
 //! write of its own. So a node answers right however many jobs come after the
 //! cancelled one, and whoever leads, or nobody.
 
-use crate::polls::{Ask, To};
+use crate::status_queries::{Ask, To};
 use crate::{Core, Time};
 use protocol::job::JobStatus;
 use std::collections::{BTreeSet, HashSet};
--- a/crates/controller/src/users.rs
+++ b/crates/controller/src/client_requests.rs
@@ -1,7 +1,7 @@
 //! What users ask for. Every node serves them from the state service.
 
-use crate::parts::{new_job, nonce};
-use crate::record::*;
+use crate::records::*;
+use crate::spec_chunks::{new_job, nonce};
 use crate::{Core, Purpose, RequestId, StateOp, StateReply};
 use planner::Amounts;
 use protocol::cloud::MachineType;
@@ -291,7 +291,7 @@
         match &r {
             StateReply::Committed(_) | StateReply::Conflict(_) => self.writes.speed_up(rate * MOST_WRITES),
             StateReply::Refused | StateReply::Limited => {
-                self.writes.slow_down(self.now, rate * (1.0 - crate::commit::LEADER_WRITES) / nodes);
+                self.writes.slow_down(self.now, rate * (1.0 - crate::write_queue::LEADER_WRITES) / nodes);
             }
             _ => {}
         }
--- a/crates/controller/src/early.rs
+++ b/crates/controller/src/early_heartbeats.rs
@@ -1,7 +1,7 @@
 //! Reports that come before a new leader has read the records. It cannot answer them yet: an
 //! answer renews a lease, and what was cancelled it does not know.
 
-use crate::io::{RequestId, Time};
+use crate::messages::{RequestId, Time};
 use protocol::worker::Report;
 use std::collections::BTreeMap;
 
--- a/crates/controller/src/urgency.rs
+++ b/crates/controller/src/effective_priority.rs
@@ -3,7 +3,7 @@
 
 use crate::job::Job;
 use crate::leader::{Lead, Role};
-use crate::planning::{band, ClassStats};
+use crate::scheduling::{band, ClassStats};
 use crate::Core;
 use dependencies::{Own, Passed};
 use protocol::job::{JobSpec, Priority, Shape};
--- a/crates/controller/src/claim.rs
+++ b/crates/controller/src/election.rs
@@ -3,9 +3,9 @@
 //! all the same, known by its lease, which nobody else has. (It was once taken for a failure, and its
 //! lease given back, while all others sent their workers here.)
 
-use crate::authority::Authority;
 use crate::leader::{Lead, Role};
-use crate::record::*;
+use crate::lease_authority::Authority;
+use crate::records::*;
 use crate::{Core, Purpose, StateOp, StateReply, Time};
 use protocol::state::Item;
 use tracing::info;
--- a/crates/controller/src/fleet.rs
+++ b/crates/controller/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::leader::Role;
 use crate::machine::{Life, Machine};
-use crate::record::*;
+use crate::records::*;
 use crate::{Budget, CloudOp, CloudReply, Core, Purpose, StateOp, Time};
 use protocol::cloud::*;
 use protocol::state::{Change, Condition, Txn};
--- a/crates/controller/src/versions.rs
+++ b/crates/controller/src/format_negotiation.rs
@@ -1,8 +1,8 @@
 //! Which format of records and messages every node reads, while old and new versions serve
 //! side by side. `docs/upgrade.md` argues each opening.
 
-use crate::io::Time;
-use crate::record::FORMAT;
+use crate::messages::Time;
+use crate::records::FORMAT;
 use settings::Peer;
 use std::collections::BTreeMap;
 
--- a/crates/controller/src/relaying.rs
+++ b/crates/controller/src/heartbeat_proxying.rs
@@ -1,9 +1,9 @@
 //! Reports through every node: the gateway here while another leads, and the
 //! leader's dealings with the gateways. `docs/gateways.md` argues why it is safe.
 
+use crate::heartbeats::Held;
 use crate::leader::Role;
 use crate::machine::{Life, Machine};
-use crate::workers::Held;
 use crate::{Core, Output, Purpose, RequestId, Time};
 use protocol::job::Health;
 use protocol::peer::{Entry, Order, Orders, RelayReply, RelayRequest};
--- a/crates/controller/src/workers.rs
+++ b/crates/controller/src/heartbeats.rs
@@ -1,11 +1,11 @@
 //! Reports of workers: what they prove, and which commands they are answered.
 
-use crate::deaf::Pace;
+use crate::heartbeat_proxying::{Room, Way};
 use crate::job::{Job, Place};
 use crate::leader::Role;
 use crate::machine::{Life, Machine};
-use crate::relaying::{Room, Way};
-use crate::stops::MOST_COMMANDS;
+use crate::one_way_partition::Pace;
+use crate::pending_kills::MOST_COMMANDS;
 use crate::{Core, Purpose, RequestId, StateOp, Time};
 use protocol::job::Shape;
 use protocol::worker::*;
--- a/crates/controller/src/hedge.rs
+++ b/crates/controller/src/hedged_requests.rs
@@ -8,7 +8,7 @@
 //! most, or, where it puts parts that no record names yet or only compares, it does not matter
 //! which.
 
-use crate::record::Value;
+use crate::records::Value;
 use crate::{Budget, Core, Purpose, StateOp, StateReply, Time};
 use protocol::state::{Change, Conflict, Item, Txn};
 use settings::Derived;
--- a/crates/controller/src/job.rs
+++ b/crates/controller/src/job.rs
@@ -1,9 +1,9 @@
 //! A job as the leader holds it, kept in step with its stored record.
 
-use crate::io::Time;
-use crate::layout::Layout;
-use crate::limits::Limits;
-use crate::record::*;
+use crate::messages::Time;
+use crate::page_layout::Layout;
+use crate::records::*;
+use crate::store_limits::Limits;
 use protocol::job::{JobSpec, JobStatus, Shape};
 use protocol::state::Condition;
 use protocol::worker::TaskState;
--- a/crates/controller/src/pipelines.rs
+++ b/crates/controller/src/job_dependencies.rs
@@ -2,7 +2,7 @@
 //! it. `docs/pipelines.md` has the argument.
 
 use crate::leader::{Lead, Role};
-use crate::record::*;
+use crate::records::*;
 use crate::{Core, Finals, Purpose, StateOp, StateReply, Time};
 use dependencies::{Effects, Fate, Graph};
 use protocol::job::JobStatus;
--- a/crates/controller/src/leader.rs
+++ b/crates/controller/src/leader.rs
@@ -2,14 +2,14 @@
 //! created the key is the token of that leadership.
 
 use crate::archive::{over_record, Finished};
-use crate::authority::Authority;
-use crate::claim::Claim;
+use crate::election::Claim;
 use crate::fleet::Fleet;
+use crate::heartbeat_proxying::Way;
+use crate::heartbeats::Held;
 use crate::job::Job;
+use crate::lease_authority::Authority;
 use crate::machine::{Life, Machine};
-use crate::record::*;
-use crate::relaying::Way;
-use crate::workers::Held;
+use crate::records::*;
 use crate::{CallId, Core, Output, Purpose, StateOp, StateReply, Time};
 use protocol::job::{JobSpec, JobStatus};
 use protocol::peer::RelayReply;
@@ -113,7 +113,7 @@
     pub since: Time,
     pub authority: Authority,
     pub standing: Standing,
-    pub voice: crate::deaf::Voice,
+    pub voice: crate::one_way_partition::Voice,
     pub renewing: Option<CallId>,
     pub next_renew: Time,
     pub loaded: bool,
@@ -127,13 +127,13 @@
     pub watch: Follow,
     /// Records seen by the watch while a write of the same job was in flight.
     pub deferred: VecDeque<(String, Value, u64)>,
-    pub writes: crate::commit::Writes,
+    pub writes: crate::write_queue::Writes,
     /// Jobs that wait for others.
-    pub pipelines: crate::pipelines::Pipelines,
+    pub pipelines: crate::job_dependencies::Pipelines,
     /// Reports that wait for their answer, by machine.
     pub held: BTreeMap<String, Held>,
     /// Reports that came before the records were read.
-    pub early: crate::early::Early,
+    pub early: crate::early_heartbeats::Early,
     /// Machines whose held report may have become ready.
     pub recheck: BTreeSet<String>,
     pub held_scan: Time,
@@ -141,7 +141,7 @@
     /// there is what removes it (`tasks_on`).
     on: HashMap<String, BTreeSet<(String, u32)>>,
     /// What is to be stopped and may not know it yet.
-    pub stops: crate::stops::Stops,
+    pub stops: crate::pending_kills::Stops,
     /// When the next line on tasks and machines is due.
     summary_at: Time,
     /// Last look after machines, fleet and cloud.
@@ -154,15 +154,15 @@
     /// Most machines that work which somebody waits for has had at a time.
     pub others_most: usize,
     /// Classes and teams under their floors at the last plan.
-    pub starving: crate::floors::Starving,
+    pub starving: crate::starvation::Starving,
     /// Whose machines gather.
-    pub gathers: crate::floors::Gathers,
+    pub gathers: crate::starvation::Gathers,
     /// Jobs that wait beside free places.
-    pub beside: crate::beside::Beside,
+    pub beside: crate::work_conservation::Beside,
     /// What is paid, as a multiple of what the work would cost where it is cheapest.
     pub price_paid: f64,
     pub fleet: Fleet,
-    pub classes: BTreeMap<String, crate::planning::ClassStats>,
+    pub classes: BTreeMap<String, crate::scheduling::ClassStats>,
     pub booking: u64,
     /// Images that machines got by earlier leaders' work, by machine: image,
     /// when the job was submitted, size.
@@ -172,9 +172,9 @@
     pub relays: sharding::Relays,
     pub archive: crate::archive::Archive,
     /// Parts of specifications, while records are read.
-    pub parts: crate::parts::PartsRead,
+    pub parts: crate::spec_chunks::PartsRead,
     /// What cannot be read.
-    pub unread: crate::unread::Unread,
+    pub unread: crate::undecodable::Unread,
     /// Pages read whose jobs are not among those that run.
     strays: BTreeMap<String, Vec<String>>,
     /// The ceiling on machines when it was last told.
@@ -189,7 +189,7 @@
             since: now,
             authority,
             standing: Standing::default(),
-            voice: crate::deaf::Voice::default(),
+            voice: crate::one_way_partition::Voice::default(),
             renewing: None,
             next_renew: now,
             loaded: false,
@@ -202,14 +202,14 @@
             machines: BTreeMap::new(),
             watch: Follow::default(),
             deferred: VecDeque::new(),
-            writes: crate::commit::Writes::new(now),
-            pipelines: crate::pipelines::Pipelines::default(),
+            writes: crate::write_queue::Writes::new(now),
+            pipelines: crate::job_dependencies::Pipelines::default(),
             held: BTreeMap::new(),
-            early: crate::early::Early::default(),
+            early: crate::early_heartbeats::Early::default(),
             recheck: BTreeSet::new(),
             held_scan: now,
             on: HashMap::new(),
-            stops: crate::stops::Stops::default(),
+            stops: crate::pending_kills::Stops::default(),
             summary_at: now,
             swept_at: now - 1.0,
             plan_dirty: true,
@@ -217,9 +217,9 @@
             plan_after: now,
             image_ids: HashMap::new(),
             others_most: 0,
-            starving: crate::floors::Starving::default(),
-            gathers: crate::floors::Gathers::default(),
-            beside: crate::beside::Beside::default(),
+            starving: crate::starvation::Starving::default(),
+            gathers: crate::starvation::Gathers::default(),
+            beside: crate::work_conservation::Beside::default(),
             price_paid: 1.0,
             fleet: Fleet::default(),
             classes: BTreeMap::new(),
@@ -228,8 +228,8 @@
             types_at: None,
             relays: sharding::Relays::default(),
             archive: crate::archive::Archive::default(),
-            parts: crate::parts::PartsRead::default(),
-            unread: crate::unread::Unread::default(),
+            parts: crate::spec_chunks::PartsRead::default(),
+            unread: crate::undecodable::Unread::default(),
             strays: BTreeMap::new(),
             ceiling_told: 0,
         }
--- a/crates/controller/src/authority.rs
+++ b/crates/controller/src/lease_authority.rs
@@ -7,7 +7,7 @@
 //! nothing of what others have written: after a refusal or an outage it may
 //! succeed while the watch still waits, and a new leader renews before it has read.
 
-use crate::io::Time;
+use crate::messages::Time;
 use settings::Derived;
 
 /// A leader's two dates, by its own clock.
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -2,43 +2,43 @@
 //! answer out. It has no clock and does no I/O; randomness is seeded in.
 
 mod archive;
-mod authority;
-mod beside;
-mod bound;
-mod claim;
-mod commit;
-mod deaf;
-mod early;
+mod cancellation_lineage;
+mod client_requests;
+mod early_heartbeats;
+mod effective_priority;
+mod election;
 mod fleet;
-mod floors;
-mod hedge;
-pub mod io;
+mod format_negotiation;
+mod heartbeat_proxying;
+mod heartbeats;
+mod hedged_requests;
 mod job;
-mod kin;
-mod layout;
+mod job_dependencies;
 mod leader;
-mod limits;
+mod lease_authority;
 mod machine;
-mod parts;
-mod pipelines;
-mod planning;
-mod polls;
-pub mod record;
-mod relaying;
+pub mod messages;
+mod one_way_partition;
+mod page_layout;
+mod pending_kills;
+pub mod records;
 mod round_trip;
-mod stops;
-mod unread;
-mod urgency;
-mod users;
-mod versions;
-mod workers;
-
-pub use io::*;
+mod scheduling;
+mod spec_chunks;
+mod starvation;
+mod status_queries;
+mod store_limits;
+mod undecodable;
+mod work_conservation;
+mod write_queue;
+mod zonal_demand;
+
 use leader::{Lead, Role};
+pub use messages::*;
 use protocol::cloud::MachineType;
 use protocol::job::JobStatus;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
-use record::JobRecord;
+use records::JobRecord;
 use settings::{Derived, Operator, Settings};
 pub use sharding::GatewayGuards;
 use sharding::{Gateway, Lateness, Presence, Spread};
@@ -328,21 +328,21 @@
     pub(crate) leader_watch: leader::Follow,
     pub(crate) claiming: bool,
     /// What is on its way.
-    pub(crate) claim: Option<claim::Claim>,
+    pub(crate) claim: Option<election::Claim>,
     pub(crate) claim_at: Time,
     pub(crate) types: Option<Vec<MachineType>>,
     pub(crate) types_look_at: Time,
     pub(crate) finals: Finals,
-    pub(crate) users: users::Users,
-    pub(crate) polls: polls::Polls,
+    pub(crate) users: client_requests::Users,
+    pub(crate) polls: status_queries::Polls,
     pub(crate) reads: Budget,
     pub(crate) writes: Budget,
     /// How long the state service takes, and users' transactions on their way to it.
     pub(crate) round_trip: round_trip::RoundTrip,
-    pub(crate) hedges: hedge::Hedges,
+    pub(crate) hedges: hedged_requests::Hedges,
     /// What the state service takes, and which version every node has.
-    pub(crate) limits: limits::Limits,
-    pub(crate) versions: versions::Versions,
+    pub(crate) limits: store_limits::Limits,
+    pub(crate) versions: format_negotiation::Versions,
     /// Records whose parts could not be read, with when that was tried.
     pub(crate) parts_again: Vec<(Time, Box<JobRecord>, u64)>,
     /// Renewals and transactions confirmed by the service, for the logs.
@@ -378,7 +378,7 @@
         d.tick_s = operator.tick_s.unwrap_or(d.tick_s);
         let nodes = f64::from(settings.params.nodes.max(1));
         let reads = settings.params.state.rps * 0.8 / nodes;
-        let writes = settings.params.state.write_rps * users::MOST_WRITES;
+        let writes = settings.params.state.write_rps * client_requests::MOST_WRITES;
         let mut rng = SmallRng::seed_from_u64(seed);
         Core {
             guards: Guards::default(),
@@ -407,16 +407,16 @@
             types: None,
             types_look_at: 0.0,
             finals: Finals::default(),
-            users: users::Users::default(),
-            polls: polls::Polls::default(),
+            users: client_requests::Users::default(),
+            polls: status_queries::Polls::default(),
             // Users' reads and writes at one node may take their share of
             // four fifths; the rest is for renewals, watches and the leader.
             reads: Budget::new(reads),
             writes: Budget::new(writes),
             round_trip: round_trip::RoundTrip::default(),
-            hedges: hedge::Hedges::new(reads, writes),
-            limits: limits::Limits::new(&settings.params.state),
-            versions: versions::Versions::default(),
+            hedges: hedged_requests::Hedges::new(reads, writes),
+            limits: store_limits::Limits::new(&settings.params.state),
+            versions: format_negotiation::Versions::default(),
             parts_again: Vec::new(),
             state_ok_at: 0.0,
             state_bad_since: None,
@@ -512,7 +512,7 @@
                 && self.now - self.state_ok_at < self.d.leader_ttl_s,
             workers_heard: self.workers_heard.values().filter(|w| w.0 > since).count() as u32,
             workers: self.workers_here,
-            format: record::FORMAT,
+            format: records::FORMAT,
             newest: self.newest_token(),
             room: self.d.worker_room,
             serves,
--- a/crates/controller/src/machine.rs
+++ b/crates/controller/src/machine.rs
@@ -1,7 +1,7 @@
 //! A machine as the leader knows it.
 
-use crate::deaf::Ears;
-use crate::io::Time;
+use crate::messages::Time;
+use crate::one_way_partition::Ears;
 use protocol::worker::{Report, TaskReport};
 use settings::Derived;
 use sharding::Source;
--- a/crates/controller/src/io.rs
+++ b/crates/controller/src/messages.rs
@@ -1,6 +1,6 @@
 //! What goes into the core and what comes out of it.
 
-use crate::record::Value;
+use crate::records::Value;
 use protocol::cloud::{MachineList, MachineTypes, Machines, Rent};
 use protocol::peer::{RelayReply, RelayRequest, View};
 use protocol::state::{Conflict, Events, Item, Page, Txn};
--- a/crates/controller/src/deaf.rs
+++ b/crates/controller/src/one_way_partition.rs
@@ -2,7 +2,7 @@
 //! it. It has no work then that lasts for longer than its lease, and what is placed there
 //! never starts; nothing in a single report tells.
 
-use crate::io::Time;
+use crate::messages::Time;
 
 /// What a machine's sessions say of it. A worker whose lease ends although its reports came
 /// and were answered has heard none of the answers; one whose session outlasts a lease has
--- a/crates/controller/src/layout.rs
+++ b/crates/controller/src/page_layout.rs
@@ -5,8 +5,8 @@
 //! from the one that writes the record; until then, and if the leader ends meanwhile,
 //! the old one does. So a job of any size can be divided anew a few values at a time.
 
-use crate::limits::Limits;
-use crate::record::{page_key, tasks_per_page};
+use crate::records::{page_key, tasks_per_page};
+use crate::store_limits::Limits;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
--- a/crates/controller/src/round_trip.rs
+++ b/crates/controller/src/round_trip.rs
@@ -1,6 +1,6 @@
 //! How long the state service takes to answer, and from when on an answer is overdue.
 
-use crate::io::Time;
+use crate::messages::Time;
 
 /// Smoothed mean and mean deviation of answer times, as TCP estimates its round trips (RFC 6298).
 /// What is never answered counts nothing: it says nothing of how long an answer takes.
--- a/crates/controller/src/planning.rs
+++ b/crates/controller/src/scheduling.rs
@@ -1,16 +1,16 @@
 //! Between the leader's knowledge and the planner's: what waits and what
 //! there is goes in; placements, stops and the fleet's targets come out.
 
-use crate::bound::{zones_of, Ask, AtHand, Bound};
+use crate::effective_priority::Urgency;
 use crate::fleet::Pool;
-use crate::floors::{Floors, Gathers};
 use crate::job::{Job, Place};
 use crate::leader::Role;
 use crate::machine::Machine;
-use crate::record::StoredPlacement;
-use crate::urgency::Urgency;
+use crate::records::StoredPlacement;
+use crate::starvation::{Floors, Gathers};
+use crate::zonal_demand::{zones_of, Ask, AtHand, Bound};
 use crate::Core;
-use planner::floor::Floor;
+use planner::starvation::Floor;
 use planner::{Amounts, Busy, Problem, Victim};
 use protocol::cloud::MachineType;
 use protocol::job::{JobSpec, Priority, Shape};
@@ -24,7 +24,7 @@
     log_ratio: f64,
     samples: u32,
     /// What was asked of its jobs by those that needed them.
-    pub needed: crate::urgency::Needed,
+    pub needed: crate::effective_priority::Needed,
     /// Times of the last arrivals.
     arrivals: VecDeque<f64>,
     /// Where its jobs run cheapest: pool, machines per job (running means of
--- a/crates/controller/src/parts.rs
+++ b/crates/controller/src/spec_chunks.rs
@@ -1,7 +1,7 @@
 //! Jobs whose specification is too large for their record: it lies beside it in parts, which
 //! were stored before the record that names them.
 
-use crate::record::*;
+use crate::records::*;
 use crate::{Core, Purpose, StateOp, StateReply, Time};
 use protocol::state::{Change, Condition, Txn};
 use std::collections::BTreeMap;
--- a/crates/controller/src/floors.rs
+++ b/crates/controller/src/starvation.rs
@@ -1,7 +1,7 @@
-//! Classes and teams under their floors, for one plan (see `planner::floor`).
+//! Classes and teams under their floors, for one plan (see `planner::starvation`).
 
-use crate::planning::needs;
-use planner::floor::{grants, keeps_until, overdue, under, Claim, Floor};
+use crate::scheduling::needs;
+use planner::starvation::{grants, keeps_until, overdue, under, Claim, Floor};
 use planner::{Amounts, Busy, Job, Shape};
 use protocol::job::JobSpec;
 use std::collections::BTreeMap;
--- a/crates/controller/src/polls.rs
+++ b/crates/controller/src/status_queries.rs
@@ -14,9 +14,9 @@
 //! record says yet: what is told of it follows from the records of those before it, as
 //! fresh as its own (`docs/pipelines.md`).
 
-use crate::kin::Kin;
-use crate::record::*;
-use crate::users::Found;
+use crate::cancellation_lineage::Kin;
+use crate::client_requests::Found;
+use crate::records::*;
 use crate::{Core, Purpose, RequestId, StateOp, StateReply, Time};
 use protocol::job::{JobStatus, Shape};
 use protocol::state::{Condition, Event, Events, Item, Txn};
--- a/crates/controller/src/beside.rs
+++ b/crates/controller/src/work_conservation.rs
@@ -2,7 +2,7 @@
 //! place may be kept from them with reason (for a gang that gathers, for what usually comes), but
 //! no reason holds for long.
 
-use crate::io::Time;
+use crate::messages::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Jobs that wait beside free places, with since when they have without a break.
--- a/crates/controller/src/commit.rs
+++ b/crates/controller/src/write_queue.rs
@@ -3,8 +3,8 @@
 
 use crate::job::Job;
 use crate::leader::Role;
-use crate::planning::band;
-use crate::record::*;
+use crate::records::*;
+use crate::scheduling::band;
 use crate::{Core, Purpose, StateOp, StateReply, Time};
 use protocol::job::JobStatus;
 use protocol::state::{Change, Condition, Event, Item, Txn, TXN_LIMIT};
--- a/crates/controller/src/bound.rs
+++ b/crates/controller/src/zonal_demand.rs
@@ -2,7 +2,7 @@
 //! were once rented where fewest stood, given back idle and rented there anew, for ever.)
 
 use crate::fleet::{Fleet, Pool};
-use crate::io::Time;
+use crate::messages::Time;
 use protocol::cloud::MachineType;
 use std::collections::BTreeMap;
 
--- a/crates/controller/tests/records.rs
+++ b/crates/controller/tests/records.rs
@@ -1,6 +1,6 @@
 //! What is kept in the state service: older forms are read, sizes are known.
 
-use anisecroft_controller::record::*;
+use anisecroft_controller::records::*;
 use serde::Serialize;
 
 /// Placements as records held them before they became lists.
--- a/crates/dependencies/src/lib.rs
+++ b/crates/dependencies/src/lib.rs
@@ -6,9 +6,9 @@
 //! jobs and what they wait for, nothing of history, and has neither clock nor I/O.
 //! `docs/pipelines.md` has the argument.
 
-mod passing;
+mod inheritance;
 
-pub use passing::{Own, Passed};
+pub use inheritance::{Own, Passed};
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,8 +1,8 @@
 //! Cura's planner as a pure function: jobs that wait, machines as they are,
 //! and out of them reservations, of which those starting now are launched.
 
-pub mod floor;
-mod room;
+pub mod starvation;
+mod work_conservation;
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -149,7 +149,7 @@
     /// It is under its floor: it goes before all others (see [`floor`]).
     pub floor: bool,
     /// Until then, in seconds of the plan's clock, its team's room is kept for it where the limit
-    /// has none for it yet (see [`floor::keeps_until`]).
+    /// has none for it yet (see [`starvation::keeps_until`]).
     pub keeps_until: f64,
     /// The zone in which the last plan gathered machines for it.
     pub gathers_in: Option<usize>,
--- a/crates/planner/tests/floor.rs
+++ b/crates/planner/tests/floor.rs
@@ -1,6 +1,6 @@
 //! The floor under classes and teams, as pure functions.
 
-use anisecroft_planner::floor::{grants, overdue, under, Claim, Floor};
+use anisecroft_planner::starvation::{grants, overdue, under, Claim, Floor};
 use proptest::prelude::*;
 
 const FLOOR: Floor = Floor { share: 0.1, patience_s: 60.0, keeps_s: 40.0 };
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -4,8 +4,8 @@
 
 pub mod cloud;
 pub mod codec;
+pub mod forwarding;
 pub mod job;
-pub mod relay;
 pub mod state;
 pub mod worker;
 
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -6,19 +6,19 @@
 //! ([`Relays`]), and workers are shared out by what the nodes can take
 //! ([`Spread`]). `docs/gateways.md` has the safety argument.
 
-mod gateway;
-mod hearing;
-mod presence;
-mod reach;
-mod relays;
-mod spread;
+mod forwarding;
+mod heartbeat_observations;
+mod heartbeat_proxy;
+mod peer_liveness;
+mod shard_balancer;
+mod zone_reachability;
 
-pub use gateway::{Act, Gateway, GatewayGuards};
-pub use hearing::{Hearing, Spans};
-pub use presence::Presence;
-pub use reach::Reach;
-pub use relays::{Relays, Reply, Source};
-pub use spread::{Lateness, Member, Spread};
+pub use forwarding::{Relays, Reply, Source};
+pub use heartbeat_observations::{Hearing, Spans};
+pub use heartbeat_proxy::{Act, Gateway, GatewayGuards};
+pub use peer_liveness::Presence;
+pub use shard_balancer::{Lateness, Member, Spread};
+pub use zone_reachability::Reach;
 
 /// Seconds on the node's steady clock.
 pub type Time = f64;
--- a/crates/simulation/src/sim.rs
+++ b/crates/simulation/src/sim.rs
@@ -1685,7 +1685,7 @@
     }
 
     /// Looks at every value that is stored, with its key.
-    pub fn inspect(&mut self, look: fn(&str, &controller::record::Value)) {
+    pub fn inspect(&mut self, look: fn(&str, &controller::records::Value)) {
         self.store.inspect = Some(look);
     }
 
--- a/crates/simulation/src/sim/border.rs
+++ b/crates/simulation/src/sim/border.rs
@@ -383,8 +383,8 @@
     }
 }
 
-fn change_label(change: &protocol::state::Change<controller::record::Value>) -> String {
-    use controller::record::Value;
+fn change_label(change: &protocol::state::Change<controller::records::Value>) -> String {
+    use controller::records::Value;
     use protocol::state::Change;
     match change {
         Change::Delete { key } => format!("{} gone", prefix(key)),
--- a/crates/simulation/src/state.rs
+++ b/crates/simulation/src/state.rs
@@ -1,6 +1,6 @@
 //! The state service.
 
-use controller::record::{json_size, Value};
+use controller::records::{json_size, Value};
 use controller::{StateOp, StateReply};
 use protocol::state::*;
 use std::collections::BTreeMap;
@@ -158,7 +158,7 @@
 
     /// The format that is noted as read by all.
     pub fn format(&self) -> Option<u32> {
-        match self.items.get(controller::record::FORMAT_KEY) {
+        match self.items.get(controller::records::FORMAT_KEY) {
             Some((Value::Format(f), ..)) => Some(*f),
             _ => None,
         }
--- a/crates/simulation/tests/answers.rs
+++ b/crates/simulation/tests/answers.rs
@@ -8,7 +8,7 @@
 use anisecroft_simulation::{Fault, Setup, Sim};
 use anyorder::*;
 use common::{setup, unlimited};
-use controller::record::*;
+use controller::records::*;
 use controller::*;
 use protocol::cloud::MachineType;
 use protocol::job::*;
@@ -61,7 +61,7 @@
     assert!(m.moved > 100 && m.gone > 100 && m.returns > 100 && m.late > 50 && m.lost > 100, "{m:?}");
 }
 
-/// The same for minutes and by hand: `cargo test --release -p anisecroft-testkit --test answers
+/// The same for minutes and by hand: `cargo test --release -p anisecroft-simulation --test answers
 /// -- --ignored`.
 #[test]
 #[ignore = "minutes"]
--- a/crates/simulation/tests/anyorder/mod.rs
+++ b/crates/simulation/tests/anyorder/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::common::{plain_array, types};
 use anisecroft_simulation::state::Store;
-use controller::record::*;
+use controller::records::*;
 use controller::*;
 use machines::Machines;
 use protocol::cloud::MachineType;
--- a/crates/simulation/tests/at_limits.rs
+++ b/crates/simulation/tests/at_limits.rs
@@ -10,7 +10,7 @@
 use anisecroft_simulation::{Fault, Setup, Sim};
 use by_hand::*;
 use common::*;
-use controller::record::*;
+use controller::records::*;
 use controller::*;
 use protocol::job::*;
 use protocol::state::{Change, Txn};
@@ -429,7 +429,7 @@
     }
 }
 
-/// All of them, over many seeds and by hand: `cargo test --release -p anisecroft-testkit --test
+/// All of them, over many seeds and by hand: `cargo test --release -p anisecroft-simulation --test
 /// at_limits -- --ignored --nocapture`.
 #[test]
 #[ignore = "minutes"]
--- a/crates/simulation/tests/day_end.rs
+++ b/crates/simulation/tests/day_end.rs
@@ -5,7 +5,7 @@
 
 use anisecroft_simulation::{Fault, Setup, Sim};
 use common::*;
-use controller::record::{job_key, Value};
+use controller::records::{job_key, Value};
 use controller::Guards;
 use protocol::job::*;
 
--- a/crates/simulation/tests/digests.rs
+++ b/crates/simulation/tests/digests.rs
@@ -4,7 +4,7 @@
 //!
 //! A change that is meant to change no behaviour leaves that file as it is. After one that is
 //! meant to, record anew and read which days moved:
-//! `RECORD_DIGESTS=1 cargo test -p anisecroft-testkit --test digests`
+//! `RECORD_DIGESTS=1 cargo test -p anisecroft-simulation --test digests`
 
 mod common;
 
--- a/crates/simulation/tests/explore.rs
+++ b/crates/simulation/tests/explore.rs
@@ -24,7 +24,7 @@
 }
 
 /// Of all scripts one run in many; every run without trouble, and messages of rare meaning, are
-/// among them. All of it: `cargo run --release -p anisecroft-testkit --bin explore`.
+/// among them. All of it: `cargo run --release -p anisecroft-simulation --bin explore`.
 #[test]
 fn a_selection_of_all_scripts_breaks_no_rule() {
     for script in &SCRIPTS {
@@ -69,7 +69,7 @@
     assert!(guard_names().all(|name| on(Some(name)) == on(None) - 1));
 }
 
-/// The others take hundreds or thousands of runs: `cargo test --release -p anisecroft-testkit --test explore --
+/// The others take hundreds or thousands of runs: `cargo test --release -p anisecroft-simulation --test explore --
 /// --ignored`.
 #[test]
 #[ignore = "a minute"]
--- a/crates/simulation/tests/hand_over.rs
+++ b/crates/simulation/tests/hand_over.rs
@@ -9,7 +9,7 @@
 use anisecroft_simulation::{Fault, Setup, Sim};
 use by_hand::*;
 use common::*;
-use controller::record::LEADER_KEY;
+use controller::records::LEADER_KEY;
 use protocol::job::JobSpec;
 
 /// An old copy of a report comes to a new leader that reads its records yet, after a live one: it
@@ -249,7 +249,7 @@
     assert!(runs.iter().flatten().all(|leaders| *leaders >= 6), "{runs:?}");
 }
 
-/// All of them, over many seeds and by hand: `cargo test --release -p anisecroft-testkit --test
+/// All of them, over many seeds and by hand: `cargo test --release -p anisecroft-simulation --test
 /// hand_over -- --ignored --nocapture`.
 #[test]
 #[ignore = "minutes"]
--- a/crates/simulation/tests/lost_answers.rs
+++ b/crates/simulation/tests/lost_answers.rs
@@ -6,7 +6,7 @@
 
 use anisecroft_simulation::{Fault, Setup, Sim};
 use common::{setup, unlimited};
-use controller::record::{
+use controller::records::{
     JobRecord, LeaderRecord, StoredPlacement, Value, FORMAT, FORMAT_KEY, LEADER_KEY, TYPES_KEY,
 };
 use controller::*;
@@ -478,7 +478,7 @@
 const KINDS: [&str; 9] =
     ["claim", "gate", "parts", "pages", "images", "move", "submission", "cancellation", "record"];
 
-/// The same for many seeds, by hand: `cargo test --release -p anisecroft-testkit --test
+/// The same for many seeds, by hand: `cargo test --release -p anisecroft-simulation --test
 /// lost_answers -- --ignored`.
 #[test]
 #[ignore = "minutes"]
--- a/crates/simulation/tests/meetings.rs
+++ b/crates/simulation/tests/meetings.rs
@@ -252,7 +252,7 @@
 }
 
 /// Every meeting with every other, over minutes and by hand: `cargo test --release
-/// -p anisecroft-testkit --test meetings -- --ignored`.
+/// -p anisecroft-simulation --test meetings -- --ignored`.
 #[test]
 #[ignore = "minutes"]
 fn meetings_in_all_pairs_break_no_rule() {
--- a/crates/simulation/tests/pipelines.rs
+++ b/crates/simulation/tests/pipelines.rs
@@ -4,7 +4,7 @@
 
 use anisecroft_simulation::{Fault, Rule, Setup, Sim};
 use common::*;
-use controller::record::{job_key, over_key, Value};
+use controller::records::{job_key, over_key, Value};
 use controller::Guards;
 use protocol::job::*;
 use settings::NextLimits;
--- a/crates/simulation/tests/polls.rs
+++ b/crates/simulation/tests/polls.rs
@@ -1,7 +1,7 @@
 //! What nodes answer about jobs, with every message delivered in any order.
 
 use anisecroft_simulation::state::Store;
-use controller::record::{Value, FORMAT, FORMAT_KEY, TYPES_KEY};
+use controller::records::{Value, FORMAT, FORMAT_KEY, TYPES_KEY};
 use controller::*;
 use proptest::prelude::*;
 use protocol::cloud::MachineType;
--- a/crates/simulation/tests/stage/mod.rs
+++ b/crates/simulation/tests/stage/mod.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{plain_array, types};
 use anisecroft_simulation::state::Store;
-use controller::record::{Value, FORMAT, FORMAT_KEY};
+use controller::records::{Value, FORMAT, FORMAT_KEY};
 use controller::*;
 use protocol::cloud::*;
 use protocol::job::*;
--- a/crates/simulation/tests/stored.rs
+++ b/crates/simulation/tests/stored.rs
@@ -3,9 +3,9 @@
 //! what it builds from the values below is these bytes. So old data reads in new code and the reverse.
 //!
 //! The bytes are never to be changed; a new kind or field gets a new file, written by
-//! `RECORD_STORED=1 cargo test -p anisecroft-testkit --test stored`, which leaves files that there are.
+//! `RECORD_STORED=1 cargo test -p anisecroft-simulation --test stored`, which leaves files that there are.
 
-use controller::record::*;
+use controller::records::*;
 use prost::Message;
 use protocol::cloud::MachineType;
 use protocol::job::*;
--- a/crates/simulation/tests/takeover.rs
+++ b/crates/simulation/tests/takeover.rs
@@ -1,7 +1,7 @@
 //! What a takeover costs the state service, with any history.
 
 use anisecroft_simulation::state::{Limits, Store};
-use controller::record::*;
+use controller::records::*;
 use controller::*;
 use protocol::job::*;
 use protocol::worker::{Report, ReportAnswer, TaskReport, TaskState, Verb};
--- a/crates/simulation/tests/versions.rs
+++ b/crates/simulation/tests/versions.rs
@@ -5,7 +5,7 @@
 
 use anisecroft_simulation::{Setup, Sim};
 use common::*;
-use controller::record::*;
+use controller::records::*;
 use prost::Message;
 use protocol::cloud::MachineType;
 use protocol::job::{JobSpec, JobStatus, Priority, Shape};
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 client with kept connections and a deadline on every call.
 
-use crate::deadlines::Deadlines;
 use crate::socket::Socket;
+use crate::timeouts::Deadlines;
 use async_io::Async;
 use futures_lite::AsyncReadExt;
 use http_types::{Method, Request, Url};
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,11 +1,11 @@
 //! Runs a core on sockets and clocks, all on one thread.
 
 mod client;
-mod deadlines;
 mod peers;
 mod server;
 mod services;
 mod socket;
+mod timeouts;
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
--- a/crates/transport/src/services.rs
+++ b/crates/transport/src/services.rs
@@ -1,7 +1,7 @@
 //! The state service, the cloud and the workers, as calls of the core.
 
 use crate::client::{Client, Failure, Response};
-use controller::record::Value;
+use controller::records::Value;
 use controller::{CloudOp, CloudReply, StateOp, StateReply, WorkerReply};
 use http_types::Method;
 use protocol::state::*;
