--- a/crates/analysis/src/chains.rs
+++ b/crates/analysis/src/chains.rs
@@ -20,7 +20,7 @@
 
 /// Counts jobs that wait for others, line by line.
 #[derive(Debug, Default)]
-pub struct Chains {
+pub struct PipelineStats {
     jobs: BTreeMap<String, Job>,
 }
 
@@ -36,7 +36,7 @@
 
 /// The pipelines that end with jobs of one class. What was withdrawn is left out.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Chain {
+pub struct PipelineRow {
     pub last: String,
     pub asked: usize,
     pub done: usize,
@@ -46,7 +46,7 @@
     pub stages: Vec<Stage>,
 }
 
-impl Chains {
+impl PipelineStats {
     /// Takes in one line of a controller's log.
     pub fn line(&mut self, line: &str) {
         let kinds = ["job accepted", "job awaits others", "job started", "job over"];
@@ -82,7 +82,7 @@
     }
 
     /// By the class of the last job, which is one that waits and that nobody waits for.
-    pub fn rows(&self) -> Vec<Chain> {
+    pub fn rows(&self) -> Vec<PipelineRow> {
         let named: BTreeSet<&str> = self.jobs.values().flat_map(|j| &j.awaits).map(String::as_str).collect();
         let mut lasts: BTreeMap<&str, Vec<(&str, &Job)>> = BTreeMap::new();
         for (id, job) in &self.jobs {
@@ -103,7 +103,7 @@
                 waited_s: mean(jobs.iter().map(|j| j.waited_s)),
                 ran_s: mean(jobs.iter().map(|j| j.ran_s)),
             };
-            Chain {
+            PipelineRow {
                 last: last.to_string(),
                 asked: jobs.len(),
                 done: done.len(),
@@ -125,9 +125,9 @@
     }
 }
 
-impl fmt::Display for Chain {
+impl fmt::Display for PipelineRow {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Chain { last, asked, done, in_time, took_s, stages } = self;
+        let PipelineRow { last, asked, done, in_time, took_s, stages } = self;
         let timely = share(*in_time as f64, *asked as f64);
         writeln!(
             f,
--- a/crates/analysis/src/day.rs
+++ b/crates/analysis/src/day.rs
@@ -20,7 +20,7 @@
 /// Some of a day's troubles.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct With {
+struct DayVariation {
     name: String,
     #[serde(default)]
     trouble: Vec<Table>,
@@ -35,7 +35,7 @@
     trouble: Vec<Table>,
     /// More days: this one with more troubles each.
     #[serde(default)]
-    with: Vec<With>,
+    with: Vec<DayVariation>,
     /// A day for every class, which `class = "each"` stands for.
     #[serde(default)]
     each_class: bool,
@@ -69,7 +69,7 @@
 
 /// A day of a site: its name, the site it is played on and the file's text.
 #[derive(Debug)]
-pub struct Made {
+pub struct GeneratedDay {
     pub name: String,
     pub site: Site,
     pub text: String,
@@ -97,20 +97,20 @@
 
     /// All days that it stands for on `site`. Two sites of which one has twice the
     /// machines, zones or time get the same day.
-    pub fn make(&self, name: &str, site: &Site) -> Result<Vec<Made>, DayError> {
+    pub fn make(&self, name: &str, site: &Site) -> Result<Vec<GeneratedDay>, DayError> {
         if let Some(part) = self.cancelled.filter(|c| !(0.0..=1.0).contains(c)) {
             let known = "say a part from 0.0 to 1.0";
             return Err(DayError::Unknown { key: "cancelled", value: part.to_string(), known });
         }
         let site = &self.site(site)?;
-        let plain = With { name: String::new(), trouble: Vec::new() };
+        let plain = DayVariation { name: String::new(), trouble: Vec::new() };
         let mut made = Vec::new();
         for with in std::iter::once(&plain).chain(&self.with) {
             let name = if with.name.is_empty() { name.to_string() } else { format!("{name}-{}", with.name) };
             let troubles: Vec<&Table> = self.trouble.iter().chain(&with.trouble).collect();
             let mut add = |suffix: String, site: Site, class: Option<&str>| -> Result<(), DayError> {
                 let text = written(&format!("{name}{suffix}"), &troubles, &site, class, self.cancelled)?;
-                made.push(Made { name: format!("{name}{suffix}"), site, text });
+                made.push(GeneratedDay { name: format!("{name}{suffix}"), site, text });
                 Ok(())
             };
             if self.each_class {
--- a/crates/analysis/src/lib.rs
+++ b/crates/analysis/src/lib.rs
@@ -10,8 +10,8 @@
 mod served;
 mod site;
 
-pub use chains::{Chain, Chains, Stage};
-pub use day::{DayError, DayFile, Made};
+pub use chains::{PipelineRow, PipelineStats, Stage};
+pub use day::{DayError, DayFile, GeneratedDay};
 pub use journal::{aims, Aim, JournalError};
 pub use outcome::{compare, table, Outcome, Share, LEAST};
 pub use play::{play_all, Run};
--- a/crates/analysis/src/main.rs
+++ b/crates/analysis/src/main.rs
@@ -99,7 +99,7 @@
 }
 
 fn pipelines(logs: &[PathBuf]) -> Result<bool, String> {
-    let mut chains = Chains::default();
+    let mut chains = PipelineStats::default();
     lines(logs, |line| chains.line(line))?;
     let rows = chains.rows();
     if rows.is_empty() {
--- a/crates/analysis/tests/days.rs
+++ b/crates/analysis/tests/days.rs
@@ -52,7 +52,7 @@
     Site::parse(SITE).unwrap()
 }
 
-fn faults(made: &Made) -> Vec<toml::Table> {
+fn faults(made: &GeneratedDay) -> Vec<toml::Table> {
     let day: toml::Table = made.text.parse().unwrap();
     day["faults"].as_array().unwrap().iter().map(|f| f.as_table().unwrap().clone()).collect()
 }
--- a/crates/analysis/tests/served.rs
+++ b/crates/analysis/tests/served.rs
@@ -1,6 +1,6 @@
 //! Counting by class and team.
 
-use anisecroft_analysis::{aims, Chains, Group, Served};
+use anisecroft_analysis::{aims, Group, PipelineStats, Served};
 
 /// Two controllers say the same of a job, one is still on its way, one is
 /// cancelled, and other lines are of no interest.
@@ -50,7 +50,7 @@
 /// A chain, a diamond that is late, one that was withdrawn, and a job by itself.
 #[test]
 fn pipelines_are_counted_by_their_last_job() {
-    let mut c = Chains::default();
+    let mut c = PipelineStats::default();
     let job = |id: &str, class: &str, awaits: &str, times: [f64; 4], end: &str| {
         let [free, waited, ran, took] = times;
         let mut lines = vec![format!("1 n-0 INFO job accepted job={id} class={class} team=maps tasks=1")];
--- a/crates/anisecroft/src/main.rs
+++ b/crates/anisecroft/src/main.rs
@@ -1,7 +1,7 @@
 //! The daemon: reads settings, sets up logs, serves.
 
 use clap::{Parser, Subcommand};
-use settings::{Derived, Operator, Settings};
+use settings::{Operator, Settings, Timing};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -65,7 +65,7 @@
     match Args::parse().command {
         Command::Check { config, operator } => match load(&config, operator.as_deref()) {
             Some((s, own)) => {
-                println!("{s:#?}\n{own:#?}\n{:#?}", Derived::from(&s));
+                println!("{s:#?}\n{own:#?}\n{:#?}", Timing::from(&s));
                 ExitCode::SUCCESS
             }
             None => ExitCode::FAILURE,
--- a/crates/controller/src/archive.rs
+++ b/crates/controller/src/archive.rs
@@ -10,18 +10,18 @@
 use crate::job::Job;
 use crate::leader::Role;
 use crate::records::*;
-use crate::{Budget, Core, Purpose, StateOp, StateReply, Time};
+use crate::{CallContext, Controller, RateLimiter, StoreReply, StoreRequest, Time};
 use protocol::job::JobStatus;
-use protocol::state::{Change, Condition, Item, Txn};
+use protocol::state::{Compare, Item, Mutation, Transaction};
 use std::collections::BTreeMap;
 use tracing::{debug, info};
 
 /// A job that is over and still lies among those that run.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Finished {
+pub struct TerminalJob {
     pub id: String,
     pub version: u64,
-    pub over: OverRecord,
+    pub over: TerminalRecord,
     /// Pages and whatever else of it is stored.
     pub keys: Vec<String>,
 }
@@ -29,11 +29,11 @@
 /// Jobs whose record has left those that run, with a revision as of which it was gone: what the
 /// watch shows of them from before is over. No record comes back.
 #[derive(Default)]
-pub struct Departed {
+pub struct ArchivedJobs {
     gone_at: BTreeMap<String, u64>,
 }
 
-impl Departed {
+impl ArchivedJobs {
     pub fn note(&mut self, id: &str, revision: u64) {
         self.gone_at.insert(id.to_string(), revision);
     }
@@ -56,19 +56,19 @@
     format_busy: bool,
     format_at: Time,
     /// What has yet to move, by id.
-    pub waiting: BTreeMap<String, Finished>,
+    pub waiting: BTreeMap<String, TerminalJob>,
     /// What stays as long as a live job's record names it: the next leader has to learn
     /// how it ended without a read for each.
-    pub held: BTreeMap<String, Finished>,
-    pub departed: Departed,
+    pub held: BTreeMap<String, TerminalJob>,
+    pub departed: ArchivedJobs,
     /// Keys of layouts that count no more.
     stale: Vec<String>,
     /// Those of them that are being deleted.
     deleting: Vec<String>,
     /// A transaction on its way, with what it moves.
-    moving: Option<Vec<Finished>>,
+    moving: Option<Vec<TerminalJob>>,
     retry_at: Time,
-    budget: Option<Budget>,
+    budget: Option<RateLimiter>,
     /// Parts of the machines' images as last stored, and when to look again.
     images: BTreeMap<usize, (ImagesRecord, u64)>,
     images_at: Time,
@@ -126,16 +126,16 @@
 }
 
 /// The changes that move `f`; its other keys go first if there are more than `most`.
-fn moves(f: &Finished, most: usize) -> (Vec<Condition>, Vec<Change<Value>>, Vec<String>) {
-    let mut changes: Vec<Change<Value>> =
-        f.keys.iter().take(most).map(|key| Change::Delete { key: key.clone() }).collect();
+fn moves(f: &TerminalJob, most: usize) -> (Vec<Compare>, Vec<Mutation<Value>>, Vec<String>) {
+    let mut changes: Vec<Mutation<Value>> =
+        f.keys.iter().take(most).map(|key| Mutation::Delete { key: key.clone() }).collect();
     let left: Vec<String> = f.keys.iter().skip(most).cloned().collect();
     let mut conditions = Vec::new();
     if changes.len() + 2 <= most {
         let (key, over) = (job_key(&f.id), over_key(&f.id));
-        conditions.push(Condition { key: key.clone(), version: f.version });
-        changes.push(Change::Delete { key });
-        changes.push(Change::Put { key: over, value: Value::Over(f.over.clone()), lease: None });
+        conditions.push(Compare { key: key.clone(), version: f.version });
+        changes.push(Mutation::Delete { key });
+        changes.push(Mutation::Put { key: over, value: Value::Over(f.over.clone()), lease: None });
     }
     (conditions, changes, left)
 }
@@ -167,7 +167,7 @@
     parts
 }
 
-impl Core {
+impl Controller {
     /// Moves what is over and stores what machines hold, as far as there is time.
     pub(crate) fn archive_on_time(&mut self) {
         if !self.entitled() {
@@ -192,32 +192,32 @@
         match l.archive.format {
             None => {
                 l.archive.format_busy = true;
-                self.state(Purpose::FormatLook { token }, StateOp::Get(FORMAT_KEY.to_string()));
+                self.state(CallContext::FormatLook { token }, StoreRequest::Get(FORMAT_KEY.to_string()));
             }
             Some((format, version)) if reads > format => {
                 l.archive.format_busy = true;
-                let leads = Condition { key: LEADER_KEY.to_string(), version: token };
-                let new = Condition { key: FORMAT_KEY.to_string(), version };
+                let leads = Compare { key: LEADER_KEY.to_string(), version: token };
+                let new = Compare { key: FORMAT_KEY.to_string(), version };
                 let value = Value::Format(reads);
-                let put = Change::Put { key: FORMAT_KEY.to_string(), value, lease: None };
-                let txn = Txn { conditions: vec![leads, new], changes: vec![put] };
-                self.state(Purpose::FormatWrite { token, format: reads }, StateOp::Commit(txn));
+                let put = Mutation::Put { key: FORMAT_KEY.to_string(), value, lease: None };
+                let txn = Transaction { conditions: vec![leads, new], changes: vec![put] };
+                self.state(CallContext::FormatWrite { token, format: reads }, StoreRequest::Commit(txn));
             }
             Some(_) => {}
         }
     }
 
-    pub(crate) fn on_format_look(&mut self, token: u64, r: StateReply) {
+    pub(crate) fn on_format_look(&mut self, token: u64, r: StoreReply) {
         let Some(l) = self.lead(token) else { return };
         l.archive.format_busy = false;
         match r {
-            StateReply::Item(Item { value: Value::Format(f), version, .. }) => {
+            StoreReply::Item(Item { value: Value::Format(f), version, .. }) => {
                 l.archive.format = Some((f, version));
                 if f >= FORMAT {
                     self.versions.is_evident();
                 }
             }
-            StateReply::Missing(_) => l.archive.format = Some((0, 0)),
+            StoreReply::Missing(_) => l.archive.format = Some((0, 0)),
             _ => {}
         }
     }
@@ -225,21 +225,21 @@
     /// Looks whether the gate is open, until it is known that every node has this version.
     pub(crate) fn look_at_gate(&mut self) {
         if !self.newest_forms() && self.versions.gate.begin(self.now, self.d.renew_s) {
-            self.state(Purpose::GateLook, StateOp::Get(FORMAT_KEY.to_string()));
+            self.state(CallContext::GateLook, StoreRequest::Get(FORMAT_KEY.to_string()));
         }
     }
 
-    pub(crate) fn on_gate_look(&mut self, r: StateReply) {
-        self.versions.gate.end(matches!(r, StateReply::Item(_) | StateReply::Missing(_)));
-        if matches!(r, StateReply::Item(Item { value: Value::Format(f), .. }) if f >= FORMAT) {
+    pub(crate) fn on_gate_look(&mut self, r: StoreReply) {
+        self.versions.gate.end(matches!(r, StoreReply::Item(_) | StoreReply::Missing(_)));
+        if matches!(r, StoreReply::Item(Item { value: Value::Format(f), .. }) if f >= FORMAT) {
             self.versions.is_evident();
         }
     }
 
-    pub(crate) fn on_format_write(&mut self, token: u64, format: u32, r: StateReply) {
+    pub(crate) fn on_format_write(&mut self, token: u64, format: u32, r: StoreReply) {
         let Some(l) = self.lead(token) else { return };
         l.archive.format_busy = false;
-        if let StateReply::Committed(revision) = r {
+        if let StoreReply::Committed(revision) = r {
             info!(format, "all nodes read this format of records, used from now on");
             l.archive.format = Some((format, revision));
         } else {
@@ -248,7 +248,7 @@
     }
 
     /// `job` is over, its record stored under `j/` in that version.
-    pub(crate) fn finished(&mut self, f: Finished) {
+    pub(crate) fn finished(&mut self, f: TerminalJob) {
         if let Role::Leader(l) = &mut self.role {
             let place =
                 if l.pipelines.graph.named(&f.id) { &mut l.archive.held } else { &mut l.archive.waiting };
@@ -277,18 +277,18 @@
         if !a.open() || a.moving.is_some() || nothing || now < a.retry_at {
             return;
         }
-        let own = a.budget.get_or_insert_with(|| Budget::new(all * MOVES));
+        let own = a.budget.get_or_insert_with(|| RateLimiter::new(all * MOVES));
         let shared = l.fleet.write_budget(rate);
         let allowed = own.left(now).min(shared.left(now) - rate / 2.0).min(most as f64) as usize;
         if allowed < 2 {
             return;
         }
-        let leads = Condition { key: LEADER_KEY.to_string(), version: token };
-        let mut txn = Txn { conditions: vec![leads], changes: Vec::new() };
+        let leads = Compare { key: LEADER_KEY.to_string(), version: token };
+        let mut txn = Transaction { conditions: vec![leads], changes: Vec::new() };
         let mut moving = Vec::new();
         // Deleting twice does no harm.
         a.deleting = a.stale.split_off(a.stale.len().saturating_sub(allowed / 2));
-        txn.changes.extend(a.deleting.iter().map(|key| Change::Delete { key: key.clone() }));
+        txn.changes.extend(a.deleting.iter().map(|key| Mutation::Delete { key: key.clone() }));
         while let Some((id, mut f)) = a.waiting.pop_first() {
             let room = allowed - txn.changes.len();
             // A job with more pages than that takes several transactions.
@@ -314,27 +314,27 @@
         own.take(now, n);
         shared.take(now, n);
         a.moving = Some(moving);
-        self.state(Purpose::Move { token }, StateOp::Commit(txn));
+        self.state(CallContext::Move { token }, StoreRequest::Commit(txn));
     }
 
-    pub(crate) fn on_move(&mut self, token: u64, r: StateReply) {
+    pub(crate) fn on_move(&mut self, token: u64, r: StoreReply) {
         let now = self.now;
         let retry = self.d.renew_s / 4.0;
         let Some(l) = self.lead(token) else { return };
         let moving = l.archive.moving.take().unwrap_or_default();
         let deleting = std::mem::take(&mut l.archive.deleting);
         // (Parts whose deletion got no answer once lay there until the next takeover.)
-        if !matches!(r, StateReply::Committed(_)) {
+        if !matches!(r, StoreReply::Committed(_)) {
             l.archive.stale.extend(deleting);
         }
         match r {
-            StateReply::Committed(_) => debug!(jobs = moving.len(), "moved what is over"),
-            StateReply::Conflict(c) if c.failed.iter().any(|k| k == LEADER_KEY) => {
+            StoreReply::Committed(_) => debug!(jobs = moving.len(), "moved what is over"),
+            StoreReply::Conflict(c) if c.failed.iter().any(|k| k == LEADER_KEY) => {
                 self.step_down("leader key is another's");
             }
             // Moved by an attempt whose reply was lost. What else may have become
             // of it the next takeover sees.
-            StateReply::Conflict(c) => {
+            StoreReply::Conflict(c) => {
                 let again = moving.into_iter().filter(|f| !c.failed.contains(&job_key(&f.id)));
                 l.archive.waiting.extend(again.map(|f| (f.id.clone(), f)));
             }
@@ -376,30 +376,33 @@
         // Spread over the time until the next look.
         l.archive.images_at = now + every / PARTS_A_LEASE as f64;
         let key = images_key(n);
-        let leads = Condition { key: LEADER_KEY.to_string(), version: token };
-        let conditions = vec![leads, Condition { key: key.clone(), version }];
-        let put = Change::Put { key, value: Value::Images(part), lease: None };
-        self.state(Purpose::ImagesWrite { token }, StateOp::Commit(Txn { conditions, changes: vec![put] }));
+        let leads = Compare { key: LEADER_KEY.to_string(), version: token };
+        let conditions = vec![leads, Compare { key: key.clone(), version }];
+        let put = Mutation::Put { key, value: Value::Images(part), lease: None };
+        self.state(
+            CallContext::ImagesWrite { token },
+            StoreRequest::Commit(Transaction { conditions, changes: vec![put] }),
+        );
     }
 
-    pub(crate) fn on_images_write(&mut self, token: u64, r: StateReply) {
+    pub(crate) fn on_images_write(&mut self, token: u64, r: StoreReply) {
         let now = self.now;
         let every = self.settings.params.workers.lease_s;
         let Some(l) = self.lead(token) else { return };
         let Some((n, part)) = l.archive.images_busy.take() else { return };
         match r {
-            StateReply::Committed(revision) => {
+            StoreReply::Committed(revision) => {
                 l.archive.images.insert(n, (part, revision));
             }
-            StateReply::Conflict(c) if c.failed.iter().any(|k| k == LEADER_KEY) => {
+            StoreReply::Conflict(c) if c.failed.iter().any(|k| k == LEADER_KEY) => {
                 self.step_down("leader key is another's");
             }
             // An earlier one may have been carried out without an answer. (The version known
             // here then failed for ever, and no other part had its turn.)
-            StateReply::Conflict(_) | StateReply::Unknown => {
+            StoreReply::Conflict(_) | StoreReply::Unknown => {
                 l.archive.images_at = now + every;
-                let purpose = Purpose::ImagesRead { token, part: n };
-                self.state(purpose, StateOp::Get(images_key(n)));
+                let purpose = CallContext::ImagesRead { token, part: n };
+                self.state(purpose, StoreRequest::Get(images_key(n)));
             }
             // It only helps the next leader.
             _ => l.archive.images_at = now + every,
@@ -407,24 +410,24 @@
     }
 
     /// A part of the machines' images as it is stored.
-    pub(crate) fn on_images_read(&mut self, token: u64, part: usize, r: StateReply) {
+    pub(crate) fn on_images_read(&mut self, token: u64, part: usize, r: StoreReply) {
         let Some(l) = self.lead(token) else { return };
-        if let StateReply::Item(Item { value: Value::Images(record), version, .. }) = r {
+        if let StoreReply::Item(Item { value: Value::Images(record), version, .. }) = r {
             l.archive.read_images(part, record, version);
         }
     }
 }
 
 /// The changes that move a job which has just ended.
-pub fn moved(job: &Job) -> (Vec<Condition>, Vec<Change<Value>>) {
-    let (mut conditions, changes, _) = moves(&Finished::of(job), usize::MAX);
+pub fn moved(job: &Job) -> (Vec<Compare>, Vec<Mutation<Value>>) {
+    let (mut conditions, changes, _) = moves(&TerminalJob::of(job), usize::MAX);
     conditions.extend(job.mark_condition());
     (conditions, changes)
 }
 
-impl Finished {
+impl TerminalJob {
     pub fn of(job: &Job) -> Self {
-        Finished {
+        TerminalJob {
             id: job.spec.id.clone(),
             version: job.version,
             over: over_record(job.status, job.done_count, job.at),
@@ -434,6 +437,6 @@
 }
 
 /// What is left of a job that is over.
-pub fn over_record(status: JobStatus, done: u32, at: f64) -> OverRecord {
-    OverRecord { status, done, at }
+pub fn over_record(status: JobStatus, done: u32, at: f64) -> TerminalRecord {
+    TerminalRecord { status, done, at }
 }
--- a/crates/controller/src/cancellation_lineage.rs
+++ b/crates/controller/src/cancellation_lineage.rs
@@ -5,22 +5,22 @@
 //! write of its own. So a node answers right however many jobs come after the
 //! cancelled one, and whoever leads, or nobody.
 
-use crate::status_queries::{Ask, To};
-use crate::{Core, Time};
+use crate::status_queries::{Requester, StatusQuery};
+use crate::{Controller, Time};
 use protocol::job::JobStatus;
 use std::collections::{BTreeSet, HashSet};
 
 /// Questions that wait until more is known of the jobs before.
 #[derive(Default)]
-pub struct Kin {
-    parked: Vec<Ask>,
+pub struct CancellationLineage {
+    parked: Vec<StatusQuery>,
     /// Jobs that are being asked for on their behalf.
     sought: BTreeSet<String>,
     /// Something was learned since they were last looked at.
     learned: bool,
 }
 
-impl Kin {
+impl CancellationLineage {
     /// The question after `id` on behalf of others has its answer, or gets none now.
     pub fn answered(&mut self, id: &str) {
         self.learned |= self.sought.remove(id);
@@ -31,7 +31,7 @@
 const PATIENCE_S: Time = 4.0;
 
 /// What the records of the jobs before one say of it.
-enum Lineage {
+enum LineageVerdict {
     /// None of them is cancelled.
     Clear,
     Cancelled,
@@ -39,10 +39,10 @@
     Unknown(Vec<String>),
 }
 
-impl Core {
+impl Controller {
     /// Looks at all jobs before `id` that are not done; what was found clear before is
     /// passed over.
-    fn lineage(&self, id: &str, clear: &mut HashSet<String>) -> Lineage {
+    fn lineage(&self, id: &str, clear: &mut HashSet<String>) -> LineageVerdict {
         let mut seen: BTreeSet<&str> = BTreeSet::new();
         let (mut left, mut unknown) = (vec![id], Vec::new());
         while let Some(next) = left.pop() {
@@ -50,7 +50,7 @@
                 continue;
             }
             match (self.finals.get(next), self.polls.rows.get(next)) {
-                (Some((JobStatus::Cancelled, _)), _) => return Lineage::Cancelled,
+                (Some((JobStatus::Cancelled, _)), _) => return LineageVerdict::Cancelled,
                 (Some(_), _) => {}
                 // Once it has waited for all of its own, none of them can be cancelled.
                 (None, Some(row)) if !row.waits() => {}
@@ -61,29 +61,33 @@
         }
         if unknown.is_empty() {
             clear.extend(seen.into_iter().map(String::from));
-            return Lineage::Clear;
+            return LineageVerdict::Clear;
         }
-        Lineage::Unknown(unknown)
+        LineageVerdict::Unknown(unknown)
     }
 
     /// Whether the job that `a` asks for is cancelled with one before it; None: that is
     /// looked up first, and the question answered then.
-    pub(crate) fn judge(&mut self, a: Ask, clear: &mut HashSet<String>) -> Option<(Ask, bool)> {
+    pub(crate) fn judge(
+        &mut self,
+        a: StatusQuery,
+        clear: &mut HashSet<String>,
+    ) -> Option<(StatusQuery, bool)> {
         if !self.guards.lineage {
             return Some((a, false));
         }
         match self.lineage(&a.id, clear) {
-            Lineage::Clear => Some((a, false)),
-            Lineage::Cancelled => {
+            LineageVerdict::Clear => Some((a, false)),
+            LineageVerdict::Cancelled => {
                 // The cause is stored, and so this is as final as if it were.
                 self.finals.put(&a.id, JobStatus::Cancelled, 0);
                 Some((a, true))
             }
-            Lineage::Unknown(ids) => {
+            LineageVerdict::Unknown(ids) => {
                 self.polls.kin.parked.push(a);
                 for id in ids {
                     if self.polls.kin.sought.insert(id.clone()) {
-                        self.polls.ask_for(Ask { to: To::Kin, id, at: self.now });
+                        self.polls.ask_for(StatusQuery { to: Requester::Kin, id, at: self.now });
                     }
                 }
                 None
--- a/crates/controller/src/client_requests.rs
+++ b/crates/controller/src/client_requests.rs
@@ -2,32 +2,32 @@
 
 use crate::records::*;
 use crate::spec_chunks::{new_job, nonce};
-use crate::{Core, Purpose, RequestId, StateOp, StateReply};
-use planner::Amounts;
+use crate::{CallContext, Controller, RequestId, StoreReply, StoreRequest};
+use planner::Resources;
 use protocol::cloud::MachineType;
 use protocol::job::{valid_id, JobSpec, JobStatus, JobView, Shape};
-use protocol::state::{Change, Condition, Item, Txn};
+use protocol::state::{Compare, Item, Mutation, Transaction};
 use rand::Rng;
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
 #[derive(Default)]
-pub struct Users {
-    creates: BTreeMap<String, Create>,
+pub struct ClientRequests {
+    creates: BTreeMap<String, PendingCreate>,
     /// Cancellations, and how many of each came before its read was sent.
     cancels: BTreeMap<String, (Vec<RequestId>, usize)>,
     /// No parts.
     none: Vec<(String, Value)>,
     /// Submissions whose awaited jobs are being looked up.
-    vets: BTreeMap<String, Vet>,
+    vets: BTreeMap<String, DependencyCheck>,
     /// Ids just submitted through this node, so that a leader here need not
     /// wait for its watch.
     pub created: Vec<(String, JobRecord, u64)>,
 }
 
 /// A submission that names others.
-struct Vet {
+struct DependencyCheck {
     waiting: Vec<RequestId>,
     spec: JobSpec,
     /// What it awaits, for the log.
@@ -39,7 +39,7 @@
 }
 
 /// What is stored of an awaited job.
-pub(crate) enum Found {
+pub(crate) enum DependencyLookup {
     Known {
         status: JobStatus,
         service: bool,
@@ -50,7 +50,7 @@
     Later,
 }
 
-struct Create {
+struct PendingCreate {
     waiting: Vec<RequestId>,
     record: JobRecord,
     /// As it is stored, where its specification goes in parts, and parts that are not
@@ -78,12 +78,12 @@
 pub const MOST_WRITES: f64 = 0.5;
 
 #[derive(Deserialize)]
-struct OnlyId {
+struct JobIdOnly {
     #[serde(default)]
     id: Option<String>,
 }
 
-impl Users {
+impl ClientRequests {
     /// Parts of submission `id` that are not stored yet, the last first.
     pub fn parts_of(&mut self, id: &str) -> &mut Vec<(String, Value)> {
         match self.creates.get_mut(id) {
@@ -95,16 +95,16 @@
 
 /// The zones that have a machine type which a task of `spec` may run on.
 fn zones_for<'a>(spec: &JobSpec, types: &'a [MachineType]) -> BTreeSet<&'a str> {
-    let needs = Amounts::new(spec.cores, spec.accelerators, spec.memory_gb);
+    let needs = Resources::new(spec.cores, spec.accelerators, spec.memory_gb);
     let fits = |t: &&MachineType| {
         spec.types.as_ref().is_none_or(|l| l.contains(&t.name))
-            && Amounts::new(t.cores, t.accelerators, t.memory_gb).holds(&needs)
+            && Resources::new(t.cores, t.accelerators, t.memory_gb).holds(&needs)
     };
     let zones = types.iter().filter(fits).flat_map(|t| &t.zones).map(String::as_str);
     zones.filter(|z| spec.zone.as_ref().is_none_or(|own| own == z)).collect()
 }
 
-impl Core {
+impl Controller {
     pub(crate) fn view(
         &mut self,
         id: RequestId,
@@ -129,7 +129,7 @@
             Err(why) => {
                 // A known job's repeated submission must never get 400, so
                 // the id is looked up if there is one.
-                let named = protocol::first_map::<OnlyId>(body).ok().and_then(|(o, _)| o.id);
+                let named = protocol::first_map::<JobIdOnly>(body).ok().and_then(|(o, _)| o.id);
                 let id = named.filter(|id| valid_id(id));
                 match id {
                     Some(id) => self.inquire(req, &id, 400, &why),
@@ -172,29 +172,33 @@
         let left: BTreeSet<String> = spec.awaits.iter().cloned().collect();
         let awaited: Vec<String> = left.iter().cloned().collect();
         let names = awaited.iter().take(MOST_NAMED).cloned().collect::<Vec<_>>().join(",");
-        self.users.vets.insert(id.clone(), Vet { waiting: vec![req], spec, names, left, cancelled: false });
+        self.users
+            .vets
+            .insert(id.clone(), DependencyCheck { waiting: vec![req], spec, names, left, cancelled: false });
         for a in awaited {
             self.look_up(&id, &a);
         }
     }
 
     /// The answer on one of the jobs that submission `id` names.
-    pub(crate) fn vetted(&mut self, id: &str, awaited: &str, found: Found) {
+    pub(crate) fn vetted(&mut self, id: &str, awaited: &str, found: DependencyLookup) {
         let Some(v) = self.users.vets.get_mut(id) else { return };
         if !v.left.remove(awaited) {
             return;
         }
         let refusal = match found {
-            Found::Known { service: true, .. } => Some((422, "it awaits a service, which is never done")),
-            Found::Known { status, .. } => {
+            DependencyLookup::Known { service: true, .. } => {
+                Some((422, "it awaits a service, which is never done"))
+            }
+            DependencyLookup::Known { status, .. } => {
                 v.cancelled |= status == JobStatus::Cancelled;
                 if status == JobStatus::Done {
                     v.spec.awaits.retain(|a| a != awaited);
                 }
                 None
             }
-            Found::Missing => Some((422, "it awaits a job that was never accepted")),
-            Found::Later => Some((503, "awaited jobs cannot be looked up now")),
+            DependencyLookup::Missing => Some((422, "it awaits a job that was never accepted")),
+            DependencyLookup::Later => Some((503, "awaited jobs cannot be looked up now")),
         };
         let over = refusal.is_some() || v.left.is_empty();
         let Some(v) = over.then(|| self.users.vets.remove(id)).flatten() else { return };
@@ -261,7 +265,7 @@
             parts.reverse();
         }
         let era = self.polls.era();
-        self.users.creates.insert(id.clone(), Create { waiting: vec![req], record, stub, parts, era });
+        self.users.creates.insert(id.clone(), PendingCreate { waiting: vec![req], record, stub, parts, era });
         self.create_parts(&id);
     }
 
@@ -269,19 +273,19 @@
     pub(crate) fn create_record(&mut self, id: &str) {
         let Some(c) = self.users.creates.get(id) else { return };
         let value = Value::Job(Box::new(c.stub.as_ref().unwrap_or(&c.record).clone()));
-        let txn = Txn {
+        let txn = Transaction {
             conditions: new_job(id),
-            changes: vec![Change::Put { key: job_key(id), value, lease: None }],
+            changes: vec![Mutation::Put { key: job_key(id), value, lease: None }],
         };
-        self.commit_hedged(Purpose::Create { id: id.to_string() }, txn);
+        self.commit_hedged(CallContext::Create { id: id.to_string() }, txn);
     }
 
-    pub(crate) fn on_create(&mut self, id: &str, r: StateReply) {
+    pub(crate) fn on_create(&mut self, id: &str, r: StoreReply) {
         let Some(c) = self.users.creates.remove(id) else { return };
         match &r {
-            StateReply::Committed(_) => self.limits.served(),
-            StateReply::Limited => self.too_many_changes(),
-            StateReply::Invalid if json_size(&c.record) > self.limits.value_bytes() => {
+            StoreReply::Committed(_) => self.limits.served(),
+            StoreReply::Limited => self.too_many_changes(),
+            StoreReply::Invalid if json_size(&c.record) > self.limits.value_bytes() => {
                 self.size_was_refused()
             }
             _ => {}
@@ -289,14 +293,14 @@
         let rate = self.limits.write_rps();
         let nodes = f64::from(self.settings.params.nodes.max(1));
         match &r {
-            StateReply::Committed(_) | StateReply::Conflict(_) => self.writes.speed_up(rate * MOST_WRITES),
-            StateReply::Refused | StateReply::Limited => {
+            StoreReply::Committed(_) | StoreReply::Conflict(_) => self.writes.speed_up(rate * MOST_WRITES),
+            StoreReply::Refused | StoreReply::Limited => {
                 self.writes.slow_down(self.now, rate * (1.0 - crate::write_queue::LEADER_WRITES) / nodes);
             }
             _ => {}
         }
         match r {
-            StateReply::Committed(revision) => {
+            StoreReply::Committed(revision) => {
                 let s = &c.record.spec;
                 let awaits = s.awaits.len();
                 info!(job = %id, class = %s.class, team = %s.team, tasks = s.tasks, awaits, "job accepted");
@@ -313,7 +317,7 @@
                     self.inquire(req, id, 503, "busy");
                 }
             }
-            StateReply::Conflict(_) => {
+            StoreReply::Conflict(_) => {
                 for req in c.waiting {
                     self.inquire(req, id, 503, "busy");
                 }
@@ -360,7 +364,10 @@
         if let Some(w) = self.users.cancels.get_mut(id) {
             w.1 = w.0.len();
         }
-        self.state(Purpose::CancelRead { id: id.to_string(), tries, over: false }, StateOp::Get(job_key(id)));
+        self.state(
+            CallContext::CancelRead { id: id.to_string(), tries, over: false },
+            StoreRequest::Get(job_key(id)),
+        );
     }
 
     fn end_cancel(&mut self, id: &str, outcome: Result<JobStatus, (u16, &str)>) {
@@ -372,27 +379,27 @@
         }
     }
 
-    pub(crate) fn on_cancel_read(&mut self, id: &str, tries: u32, over: bool, r: StateReply) {
+    pub(crate) fn on_cancel_read(&mut self, id: &str, tries: u32, over: bool, r: StoreReply) {
         match r {
-            StateReply::Item(Item { value: Value::Over(o), .. }) => {
+            StoreReply::Item(Item { value: Value::Over(o), .. }) => {
                 self.finals.put(id, o.status, o.done);
                 self.end_cancel(id, Ok(o.status));
             }
-            StateReply::Item(Item { value: Value::Job(j), version, .. }) => {
+            StoreReply::Item(Item { value: Value::Job(j), version, .. }) => {
                 if j.status.is_final() {
                     self.finals.put(id, j.status, j.done);
                     return self.end_cancel(id, Ok(j.status));
                 }
                 let txn = self.cancellation(*j, version);
                 self.writes.take(self.now, 1.0);
-                self.commit_hedged(Purpose::CancelWrite { id: id.to_string(), tries }, txn);
+                self.commit_hedged(CallContext::CancelWrite { id: id.to_string(), tries }, txn);
             }
             // It may have been over, and moved, before that read.
-            StateReply::Missing(_) if !over => {
-                let purpose = Purpose::CancelRead { id: id.to_string(), tries, over: true };
-                self.state(purpose, StateOp::Get(over_key(id)));
+            StoreReply::Missing(_) if !over => {
+                let purpose = CallContext::CancelRead { id: id.to_string(), tries, over: true };
+                self.state(purpose, StoreRequest::Get(over_key(id)));
             }
-            StateReply::Missing(_) => {
+            StoreReply::Missing(_) => {
                 // Those that came after that read was sent need one of their
                 // own: the job may have been accepted in between.
                 let later = self.users.cancels.get_mut(id).map(|w| w.0.split_off(w.1)).unwrap_or_default();
@@ -409,9 +416,9 @@
     /// The change that cancels a job which is stored as `record`. One that is too large to be
     /// written again gets a mark beside it, which the leader's next write of it has to
     /// know of.
-    fn cancellation(&self, record: JobRecord, version: u64) -> Txn<Value> {
+    fn cancellation(&self, record: JobRecord, version: u64) -> Transaction<Value> {
         let id = record.spec.id.clone();
-        let mut conditions = vec![Condition { key: job_key(&id), version }];
+        let mut conditions = vec![Compare { key: job_key(&id), version }];
         let cancelled = JobRecord { status: JobStatus::Cancelled, ..record };
         let room = self.limits.value_bytes();
         let put = if json_size(&cancelled) <= room {
@@ -419,35 +426,35 @@
         } else {
             let cancelled = cancelled.trimmed();
             if self.newest_forms() && json_size(&cancelled) > room {
-                let over = OverRecord { status: JobStatus::Cancelled, done: 0, at: cancelled.at };
-                conditions.push(Condition { key: mark_key(&id), version: 0 });
+                let over = TerminalRecord { status: JobStatus::Cancelled, done: 0, at: cancelled.at };
+                conditions.push(Compare { key: mark_key(&id), version: 0 });
                 (mark_key(&id), Value::Over(over))
             } else {
                 (job_key(&id), Value::Job(Box::new(cancelled)))
             }
         };
-        let changes = vec![Change::Put { key: put.0, value: put.1, lease: None }];
-        Txn { conditions, changes }
+        let changes = vec![Mutation::Put { key: put.0, value: put.1, lease: None }];
+        Transaction { conditions, changes }
     }
 
-    pub(crate) fn on_cancel_write(&mut self, id: &str, tries: u32, r: StateReply) {
+    pub(crate) fn on_cancel_write(&mut self, id: &str, tries: u32, r: StoreReply) {
         match r {
-            StateReply::Committed(_) => {
+            StoreReply::Committed(_) => {
                 self.finals.put(id, JobStatus::Cancelled, 0);
                 self.end_cancel(id, Ok(JobStatus::Cancelled));
                 self.cancelled_here(id);
             }
             // Somebody's mark is there already.
-            StateReply::Conflict(c) if c.failed.contains(&mark_key(id)) => {
+            StoreReply::Conflict(c) if c.failed.contains(&mark_key(id)) => {
                 self.finals.put(id, JobStatus::Cancelled, 0);
                 self.end_cancel(id, Ok(JobStatus::Cancelled));
             }
             // The leader wrote in between: read again.
-            StateReply::Conflict(_) if tries < CANCEL_TRIES => {
+            StoreReply::Conflict(_) if tries < CANCEL_TRIES => {
                 self.read_cancelled(id, tries + 1);
             }
             // Its record is larger than the service takes now: once more, with a mark.
-            StateReply::Invalid if tries < CANCEL_TRIES => {
+            StoreReply::Invalid if tries < CANCEL_TRIES => {
                 self.size_was_refused();
                 self.read_cancelled(id, tries + 1);
             }
--- a/crates/controller/src/early_heartbeats.rs
+++ b/crates/controller/src/early_heartbeats.rs
@@ -2,36 +2,36 @@
 //! answer renews a lease, and what was cancelled it does not know.
 
 use crate::messages::{RequestId, Time};
-use protocol::worker::Report;
+use protocol::worker::Heartbeat;
 use std::collections::BTreeMap;
 
-struct Waiting {
+struct DeferredHeartbeat {
     request: RequestId,
-    report: Report,
+    report: Heartbeat,
     until: Time,
 }
 
 /// The newest such report of each machine.
 #[derive(Default)]
-pub struct Early {
-    waiting: BTreeMap<String, Waiting>,
+pub struct HeartbeatsBeforeRecovery {
+    waiting: BTreeMap<String, DeferredHeartbeat>,
     /// No report's time is over before.
     first_end: Time,
 }
 
-impl Early {
+impl HeartbeatsBeforeRecovery {
     /// Keeps a report until `until`, of each machine the newest; returns the request of an older
     /// one. (A late copy once took the place of the report whose worker waited.)
-    pub fn hold(&mut self, request: RequestId, report: &Report, until: Time) -> Option<RequestId> {
+    pub fn hold(&mut self, request: RequestId, report: &Heartbeat, until: Time) -> Option<RequestId> {
         let place = (report.session, report.seq);
-        let newer = |w: &Waiting| (w.report.session, w.report.seq) > place;
+        let newer = |w: &DeferredHeartbeat| (w.report.session, w.report.seq) > place;
         if self.waiting.get(&report.machine).is_some_and(newer) {
             return Some(request);
         }
         if self.waiting.is_empty() || until < self.first_end {
             self.first_end = until;
         }
-        let waiting = Waiting { request, report: report.clone(), until };
+        let waiting = DeferredHeartbeat { request, report: report.clone(), until };
         Some(self.waiting.insert(report.machine.clone(), waiting)?.request)
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// All that wait.
-    pub fn take(&mut self) -> Vec<(RequestId, Report)> {
+    pub fn take(&mut self) -> Vec<(RequestId, Heartbeat)> {
         std::mem::take(&mut self.waiting).into_values().map(|w| (w.request, w.report)).collect()
     }
 }
--- a/crates/controller/src/effective_priority.rs
+++ b/crates/controller/src/effective_priority.rs
@@ -2,10 +2,10 @@
 //! deadline, and the priority that they care about, on its last job only.
 
 use crate::job::Job;
-use crate::leader::{Lead, Role};
+use crate::leader::{LeaderState, Role};
 use crate::scheduling::{band, ClassStats};
-use crate::Core;
-use dependencies::{Own, Passed};
+use crate::Controller;
+use dependencies::{InheritedPriority, OwnPriority};
 use protocol::job::{JobSpec, Priority, Shape};
 use std::collections::HashMap;
 
@@ -14,7 +14,7 @@
 
 /// What the plan goes by.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Urgency {
+pub(crate) struct EffectivePriority {
     pub band: u8,
     pub deadline: f64,
     pub last_chance: f64,
@@ -25,7 +25,7 @@
 /// What was asked of a class's jobs lately by those that needed them: some pipelines'
 /// last jobs are submitted only when the others are over.
 #[derive(Debug, Clone, Default)]
-pub struct Needed {
+pub struct InheritedDemand {
     /// Part of the class's jobs that others needed.
     share: f64,
     band: u8,
@@ -36,9 +36,9 @@
 /// Weight of a job in what is learned of its class.
 const WEIGHT: f64 = 0.125;
 
-impl Needed {
+impl InheritedDemand {
     /// A job of the class is done that was free at `since`.
-    fn learn(&mut self, since: f64, passed: Option<&Passed>) {
+    fn learn(&mut self, since: f64, passed: Option<&InheritedPriority>) {
         let first = self.share == 0.0;
         let weight = if first { 1.0 } else { WEIGHT };
         self.share += (f64::from(u8::from(passed.is_some())) - self.share) * weight;
@@ -55,7 +55,7 @@
     }
 }
 
-impl Lead {
+impl LeaderState {
     /// Job `id` is done: what was asked of it is what will be asked of its class.
     pub(crate) fn learn_passed(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id) else { return };
@@ -69,7 +69,7 @@
     }
 }
 
-impl Core {
+impl Controller {
     /// Up to how many times its deadline a job of a class still counts.
     fn last_times(&self, class: &str) -> f64 {
         let aims = &self.settings.params.objectives;
@@ -112,7 +112,7 @@
 
     /// Work that nobody waits for: idle, without a deadline or an aim.
     pub(crate) fn leftover(&self, s: &JobSpec) -> bool {
-        let aimed = |o: &settings::Objective| o.class.as_deref() == Some(&s.class);
+        let aimed = |o: &settings::Slo| o.class.as_deref() == Some(&s.class);
         let plain = s.priority == Priority::Low && s.due_s.is_none() && s.shape == Shape::Array;
         plain && !self.settings.params.objectives.iter().any(aimed)
     }
@@ -126,7 +126,7 @@
     }
 
     /// What those that need them ask of the jobs before.
-    pub(crate) fn passed_back(&self) -> HashMap<String, Passed> {
+    pub(crate) fn passed_back(&self) -> HashMap<String, InheritedPriority> {
         let Role::Leader(l) = &self.role else { return HashMap::new() };
         let ratio = |class: &str| l.classes.get(class).map_or(1.0, ClassStats::ratio);
         let own = |id: &str| {
@@ -135,7 +135,7 @@
             // An aim at its start or end counts from when it is free, which is its own
             // affair: what is passed back is the pipeline's deadline.
             let due = |times: f64| s.due_s.map_or(NEVER, |d| job.submitted + d * times);
-            Some(Own {
+            Some(OwnPriority {
                 band: band(s),
                 deadline: due(1.0),
                 last_chance: due(self.last_times(&s.class)),
@@ -147,9 +147,9 @@
     }
 
     /// How urgent `job` is, given what is asked of it.
-    pub(crate) fn urgency(&self, job: &Job, passed: Option<&Passed>) -> Urgency {
+    pub(crate) fn urgency(&self, job: &Job, passed: Option<&InheritedPriority>) -> EffectivePriority {
         let s = &job.spec;
-        let mut u = Urgency {
+        let mut u = EffectivePriority {
             band: band(s),
             deadline: self.deadline(job, 1.0),
             last_chance: self.deadline(job, self.last_times(&s.class)),
--- a/crates/controller/src/fleet.rs
+++ b/crates/controller/src/fleet.rs
@@ -1,23 +1,23 @@
 //! Machines at the cloud: the list, rentals, returns.
 
 use crate::leader::Role;
-use crate::machine::{Life, Machine};
+use crate::machine::{Machine, MachinePhase};
 use crate::records::*;
-use crate::{Budget, CloudOp, CloudReply, Core, Purpose, StateOp, Time};
+use crate::{CallContext, CloudReply, CloudRequest, Controller, RateLimiter, StoreRequest, Time};
 use protocol::cloud::*;
-use protocol::state::{Change, Condition, Txn};
-use settings::Derived;
-use sharding::Reach;
+use protocol::state::{Compare, Mutation, Transaction};
+use settings::Timing;
+use sharding::ZoneReachability;
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use tracing::{info, warn};
 
 /// A kind of machine that can be rented: type and whether spot.
-pub type Pool = (String, bool);
+pub type MachinePool = (String, bool);
 
 #[derive(Default)]
 pub struct Fleet {
-    budget: Option<Budget>,
-    writes: Option<Budget>,
+    budget: Option<RateLimiter>,
+    writes: Option<RateLimiter>,
     pub listing: bool,
     pub list_at: Time,
     list_sent: Time,
@@ -28,9 +28,9 @@
     pub listed_once: bool,
     types_busy: bool,
     /// The rental whose outcome is not known yet.
-    rental: Option<Rental>,
+    rental: Option<PendingScaleOut>,
     /// The pool that the last rental was asked of.
-    rented: Option<Pool>,
+    rented: Option<MachinePool>,
     /// No capacity there until then, with how often in a row.
     blocked: BTreeMap<(String, String, bool), (Time, u32)>,
     deleting: bool,
@@ -38,35 +38,35 @@
     /// Next look for machines to be given back.
     mark_at: Time,
     /// Machines wanted beyond those there are, by pool.
-    pub wanted: BTreeMap<Pool, u32>,
+    pub wanted: BTreeMap<MachinePool, u32>,
     /// Machines each pool keeps ready for what usually comes.
-    pub reserve: BTreeMap<Pool, u32>,
+    pub reserve: BTreeMap<MachinePool, u32>,
     /// Machines wanted in one zone, for gangs that have to be together there.
-    pub zoned: BTreeMap<(Pool, String), u32>,
+    pub zoned: BTreeMap<(MachinePool, String), u32>,
     /// Machines, by type and zone, that such gangs wait for the others of.
     pub gathering: BTreeMap<(String, String), u32>,
     /// Machines each pool should keep.
-    pub target: BTreeMap<Pool, u32>,
+    pub target: BTreeMap<MachinePool, u32>,
     /// Machines of a pool beyond which no bad moment is likely to need one.
-    pub ample: BTreeMap<Pool, u32>,
+    pub ample: BTreeMap<MachinePool, u32>,
     /// Machines deleted, the oldest first: the list shows them for a while yet,
     /// and late reports may speak of them at any time.
     buried: BTreeSet<String>,
     buried_order: VecDeque<String>,
     /// Zones out of reach: nothing is rented there.
-    pub reach: Reach,
+    pub reach: ZoneReachability,
 }
 
-struct Rental {
-    rent: Rent,
+struct PendingScaleOut {
+    rent: RentRequest,
     asked: Time,
     in_flight: bool,
     retry_at: Time,
 }
 
 impl Fleet {
-    pub fn write_budget(&mut self, rate: f64) -> &mut Budget {
-        let budget = self.writes.get_or_insert_with(|| Budget::new(rate));
+    pub fn write_budget(&mut self, rate: f64) -> &mut RateLimiter {
+        let budget = self.writes.get_or_insert_with(|| RateLimiter::new(rate));
         budget.set_rate(rate);
         budget
     }
@@ -133,9 +133,9 @@
 
 /// Zones of which a new leader has hardly heard a machine yet: where nothing is
 /// rented until it can tell whether they are out of reach.
-fn unheard_zones(machines: &BTreeMap<String, Machine>, now: Time, d: &Derived) -> Vec<String> {
+fn unheard_zones(machines: &BTreeMap<String, Machine>, now: Time, d: &Timing) -> Vec<String> {
     let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-    for m in machines.values().filter(|m| m.life == Life::Up) {
+    for m in machines.values().filter(|m| m.life == MachinePhase::Up) {
         let n = zones.entry(&m.zone).or_default();
         *n = (n.0 + 1, n.1 + usize::from(m.heard_lately(now, d)));
     }
@@ -143,11 +143,11 @@
     unheard.map(|(zone, _)| zone.to_string()).collect()
 }
 
-impl Core {
+impl Controller {
     fn cloud_budget(&mut self) -> bool {
         let (now, rate) = (self.now, self.settings.params.cloud.rps * 0.9);
         let Role::Leader(l) = &mut self.role else { return false };
-        l.fleet.budget.get_or_insert_with(|| Budget::new(rate)).take(now, 1.0)
+        l.fleet.budget.get_or_insert_with(|| RateLimiter::new(rate)).take(now, 1.0)
     }
 
     pub(crate) fn fleet_on_time(&mut self) {
@@ -157,7 +157,7 @@
         let token = l.token;
         let types_due = !l.fleet.types_busy && l.types_at.is_none_or(|t| now - t > 60.0);
         if types_due && self.cloud_budget() {
-            self.cloud(Purpose::CloudTypes { token }, CloudOp::Types);
+            self.cloud(CallContext::CloudTypes { token }, CloudRequest::Types);
             if let Role::Leader(l) = &mut self.role {
                 l.fleet.types_busy = true;
                 l.types_at = Some(now);
@@ -184,7 +184,7 @@
                 l.fleet.list.clear();
                 l.fleet.list_at = now + (lag * 0.75).max(pace);
             }
-            self.cloud(Purpose::CloudList { token }, CloudOp::List { after });
+            self.cloud(CallContext::CloudList { token }, CloudRequest::List { after });
         }
         let Role::Leader(l) = &mut self.role else { return };
         // It looks at every machine and place, and no return is that urgent.
@@ -196,12 +196,12 @@
         self.rent_on_time();
     }
 
-    pub(crate) fn on_cloud(&mut self, p: Purpose, r: CloudReply) {
+    pub(crate) fn on_cloud(&mut self, p: CallContext, r: CloudReply) {
         match p {
-            Purpose::CloudTypes { token } => self.on_types(token, r),
-            Purpose::CloudList { token } => self.on_list(token, r),
-            Purpose::Rent { token } => self.on_rent(token, r),
-            Purpose::Delete { token, machines } => self.on_delete(token, &machines, r),
+            CallContext::CloudTypes { token } => self.on_types(token, r),
+            CallContext::CloudList { token } => self.on_list(token, r),
+            CallContext::Rent { token } => self.on_rent(token, r),
+            CallContext::Delete { token, machines } => self.on_delete(token, &machines, r),
             _ => {}
         }
     }
@@ -249,17 +249,17 @@
     /// (Too long for one transaction it is not kept: half of it would refuse what can run.)
     fn store_types(&mut self, token: u64, types: Vec<MachineType>) {
         let fit = self.limits.value_bytes();
-        let put = |(key, value)| Change::Put { key, value, lease: None };
+        let put = |(key, value)| Mutation::Put { key, value, lease: None };
         let whole = Value::Types(types.clone());
-        let changes: Vec<Change<Value>> = if json_size(&whole) > fit && self.newest_forms() {
-            let gone = Change::Delete { key: TYPES_KEY.to_string() };
+        let changes: Vec<Mutation<Value>> = if json_size(&whole) > fit && self.newest_forms() {
+            let gone = Mutation::Delete { key: TYPES_KEY.to_string() };
             catalogue(&types, fit).into_iter().map(put).chain([gone]).collect()
         } else {
             vec![put((TYPES_KEY.to_string(), whole))]
         };
         if changes.len() <= self.limits.changes() {
-            let conditions = vec![Condition { key: LEADER_KEY.to_string(), version: token }];
-            self.state(Purpose::TypesWrite, StateOp::Commit(Txn { conditions, changes }));
+            let conditions = vec![Compare { key: LEADER_KEY.to_string(), version: token }];
+            self.state(CallContext::TypesWrite, StoreRequest::Commit(Transaction { conditions, changes }));
         }
     }
 
@@ -309,7 +309,7 @@
             if item.state == MachineState::Running {
                 m.is_up(now);
             }
-            if item.state == MachineState::Failed && m.life != Life::Leaving {
+            if item.state == MachineState::Failed && m.life != MachinePhase::Leaving {
                 failed.push(item.id.clone());
             }
         }
@@ -326,7 +326,7 @@
             .collect();
         for id in &failed {
             if let Some(m) = l.machines.get_mut(id) {
-                m.life = Life::Leaving;
+                m.life = MachinePhase::Leaving;
                 m.sick = true;
             }
         }
@@ -375,14 +375,14 @@
         }
         let places = l.jobs.values().flat_map(|j| j.places.values());
         let used: HashSet<&str> = places.map(|p| p.machine.as_str()).collect();
-        let mut count: BTreeMap<Pool, u32> = BTreeMap::new();
+        let mut count: BTreeMap<MachinePool, u32> = BTreeMap::new();
         for m in l.machines.values().filter(|m| m.takes_work()) {
             *count.entry((m.machine_type.clone(), m.spot)).or_insert(0) += 1;
         }
         let mut idle: Vec<(Time, String, bool)> = Vec::new();
         // Where work has to start within seconds, a machine is worth keeping
         // until another could have booted in its place.
-        let waited_for: BTreeSet<Pool> = l
+        let waited_for: BTreeSet<MachinePool> = l
             .classes
             .iter()
             .filter(|(name, _)| prompt.contains(name.as_str()))
@@ -397,20 +397,20 @@
             match m.life {
                 // After a take-over every worker has its lease's time to report: an
                 // idle machine that had been up for long was once taken for stuck.
-                Life::Booting
+                MachinePhase::Booting
                     if now - m.since > boot * own.boot_stuck
                         && now - since > lease_s
                         && !reach.is_dark(&m.zone) =>
                 {
                     info!(machine = %m.id, "boot is stuck, giving it back");
-                    m.life = Life::Leaving;
+                    m.life = MachinePhase::Leaving;
                 }
-                Life::Up if m.ears.hopeless() => {
+                MachinePhase::Up if m.ears.hopeless() => {
                     info!(machine = %m.id, "hears nothing for too long, giving it back");
-                    m.life = Life::Leaving;
+                    m.life = MachinePhase::Leaving;
                 }
-                Life::Up if m.sick && !used.contains(m.id.as_str()) => m.life = Life::Leaving,
-                Life::Up
+                MachinePhase::Up if m.sick && !used.contains(m.id.as_str()) => m.life = MachinePhase::Leaving,
+                MachinePhase::Up
                     if m.heard.is_some_and(|h| now - h < silent_s)
                         && m.tasks.is_empty()
                         && m.notice_until.is_none()
@@ -445,7 +445,7 @@
             if *have > keep.get(&pool).copied().unwrap_or(0) {
                 *have -= 1;
                 info!(machine = %id, kind = %pool.0, spot = pool.1, "idle beyond the target, giving it back");
-                m.life = Life::Leaving;
+                m.life = MachinePhase::Leaving;
             }
         }
     }
@@ -460,7 +460,7 @@
         let names: Vec<String> = l
             .machines
             .values()
-            .filter(|m| m.life == Life::Leaving)
+            .filter(|m| m.life == MachinePhase::Leaving)
             .map(|m| m.id.clone())
             .take(MOST_DELETED)
             .collect();
@@ -470,7 +470,7 @@
         let Role::Leader(l) = &mut self.role else { return };
         l.fleet.deleting = true;
         let token = l.token;
-        self.cloud(Purpose::Delete { token, machines: names.clone() }, CloudOp::Delete(names));
+        self.cloud(CallContext::Delete { token, machines: names.clone() }, CloudRequest::Delete(names));
     }
 
     fn on_delete(&mut self, token: u64, machines: &[String], r: CloudReply) {
@@ -574,8 +574,8 @@
             l.fleet.rented = Some((machine_type.clone(), spot));
             l.booking += 1;
             let request = format!("r-{token}-{}", l.booking);
-            l.fleet.rental = Some(Rental {
-                rent: Rent { request, machine_type, zone, spot, count },
+            l.fleet.rental = Some(PendingScaleOut {
+                rent: RentRequest { request, machine_type, zone, spot, count },
                 asked: now,
                 in_flight: false,
                 retry_at: now,
@@ -588,7 +588,7 @@
         if let Some(r) = &mut l.fleet.rental {
             r.in_flight = true;
             let rent = r.rent.clone();
-            self.cloud(Purpose::Rent { token }, CloudOp::Rent(rent));
+            self.cloud(CallContext::Rent { token }, CloudRequest::Rent(rent));
         }
     }
 
--- a/crates/controller/src/format_negotiation.rs
+++ b/crates/controller/src/format_negotiation.rs
@@ -9,22 +9,22 @@
 /// What the other nodes have said of themselves. A node that has its new version keeps it, so
 /// what was said once holds; a node that nothing was heard of counts as the oldest.
 #[derive(Debug, Default)]
-pub struct Versions {
+pub struct FormatNegotiation {
     said: BTreeMap<String, u32>,
     evident: bool,
-    pub gate: GateLook,
+    pub gate: FormatGateProbe,
 }
 
 /// This node's looks at the format that is stored as read by all. One that has just begun has
 /// heard nobody; what it cannot know from that it reads there.
 #[derive(Debug, Default)]
-pub struct GateLook {
+pub struct FormatGateProbe {
     busy: bool,
     next: Time,
     seen: bool,
 }
 
-impl GateLook {
+impl FormatGateProbe {
     /// Whether the gate has been seen, open or not.
     pub fn seen(&self) -> bool {
         self.seen
@@ -45,7 +45,7 @@
     }
 }
 
-impl Versions {
+impl FormatNegotiation {
     /// Node `node` reads formats up to `format`.
     pub fn heard(&mut self, node: &str, format: u32) {
         let said = self.said.entry(node.to_string()).or_insert(0);
--- a/crates/controller/src/heartbeat_proxying.rs
+++ b/crates/controller/src/heartbeat_proxying.rs
@@ -1,43 +1,43 @@
 //! Reports through every node: the gateway here while another leads, and the
 //! leader's dealings with the gateways. `docs/gateways.md` argues why it is safe.
 
-use crate::heartbeats::Held;
+use crate::heartbeats::PendingHeartbeat;
 use crate::leader::Role;
-use crate::machine::{Life, Machine};
-use crate::{Core, Output, Purpose, RequestId, Time};
+use crate::machine::{Machine, MachinePhase};
+use crate::{CallContext, Controller, Output, RequestId, Time};
 use protocol::job::Health;
-use protocol::peer::{Entry, Order, Orders, RelayReply, RelayRequest};
-use protocol::worker::{split_task, Redirect, Report, ReportAnswer, TaskState};
-use sharding::{Act, Member, Source, Spans};
+use protocol::peer::{ForwardReply, ForwardRequest, ForwardedHeartbeat, MachineCommands, TaskCommand};
+use protocol::worker::{split_task, Heartbeat, HeartbeatResponse, Redirect, TaskState};
+use sharding::{ObservationWindows, ProxyAction, ProxyId, ShardMember};
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::{info, warn};
 
 /// Where a worker finds room.
-pub enum Room {
+pub enum WorkerAdmission {
     Here,
     At(String),
     Nowhere,
 }
 
 /// How a report came, and so how its answer goes.
-pub enum Way {
+pub enum ReplyRoute {
     Direct(RequestId),
     /// By that node; the answer is for the report of that session and number.
-    Relayed(Source, u64, u64),
+    Relayed(ProxyId, u64, u64),
 }
 
-impl Core {
+impl Controller {
     pub(crate) fn redirect(&mut self, req: RequestId, report_to: Option<String>) {
         self.answer(req, 421, protocol::encode(&Redirect { report_to }));
     }
 
     /// A report at a node that does not lead.
-    pub(crate) fn report_at_gateway(&mut self, req: RequestId, report: Report) {
+    pub(crate) fn report_at_gateway(&mut self, req: RequestId, report: Heartbeat) {
         let known = self.gateway.knows(&report.machine);
         match self.find_room(known) {
-            Room::Here => {}
-            Room::At(node) => return self.redirect(req, Some(node)),
-            Room::Nowhere => return self.refuse(req, 503, "no room for more workers"),
+            WorkerAdmission::Here => {}
+            WorkerAdmission::At(node) => return self.redirect(req, Some(node)),
+            WorkerAdmission::Nowhere => return self.refuse(req, 503, "no room for more workers"),
         }
         if self.gateway.may_go(self.now, &report) {
             let (own, others) = self.members();
@@ -99,47 +99,47 @@
     fn carry_acts(&mut self) {
         for act in self.gateway.take_acts() {
             match act {
-                Act::Answer(req, answer) => self.answer(req, 200, protocol::encode(&answer)),
-                Act::Elsewhere(req, node) => self.redirect(req, node),
-                Act::Refuse(req, why) => self.refuse(req, 503, why),
-                Act::Call(node, request) => {
-                    let id = self.call_id(Purpose::Relay);
+                ProxyAction::Answer(req, answer) => self.answer(req, 200, protocol::encode(&answer)),
+                ProxyAction::Elsewhere(req, node) => self.redirect(req, node),
+                ProxyAction::Refuse(req, why) => self.refuse(req, 503, why),
+                ProxyAction::Call(node, request) => {
+                    let id = self.call_id(CallContext::Relay);
                     self.out.push(Output::Relay(id, node, request));
                 }
             }
         }
     }
 
-    pub(crate) fn on_relay_reply(&mut self, reply: Option<RelayReply>) {
+    pub(crate) fn on_relay_reply(&mut self, reply: Option<ForwardReply>) {
         self.gateway.on_reply(self.now, reply);
         self.carry_acts();
     }
 
     /// Another node passes reports on.
-    pub(crate) fn on_relay_request(&mut self, req: RequestId, r: RelayRequest) {
+    pub(crate) fn on_relay_request(&mut self, req: RequestId, r: ForwardRequest) {
         let now = self.now;
         let known = self.settings.peers.iter().any(|p| p.node == r.node);
         if known {
             self.presence.started(now, &r.node, r.incarnation);
         }
         let Role::Leader(l) = &mut self.role else {
-            return self.out.push(Output::RelayReply(req, RelayReply::default()));
+            return self.out.push(Output::RelayReply(req, ForwardReply::default()));
         };
         // What was meant for an earlier leadership may be minutes old.
         let ready = l.loaded && r.token == l.token;
         if !known || !l.relays.on_request(now, req, &r, ready) {
-            return self.out.push(Output::RelayReply(req, RelayReply::default()));
+            return self.out.push(Output::RelayReply(req, ForwardReply::default()));
         }
         if !ready {
             return;
         }
-        let source: Source = (r.node, r.incarnation);
+        let source: ProxyId = (r.node, r.incarnation);
         for entry in r.entries {
             self.on_entry(&source, entry);
         }
     }
 
-    fn on_entry(&mut self, source: &Source, entry: Entry) {
+    fn on_entry(&mut self, source: &ProxyId, entry: ForwardedHeartbeat) {
         let (now, close, gap) = (self.now, self.d.heard_s, self.d.report_gap_s);
         let came = now - f64::from(entry.age_ms) / 1000.0;
         let Role::Leader(l) = &mut self.role else { return };
@@ -181,22 +181,23 @@
             }
         }
         if held {
-            self.hold_report(&report, Way::Relayed(source.clone(), place.0, place.1));
+            self.hold_report(&report, ReplyRoute::Relayed(source.clone(), place.0, place.1));
         } else {
             self.attend_to(&machine);
         }
     }
 
     /// Answers a report that was held here.
-    pub(crate) fn answer_report(&mut self, machine: &str, held: Held, answer: ReportAnswer) {
+    pub(crate) fn answer_report(&mut self, machine: &str, held: PendingHeartbeat, answer: HeartbeatResponse) {
         match held.way {
-            Way::Direct(request) => self.answer(request, 200, protocol::encode(&answer)),
+            ReplyRoute::Direct(request) => self.answer(request, 200, protocol::encode(&answer)),
             // Its node answers an idle machine by itself when its time is over.
-            Way::Relayed(..) if held.idle && answer.commands.is_empty() => {}
-            Way::Relayed(source, session, seq) => {
-                let orders = answer.commands.iter().map(Order::from).collect();
+            ReplyRoute::Relayed(..) if held.idle && answer.commands.is_empty() => {}
+            ReplyRoute::Relayed(source, session, seq) => {
+                let orders = answer.commands.iter().map(TaskCommand::from).collect();
                 let Role::Leader(l) = &mut self.role else { return };
-                l.relays.order(&source, Orders { machine: machine.to_string(), session, seq, orders });
+                l.relays
+                    .order(&source, MachineCommands { machine: machine.to_string(), session, seq, orders });
             }
         }
     }
@@ -224,7 +225,7 @@
                 place.is_some_and(|p| p.machine == machine && p.attempt == attempt)
             };
             let live = m.tasks.iter().filter(|t| t.state != TaskState::Exited);
-            let stray = |t: &&protocol::worker::TaskReport| {
+            let stray = |t: &&protocol::worker::TaskStatus| {
                 split_task(&t.task).is_some_and(|(id, n)| !placed(id, n, t.attempt))
             };
             if live.filter(stray).count() > 0 {
@@ -257,7 +258,7 @@
     }
 
     /// A worker's report had come to `via`, or to this node, at `came`.
-    pub(crate) fn heard_by(&mut self, via: Option<&Source>, zone: &str, came: Time) {
+    pub(crate) fn heard_by(&mut self, via: Option<&ProxyId>, zone: &str, came: Time) {
         let gap = self.d.report_gap_s;
         let Role::Leader(l) = &mut self.role else { return };
         let node = via.map_or(&self.settings.node, |(node, _)| node);
@@ -277,9 +278,9 @@
         let gap = self.view_gap_s();
         let here = |node: &str| node == own || self.presence.here(now, gap, d.silent_s, node);
         let longest = self.tour_of_all_s();
-        let spans = Spans { gap: d.report_gap_s, within: d.silent_s, lately: longest };
+        let spans = ObservationWindows { gap: d.report_gap_s, within: d.silent_s, lately: longest };
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
-        for m in l.machines.values().filter(|m| m.life == Life::Up) {
+        for m in l.machines.values().filter(|m| m.life == MachinePhase::Up) {
             *zones.entry(&m.zone).or_default() += 1;
         }
         let patience = |(zone, up): (&str, usize)| {
@@ -298,16 +299,16 @@
     }
 
     /// This node and the others that answer reports, as far as workers go.
-    pub(crate) fn members(&self) -> (Member, Vec<Member>) {
+    pub(crate) fn members(&self) -> (ShardMember, Vec<ShardMember>) {
         let fresh = self.view_gap_s();
         let others = self.peers.values().filter(|(v, at)| v.serves && self.now - at < fresh);
-        let others = others.map(|(v, _)| Member {
+        let others = others.map(|(v, _)| ShardMember {
             node: v.node.clone(),
             workers: v.workers,
             room: v.room,
             weight: f64::from(v.weight) / 1000.0,
         });
-        let own = Member {
+        let own = ShardMember {
             node: self.settings.node.clone(),
             workers: self.workers_here,
             room: self.d.worker_room,
@@ -342,26 +343,26 @@
     /// Where a worker goes that finds no room here, if it does. Who is here stays,
     /// and where there is room nowhere it is answered all the same, up to the
     /// part that is the users'.
-    pub(crate) fn find_room(&mut self, known: bool) -> Room {
+    pub(crate) fn find_room(&mut self, known: bool) -> WorkerAdmission {
         if known {
-            return Room::Here;
+            return WorkerAdmission::Here;
         }
         if self.workers_here >= self.d.worker_room {
             let (_, others) = self.members();
             if let Some(m) = self.spread.roomiest(self.now, &others) {
-                return Room::At(m.node.clone());
+                return WorkerAdmission::At(m.node.clone());
             }
         }
         if self.workers_here + self.newcomers >= self.d.worker_most {
-            return Room::Nowhere;
+            return WorkerAdmission::Nowhere;
         }
         self.newcomers += 1;
-        Room::Here
+        WorkerAdmission::Here
     }
 
     /// The node that had better take a worker which has just reported here, and
     /// for which there is nothing to do.
-    pub(crate) fn better_for(&mut self, report: &Report) -> Option<String> {
+    pub(crate) fn better_for(&mut self, report: &Heartbeat) -> Option<String> {
         let ended = report.tasks.iter().any(|t| t.state == TaskState::Exited);
         if ended || report.notice_s.is_some() {
             return None;
@@ -394,7 +395,7 @@
     pub(crate) fn room_left(&mut self) -> u32 {
         let ceiling = self.ceiling();
         let Role::Leader(l) = &mut self.role else { return 0 };
-        let there = l.machines.values().filter(|m| m.life != Life::Leaving).count() as u32;
+        let there = l.machines.values().filter(|m| m.life != MachinePhase::Leaving).count() as u32;
         if ceiling != l.ceiling_told && there + 50 >= ceiling {
             l.ceiling_told = ceiling;
             info!(ceiling, machines = there, "the nodes can take no more machines than that");
--- a/crates/controller/src/heartbeats.rs
+++ b/crates/controller/src/heartbeats.rs
@@ -1,20 +1,20 @@
 //! Reports of workers: what they prove, and which commands they are answered.
 
-use crate::heartbeat_proxying::{Room, Way};
-use crate::job::{Job, Place};
+use crate::heartbeat_proxying::{ReplyRoute, WorkerAdmission};
+use crate::job::{Job, Placement};
 use crate::leader::Role;
-use crate::machine::{Life, Machine};
-use crate::one_way_partition::Pace;
+use crate::machine::{Machine, MachinePhase};
+use crate::one_way_partition::HeartbeatTiming;
 use crate::pending_kills::MOST_COMMANDS;
-use crate::{Core, Purpose, RequestId, StateOp, Time};
+use crate::{CallContext, Controller, RequestId, StoreRequest, Time};
 use protocol::job::Shape;
 use protocol::worker::*;
-use sharding::Relays;
+use sharding::HeartbeatForwarding;
 use tracing::{info, warn};
 
 /// A report whose answer waits a moment for the commit that its launches need.
-pub struct Held {
-    pub way: Way,
+pub struct PendingHeartbeat {
+    pub way: ReplyRoute,
     pub until: Time,
     /// Its machine has nothing to do: the answer waits for a launch.
     pub idle: bool,
@@ -25,9 +25,9 @@
 const MOST_WORKERS: usize = 20_000;
 const FORGOTTEN_LEASES: Time = 10.0;
 
-impl Core {
+impl Controller {
     pub(crate) fn on_report(&mut self, req: RequestId, body: &[u8]) {
-        let report: Report = match protocol::decode(body) {
+        let report: Heartbeat = match protocol::decode(body) {
             Ok(r) => r,
             Err(e) => return self.refuse(req, 400, &e.to_string()),
         };
@@ -60,7 +60,7 @@
     }
 
     /// A report that came straight to the leader.
-    pub(crate) fn on_own_report(&mut self, req: RequestId, report: &Report) {
+    pub(crate) fn on_own_report(&mut self, req: RequestId, report: &Heartbeat) {
         let now = self.now;
         let Role::Leader(l) = &mut self.role else { return };
         let token = l.token;
@@ -82,13 +82,13 @@
         }
         let known = l.machines.get(&report.machine).is_some_and(|m| m.stays);
         match self.find_room(known) {
-            Room::Here => {}
-            Room::At(node) => return self.redirect(req, Some(node)),
-            Room::Nowhere => return self.refuse(req, 503, "no room for more workers"),
+            WorkerAdmission::Here => {}
+            WorkerAdmission::At(node) => return self.redirect(req, Some(node)),
+            WorkerAdmission::Nowhere => return self.refuse(req, 503, "no room for more workers"),
         }
         let Some(l) = self.lead(token) else { return };
         if !l.loaded {
-            let answer = ReportAnswer { token, commands: Vec::new() };
+            let answer = HeartbeatResponse { token, commands: Vec::new() };
             return self.answer(req, 200, protocol::encode(&answer));
         }
         if !self.receive(report, None, now) {
@@ -101,7 +101,7 @@
         if let Some(node) = self.better_for(report) {
             return self.redirect(req, Some(node));
         }
-        self.hold_report(report, Way::Direct(req));
+        self.hold_report(report, ReplyRoute::Direct(req));
     }
 
     /// The records are read: what came before is answered.
@@ -122,7 +122,7 @@
 
     /// Takes in a report that came here or to another node at `came`; false if it
     /// is not newer than the last, or speaks of a machine that is gone.
-    pub(crate) fn receive(&mut self, report: &Report, via: Option<sharding::Source>, came: Time) -> bool {
+    pub(crate) fn receive(&mut self, report: &Heartbeat, via: Option<sharding::ProxyId>, came: Time) -> bool {
         let (now, silent_s, order) = (self.now, self.d.silent_s, self.guards.order);
         let Role::Leader(l) = &mut self.role else { return false };
         let id = &report.machine;
@@ -167,7 +167,7 @@
     }
 
     /// Keeps a report that was taken in until there is something to tell.
-    pub(crate) fn hold_report(&mut self, report: &Report, way: Way) {
+    pub(crate) fn hold_report(&mut self, report: &Heartbeat, way: ReplyRoute) {
         let (now, hold, idle_hold) = (self.now, self.d.hold_s, self.d.idle_hold_s);
         let Role::Leader(l) = &mut self.role else { return };
         let id = report.machine.clone();
@@ -175,9 +175,9 @@
             && l.machines.get(&id).is_some_and(Machine::takes_work);
         let until = now + if idle { idle_hold } else { hold };
         l.recheck.insert(id.clone());
-        let older = l.held.insert(id, Held { way, until, idle });
+        let older = l.held.insert(id, PendingHeartbeat { way, until, idle });
         // Its worker has given that one up.
-        if let Some(Held { way: Way::Direct(request), .. }) = older {
+        if let Some(PendingHeartbeat { way: ReplyRoute::Direct(request), .. }) = older {
             self.refuse(request, 503, "a newer report came");
         }
     }
@@ -186,7 +186,7 @@
     /// `beat` is false for the answer to a direct command: that one may have
     /// been made while the answer to a report, with a launch in it, was still
     /// on its way, so what it lacks may yet start. `came`: when a node got it.
-    pub(crate) fn take_report(&mut self, report: &Report, beat: bool, came: Time) -> bool {
+    pub(crate) fn take_report(&mut self, report: &Heartbeat, beat: bool, came: Time) -> bool {
         let (now, d) = (self.now, self.d);
         let Role::Leader(l) = &mut self.role else { return false };
         let token = l.token;
@@ -199,7 +199,7 @@
         let before = m.newest.0;
         // One gap of reports, and a try of another node in between.
         let voice = if self.guards.asleep { l.voice.since(now) } else { 0.0 };
-        let pace = Pace { gap_s: d.report_gap_s + d.tour_s, lease_s: d.lease_over_s, voice };
+        let pace = HeartbeatTiming { gap_s: d.report_gap_s + d.tour_s, lease_s: d.lease_over_s, voice };
         let unheard = beat && m.ears.note(before, report.session, m.reported, came, &pace);
         if unheard {
             warn!(machine = %report.machine, "its reports come, but it hears no answer: no work for it");
@@ -225,7 +225,7 @@
         // earlier leader's commands: absence proves nothing before.
         let settled = beat && (report.token == token || !self.guards.settled_only);
         let mut touched: Vec<String> = Vec::new();
-        let mut exits: Vec<(String, u32, TaskReport)> = Vec::new();
+        let mut exits: Vec<(String, u32, TaskStatus)> = Vec::new();
         for t in &report.tasks {
             let Some((job_id, number)) = split_task(&t.task) else { continue };
             let Some(job) = l.jobs.get_mut(job_id) else { continue };
@@ -328,11 +328,11 @@
         }
     }
 
-    fn reported(report: &Report, job: &str, task: u32, place: &Place) -> bool {
+    fn reported(report: &Heartbeat, job: &str, task: u32, place: &Placement) -> bool {
         report.tasks.iter().any(|t| t.attempt == place.attempt && split_task(&t.task) == Some((job, task)))
     }
 
-    fn on_exit(&mut self, machine: &str, id: &str, task: u32, t: &TaskReport) {
+    fn on_exit(&mut self, machine: &str, id: &str, task: u32, t: &TaskStatus) {
         let now = self.now;
         let report_s = self.settings.params.workers.report_s;
         if t.cause == Some(ExitCause::Alone) && self.waits_on(id, task) {
@@ -407,7 +407,7 @@
         let machines = &l.machines;
         let Some(job) = l.jobs.get_mut(id) else { return false };
         let whole = job.places.len() == job.spec.tasks as usize && !job.aborting && !job.is_final();
-        let gathers = |p: &Place| {
+        let gathers = |p: &Placement| {
             let there = |m: &Machine| m.takes_work() && m.heard_lately(now, &d);
             let fresh = p.stopping.is_none() && p.running_since.is_none() && now - p.placed_at < d.gather_s;
             fresh && machines.get(&p.machine).is_some_and(there)
@@ -532,11 +532,11 @@
         }
     }
 
-    fn commands_for(&mut self, machine: &str) -> ReportAnswer {
+    fn commands_for(&mut self, machine: &str) -> HeartbeatResponse {
         let entitled = self.entitled();
         let write_ahead = self.guards.write_ahead;
         let Role::Leader(l) = &mut self.role else {
-            return ReportAnswer { token: 0, commands: Vec::new() };
+            return HeartbeatResponse { token: 0, commands: Vec::new() };
         };
         let mut commands = Vec::new();
         let tasks = l.machines.get(machine).map(|m| m.tasks.clone()).unwrap_or_default();
@@ -554,19 +554,19 @@
                 // Cleared only once its outcome is stored and its placement
                 // gone from the record.
                 (TaskState::Exited, None) if job.is_none_or(|j| j.outcome_stored(number)) => {
-                    commands.push(command(Verb::Forget, None));
+                    commands.push(command(CommandKind::Forget, None));
                 }
                 // It starts anew there: `waits_on`.
                 (TaskState::Exited, Some(p))
                     if entitled && p.committed && p.seen.is_none() && p.stopping.is_none() =>
                 {
-                    commands.push(command(Verb::Forget, None));
+                    commands.push(command(CommandKind::Forget, None));
                 }
                 (TaskState::Exited, _) => {}
-                (_, None) => commands.push(command(Verb::Stop, Some(0.0))),
+                (_, None) => commands.push(command(CommandKind::Stop, Some(0.0))),
                 (_, Some(p)) => {
                     if let Some((_, grace)) = p.stopping {
-                        commands.push(command(Verb::Stop, Some(grace)));
+                        commands.push(command(CommandKind::Stop, Some(grace)));
                     }
                 }
             }
@@ -583,14 +583,14 @@
                     (p.committed || !write_ahead) && !p.inherited && p.seen.is_none() && p.stopping.is_none();
                 if due {
                     p.sent = true;
-                    let (op, task, grace_s) = (Verb::Start, task_name(&id, task), None);
+                    let (op, task, grace_s) = (CommandKind::Start, task_name(&id, task), None);
                     commands.push(Command { op, task, attempt: p.attempt, grace_s });
                 }
             }
         }
         // An answer is at most 64 KiB; what is left over goes with the next.
         commands.truncate(MOST_COMMANDS);
-        ReportAnswer { token: l.token, commands }
+        HeartbeatResponse { token: l.token, commands }
     }
 
     /// Answers of earlier leaders, and those on their leave, have come or never will by then.
@@ -620,7 +620,7 @@
         for p in l.jobs.values().flat_map(|j| j.places.values()) {
             let m = l.machines.entry(p.machine.clone()).or_insert_with(|| {
                 let mut m = Machine::new(&p.machine, "", "", false, now);
-                m.life = Life::Up;
+                m.life = MachinePhase::Up;
                 m
             });
             m.answered = old_end;
@@ -633,7 +633,7 @@
         let now = self.now;
         let heard_s = self.d.heard_s;
         let Role::Leader(l) = &self.role else { return };
-        let known = l.machines.values().filter(|m| m.life == Life::Up).count();
+        let known = l.machines.values().filter(|m| m.life == MachinePhase::Up).count();
         let settled = now - l.since > heard_s + self.d.worker_timeout_s;
         if known == 0 || !settled || !l.authority.leads(now) {
             return;
@@ -655,7 +655,7 @@
             return;
         }
         let lease = l.lease;
-        self.state(Purpose::Revoke, StateOp::Revoke(lease));
+        self.state(CallContext::Revoke, StoreRequest::Revoke(lease));
         self.step_down("workers do not reach this node");
         // The others get the first chance.
         self.claim_at = now + 3.0 * self.d.leader_ttl_s;
@@ -668,7 +668,7 @@
         let over = if self.guards.lease_wait { self.d.lease_over_s + self.d.worker_timeout_s } else { 0.0 };
         let (silent_s, patience_s) = (self.d.silent_s, self.patience_s());
         let alone = !self.guards.relay_wait;
-        let surely_over = |relays: &Relays, answered: Time| {
+        let surely_over = |relays: &HeartbeatForwarding, answered: Time| {
             if alone {
                 return now > answered + over;
             }
@@ -695,7 +695,7 @@
             reach.dark_since(&m.zone).is_some_and(|since| now - since < dark_hold_s)
                 || reach.is_back(&m.zone, now, back_s)
         };
-        let up = |m: &&Machine| m.life == Life::Up && !reach.is_dark(&m.zone);
+        let up = |m: &&Machine| m.life == MachinePhase::Up && !reach.is_dark(&m.zone);
         // A new leader learns only now of silences: in its first moments it once gave
         // a zone's machines up by the age of their last reports, before it could
         // see that the whole zone was silent.
@@ -719,7 +719,7 @@
             let lease_over = surely_over(&l.relays, m.answered);
             if lease_over || (!many && m.heard.is_some()) {
                 warn!(machine = %id, lease_over, "silent, giving it up");
-                m.life = Life::Leaving;
+                m.life = MachinePhase::Leaving;
                 m.given_up = true;
                 l.plan_dirty = true;
                 leave.push((id.clone(), lease_over));
@@ -734,7 +734,7 @@
         let ended: Vec<String> = l
             .machines
             .values()
-            .filter(|m| m.life == Life::Leaving && surely_over(&l.relays, m.answered))
+            .filter(|m| m.life == MachinePhase::Leaving && surely_over(&l.relays, m.answered))
             .filter(|m| m.heard.is_none_or(|h| now - h > over))
             .map(|m| m.id.clone())
             .collect();
@@ -752,7 +752,7 @@
         if l.standing.held_s(now) < d.tour_s {
             return;
         }
-        let machines = l.machines.values().filter(|m| m.life == Life::Up);
+        let machines = l.machines.values().filter(|m| m.life == MachinePhase::Up);
         let heard = machines.map(|m| (m.zone.as_str(), m.heard_lately(now, &d)));
         if l.fleet.reach.look(now, heard) {
             let dark: Vec<&str> = l.fleet.reach.dark().collect();
--- a/crates/controller/src/hedged_requests.rs
+++ b/crates/controller/src/hedged_requests.rs
@@ -9,9 +9,9 @@
 //! which.
 
 use crate::records::Value;
-use crate::{Budget, Core, Purpose, StateOp, StateReply, Time};
-use protocol::state::{Change, Conflict, Item, Txn};
-use settings::Derived;
+use crate::{CallContext, Controller, RateLimiter, StoreReply, StoreRequest, Time};
+use protocol::state::{CasConflict, Item, Mutation, Transaction};
+use settings::Timing;
 use std::collections::BTreeMap;
 
 /// Copies of a transaction that are sent at most, the first included.
@@ -20,9 +20,9 @@
 const SHARE: f64 = 0.25;
 
 /// A transaction on its way.
-struct Hedge {
-    purpose: Purpose,
-    txn: Txn<Value>,
+struct HedgedRequest {
+    purpose: CallContext,
+    txn: Transaction<Value>,
     copies: u32,
     /// Copies that have not been answered.
     open: u32,
@@ -33,37 +33,37 @@
 }
 
 /// All transactions of users that are on their way.
-pub struct Hedges {
-    open: BTreeMap<u64, Hedge>,
+pub struct HedgedRequests {
+    open: BTreeMap<u64, HedgedRequest>,
     next: u64,
-    reads: Budget,
-    writes: Budget,
+    reads: RateLimiter,
+    writes: RateLimiter,
     /// The service's last answer was a refusal: nothing is read back until it serves.
     refused: bool,
 }
 
 /// What reading back says of a transaction.
-enum Found {
+enum ReadBackOutcome {
     /// It is stored, in that version.
     Stored(u64),
     /// It is not, and cannot be any more: what it replaces has changed.
-    Overtaken(Conflict),
+    Overtaken(CasConflict),
     NotYet,
     Unread,
 }
 
-impl Hedges {
+impl HedgedRequests {
     /// Beside users' reads and changes at such rates.
     pub fn new(reads: f64, writes: f64) -> Self {
-        let (reads, writes) = (Budget::new(reads * SHARE), Budget::new(writes * SHARE));
-        Hedges { open: BTreeMap::new(), next: 0, reads, writes, refused: false }
+        let (reads, writes) = (RateLimiter::new(reads * SHARE), RateLimiter::new(writes * SHARE));
+        HedgedRequests { open: BTreeMap::new(), next: 0, reads, writes, refused: false }
     }
 
     /// Notes how the service answered any call.
-    pub fn note(&mut self, r: &StateReply) {
+    pub fn note(&mut self, r: &StoreReply) {
         match r {
-            StateReply::Refused => self.refused = true,
-            StateReply::Unknown => {}
+            StoreReply::Refused => self.refused = true,
+            StoreReply::Unknown => {}
             _ => self.refused = false,
         }
     }
@@ -74,38 +74,39 @@
     }
 }
 
-impl Hedge {
+impl HedgedRequest {
     /// What it writes and how that key has to be before, if its outcome can be read there.
     fn told_by(&self) -> Option<(&str, &Value, u64)> {
         let (key, value) = self.txn.changes.iter().find_map(|c| match c {
-            Change::Put { key, value, .. } => Some((key, value)),
-            Change::Delete { .. } => None,
+            Mutation::Put { key, value, .. } => Some((key, value)),
+            Mutation::Delete { .. } => None,
         })?;
         let condition = self.txn.conditions.iter().find(|c| c.key == *key)?;
         Some((key, value, condition.version))
     }
 
-    fn found(&self, r: StateReply) -> Found {
-        let Some((key, value, before)) = self.told_by() else { return Found::Unread };
-        let overtaken = |revision| Found::Overtaken(Conflict { failed: vec![key.to_string()], revision });
+    fn found(&self, r: StoreReply) -> ReadBackOutcome {
+        let Some((key, value, before)) = self.told_by() else { return ReadBackOutcome::Unread };
+        let overtaken =
+            |revision| ReadBackOutcome::Overtaken(CasConflict { failed: vec![key.to_string()], revision });
         match r {
-            StateReply::Item(item) if item.value == *value => Found::Stored(item.version),
-            StateReply::Item(Item { version, .. }) if version != before => overtaken(version),
-            StateReply::Item(_) => Found::NotYet,
+            StoreReply::Item(item) if item.value == *value => ReadBackOutcome::Stored(item.version),
+            StoreReply::Item(Item { version, .. }) if version != before => overtaken(version),
+            StoreReply::Item(_) => ReadBackOutcome::NotYet,
             // (A job that is over has moved: a copy's conditions tell.)
-            StateReply::Missing(_) if before == 0 => Found::NotYet,
-            StateReply::Missing(revision) => overtaken(revision),
-            _ => Found::Unread,
+            StoreReply::Missing(_) if before == 0 => ReadBackOutcome::NotYet,
+            StoreReply::Missing(revision) => overtaken(revision),
+            _ => ReadBackOutcome::Unread,
         }
     }
 }
 
-impl Core {
+impl Controller {
     /// Sends a transaction whose outcome users wait for. `purpose` gets one answer.
-    pub(crate) fn commit_hedged(&mut self, purpose: Purpose, txn: Txn<Value>) {
+    pub(crate) fn commit_hedged(&mut self, purpose: CallContext, txn: Transaction<Value>) {
         let n = self.hedges.next;
         self.hedges.next += 1;
-        let hedge = Hedge { purpose, txn, copies: 0, open: 0, reading: false, at: self.now };
+        let hedge = HedgedRequest { purpose, txn, copies: 0, open: 0, reading: false, at: self.now };
         self.hedges.open.insert(n, hedge);
         self.send_copy(n);
     }
@@ -114,44 +115,46 @@
         let now = self.now;
         let Some(h) = self.hedges.open.get_mut(&n) else { return };
         (h.copies, h.open, h.at) = (h.copies + 1, h.open + 1, now);
-        let op = StateOp::Commit(h.txn.clone());
-        self.state(Purpose::Hedged { n }, op);
+        let op = StoreRequest::Commit(h.txn.clone());
+        self.state(CallContext::Hedged { n }, op);
     }
 
-    fn end_hedge(&mut self, n: u64, r: StateReply) {
+    fn end_hedge(&mut self, n: u64, r: StoreReply) {
         if let Some(h) = self.hedges.open.remove(&n) {
             self.on_state(h.purpose, r);
         }
     }
 
-    pub(crate) fn on_hedged(&mut self, n: u64, r: StateReply) {
+    pub(crate) fn on_hedged(&mut self, n: u64, r: StoreReply) {
         let Some(h) = self.hedges.open.get_mut(&n) else { return };
         h.open -= 1;
         // Of a copy, a conflict may come from an earlier one that was carried out. Whoever gets it
         // reads what is there.
-        let told = matches!(r, StateReply::Committed(_) | StateReply::Conflict(_));
+        let told = matches!(r, StoreReply::Committed(_) | StoreReply::Conflict(_));
         let (only, last) = (h.copies == 1, h.open == 0 && !h.reading);
         if told || only && last {
             return self.end_hedge(n, r);
         }
-        if matches!(r, StateReply::Limited) {
+        if matches!(r, StoreReply::Limited) {
             self.too_many_changes();
         }
         if last {
-            self.end_hedge(n, StateReply::Unknown);
+            self.end_hedge(n, StoreReply::Unknown);
         }
     }
 
-    pub(crate) fn on_read_back(&mut self, n: u64, r: StateReply) {
+    pub(crate) fn on_read_back(&mut self, n: u64, r: StoreReply) {
         let now = self.now;
         let Some(h) = self.hedges.open.get_mut(&n) else { return };
         (h.reading, h.at) = (false, now);
         match h.found(r) {
-            Found::Stored(version) => self.end_hedge(n, StateReply::Committed(version)),
-            Found::Overtaken(conflict) => self.end_hedge(n, StateReply::Conflict(conflict)),
-            Found::NotYet | Found::Unread if h.open == 0 => self.end_hedge(n, StateReply::Unknown),
-            Found::NotYet => self.copy_again(n),
-            Found::Unread => {}
+            ReadBackOutcome::Stored(version) => self.end_hedge(n, StoreReply::Committed(version)),
+            ReadBackOutcome::Overtaken(conflict) => self.end_hedge(n, StoreReply::Conflict(conflict)),
+            ReadBackOutcome::NotYet | ReadBackOutcome::Unread if h.open == 0 => {
+                self.end_hedge(n, StoreReply::Unknown)
+            }
+            ReadBackOutcome::NotYet => self.copy_again(n),
+            ReadBackOutcome::Unread => {}
         }
     }
 
@@ -187,7 +190,7 @@
         if !self.hedges.waits() || self.hedges.refused {
             return;
         }
-        let Derived { state_timeout_s, overdue_s, .. } = self.d;
+        let Timing { state_timeout_s, overdue_s, .. } = self.d;
         let patience_s = self.round_trip.patience_s(overdue_s);
         // So slow that the answer comes no later than what is read back.
         if patience_s > state_timeout_s / 2.0 {
@@ -195,7 +198,7 @@
         }
         // Nothing was answered for long: one look at a time shows when that has changed.
         let doubt = self.state_bad_since.is_some_and(|since| self.now - since > state_timeout_s);
-        let overdue = |h: &Hedge| h.open > 0 && !h.reading && self.now - h.at >= patience_s;
+        let overdue = |h: &HedgedRequest| h.open > 0 && !h.reading && self.now - h.at >= patience_s;
         let due = self.hedges.open.iter().filter(|(_, h)| overdue(h)).map(|(&n, _)| n);
         let due: Vec<u64> = due.collect();
         let reading = self.hedges.open.values().filter(|h| h.reading).count();
@@ -216,6 +219,6 @@
         if let Some(h) = self.hedges.open.get_mut(&n) {
             h.reading = true;
         }
-        self.state(Purpose::ReadBack { n }, StateOp::Get(key));
+        self.state(CallContext::ReadBack { n }, StoreRequest::Get(key));
     }
 }
--- a/crates/controller/src/job.rs
+++ b/crates/controller/src/job.rs
@@ -1,18 +1,18 @@
 //! A job as the leader holds it, kept in step with its stored record.
 
 use crate::messages::Time;
-use crate::page_layout::Layout;
+use crate::page_layout::PageLayout;
 use crate::records::*;
-use crate::store_limits::Limits;
+use crate::store_limits::StoreLimits;
 use protocol::job::{JobSpec, JobStatus, Shape};
-use protocol::state::Condition;
+use protocol::state::Compare;
 use protocol::worker::TaskState;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A task's place on a machine. It counts for quota, zones and "ran twice"
 /// from the moment it exists until proof that the task is not there.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct Placement {
     pub attempt: u64,
     pub machine: String,
     /// The job's mutation count when it was made: it is committed once a
@@ -46,16 +46,16 @@
     /// Time of day of the latter, once it is known.
     pub freed_at: Option<f64>,
     /// Where its specification is stored, if not in its record.
-    pub parts: Option<Parts>,
+    pub parts: Option<SpecChunks>,
     /// What those that need it asked of it when it was last planned for.
-    pub passed: Option<dependencies::Passed>,
+    pub passed: Option<dependencies::InheritedPriority>,
     pub status: JobStatus,
     pub done: Vec<bool>,
     pub done_count: u32,
     pub attempt: u64,
     /// How its tasks are divided among stored values.
-    pub layout: Layout,
-    pub places: BTreeMap<u32, Place>,
+    pub layout: PageLayout,
+    pub places: BTreeMap<u32, Placement>,
     pub version: u64,
     /// Its stored record may be, or has been, too large to be written again as it is, so that
     /// whoever cancels it leaves a mark beside it.
@@ -101,7 +101,7 @@
 }
 
 impl Job {
-    fn new(spec: JobSpec, at: f64, submitted: Time, layout: Layout) -> Self {
+    fn new(spec: JobSpec, at: f64, submitted: Time, layout: PageLayout) -> Self {
         let tasks = spec.tasks as usize;
         Job {
             spec_size: json_size(&spec),
@@ -143,12 +143,12 @@
     }
 
     /// A job as its record shows it.
-    pub fn load(record: &JobRecord, version: u64, submitted: Time, limits: &Limits) -> Self {
+    pub fn load(record: &JobRecord, version: u64, submitted: Time, limits: &StoreLimits) -> Self {
         let spec_size = match record.parts {
             Some(_) => json_size(&stub(&record.spec)) + PARTS_BYTES,
             None => json_size(&record.spec),
         };
-        let layout = Layout::stored(record.per_page, record.layout, record.spec.tasks, spec_size, limits);
+        let layout = PageLayout::stored(record.per_page, record.layout, record.spec.tasks, spec_size, limits);
         let mut job = Job::new(record.spec.clone(), record.at, submitted, layout);
         job.spec_size = spec_size;
         job.parts = record.parts.clone();
@@ -180,7 +180,7 @@
         for p in &record.places {
             self.places.insert(
                 p.task,
-                Place {
+                Placement {
                     attempt: p.attempt,
                     machine: p.machine.clone(),
                     born: 0,
@@ -254,9 +254,9 @@
     }
 
     /// What has to hold of a mark of cancellation for its record to be replaced.
-    pub fn mark_condition(&self) -> Option<Condition> {
+    pub fn mark_condition(&self) -> Option<Compare> {
         let key = || mark_key(&self.spec.id);
-        (self.marks || self.mark.is_some()).then(|| Condition { key: key(), version: self.mark.unwrap_or(0) })
+        (self.marks || self.mark.is_some()).then(|| Compare { key: key(), version: self.mark.unwrap_or(0) })
     }
 
     /// Keys of its own beside its record.
@@ -423,7 +423,7 @@
         self.placing.insert(self.page_of(task));
         self.places.insert(
             task,
-            Place {
+            Placement {
                 attempt,
                 machine: machine.to_string(),
                 born: self.mutated,
--- a/crates/controller/src/job_dependencies.rs
+++ b/crates/controller/src/job_dependencies.rs
@@ -1,10 +1,10 @@
 //! Jobs that wait for others, at the leader: what the graph is told and what follows from
 //! it. `docs/pipelines.md` has the argument.
 
-use crate::leader::{Lead, Role};
+use crate::leader::{LeaderState, Role};
 use crate::records::*;
-use crate::{Core, Finals, Purpose, StateOp, StateReply, Time};
-use dependencies::{Effects, Fate, Graph};
+use crate::{CallContext, Controller, StoreReply, StoreRequest, TerminalStateCache, Time};
+use dependencies::{DependencyGraph, GraphEffects, JobOutcome};
 use protocol::job::JobStatus;
 use protocol::state::Item;
 use std::collections::BTreeSet;
@@ -12,8 +12,8 @@
 
 /// The graph of live jobs, and awaited ones whose records are being read.
 #[derive(Default)]
-pub struct Pipelines {
-    pub graph: Graph,
+pub struct JobDependencies {
+    pub graph: DependencyGraph,
     reading: BTreeSet<String>,
     retry_at: Time,
 }
@@ -22,18 +22,18 @@
 const MOST_READS: usize = 8;
 
 /// How a job has ended, if its status says so.
-pub(crate) fn fate_of(status: JobStatus) -> Option<Fate> {
+pub(crate) fn fate_of(status: JobStatus) -> Option<JobOutcome> {
     match status {
-        JobStatus::Done => Some(Fate::Done),
-        JobStatus::Cancelled => Some(Fate::Cancelled),
+        JobStatus::Done => Some(JobOutcome::Done),
+        JobStatus::Cancelled => Some(JobOutcome::Cancelled),
         JobStatus::Pending | JobStatus::Running => None,
     }
 }
 
 /// Tells the graph of live job `id`, with what is stored of those that it awaits.
-fn enter(l: &mut Lead, finals: &Finals, id: &str) -> Effects {
+fn enter(l: &mut LeaderState, finals: &TerminalStateCache, id: &str) -> GraphEffects {
     let Some(job) = l.jobs.get(id).filter(|j| j.freed_at.is_none() && !j.is_final()) else {
-        return Effects::default();
+        return GraphEffects::default();
     };
     let (jobs, archive) = (&l.jobs, &l.archive);
     // A job that is done in memory only counts as live: its end may not be stored yet.
@@ -45,7 +45,7 @@
     l.pipelines.graph.add(id, &job.spec.awaits, fate, |a| jobs.contains_key(a))
 }
 
-impl Core {
+impl Controller {
     /// Whether every node is known to have this version.
     pub(crate) fn newest_forms(&self) -> bool {
         self.limits.fallen() || self.versions.all_read(&self.settings.peers) >= FORMAT
@@ -100,7 +100,7 @@
         }
     }
 
-    fn follow_effects(&mut self, effects: Effects) {
+    fn follow_effects(&mut self, effects: GraphEffects) {
         let (now, wall) = (self.now, self.wall);
         for id in effects.freed {
             let Role::Leader(l) = &mut self.role else { return };
@@ -141,25 +141,25 @@
             p.graph.unknown().filter(|id| !p.reading.contains(*id)).take(room).cloned().collect();
         p.reading.extend(next.iter().cloned());
         for id in next {
-            let op = StateOp::Get(job_key(&id));
-            self.state(Purpose::Awaited { token, id, over: false }, op);
+            let op = StoreRequest::Get(job_key(&id));
+            self.state(CallContext::Awaited { token, id, over: false }, op);
         }
     }
 
-    pub(crate) fn on_awaited(&mut self, token: u64, id: &str, over: bool, r: StateReply) {
+    pub(crate) fn on_awaited(&mut self, token: u64, id: &str, over: bool, r: StoreReply) {
         let (now, retry) = (self.now, self.d.renew_s / 4.0);
         let Some(l) = self.lead(token) else { return };
         match r {
-            StateReply::Missing(_) if !over => {
-                let purpose = Purpose::Awaited { token, id: id.to_string(), over: true };
-                self.state(purpose, StateOp::Get(over_key(id)));
+            StoreReply::Missing(_) if !over => {
+                let purpose = CallContext::Awaited { token, id: id.to_string(), over: true };
+                self.state(purpose, StoreRequest::Get(over_key(id)));
             }
-            StateReply::Item(Item { value: Value::Over(o), .. }) => {
+            StoreReply::Item(Item { value: Value::Over(o), .. }) => {
                 l.pipelines.reading.remove(id);
                 self.finals.put(id, o.status, o.done);
                 self.is_over(id, o.status);
             }
-            StateReply::Item(Item { key, value: value @ Value::Job(_), version }) => {
+            StoreReply::Item(Item { key, value: value @ Value::Job(_), version }) => {
                 l.pipelines.reading.remove(id);
                 l.pipelines.graph.met(id);
                 self.saw_record(&key, value, version);
--- a/crates/controller/src/leader.rs
+++ b/crates/controller/src/leader.rs
@@ -1,19 +1,19 @@
 //! Who leads: one key under a short lease. The revision of the write that
 //! created the key is the token of that leadership.
 
-use crate::archive::{over_record, Finished};
-use crate::election::Claim;
+use crate::archive::{over_record, TerminalJob};
+use crate::election::ElectionAttempt;
 use crate::fleet::Fleet;
-use crate::heartbeat_proxying::Way;
-use crate::heartbeats::Held;
+use crate::heartbeat_proxying::ReplyRoute;
+use crate::heartbeats::PendingHeartbeat;
 use crate::job::Job;
-use crate::lease_authority::Authority;
-use crate::machine::{Life, Machine};
+use crate::lease_authority::LeaseAuthority;
+use crate::machine::{Machine, MachinePhase};
 use crate::records::*;
-use crate::{CallId, Core, Output, Purpose, StateOp, StateReply, Time};
+use crate::{CallContext, CallId, Controller, Output, StoreReply, StoreRequest, Time};
 use protocol::job::{JobSpec, JobStatus};
-use protocol::peer::RelayReply;
-use protocol::state::{Change, Condition, Event, Item, Txn};
+use protocol::peer::ForwardReply;
+use protocol::state::{Compare, Event, Item, Mutation, Transaction};
 use protocol::worker::TaskState;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -24,7 +24,7 @@
 
 /// A watch on a prefix, kept open.
 #[derive(Debug, Default, Clone)]
-pub struct Follow {
+pub struct WatchCursor {
     pub busy: bool,
     /// Revision up to which everything was seen; None: read the keys first.
     /// (0 is a revision too: a fresh store's. Taking it for "unknown" once hid
@@ -35,7 +35,7 @@
 
 pub enum Role {
     Follower,
-    Leader(Box<Lead>),
+    Leader(Box<LeaderState>),
 }
 
 /// Starts of one node that took over from one another within a moment, after which others
@@ -46,11 +46,11 @@
 /// a node's name at a time, so that start is over: there is no need to wait for its
 /// lease (`docs/returns.md` has the argument).
 #[derive(Debug, Default)]
-pub struct Predecessor {
+pub struct PreviousIncarnation {
     seen: Option<(u64, LeaderRecord)>,
 }
 
-impl Predecessor {
+impl PreviousIncarnation {
     /// The leader key as it was seen last, by its version.
     fn saw(&mut self, own: &str, leader: Option<&(LeaderRecord, u64)>) {
         self.seen = leader.filter(|(l, _)| l.node == own).map(|(l, token)| (*token, l.clone()));
@@ -71,13 +71,13 @@
 /// state service did not reach once listed the cloud beside their successors for a
 /// minute, and gave up hundreds of machines in their own books.)
 #[derive(Debug, Default)]
-pub struct Standing {
+pub struct LeadershipTenure {
     since: Option<Time>,
     /// It has been entitled before.
     before: bool,
 }
 
-impl Standing {
+impl LeadershipTenure {
     /// Looks whether it is entitled `now`; a line when that has changed.
     fn look(&mut self, now: Time, entitled: bool, token: u64) {
         match (entitled, self.since) {
@@ -107,13 +107,13 @@
 }
 
 /// What the leader knows. Rebuilt from records and reports at each takeover.
-pub struct Lead {
+pub struct LeaderState {
     pub token: u64,
     pub lease: u64,
     pub since: Time,
-    pub authority: Authority,
-    pub standing: Standing,
-    pub voice: crate::one_way_partition::Voice,
+    pub authority: LeaseAuthority,
+    pub standing: LeadershipTenure,
+    pub voice: crate::one_way_partition::LeaderResponsiveness,
     pub renewing: Option<CallId>,
     pub next_renew: Time,
     pub loaded: bool,
@@ -124,16 +124,16 @@
     pub load_revision: Option<u64>,
     pub jobs: BTreeMap<String, Job>,
     pub machines: BTreeMap<String, Machine>,
-    pub watch: Follow,
+    pub watch: WatchCursor,
     /// Records seen by the watch while a write of the same job was in flight.
     pub deferred: VecDeque<(String, Value, u64)>,
-    pub writes: crate::write_queue::Writes,
+    pub writes: crate::write_queue::WriteQueue,
     /// Jobs that wait for others.
-    pub pipelines: crate::job_dependencies::Pipelines,
+    pub pipelines: crate::job_dependencies::JobDependencies,
     /// Reports that wait for their answer, by machine.
-    pub held: BTreeMap<String, Held>,
+    pub held: BTreeMap<String, PendingHeartbeat>,
     /// Reports that came before the records were read.
-    pub early: crate::early_heartbeats::Early,
+    pub early: crate::early_heartbeats::HeartbeatsBeforeRecovery,
     /// Machines whose held report may have become ready.
     pub recheck: BTreeSet<String>,
     pub held_scan: Time,
@@ -141,7 +141,7 @@
     /// there is what removes it (`tasks_on`).
     on: HashMap<String, BTreeSet<(String, u32)>>,
     /// What is to be stopped and may not know it yet.
-    pub stops: crate::pending_kills::Stops,
+    pub stops: crate::pending_kills::PendingKills,
     /// When the next line on tasks and machines is due.
     summary_at: Time,
     /// Last look after machines, fleet and cloud.
@@ -154,11 +154,11 @@
     /// Most machines that work which somebody waits for has had at a time.
     pub others_most: usize,
     /// Classes and teams under their floors at the last plan.
-    pub starving: crate::starvation::Starving,
+    pub starving: crate::starvation::StarvingGroups,
     /// Whose machines gather.
-    pub gathers: crate::starvation::Gathers,
+    pub gathers: crate::starvation::GangReservation,
     /// Jobs that wait beside free places.
-    pub beside: crate::work_conservation::Beside,
+    pub beside: crate::work_conservation::WaitingBesideCapacity,
     /// What is paid, as a multiple of what the work would cost where it is cheapest.
     pub price_paid: f64,
     pub fleet: Fleet,
@@ -169,27 +169,27 @@
     pub cached: HashMap<String, Vec<(u32, Time, f64)>>,
     pub types_at: Option<Time>,
     /// The nodes that answer reports on this leader's leave.
-    pub relays: sharding::Relays,
+    pub relays: sharding::HeartbeatForwarding,
     pub archive: crate::archive::Archive,
     /// Parts of specifications, while records are read.
-    pub parts: crate::spec_chunks::PartsRead,
+    pub parts: crate::spec_chunks::ChunkReader,
     /// What cannot be read.
-    pub unread: crate::undecodable::Unread,
+    pub unread: crate::undecodable::UndecodableRecords,
     /// Pages read whose jobs are not among those that run.
     strays: BTreeMap<String, Vec<String>>,
     /// The ceiling on machines when it was last told.
     pub ceiling_told: u32,
 }
 
-impl Lead {
-    pub fn new(token: u64, lease: u64, now: Time, authority: Authority) -> Self {
-        Lead {
+impl LeaderState {
+    pub fn new(token: u64, lease: u64, now: Time, authority: LeaseAuthority) -> Self {
+        LeaderState {
             token,
             lease,
             since: now,
             authority,
-            standing: Standing::default(),
-            voice: crate::one_way_partition::Voice::default(),
+            standing: LeadershipTenure::default(),
+            voice: crate::one_way_partition::LeaderResponsiveness::default(),
             renewing: None,
             next_renew: now,
             loaded: false,
@@ -200,16 +200,16 @@
             load_revision: None,
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
-            watch: Follow::default(),
+            watch: WatchCursor::default(),
             deferred: VecDeque::new(),
-            writes: crate::write_queue::Writes::new(now),
-            pipelines: crate::job_dependencies::Pipelines::default(),
+            writes: crate::write_queue::WriteQueue::new(now),
+            pipelines: crate::job_dependencies::JobDependencies::default(),
             held: BTreeMap::new(),
-            early: crate::early_heartbeats::Early::default(),
+            early: crate::early_heartbeats::HeartbeatsBeforeRecovery::default(),
             recheck: BTreeSet::new(),
             held_scan: now,
             on: HashMap::new(),
-            stops: crate::pending_kills::Stops::default(),
+            stops: crate::pending_kills::PendingKills::default(),
             summary_at: now,
             swept_at: now - 1.0,
             plan_dirty: true,
@@ -217,19 +217,19 @@
             plan_after: now,
             image_ids: HashMap::new(),
             others_most: 0,
-            starving: crate::starvation::Starving::default(),
-            gathers: crate::starvation::Gathers::default(),
-            beside: crate::work_conservation::Beside::default(),
+            starving: crate::starvation::StarvingGroups::default(),
+            gathers: crate::starvation::GangReservation::default(),
+            beside: crate::work_conservation::WaitingBesideCapacity::default(),
             price_paid: 1.0,
             fleet: Fleet::default(),
             classes: BTreeMap::new(),
             booking: 0,
             cached: HashMap::new(),
             types_at: None,
-            relays: sharding::Relays::default(),
+            relays: sharding::HeartbeatForwarding::default(),
             archive: crate::archive::Archive::default(),
-            parts: crate::spec_chunks::PartsRead::default(),
-            unread: crate::undecodable::Unread::default(),
+            parts: crate::spec_chunks::ChunkReader::default(),
+            unread: crate::undecodable::UndecodableRecords::default(),
             strays: BTreeMap::new(),
             ceiling_told: 0,
         }
@@ -281,7 +281,7 @@
         for (name, &n) in &self.image_ids {
             names[n as usize] = name;
         }
-        let up = self.machines.values().filter(|m| m.life == Life::Up);
+        let up = self.machines.values().filter(|m| m.life == MachinePhase::Up);
         up.map(|m| {
             let images = m.latest_images(m.since, most);
             (m.id.clone(), images.map(|(n, gb)| (names[n as usize].to_string(), gb)).collect())
@@ -328,31 +328,31 @@
     }
 }
 
-impl Core {
+impl Controller {
     /// Keeps the leader key in sight and claims it when it is gone.
     pub(crate) fn follow_leader(&mut self) {
         let now = self.now;
         if self.types.is_none() && now >= self.types_look_at {
             self.types_look_at = now + self.d.renew_s;
-            self.state(Purpose::TypesLook, StateOp::Get(TYPES_KEY.to_string()));
+            self.state(CallContext::TypesLook, StoreRequest::Get(TYPES_KEY.to_string()));
         }
         if !self.leader_watch.busy && now >= self.leader_watch.retry_at {
             self.leader_watch.busy = true;
             if let Some(after) = self.leader_watch.revision {
                 let wait_ms = (self.d.leader_ttl_s * 1000.0) as u64;
                 self.state(
-                    Purpose::LeaderWatch,
-                    StateOp::Watch { prefix: NODE_PREFIX.to_string(), after, wait_ms },
+                    CallContext::LeaderWatch,
+                    StoreRequest::Watch { prefix: NODE_PREFIX.to_string(), after, wait_ms },
                 );
             } else {
-                self.state(Purpose::LeaderLook, StateOp::Get(LEADER_KEY.to_string()));
+                self.state(CallContext::LeaderLook, StoreRequest::Get(LEADER_KEY.to_string()));
             }
         }
         if self.claimable().is_some() && !self.claiming && !self.is_leader() && now >= self.claim_at {
             self.claiming = true;
             self.claim_at = now;
             let ttl_ms = (self.d.leader_ttl_s * 1000.0) as u64;
-            self.state(Purpose::Grant, StateOp::Grant { ttl_ms });
+            self.state(CallContext::Grant, StoreRequest::Grant { ttl_ms });
         }
     }
 
@@ -370,17 +370,17 @@
     }
 
     pub(crate) fn look_again(&mut self, pause: f64) {
-        self.leader_watch = Follow { busy: false, revision: None, retry_at: self.now + pause };
+        self.leader_watch = WatchCursor { busy: false, revision: None, retry_at: self.now + pause };
     }
 
-    pub(crate) fn on_leader_look(&mut self, r: StateReply) {
+    pub(crate) fn on_leader_look(&mut self, r: StoreReply) {
         self.leader_watch.busy = false;
         match r {
-            StateReply::Item(Item { value: Value::Leader(l), version, .. }) => {
+            StoreReply::Item(Item { value: Value::Leader(l), version, .. }) => {
                 self.leader_watch.revision = Some(version);
                 self.saw_leader(Some((l, version)));
             }
-            StateReply::Missing(revision) => {
+            StoreReply::Missing(revision) => {
                 self.leader_watch.revision = Some(revision);
                 // Read before this node's claim was carried out, it says nothing of it.
                 if self.token().is_none_or(|own| own < revision) {
@@ -410,10 +410,10 @@
         self.known_leader = leader;
     }
 
-    pub(crate) fn on_leader_watch(&mut self, r: StateReply) {
+    pub(crate) fn on_leader_watch(&mut self, r: StoreReply) {
         self.leader_watch.busy = false;
         match r {
-            StateReply::Events(e) => {
+            StoreReply::Events(e) => {
                 for event in e.events {
                     match event {
                         Event::Put { key, value: Value::Leader(l), version } if key == LEADER_KEY => {
@@ -435,14 +435,14 @@
         }
     }
 
-    pub(crate) fn on_types_look(&mut self, r: StateReply) {
+    pub(crate) fn on_types_look(&mut self, r: StoreReply) {
         match r {
-            StateReply::Item(Item { value: Value::Types(t), .. }) => self.types = Some(t),
-            StateReply::Missing(_) => {
-                let op = StateOp::List { prefix: CATALOGUE_PREFIX.to_string(), after: None };
-                self.state(Purpose::TypesLook, op);
+            StoreReply::Item(Item { value: Value::Types(t), .. }) => self.types = Some(t),
+            StoreReply::Missing(_) => {
+                let op = StoreRequest::List { prefix: CATALOGUE_PREFIX.to_string(), after: None };
+                self.state(CallContext::TypesLook, op);
             }
-            StateReply::Page(page) if self.types.is_none() => {
+            StoreReply::Page(page) if self.types.is_none() => {
                 let part = |i: Item<Value>| match i.value {
                     Value::Part(text) => Some(text),
                     _ => None,
@@ -454,8 +454,8 @@
         }
     }
 
-    pub(crate) fn on_grant(&mut self, r: StateReply) {
-        let StateReply::Granted(lease) = r else {
+    pub(crate) fn on_grant(&mut self, r: StoreReply) {
+        let StoreReply::Granted(lease) = r else {
             self.claiming = false;
             self.claim_at = self.now + self.d.renew_s / 2.0;
             return;
@@ -463,16 +463,16 @@
         // Somebody else may have claimed meanwhile: 0 fails then, as it should.
         let (version, again) = self.claimable().unwrap_or_default();
         let record = LeaderRecord { node: self.settings.node.clone(), at: self.wall, again, lease };
-        self.claim = Some(Claim { lease, asked: self.claim_at });
-        let txn = Txn {
-            conditions: vec![Condition { key: LEADER_KEY.to_string(), version }],
-            changes: vec![Change::Put {
+        self.claim = Some(ElectionAttempt { lease, asked: self.claim_at });
+        let txn = Transaction {
+            conditions: vec![Compare { key: LEADER_KEY.to_string(), version }],
+            changes: vec![Mutation::Put {
                 key: LEADER_KEY.to_string(),
                 value: Value::Leader(record),
                 lease: Some(lease),
             }],
         };
-        self.state(Purpose::Claim { lease }, StateOp::Commit(txn));
+        self.state(CallContext::Claim { lease }, StoreRequest::Commit(txn));
     }
 
     /// Another node or a worker has seen that token: who leads with a lower one has
@@ -490,13 +490,13 @@
             warn!(token = l.token, why, "no longer leading");
             self.workers_here = 0;
             for request in l.relays.waiting() {
-                self.out.push(Output::RelayReply(request, RelayReply::default()));
+                self.out.push(Output::RelayReply(request, ForwardReply::default()));
             }
             for (request, _) in l.early.take() {
                 self.refuse(request, 503, "no longer leading");
             }
             for h in l.held.into_values() {
-                if let Way::Direct(request) = h.way {
+                if let ReplyRoute::Direct(request) = h.way {
                     self.refuse(request, 503, "no longer leading");
                 }
             }
@@ -510,12 +510,12 @@
         }
     }
 
-    pub(crate) fn on_renew(&mut self, token: u64, sent: Time, r: StateReply) {
+    pub(crate) fn on_renew(&mut self, token: u64, sent: Time, r: StoreReply) {
         let (now, renew_s) = (self.now, self.d.renew_s);
         let Some(l) = self.lead(token) else { return };
         l.renewing = None;
         match r {
-            StateReply::Done => {
+            StoreReply::Done => {
                 l.authority.renewed(sent);
                 l.next_renew = sent + renew_s;
                 if !l.authority.acts(now) {
@@ -523,7 +523,7 @@
                     l.watch.retry_at = l.watch.retry_at.min(now);
                 }
             }
-            StateReply::Gone => self.step_down("lease ended"),
+            StoreReply::Gone => self.step_down("lease ended"),
             _ => l.next_renew = now + renew_s / 4.0,
         }
     }
@@ -542,7 +542,7 @@
         let token = l.token;
         if l.renewing.is_none() && now >= l.next_renew {
             let lease = l.lease;
-            let id = self.state(Purpose::Renew { token, sent: now }, StateOp::Renew(lease));
+            let id = self.state(CallContext::Renew { token, sent: now }, StoreRequest::Renew(lease));
             if let Some(l) = self.lead(token) {
                 l.renewing = Some(id);
             }
@@ -557,8 +557,8 @@
                 // As often as the lease is renewed: what is known counts from a watch's sending.
                 let wait_ms = (self.d.renew_s * 1000.0) as u64;
                 self.state(
-                    Purpose::JobWatch { token, sent: now },
-                    StateOp::Watch { prefix: JOBS_WATCHED.to_string(), after, wait_ms },
+                    CallContext::JobWatch { token, sent: now },
+                    StoreRequest::Watch { prefix: JOBS_WATCHED.to_string(), after, wait_ms },
                 );
             }
             let created = std::mem::take(&mut self.users.created);
@@ -625,13 +625,13 @@
                 *count += 1;
             }
         }
-        let up = l.machines.values().filter(|m| m.life == Life::Up).count();
-        let booting = l.machines.values().filter(|m| m.life == Life::Booting).count();
+        let up = l.machines.values().filter(|m| m.life == MachinePhase::Up).count();
+        let booting = l.machines.values().filter(|m| m.life == MachinePhase::Booting).count();
         let placed: BTreeSet<&str> =
             l.jobs.values().flat_map(|j| j.places.values()).map(|p| p.machine.as_str()).collect();
         // Machines of each pool that are up, and how many of them are idle.
         let mut pools: BTreeMap<(&str, bool), (u32, u32)> = BTreeMap::new();
-        for m in l.machines.values().filter(|m| m.life == Life::Up) {
+        for m in l.machines.values().filter(|m| m.life == MachinePhase::Up) {
             let n = pools.entry((&m.machine_type, m.spot)).or_insert((0, 0));
             n.0 += 1;
             n.1 += u32::from(!placed.contains(m.id.as_str()));
@@ -661,11 +661,11 @@
             return;
         }
         l.loading = true;
-        let op = StateOp::List { prefix: l.load_prefix.to_string(), after: l.load_after.clone() };
-        self.state(Purpose::Load { token, sent: now }, op);
+        let op = StoreRequest::List { prefix: l.load_prefix.to_string(), after: l.load_after.clone() };
+        self.state(CallContext::Load { token, sent: now }, op);
     }
 
-    pub(crate) fn on_load(&mut self, token: u64, sent: Time, r: StateReply) {
+    pub(crate) fn on_load(&mut self, token: u64, sent: Time, r: StoreReply) {
         let (now, wall) = (self.now, self.wall);
         let renew_s = self.d.renew_s;
         let limits = self.limits.clone();
@@ -676,7 +676,7 @@
         let mut arrived = Vec::new();
         let Some(l) = self.lead(token) else { return };
         l.loading = false;
-        let StateReply::Page(page) = r else {
+        let StoreReply::Page(page) = r else {
             l.load_retry = now + renew_s / 4.0;
             return;
         };
@@ -720,7 +720,7 @@
                     if record.status.is_final() && record.page.places.is_empty() && one_page {
                         let over = over_record(record.status, record.done, record.at);
                         let keys = record.parts.iter().flat_map(|p| p.keys(&id)).collect();
-                        finals.push(Finished { id, version: item.version, over, keys });
+                        finals.push(TerminalJob { id, version: item.version, over, keys });
                     } else {
                         let submitted = now - (wall - record.at).max(0.0);
                         if record.awaits().is_empty() {
@@ -797,13 +797,13 @@
         }
     }
 
-    pub(crate) fn on_job_watch(&mut self, token: u64, sent: Time, r: StateReply) {
+    pub(crate) fn on_job_watch(&mut self, token: u64, sent: Time, r: StoreReply) {
         let now = self.now;
         let retry = self.d.renew_s / 4.0;
         let Some(l) = self.lead(token) else { return };
         l.watch.busy = false;
         match r {
-            StateReply::Events(e) => {
+            StoreReply::Events(e) => {
                 let before = l.watch.revision.unwrap_or(u64::MAX);
                 l.watch.revision = l.watch.revision.max(Some(e.revision));
                 self.note_events(&e);
@@ -820,7 +820,7 @@
                 self.note_carried_out();
             }
             // Too old: everything is read again by leading anew.
-            StateReply::Gone => self.step_down("watch fell behind"),
+            StoreReply::Gone => self.step_down("watch fell behind"),
             _ => l.watch.retry_at = now + retry,
         }
     }
@@ -887,7 +887,7 @@
                 if record.status.is_final() && record.page.places.is_empty() {
                     let over = over_record(record.status, record.done, record.at);
                     let keys = record.parts.iter().flat_map(|p| p.keys(id)).collect();
-                    return self.finished(Finished { id: id.to_string(), version, over, keys });
+                    return self.finished(TerminalJob { id: id.to_string(), version, over, keys });
                 }
                 if was_over {
                     return;
@@ -943,7 +943,7 @@
             let token = l.token;
             l.writes.rereads += 1;
             let key = job_key(id);
-            self.state(Purpose::Reread { token, key: key.clone() }, StateOp::Get(key));
+            self.state(CallContext::Reread { token, key: key.clone() }, StoreRequest::Get(key));
         }
     }
 
@@ -989,7 +989,7 @@
             }
         }
         if job.places.is_empty() && job.clean() {
-            let f = Finished::of(job);
+            let f = TerminalJob::of(job);
             self.tell_over(id);
             let Role::Leader(l) = &mut self.role else { return };
             l.jobs.remove(id);
--- a/crates/controller/src/lease_authority.rs
+++ b/crates/controller/src/lease_authority.rs
@@ -8,11 +8,11 @@
 //! succeed while the watch still waits, and a new leader renews before it has read.
 
 use crate::messages::Time;
-use settings::Derived;
+use settings::Timing;
 
 /// A leader's two dates, by its own clock.
 #[derive(Debug, Clone)]
-pub struct Authority {
+pub struct LeaseAuthority {
     /// For how long after the older date workers' leases are renewed.
     grace_s: Time,
     /// For how long after the older date anything else is done.
@@ -25,12 +25,12 @@
     read: Option<Time>,
 }
 
-impl Authority {
+impl LeaseAuthority {
     /// Of a leader whose lease was asked for at `claimed`.
-    pub fn new(d: &Derived, claimed: Time) -> Self {
+    pub fn new(d: &Timing, claimed: Time) -> Self {
         // The service may end a lease as soon as its time is over.
         let ttl_s = d.leader_ttl_s * 0.99;
-        Authority { grace_s: d.grace_s, ttl_s, confirmed: claimed, known: None, read: None }
+        LeaseAuthority { grace_s: d.grace_s, ttl_s, confirmed: claimed, known: None, read: None }
     }
 
     /// A renewal sent at `sent` was confirmed.
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -33,28 +33,28 @@
 mod write_queue;
 mod zonal_demand;
 
-use leader::{Lead, Role};
+use leader::{LeaderState, Role};
 pub use messages::*;
 use protocol::cloud::MachineType;
 use protocol::job::JobStatus;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use records::JobRecord;
-use settings::{Derived, Operator, Settings};
-pub use sharding::GatewayGuards;
-use sharding::{Gateway, Lateness, Presence, Spread};
+use settings::{Operator, Settings, Timing};
+pub use sharding::ProxySafetyChecks;
+use sharding::{EventLoopLag, HeartbeatProxy, PeerLiveness, ShardBalancer};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A rate that may be spent in bursts of one second's worth.
 #[derive(Debug, Clone)]
-pub(crate) struct Budget {
+pub(crate) struct RateLimiter {
     rate: f64,
     level: f64,
     at: Time,
 }
 
-impl Budget {
+impl RateLimiter {
     fn new(rate: f64) -> Self {
-        Budget { rate, level: rate.max(1.0), at: 0.0 }
+        RateLimiter { rate, level: rate.max(1.0), at: 0.0 }
     }
     pub(crate) fn rate(&self) -> f64 {
         self.rate
@@ -94,7 +94,7 @@
 
 /// What a call was for, so that its reply finds its way.
 #[derive(Debug, Clone)]
-pub(crate) enum Purpose {
+pub(crate) enum CallContext {
     LeaderLook,
     LeaderWatch,
     TypesLook,
@@ -216,21 +216,21 @@
 }
 
 /// A call on its way.
-pub(crate) struct Call {
+pub(crate) struct PendingCall {
     sent: Time,
-    purpose: Purpose,
+    purpose: CallContext,
 }
 
 /// Final states may be served from memory: they never change.
 #[derive(Default)]
-pub(crate) struct Finals {
+pub(crate) struct TerminalStateCache {
     map: BTreeMap<String, (JobStatus, u32)>,
     order: VecDeque<String>,
 }
 
 const MOST_FINALS: usize = 20_000;
 
-impl Finals {
+impl TerminalStateCache {
     pub(crate) fn put(&mut self, id: &str, status: JobStatus, done: u32) {
         if !status.is_final() {
             return;
@@ -252,7 +252,7 @@
 /// Safety guards, all on. Tests turn one off to show that the simulation
 /// notices.
 #[derive(Debug, Clone, Copy)]
-pub struct Guards {
+pub struct SafetyChecks {
     /// Launch only what is committed.
     pub write_ahead: bool,
     /// Absence proves something only in a report that has this leader's token.
@@ -285,12 +285,12 @@
     /// Machines for work bound to zones are rented there.
     pub bound: bool,
     /// The gateway's own.
-    pub gateway: GatewayGuards,
+    pub gateway: ProxySafetyChecks,
 }
 
-impl Default for Guards {
+impl Default for SafetyChecks {
     fn default() -> Self {
-        Guards {
+        SafetyChecks {
             write_ahead: true,
             settled_only: true,
             grace: true,
@@ -305,44 +305,44 @@
             beside: true,
             asleep: true,
             bound: true,
-            gateway: GatewayGuards::default(),
+            gateway: ProxySafetyChecks::default(),
         }
     }
 }
 
-pub struct Core {
-    guards: Guards,
+pub struct Controller {
+    guards: SafetyChecks,
     pub(crate) settings: Settings,
-    pub(crate) d: Derived,
+    pub(crate) d: Timing,
     pub(crate) rng: SmallRng,
     pub(crate) now: Time,
     /// Time of day, in seconds.
     pub(crate) wall: f64,
     next_call: CallId,
-    pub(crate) calls: BTreeMap<CallId, Call>,
+    pub(crate) calls: BTreeMap<CallId, PendingCall>,
     pub(crate) out: Vec<Output>,
     pub(crate) role: Role,
     /// Leader as last read: node name and token.
     pub(crate) known_leader: Option<(String, u64)>,
-    pub(crate) predecessor: leader::Predecessor,
-    pub(crate) leader_watch: leader::Follow,
+    pub(crate) predecessor: leader::PreviousIncarnation,
+    pub(crate) leader_watch: leader::WatchCursor,
     pub(crate) claiming: bool,
     /// What is on its way.
-    pub(crate) claim: Option<election::Claim>,
+    pub(crate) claim: Option<election::ElectionAttempt>,
     pub(crate) claim_at: Time,
     pub(crate) types: Option<Vec<MachineType>>,
     pub(crate) types_look_at: Time,
-    pub(crate) finals: Finals,
-    pub(crate) users: client_requests::Users,
-    pub(crate) polls: status_queries::Polls,
-    pub(crate) reads: Budget,
-    pub(crate) writes: Budget,
+    pub(crate) finals: TerminalStateCache,
+    pub(crate) users: client_requests::ClientRequests,
+    pub(crate) polls: status_queries::StatusQueries,
+    pub(crate) reads: RateLimiter,
+    pub(crate) writes: RateLimiter,
     /// How long the state service takes, and users' transactions on their way to it.
-    pub(crate) round_trip: round_trip::RoundTrip,
-    pub(crate) hedges: hedged_requests::Hedges,
+    pub(crate) round_trip: round_trip::RoundTripEstimator,
+    pub(crate) hedges: hedged_requests::HedgedRequests,
     /// What the state service takes, and which version every node has.
-    pub(crate) limits: store_limits::Limits,
-    pub(crate) versions: format_negotiation::Versions,
+    pub(crate) limits: store_limits::StoreLimits,
+    pub(crate) versions: format_negotiation::FormatNegotiation,
     /// Records whose parts could not be read, with when that was tried.
     pub(crate) parts_again: Vec<(Time, Box<JobRecord>, u64)>,
     /// Renewals and transactions confirmed by the service, for the logs.
@@ -354,11 +354,11 @@
     pub(crate) workers_heard: BTreeMap<String, (Time, (u64, u64))>,
     /// The other controllers' views, with when they came.
     pub(crate) peers: BTreeMap<String, (protocol::peer::View, Time)>,
-    pub(crate) presence: Presence,
+    pub(crate) presence: PeerLiveness,
     pub(crate) operator: Operator,
-    pub(crate) gateway: Gateway,
-    pub(crate) spread: Spread,
-    pub(crate) lateness: Lateness,
+    pub(crate) gateway: HeartbeatProxy,
+    pub(crate) spread: ShardBalancer,
+    pub(crate) lateness: EventLoopLag,
     /// Whether this node answered reports on a leave when last looked.
     pub(crate) served: bool,
     /// Workers that stay here, as last counted.
@@ -372,19 +372,19 @@
     pub(crate) heard_token: u64,
 }
 
-impl Core {
+impl Controller {
     pub fn new(settings: Settings, operator: Operator, seed: u64) -> Self {
-        let mut d = Derived::from(&settings);
+        let mut d = Timing::from(&settings);
         d.tick_s = operator.tick_s.unwrap_or(d.tick_s);
         let nodes = f64::from(settings.params.nodes.max(1));
         let reads = settings.params.state.rps * 0.8 / nodes;
         let writes = settings.params.state.write_rps * client_requests::MOST_WRITES;
         let mut rng = SmallRng::seed_from_u64(seed);
-        Core {
-            guards: Guards::default(),
-            gateway: Gateway::new(&settings.node, rng.gen(), d),
-            spread: Spread::new(settings.params.workers.lease_s),
-            lateness: Lateness::default(),
+        Controller {
+            guards: SafetyChecks::default(),
+            gateway: HeartbeatProxy::new(&settings.node, rng.gen(), d),
+            spread: ShardBalancer::new(settings.params.workers.lease_s),
+            lateness: EventLoopLag::default(),
             served: false,
             workers_here: 0,
             newcomers: 0,
@@ -399,30 +399,30 @@
             out: Vec::new(),
             role: Role::Follower,
             known_leader: None,
-            predecessor: leader::Predecessor::default(),
-            leader_watch: leader::Follow::default(),
+            predecessor: leader::PreviousIncarnation::default(),
+            leader_watch: leader::WatchCursor::default(),
             claiming: false,
             claim: None,
             claim_at: 0.0,
             types: None,
             types_look_at: 0.0,
-            finals: Finals::default(),
-            users: client_requests::Users::default(),
-            polls: status_queries::Polls::default(),
+            finals: TerminalStateCache::default(),
+            users: client_requests::ClientRequests::default(),
+            polls: status_queries::StatusQueries::default(),
             // Users' reads and writes at one node may take their share of
             // four fifths; the rest is for renewals, watches and the leader.
-            reads: Budget::new(reads),
-            writes: Budget::new(writes),
-            round_trip: round_trip::RoundTrip::default(),
-            hedges: hedged_requests::Hedges::new(reads, writes),
-            limits: store_limits::Limits::new(&settings.params.state),
-            versions: format_negotiation::Versions::default(),
+            reads: RateLimiter::new(reads),
+            writes: RateLimiter::new(writes),
+            round_trip: round_trip::RoundTripEstimator::default(),
+            hedges: hedged_requests::HedgedRequests::new(reads, writes),
+            limits: store_limits::StoreLimits::new(&settings.params.state),
+            versions: format_negotiation::FormatNegotiation::default(),
             parts_again: Vec::new(),
             state_ok_at: 0.0,
             state_bad_since: None,
             workers_heard: BTreeMap::new(),
             peers: BTreeMap::new(),
-            presence: Presence::default(),
+            presence: PeerLiveness::default(),
             operator,
             settings,
             d,
@@ -430,7 +430,7 @@
     }
 
     /// Turns safety guards off, for tests.
-    pub fn set_guards(&mut self, guards: Guards) {
+    pub fn set_guards(&mut self, guards: SafetyChecks) {
         self.guards = guards;
         self.gateway.guards = guards.gateway;
     }
@@ -470,7 +470,7 @@
             }
             Input::Worker(call, reply) => {
                 let purpose = self.calls.remove(&call).map(|c| c.purpose);
-                if let Some(Purpose::Direct { token, machine, session }) = purpose {
+                if let Some(CallContext::Direct { token, machine, session }) = purpose {
                     self.on_direct(token, &machine, session, reply);
                 }
             }
@@ -480,15 +480,15 @@
     }
 
     /// The state service answered a call, or did not.
-    fn note_answer(&mut self, c: &Call, r: &StateReply) {
+    fn note_answer(&mut self, c: &PendingCall, r: &StoreReply) {
         self.hedges.note(r);
-        if matches!(r, StateReply::Refused | StateReply::Unknown) {
+        if matches!(r, StoreReply::Refused | StoreReply::Unknown) {
             self.state_bad_since.get_or_insert(self.now);
             return;
         }
         (self.state_ok_at, self.state_bad_since) = (self.now, None);
         // Watches wait for changes.
-        if !matches!(r, StateReply::Events(_)) {
+        if !matches!(r, StoreReply::Events(_)) {
             self.round_trip.note(self.now - c.sent);
         }
     }
@@ -632,39 +632,44 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    pub(crate) fn call_id(&mut self, purpose: Purpose) -> CallId {
+    pub(crate) fn call_id(&mut self, purpose: CallContext) -> CallId {
         let id = self.next_call;
         self.next_call += 1;
-        self.calls.insert(id, Call { sent: self.now, purpose });
+        self.calls.insert(id, PendingCall { sent: self.now, purpose });
         id
     }
 
-    pub(crate) fn state(&mut self, purpose: Purpose, op: StateOp) -> CallId {
+    pub(crate) fn state(&mut self, purpose: CallContext, op: StoreRequest) -> CallId {
         let id = self.call_id(purpose);
         self.out.push(Output::State(id, op));
         id
     }
 
-    pub(crate) fn cloud(&mut self, purpose: Purpose, op: CloudOp) -> CallId {
+    pub(crate) fn cloud(&mut self, purpose: CallContext, op: CloudRequest) -> CallId {
         let id = self.call_id(purpose);
         self.out.push(Output::Cloud(id, op));
         id
     }
 
-    pub(crate) fn direct(&mut self, purpose: Purpose, addr: &str, body: protocol::worker::DirectCommands) {
+    pub(crate) fn direct(
+        &mut self,
+        purpose: CallContext,
+        addr: &str,
+        body: protocol::worker::DirectCommands,
+    ) {
         let id = self.call_id(purpose);
         self.out.push(Output::Worker(id, addr.to_string(), body));
     }
 
     pub(crate) fn answer(&mut self, id: RequestId, status: u16, body: Vec<u8>) {
-        self.out.push(Output::Answer(id, Answer { status, body, retry_after_s: None }));
+        self.out.push(Output::Answer(id, HttpResponse { status, body, retry_after_s: None }));
     }
 
     pub(crate) fn refuse(&mut self, id: RequestId, status: u16, why: &str) {
-        let body = protocol::encode(&protocol::job::Refusal { error: why.to_string() });
+        let body = protocol::encode(&protocol::job::ErrorResponse { error: why.to_string() });
         // Users wait a second at least anyway; nothing is won by asking more.
         let retry_after_s = (status == 503).then_some(1);
-        self.out.push(Output::Answer(id, Answer { status, body, retry_after_s }));
+        self.out.push(Output::Answer(id, HttpResponse { status, body, retry_after_s }));
     }
 
     fn on_request(&mut self, id: RequestId, r: Request) {
@@ -685,40 +690,40 @@
         }
     }
 
-    fn on_state(&mut self, p: Purpose, r: StateReply) {
+    fn on_state(&mut self, p: CallContext, r: StoreReply) {
         match p {
-            Purpose::LeaderLook => self.on_leader_look(r),
-            Purpose::LeaderWatch => self.on_leader_watch(r),
-            Purpose::TypesLook => self.on_types_look(r),
-            Purpose::Grant => self.on_grant(r),
-            Purpose::Claim { lease } => self.on_claim(lease, r),
-            Purpose::ClaimLook { lease } => self.on_claim_look(lease, r),
-            Purpose::Renew { token, sent } => self.on_renew(token, sent, r),
-            Purpose::Revoke | Purpose::TypesWrite => {}
-            Purpose::Load { token, sent } => self.on_load(token, sent, r),
-            Purpose::JobWatch { token, sent } => self.on_job_watch(token, sent, r),
-            Purpose::Commit { token, serial } => self.on_commit(token, serial, r),
-            Purpose::Move { token } => self.on_move(token, r),
-            Purpose::GateLook => self.on_gate_look(r),
-            Purpose::FormatLook { token } => self.on_format_look(token, r),
-            Purpose::FormatWrite { token, format } => self.on_format_write(token, format, r),
-            Purpose::Awaited { token, id, over } => self.on_awaited(token, &id, over, r),
-            Purpose::ImagesWrite { token } => self.on_images_write(token, r),
-            Purpose::ImagesRead { token, part } => self.on_images_read(token, part, r),
-            Purpose::Reread { token, key } => self.on_reread(token, &key, r),
-            Purpose::Look => self.on_look(r),
-            Purpose::Compare => self.on_compare(r),
-            Purpose::Poll { id, over } => self.on_poll_read(&id, over, r),
-            Purpose::PollMark { id, record, version } => self.on_poll_mark(&id, &record, version, r),
-            Purpose::Parts { token, record, version, pieces } => {
+            CallContext::LeaderLook => self.on_leader_look(r),
+            CallContext::LeaderWatch => self.on_leader_watch(r),
+            CallContext::TypesLook => self.on_types_look(r),
+            CallContext::Grant => self.on_grant(r),
+            CallContext::Claim { lease } => self.on_claim(lease, r),
+            CallContext::ClaimLook { lease } => self.on_claim_look(lease, r),
+            CallContext::Renew { token, sent } => self.on_renew(token, sent, r),
+            CallContext::Revoke | CallContext::TypesWrite => {}
+            CallContext::Load { token, sent } => self.on_load(token, sent, r),
+            CallContext::JobWatch { token, sent } => self.on_job_watch(token, sent, r),
+            CallContext::Commit { token, serial } => self.on_commit(token, serial, r),
+            CallContext::Move { token } => self.on_move(token, r),
+            CallContext::GateLook => self.on_gate_look(r),
+            CallContext::FormatLook { token } => self.on_format_look(token, r),
+            CallContext::FormatWrite { token, format } => self.on_format_write(token, format, r),
+            CallContext::Awaited { token, id, over } => self.on_awaited(token, &id, over, r),
+            CallContext::ImagesWrite { token } => self.on_images_write(token, r),
+            CallContext::ImagesRead { token, part } => self.on_images_read(token, part, r),
+            CallContext::Reread { token, key } => self.on_reread(token, &key, r),
+            CallContext::Look => self.on_look(r),
+            CallContext::Compare => self.on_compare(r),
+            CallContext::Poll { id, over } => self.on_poll_read(&id, over, r),
+            CallContext::PollMark { id, record, version } => self.on_poll_mark(&id, &record, version, r),
+            CallContext::Parts { token, record, version, pieces } => {
                 self.on_parts(token, record, version, pieces, r);
             }
-            Purpose::CreateParts { id } => self.on_create_parts(&id, r),
-            Purpose::Create { id } => self.on_create(&id, r),
-            Purpose::CancelRead { id, tries, over } => self.on_cancel_read(&id, tries, over, r),
-            Purpose::CancelWrite { id, tries } => self.on_cancel_write(&id, tries, r),
-            Purpose::Hedged { n } => self.on_hedged(n, r),
-            Purpose::ReadBack { n } => self.on_read_back(n, r),
+            CallContext::CreateParts { id } => self.on_create_parts(&id, r),
+            CallContext::Create { id } => self.on_create(&id, r),
+            CallContext::CancelRead { id, tries, over } => self.on_cancel_read(&id, tries, over, r),
+            CallContext::CancelWrite { id, tries } => self.on_cancel_write(&id, tries, r),
+            CallContext::Hedged { n } => self.on_hedged(n, r),
+            CallContext::ReadBack { n } => self.on_read_back(n, r),
             _ => {}
         }
     }
@@ -740,7 +745,7 @@
         self.lead_on_time();
     }
 
-    pub(crate) fn lead(&mut self, token: u64) -> Option<&mut Lead> {
+    pub(crate) fn lead(&mut self, token: u64) -> Option<&mut LeaderState> {
         match &mut self.role {
             Role::Leader(l) if l.token == token => Some(l),
             _ => None,
--- a/crates/controller/src/machine.rs
+++ b/crates/controller/src/machine.rs
@@ -1,15 +1,15 @@
 //! A machine as the leader knows it.
 
 use crate::messages::Time;
-use crate::one_way_partition::Ears;
-use protocol::worker::{Report, TaskReport};
-use settings::Derived;
-use sharding::Source;
+use crate::one_way_partition::InboundReachability;
+use protocol::worker::{Heartbeat, TaskStatus};
+use settings::Timing;
+use sharding::ProxyId;
 use std::collections::BTreeSet;
 use tracing::warn;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Life {
+pub enum MachinePhase {
     /// Rented, its worker not heard yet.
     Booting,
     Up,
@@ -27,7 +27,7 @@
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub life: Life,
+    pub life: MachinePhase,
     /// Rental, or when it was first known.
     pub since: Time,
     /// The worker's newest (session, seq), and the token it had seen then.
@@ -41,7 +41,7 @@
     /// The token that it had seen by then.
     pub content_token: u64,
     /// The node that took its newest report, if not this one.
-    pub via: Option<Source>,
+    pub via: Option<ProxyId>,
     /// When its newest report came to a node that no command had asked for.
     pub reported: Option<Time>,
     /// When its report last showed just what is placed there, with nothing to be
@@ -57,7 +57,7 @@
     /// report may have been held for minutes and speak of a machine long gone.
     pub doubted: Option<Time>,
     /// Whether it hears what it is answered.
-    pub ears: Ears,
+    pub ears: InboundReachability,
     /// Since when this leader has taken it for up.
     pub up_since: Time,
     /// It was silent for too long and is given back.
@@ -65,7 +65,7 @@
     pub listed: bool,
     /// Cloud takes it away at that time.
     pub notice_until: Option<Time>,
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
     /// Images its tasks needed, with when last and how large; the latest first.
     images: Vec<(u32, Time, f64)>,
     pub idle_since: Time,
@@ -85,7 +85,7 @@
             machine_type: machine_type.to_string(),
             zone: zone.to_string(),
             spot,
-            life: Life::Booting,
+            life: MachinePhase::Booting,
             since: now,
             newest: (0, 0),
             newest_beat: (0, 0),
@@ -99,7 +99,7 @@
             heard: None,
             answered: now,
             doubted: None,
-            ears: Ears::default(),
+            ears: InboundReachability::default(),
             up_since: now,
             given_up: false,
             listed: false,
@@ -136,7 +136,7 @@
     }
 
     /// Takes what a newer report says.
-    pub fn update(&mut self, r: &Report, now: Time) {
+    pub fn update(&mut self, r: &Heartbeat, now: Time) {
         self.newest = (r.session, r.seq);
         self.content = self.newest;
         self.content_token = r.token;
@@ -152,8 +152,8 @@
 
     /// It is up, whether it was heard or the list says so.
     pub fn is_up(&mut self, now: Time) {
-        if self.life == Life::Booting {
-            self.life = Life::Up;
+        if self.life == MachinePhase::Booting {
+            self.life = MachinePhase::Up;
             (self.up_since, self.idle_since) = (now, now);
         }
     }
@@ -161,18 +161,18 @@
     /// How long nothing has been heard of it, if it is up.
     pub fn silence(&self, now: Time) -> Time {
         match self.life {
-            Life::Up => now - self.heard.unwrap_or(self.up_since),
+            MachinePhase::Up => now - self.heard.unwrap_or(self.up_since),
             _ => 0.0,
         }
     }
 
     /// Whether it is up, but has missed reports: no work goes there.
-    pub fn quiet(&self, now: Time, d: &Derived) -> bool {
+    pub fn quiet(&self, now: Time, d: &Timing) -> bool {
         self.silence(now) > d.silent_s / 2.0
     }
 
     /// Whether it was heard and has missed no reports since.
-    pub fn heard_lately(&self, now: Time, d: &Derived) -> bool {
+    pub fn heard_lately(&self, now: Time, d: &Timing) -> bool {
         self.heard.is_some() && !self.quiet(now, d)
     }
 
@@ -189,8 +189,8 @@
     }
 
     /// A later report that says the same as the last one in full.
-    pub fn repeated(&self, seq: u64) -> Report {
-        Report {
+    pub fn repeated(&self, seq: u64) -> Heartbeat {
+        Heartbeat {
             machine: self.id.clone(),
             addr: self.addr.clone(),
             machine_type: self.machine_type.clone(),
@@ -238,7 +238,7 @@
 
     pub fn takes_work(&self) -> bool {
         let troubled = self.sick || self.accused.is_some() || self.doubted.is_some() || self.ears.deaf();
-        self.life != Life::Leaving && self.notice_until.is_none() && !troubled
+        self.life != MachinePhase::Leaving && self.notice_until.is_none() && !troubled
     }
 }
 
--- a/crates/controller/src/messages.rs
+++ b/crates/controller/src/messages.rs
@@ -1,10 +1,10 @@
 //! What goes into the core and what comes out of it.
 
 use crate::records::Value;
-use protocol::cloud::{MachineList, MachineTypes, Machines, Rent};
-use protocol::peer::{RelayReply, RelayRequest, View};
-use protocol::state::{Conflict, Events, Item, Page, Txn};
-use protocol::worker::{DirectCommands, Report};
+use protocol::cloud::{MachineList, MachineTypes, Machines, RentRequest};
+use protocol::peer::{ForwardReply, ForwardRequest, View};
+use protocol::state::{CasConflict, Events, Item, Page, Transaction};
+use protocol::worker::{DirectCommands, Heartbeat};
 
 /// Seconds on the steady clock.
 pub type Time = f64;
@@ -21,17 +21,17 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Answer {
+pub struct HttpResponse {
     pub status: u16,
     pub body: Vec<u8>,
     pub retry_after_s: Option<u32>,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum StateOp {
+pub enum StoreRequest {
     Get(String),
     List { prefix: String, after: Option<String> },
-    Commit(Txn<Value>),
+    Commit(Transaction<Value>),
     Grant { ttl_ms: u64 },
     Renew(u64),
     Revoke(u64),
@@ -39,12 +39,12 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum StateReply {
+pub enum StoreReply {
     Item(Item<Value>),
     Missing(u64),
     Page(Page<Value>),
     Committed(u64),
-    Conflict(Conflict),
+    Conflict(CasConflict),
     Granted(u64),
     Done,
     Events(Events<Value>),
@@ -62,10 +62,10 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum CloudOp {
+pub enum CloudRequest {
     Types,
     List { after: Option<String> },
-    Rent(Rent),
+    Rent(RentRequest),
     Delete(Vec<String>),
 }
 
@@ -86,7 +86,7 @@
     /// 200 or 409, with the worker's report.
     Report {
         executed: bool,
-        report: Box<Report>,
+        report: Box<Heartbeat>,
     },
     Failed,
 }
@@ -95,25 +95,25 @@
 pub enum Input {
     Tick,
     Request(RequestId, Request),
-    State(CallId, StateReply),
+    State(CallId, StoreReply),
     Cloud(CallId, CloudReply),
     Worker(CallId, WorkerReply),
     /// What another controller sees.
     Peer(View),
     /// Workers' reports that another controller passes on.
-    RelayRequest(RequestId, RelayRequest),
+    RelayRequest(RequestId, ForwardRequest),
     /// None: no reply came, or too late.
-    RelayReply(CallId, Option<RelayReply>),
+    RelayReply(CallId, Option<ForwardReply>),
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    Answer(RequestId, Answer),
-    State(CallId, StateOp),
-    Cloud(CallId, CloudOp),
+    Answer(RequestId, HttpResponse),
+    State(CallId, StoreRequest),
+    Cloud(CallId, CloudRequest),
     Worker(CallId, String, DirectCommands),
     /// Passes reports to the controller of that name.
-    Relay(CallId, String, RelayRequest),
+    Relay(CallId, String, ForwardRequest),
     /// Answers another controller's relay.
-    RelayReply(RequestId, RelayReply),
+    RelayReply(RequestId, ForwardReply),
 }
--- a/crates/controller/src/one_way_partition.rs
+++ b/crates/controller/src/one_way_partition.rs
@@ -8,7 +8,7 @@
 /// and were answered has heard none of the answers; one whose session outlasts a lease has
 /// heard one.
 #[derive(Debug, Clone, Default)]
-pub struct Ears {
+pub struct InboundReachability {
     /// When the present session's first report came.
     since: Time,
     /// Since when reports have come without a pause.
@@ -21,9 +21,9 @@
 /// leases of all workers end, and that says nothing of their ears. (After an outage of the state
 /// service that was longer than three leases, it once gave the whole fleet back as deaf.)
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Voice(Option<Time>);
+pub struct LeaderResponsiveness(Option<Time>);
 
-impl Voice {
+impl LeaderResponsiveness {
     /// Looks whether reports are answered `now`.
     pub fn look(&mut self, now: Time, answers: bool) {
         self.0 = if answers { self.0.or(Some(now)) } else { None };
@@ -37,7 +37,7 @@
 
 /// By what it is judged.
 #[derive(Debug, Clone, Copy)]
-pub struct Pace {
+pub struct HeartbeatTiming {
     /// Reports at most that far apart come without a pause, tries of other nodes in between.
     pub gap_s: Time,
     /// When a lease is over for certain.
@@ -49,11 +49,18 @@
 /// Leases after which it is given back: as long as machines out of reach are kept.
 const MOST_MISSED: u32 = 3;
 
-impl Ears {
+impl InboundReachability {
     /// A report came at `came` with a session of that number, the last before it at `last`
     /// with session `old` (0: none). True if the machine turns out to hear nothing.
-    pub fn note(&mut self, old: u64, new: u64, last: Option<Time>, came: Time, pace: &Pace) -> bool {
-        let Pace { gap_s, lease_s, voice } = *pace;
+    pub fn note(
+        &mut self,
+        old: u64,
+        new: u64,
+        last: Option<Time>,
+        came: Time,
+        pace: &HeartbeatTiming,
+    ) -> bool {
+        let HeartbeatTiming { gap_s, lease_s, voice } = *pace;
         let before = self.missed;
         if last.is_none_or(|l| came - l > gap_s) {
             self.without_pause = came;
@@ -85,10 +92,10 @@
 mod tests {
     use super::*;
 
-    const PACE: Pace = Pace { gap_s: 9.0, lease_s: 19.5, voice: 0.0 };
+    const PACE: HeartbeatTiming = HeartbeatTiming { gap_s: 9.0, lease_s: 19.5, voice: 0.0 };
 
     /// Reports every `gap` seconds, of a session that is one higher every `lease` seconds.
-    fn run(ears: &mut Ears, from: Time, to: Time, gap: Time, lease: Option<Time>) {
+    fn run(ears: &mut InboundReachability, from: Time, to: Time, gap: Time, lease: Option<Time>) {
         let (mut at, mut session) = (from, 1 + from as u64);
         let mut begun = from;
         ears.note(0, session, None, at, &PACE);
@@ -105,7 +112,7 @@
 
     #[test]
     fn sessions_that_end_in_the_middle_of_reports_tell() {
-        let mut ears = Ears::default();
+        let mut ears = InboundReachability::default();
         run(&mut ears, 0.0, 60.0, 3.0, None);
         assert!(!ears.deaf());
         run(&mut ears, 60.0, 85.0, 5.0, Some(19.0));
@@ -116,7 +123,7 @@
         run(&mut ears, 200.0, 270.0, 5.0, Some(19.0));
         assert!(ears.hopeless());
         // Silent for longer than its lease: its reports did not arrive either.
-        let mut cut = Ears::default();
+        let mut cut = InboundReachability::default();
         cut.note(0, 1, None, 0.0, &PACE);
         assert!(!cut.note(1, 2, Some(0.0), 30.0, &PACE));
         // Or they were held, and come at once.
@@ -125,13 +132,13 @@
         }
         assert!(!cut.deaf());
         // Or nobody was answered until a moment ago.
-        let mut unanswered = Ears::default();
+        let mut unanswered = InboundReachability::default();
         unanswered.note(0, 1, None, 0.0, &PACE);
         (1..6).for_each(|n| {
             let at = f64::from(n) * 5.0;
-            unanswered.note(1, 1, Some(at - 5.0), at, &Pace { voice: at, ..PACE });
+            unanswered.note(1, 1, Some(at - 5.0), at, &HeartbeatTiming { voice: at, ..PACE });
         });
-        assert!(!unanswered.note(1, 2, Some(25.0), 30.0, &Pace { voice: 20.0, ..PACE }));
+        assert!(!unanswered.note(1, 2, Some(25.0), 30.0, &HeartbeatTiming { voice: 20.0, ..PACE }));
         assert!(unanswered.clone().note(1, 2, Some(25.0), 30.0, &PACE));
     }
 }
--- a/crates/controller/src/page_layout.rs
+++ b/crates/controller/src/page_layout.rs
@@ -6,12 +6,12 @@
 //! the old one does. So a job of any size can be divided anew a few values at a time.
 
 use crate::records::{page_key, tasks_per_page};
-use crate::store_limits::Limits;
+use crate::store_limits::StoreLimits;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
 #[derive(Debug, Clone)]
-pub struct Layout {
+pub struct PageLayout {
     /// Which one it is: the stored record names the one that counts.
     pub number: u32,
     /// Tasks of a page.
@@ -28,13 +28,13 @@
     left: BTreeSet<(u32, usize)>,
 }
 
-impl Layout {
+impl PageLayout {
     /// As a record of a job of `tasks` tasks shows it. One that an earlier version made may
     /// fill values of the present limits only.
-    pub fn stored(per_page: u32, number: u32, tasks: u32, spec_size: usize, limits: &Limits) -> Self {
+    pub fn stored(per_page: u32, number: u32, tasks: u32, spec_size: usize, limits: &StoreLimits) -> Self {
         let (per_page, tight) = (per_page.max(4), limits.value_bytes());
         let wide = per_page.min(tasks) > tasks_per_page(tight, spec_size);
-        Layout {
+        PageLayout {
             number,
             per_page,
             fit: if wide { limits.present_bytes().max(tight) } else { tight },
--- a/crates/controller/src/pending_kills.rs
+++ b/crates/controller/src/pending_kills.rs
@@ -4,7 +4,7 @@
 //! nothing else.
 
 use crate::leader::Role;
-use crate::{Core, Purpose, Time, WorkerReply};
+use crate::{CallContext, Controller, Time, WorkerReply};
 use protocol::worker::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,27 +12,27 @@
 pub const MOST_COMMANDS: usize = 400;
 
 /// When a machine is told again.
-struct Again {
+struct RetryBackoff {
     at: Time,
     pause: Time,
 }
 
 /// Which jobs and machines have something to be stopped.
 #[derive(Default)]
-pub struct Stops {
+pub struct PendingKills {
     /// Jobs with tasks that are to be stopped and may not know it yet.
     jobs: BTreeSet<String>,
     /// Machines with such tasks, which only the leader may answer.
     machines: BTreeSet<String>,
     /// Machines that are told again, unless there is proof by then.
-    again: BTreeMap<String, Again>,
+    again: BTreeMap<String, RetryBackoff>,
     /// Nothing of that is due before.
     next: Time,
     /// Calls on their way.
     calls: usize,
 }
 
-impl Stops {
+impl PendingKills {
     /// Tasks of job `id` may be newly under a stop.
     pub fn look_at(&mut self, id: &str) {
         self.jobs.insert(id.to_string());
@@ -60,7 +60,7 @@
     fn told(&mut self, machine: &str, now: Time, first: Time, longest: Time) {
         let before = self.again.get(machine).map(|a| a.pause);
         let pause = before.map_or(first, |p| (p * 2.0).min(longest));
-        self.again.insert(machine.to_string(), Again { at: now + pause, pause });
+        self.again.insert(machine.to_string(), RetryBackoff { at: now + pause, pause });
         self.next = self.next.min(now + pause);
     }
 
@@ -77,7 +77,7 @@
     }
 }
 
-impl Core {
+impl Controller {
     /// Tasks of job `id` may be newly under a stop: `send_stops` looks there.
     pub(crate) fn stop_now(&mut self, id: &str) {
         if let Role::Leader(l) = &mut self.role {
@@ -123,7 +123,7 @@
             let Some(p) = l.jobs.get(&id).and_then(|j| j.places.get(&task)) else { continue };
             let Some((_, grace)) = p.stopping.filter(|_| p.seen.is_some() || p.sent) else { continue };
             let (task, grace_s) = (task_name(&id, task), Some(grace));
-            commands.push(Command { op: Verb::Stop, task, attempt: p.attempt, grace_s });
+            commands.push(Command { op: CommandKind::Stop, task, attempt: p.attempt, grace_s });
         }
         commands.truncate(MOST_COMMANDS);
         if commands.is_empty() {
@@ -142,7 +142,7 @@
         l.stops.calls += 1;
         let machine = machine.to_string();
         let body = DirectCommands { token, session, commands };
-        self.direct(Purpose::Direct { token, machine, session }, &addr, body);
+        self.direct(CallContext::Direct { token, machine, session }, &addr, body);
     }
 
     /// The answer to a direct command that named `session`.
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -111,7 +111,7 @@
     Types(Vec<MachineType>),
     Job(Box<JobRecord>),
     Page(PageRecord),
-    Over(OverRecord),
+    Over(TerminalRecord),
     Images(ImagesRecord),
     Format(u32),
     /// A piece of a specification's text.
@@ -138,7 +138,7 @@
 
 /// What is left of a job that is over: all that users are ever told of it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct OverRecord {
+pub struct TerminalRecord {
     pub status: JobStatus,
     pub done: u32,
     /// Time of day of the submission, in seconds.
@@ -216,7 +216,7 @@
     /// Where its specification is, if that is too large for a record: `spec` has no lists
     /// and no image then.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub parts: Option<Parts>,
+    pub parts: Option<SpecChunks>,
     /// Number of the layout of its pages: only those of this one count.
     #[serde(default, skip_serializing_if = "is_first")]
     pub layout: u32,
@@ -252,7 +252,7 @@
 /// Where the text of a specification lies: `count` values under a name that no other
 /// submission has used.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Parts {
+pub struct SpecChunks {
     pub nonce: String,
     pub count: u32,
 }
@@ -260,7 +260,7 @@
 /// What naming its parts takes of a record.
 pub const PARTS_BYTES: usize = 80;
 
-impl Parts {
+impl SpecChunks {
     /// The prefix of the keys, which are in the order of the text.
     pub fn prefix(&self, id: &str) -> String {
         format!("{PARTS_PREFIX}{id}/{}/", self.nonce)
@@ -317,7 +317,7 @@
     /// fit. Nothing of theirs counts before the record is written that names them.
     pub fn split(self, nonce: String, fit: usize) -> (Self, Vec<(String, Value)>) {
         let pieces = pieces(&self.spec, fit);
-        let parts = Parts { nonce, count: pieces.len() as u32 };
+        let parts = SpecChunks { nonce, count: pieces.len() as u32 };
         let keys = parts.keys(&self.spec.id);
         let values = keys.into_iter().zip(pieces.into_iter().map(Value::Part)).collect();
         let spec = stub(&self.spec);
--- a/crates/controller/src/round_trip.rs
+++ b/crates/controller/src/round_trip.rs
@@ -5,12 +5,12 @@
 /// Smoothed mean and mean deviation of answer times, as TCP estimates its round trips (RFC 6298).
 /// What is never answered counts nothing: it says nothing of how long an answer takes.
 #[derive(Debug, Default)]
-pub struct RoundTrip {
+pub struct RoundTripEstimator {
     mean: Option<Time>,
     deviation: Time,
 }
 
-impl RoundTrip {
+impl RoundTripEstimator {
     /// A call was answered after `took` seconds.
     pub fn note(&mut self, took: Time) {
         match self.mean {
--- a/crates/controller/src/scheduling.rs
+++ b/crates/controller/src/scheduling.rs
@@ -1,20 +1,20 @@
 //! Between the leader's knowledge and the planner's: what waits and what
 //! there is goes in; placements, stops and the fleet's targets come out.
 
-use crate::effective_priority::Urgency;
-use crate::fleet::Pool;
-use crate::job::{Job, Place};
+use crate::effective_priority::EffectivePriority;
+use crate::fleet::MachinePool;
+use crate::job::{Job, Placement};
 use crate::leader::Role;
 use crate::machine::Machine;
 use crate::records::StoredPlacement;
-use crate::starvation::{Floors, Gathers};
-use crate::zonal_demand::{zones_of, Ask, AtHand, Bound};
-use crate::Core;
-use planner::starvation::Floor;
-use planner::{Amounts, Busy, Problem, Victim};
+use crate::starvation::{GangReservation, StarvationGuard};
+use crate::zonal_demand::{zones_of, AvailableCapacity, CapacityRequest, ZonalDemand};
+use crate::Controller;
+use planner::starvation::StarvationPolicy;
+use planner::{PreemptionCandidate, Problem, Resources, RunningTask};
 use protocol::cloud::MachineType;
 use protocol::job::{JobSpec, Priority, Shape};
-use protocol::worker::{split_task, TaskReport, TaskState};
+use protocol::worker::{split_task, TaskState, TaskStatus};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use tracing::{debug, info};
 
@@ -24,17 +24,17 @@
     log_ratio: f64,
     samples: u32,
     /// What was asked of its jobs by those that needed them.
-    pub needed: crate::effective_priority::Needed,
+    pub needed: crate::effective_priority::InheritedDemand,
     /// Times of the last arrivals.
     arrivals: VecDeque<f64>,
     /// Where its jobs run cheapest: pool, machines per job (running means of
     /// the number and of its square), and the pool's boot time.
-    pub pool: Option<Usual>,
+    pub pool: Option<TypicalDemand>,
 }
 
 #[derive(Debug, Clone)]
-pub struct Usual {
-    pub pool: Pool,
+pub struct TypicalDemand {
+    pub pool: MachinePool,
     pub machines: f64,
     pub squared: f64,
     pub boot_s: f64,
@@ -49,14 +49,15 @@
         let weight = 1.0 / f64::from(self.samples.min(20) + 2);
         self.log_ratio += (ratio.clamp(0.1, 10.0).ln() - self.log_ratio) * weight;
     }
-    pub fn arrived(&mut self, at: f64, pool: Option<(Pool, f64, f64)>) {
+    pub fn arrived(&mut self, at: f64, pool: Option<(MachinePool, f64, f64)>) {
         self.arrivals.push_back(at);
         if self.arrivals.len() > ARRIVALS {
             self.arrivals.pop_front();
         }
         if let Some((pool, machines, boot_s)) = pool {
             let squared = machines * machines;
-            let usual = self.pool.get_or_insert(Usual { pool: pool.clone(), machines, squared, boot_s });
+            let usual =
+                self.pool.get_or_insert(TypicalDemand { pool: pool.clone(), machines, squared, boot_s });
             usual.machines += (machines - usual.machines) / 4.0;
             usual.squared += (squared - usual.squared) / 8.0;
             (usual.pool, usual.boot_s) = (pool, boot_s);
@@ -77,16 +78,16 @@
     }
 }
 
-pub(crate) fn needs(s: &JobSpec) -> Amounts {
-    Amounts::new(s.cores, s.accelerators, s.memory_gb)
+pub(crate) fn needs(s: &JobSpec) -> Resources {
+    Resources::new(s.cores, s.accelerators, s.memory_gb)
 }
 
-fn size_of(t: &MachineType) -> Amounts {
-    Amounts::new(t.cores, t.accelerators, t.memory_gb)
+fn size_of(t: &MachineType) -> Resources {
+    Resources::new(t.cores, t.accelerators, t.memory_gb)
 }
 
 /// What a second of such a task costs on a machine that is full of them.
-fn task_price(t: &MachineType, need: &Amounts, spot: bool) -> Option<f64> {
+fn task_price(t: &MachineType, need: &Resources, spot: bool) -> Option<f64> {
     let side = size_of(t).count(need);
     let price = if spot { t.spot_price } else { t.price };
     (side > 0 && price > 0.0).then(|| price / f64::from(side))
@@ -116,7 +117,7 @@
 /// What stopping a running task would lose, and how long it would take; None
 /// if it is not to be stopped for others. A gang of several tasks is left
 /// alone: its orderly stop costs all of its machines.
-fn victim(job: &Job, p: &Place, now: f64) -> Option<(f64, f64)> {
+fn victim(job: &Job, p: &Placement, now: f64) -> Option<(f64, f64)> {
     let stoppable = p.seen.is_some()
         && p.stopping.is_none()
         && !job.is_final()
@@ -153,7 +154,7 @@
 const STEPS_A_MACHINE: u64 = 8;
 const STEPS_A_PLACE: u64 = 3;
 
-impl Core {
+impl Controller {
     /// Whether a job that went first because it was overdue has only just begun: until it has run for a
     /// lease it is not stopped. (The one task that an array got after minutes was once stopped for more
     /// urgent work before it had its image, again and again.)
@@ -176,7 +177,7 @@
             return;
         }
         let need = needs(spec);
-        let mut best: Option<(f64, Pool, f64, f64)> = None;
+        let mut best: Option<(f64, MachinePool, f64, f64)> = None;
         for t in self.types.iter().flatten() {
             let allowed = spec.types.as_ref().is_none_or(|l| l.contains(&t.name));
             let side = size_of(t).count(&need);
@@ -219,7 +220,7 @@
                 continue;
             }
             // What runs there takes nobody knows how much.
-            let unread = |t: &TaskReport| {
+            let unread = |t: &TaskStatus| {
                 t.state != TaskState::Exited && split_task(&t.task).is_some_and(|(id, _)| l.unread.has(id))
             };
             if !l.unread.is_empty() && m.tasks.iter().any(unread) {
@@ -284,8 +285,8 @@
             }
             covered[team] = c;
         }
-        let floor = Floor { share: FLOOR, patience_s: self.d.starving_s, keeps_s: self.d.keeps_s };
-        let mut floors = Floors::new(floor, machines.iter().map(|m| size_of(&types[m.kind])));
+        let floor = StarvationPolicy { share: FLOOR, patience_s: self.d.starving_s, keeps_s: self.d.keeps_s };
+        let mut floors = StarvationGuard::new(floor, machines.iter().map(|m| size_of(&types[m.kind])));
         let mut owners: Vec<(String, u32)> = Vec::new();
         let mut steps = STEPS_A_MACHINE * machines.len() as u64;
         // Machines by what is on them: work that somebody waits for, or not.
@@ -320,9 +321,9 @@
                     };
                     let victim = victim(job, p, now).filter(|_| !spared).map(|(lost_s, stop_s)| {
                         owners.push((id.clone(), *task));
-                        Victim { owner: owners.len() - 1, lost_s, stop_s }
+                        PreemptionCandidate { owner: owners.len() - 1, lost_s, stop_s }
                     });
-                    machines[m].busy.push(Busy {
+                    machines[m].busy.push(RunningTask {
                         end: end.max(now + 0.5),
                         endless: job.spec.shape == Shape::Service && p.stopping.is_none(),
                         takes: need,
@@ -353,7 +354,7 @@
             free.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
             kept.extend(free.into_iter().take(*n as usize).map(|f| f.1));
         }
-        let mut open_jobs: Vec<(Urgency, usize, &String, &Job)> = Vec::new();
+        let mut open_jobs: Vec<(EffectivePriority, usize, &String, &Job)> = Vec::new();
         let mut ids: Vec<String> = Vec::new();
         let mut jobs: Vec<planner::Job> = Vec::new();
         for (id, job) in by_age {
@@ -528,7 +529,7 @@
             now,
             types: types
                 .iter()
-                .map(|t| planner::Type {
+                .map(|t| planner::InstanceType {
                     size: size_of(t),
                     price: t.price,
                     spot_price: t.spot_price,
@@ -543,10 +544,10 @@
             patience_s: if self.operator.preempt { self.settings.params.workers.report_s } else { f64::MAX },
         };
         let made = planner::plan(&problem);
-        let passed: Vec<(String, dependencies::Passed)> = passed.into_iter().collect();
+        let passed: Vec<(String, dependencies::InheritedPriority)> = passed.into_iter().collect();
         let effort = (made.steps + steps) as f64 / (PLAN_STEPS * self.settings.params.resources.cpu_share);
         if let Role::Leader(l) = &mut self.role {
-            l.gathers = Gathers(made.gathers.map(|(i, zone)| (ids[i].clone(), zone)));
+            l.gathers = GangReservation(made.gathers.map(|(i, zone)| (ids[i].clone(), zone)));
             l.beside.look(now, &made.beside.iter().map(|&i| ids[i].as_str()).collect());
             if l.starving != starving {
                 info!(?starving, "classes and teams under their floors");
@@ -630,11 +631,11 @@
         let now = self.now;
         let (reserve_share, d, guards) = (self.operator.reserve, self.d, self.guards);
         let Role::Leader(l) = &mut self.role else { return };
-        let mut rooms: BTreeMap<Pool, f64> = BTreeMap::new();
+        let mut rooms: BTreeMap<MachinePool, f64> = BTreeMap::new();
         // Machines without work, booting ones included, by type and zone.
         let placed: HashSet<&str> =
             l.jobs.values().flat_map(|j| j.places.values()).map(|p| p.machine.as_str()).collect();
-        let (mut at_hand, mut idle) = (AtHand::default(), AtHand::default());
+        let (mut at_hand, mut idle) = (AvailableCapacity::default(), AvailableCapacity::default());
         // What is out of reach is not there.
         let reach = &l.fleet.reach;
         let there = |m: &&Machine| m.takes_work() && !reach.is_dark(&m.zone);
@@ -643,7 +644,7 @@
             idle.add(&m.machine_type, &m.zone, m.spot, u32::from(m.heard.is_some()));
         }
         let zones = zones_of(types);
-        let mut bound = Bound {
+        let mut bound = ZonalDemand {
             now,
             types,
             zones: &zones,
@@ -655,7 +656,7 @@
             need: BTreeMap::new(),
             more: BTreeMap::new(),
         };
-        let mut need: BTreeMap<Pool, f64> = BTreeMap::new();
+        let mut need: BTreeMap<MachinePool, f64> = BTreeMap::new();
         for u in &made.unmet {
             // Work that will be in time where it is planned needs no machine
             // more, unless its guarantee asks for a start now.
@@ -667,7 +668,7 @@
                 continue;
             }
             let job = &p.jobs[i];
-            let mut pools: Vec<(f64, Pool, f64)> = Vec::new();
+            let mut pools: Vec<(f64, MachinePool, f64)> = Vec::new();
             for &k in &job.kinds {
                 let side = p.types[k].size.count(&job.needs);
                 if side == 0 {
@@ -686,7 +687,7 @@
             }
             pools.sort_by(|a, b| a.0.total_cmp(&b.0));
             let mut left = f64::from(tasks);
-            let ask = Ask { job, tasks: left, pools: &pools };
+            let ask = CapacityRequest { job, tasks: left, pools: &pools };
             if guards.bound && bound.want(&ask) {
                 continue;
             }
@@ -707,16 +708,16 @@
                 }
             }
         }
-        let Bound { zoned, gathering, need: bound, more, .. } = bound;
+        let ZonalDemand { zoned, gathering, need: bound, more, .. } = bound;
         for (pool, n) in bound {
             *need.entry(pool).or_insert(0.0) += n;
         }
         // A leader that acts again has not heard yet what was there before.
         let back = l.standing.held_s(now) < d.back_s;
-        let mut used: BTreeMap<Pool, f64> = BTreeMap::new();
+        let mut used: BTreeMap<MachinePool, f64> = BTreeMap::new();
         // Machines that will take work without being rented: they boot, or are not heard again yet.
-        let mut booting: BTreeMap<Pool, u32> = BTreeMap::new();
-        let mut have: BTreeMap<Pool, u32> = BTreeMap::new();
+        let mut booting: BTreeMap<MachinePool, u32> = BTreeMap::new();
+        let mut have: BTreeMap<MachinePool, u32> = BTreeMap::new();
         for m in l.machines.values().filter(there) {
             let pool = (m.machine_type.clone(), m.spot);
             *have.entry(pool.clone()).or_insert(0) += 1;
@@ -732,7 +733,7 @@
         // What usually comes while a machine boots, by pool: its mean and, as
         // jobs come and end like throws of dice, the variance of how many
         // machines' worth come less how many end.
-        let mut usual: BTreeMap<Pool, (f64, f64)> = BTreeMap::new();
+        let mut usual: BTreeMap<MachinePool, (f64, f64)> = BTreeMap::new();
         for class in l.classes.values() {
             if let Some(u) = &class.pool {
                 let jobs = class.rate(now) * u.boot_s;
@@ -743,14 +744,15 @@
         }
         // Work that ends gives its machines to what comes, so with many jobs
         // only the surplus of a bad moment needs a reserve.
-        let surplus = |pool: &Pool| usual.get(pool).map_or(0.0, |u| SURPLUS * u.1.sqrt() * reserve_share);
-        let reserve = |pool: &Pool| {
+        let surplus =
+            |pool: &MachinePool| usual.get(pool).map_or(0.0, |u| SURPLUS * u.1.sqrt() * reserve_share);
+        let reserve = |pool: &MachinePool| {
             let mean = usual.get(pool).map_or(0.0, |u| u.0 * reserve_share);
             mean.min(surplus(pool))
         };
-        let mut ample: BTreeMap<Pool, u32> = BTreeMap::new();
-        let mut wanted: BTreeMap<Pool, u32> = BTreeMap::new();
-        let mut target: BTreeMap<Pool, u32> = BTreeMap::new();
+        let mut ample: BTreeMap<MachinePool, u32> = BTreeMap::new();
+        let mut wanted: BTreeMap<MachinePool, u32> = BTreeMap::new();
+        let mut target: BTreeMap<MachinePool, u32> = BTreeMap::new();
         for t in types {
             for spot in [true, false] {
                 let pool = (t.name.clone(), spot);
@@ -768,7 +770,7 @@
                 }
             }
         }
-        let mut in_zones: BTreeMap<&Pool, u32> = BTreeMap::new();
+        let mut in_zones: BTreeMap<&MachinePool, u32> = BTreeMap::new();
         for ((pool, _), n) in &zoned {
             *in_zones.entry(pool).or_insert(0) += n;
         }
--- a/crates/controller/src/spec_chunks.rs
+++ b/crates/controller/src/spec_chunks.rs
@@ -2,20 +2,20 @@
 //! were stored before the record that names them.
 
 use crate::records::*;
-use crate::{Core, Purpose, StateOp, StateReply, Time};
-use protocol::state::{Change, Condition, Txn};
+use crate::{CallContext, Controller, StoreReply, StoreRequest, Time};
+use protocol::state::{Compare, Mutation, Transaction};
 use std::collections::BTreeMap;
 
 /// What a leader has read of parts, before the records that name them.
 #[derive(Default)]
-pub struct PartsRead {
+pub struct ChunkReader {
     pieces: BTreeMap<(String, String), Vec<(String, String)>>,
 }
 
-impl PartsRead {
+impl ChunkReader {
     /// A part was listed; parts come in the order of their keys.
     pub fn take(&mut self, key: &str, text: String) {
-        if let Some((id, nonce)) = Parts::of_key(key) {
+        if let Some((id, nonce)) = SpecChunks::of_key(key) {
             let of = self.pieces.entry((id.to_string(), nonce.to_string())).or_default();
             of.push((key.to_string(), text));
         }
@@ -44,8 +44,8 @@
 }
 
 /// What has to hold for a job to be new.
-pub fn new_job(id: &str) -> Vec<Condition> {
-    [job_key(id), over_key(id)].map(|key| Condition { key, version: 0 }).into()
+pub fn new_job(id: &str) -> Vec<Compare> {
+    [job_key(id), over_key(id)].map(|key| Compare { key, version: 0 }).into()
 }
 
 fn begun(nonce: &str) -> Option<Time> {
@@ -53,7 +53,7 @@
     u64::from_str_radix(at, 16).ok().map(|at| at as Time)
 }
 
-impl Core {
+impl Controller {
     /// Stores the next parts of a submission, or at last its record.
     pub(crate) fn create_parts(&mut self, id: &str) {
         let most = self.limits.changes();
@@ -66,20 +66,20 @@
                 break;
             }
             room = room.saturating_sub(size);
-            changes.push(Change::Put { key, value, lease: None });
+            changes.push(Mutation::Put { key, value, lease: None });
         }
         if changes.is_empty() {
             return self.create_record(id);
         }
         self.writes.take(self.now, changes.len() as f64);
         // (Repetitions of a known submission once left parts that nobody named.)
-        let txn = Txn { conditions: new_job(id), changes };
-        self.commit_hedged(Purpose::CreateParts { id: id.to_string() }, txn);
+        let txn = Transaction { conditions: new_job(id), changes };
+        self.commit_hedged(CallContext::CreateParts { id: id.to_string() }, txn);
     }
 
-    pub(crate) fn on_create_parts(&mut self, id: &str, r: StateReply) {
+    pub(crate) fn on_create_parts(&mut self, id: &str, r: StoreReply) {
         match r {
-            StateReply::Committed(_) => self.create_parts(id),
+            StoreReply::Committed(_) => self.create_parts(id),
             // Nothing counts yet: the submission comes again, with another name for its parts.
             r => self.on_create(id, r),
         }
@@ -88,8 +88,8 @@
     /// Reads the parts of a record's specification.
     pub(crate) fn read_parts(&mut self, token: Option<u64>, record: JobRecord, version: u64) {
         let Some(prefix) = record.parts.as_ref().map(|p| p.prefix(&record.spec.id)) else { return };
-        let purpose = Purpose::Parts { token, record: Box::new(record), version, pieces: Vec::new() };
-        self.state(purpose, StateOp::List { prefix, after: None });
+        let purpose = CallContext::Parts { token, record: Box::new(record), version, pieces: Vec::new() };
+        self.state(purpose, StoreRequest::List { prefix, after: None });
     }
 
     pub(crate) fn on_parts(
@@ -98,10 +98,10 @@
         mut record: Box<JobRecord>,
         version: u64,
         mut pieces: Vec<String>,
-        r: StateReply,
+        r: StoreReply,
     ) {
         let page = match r {
-            StateReply::Page(page) => page,
+            StoreReply::Page(page) => page,
             _ => return self.parts_failed(token, record, version),
         };
         let last = page.items.last().map(|i| i.key.clone());
@@ -111,8 +111,8 @@
         }));
         if let (true, Some(after)) = (page.more, last) {
             let Some(prefix) = record.parts.as_ref().map(|p| p.prefix(&record.spec.id)) else { return };
-            let purpose = Purpose::Parts { token, record, version, pieces };
-            self.state(purpose, StateOp::List { prefix, after: Some(after) });
+            let purpose = CallContext::Parts { token, record, version, pieces };
+            self.state(purpose, StoreRequest::List { prefix, after: Some(after) });
             return;
         }
         if !record.join(&pieces) {
--- a/crates/controller/src/starvation.rs
+++ b/crates/controller/src/starvation.rs
@@ -1,30 +1,30 @@
 //! Classes and teams under their floors, for one plan (see `planner::starvation`).
 
 use crate::scheduling::needs;
-use planner::starvation::{grants, keeps_until, overdue, under, Claim, Floor};
-use planner::{Amounts, Busy, Job, Shape};
+use planner::starvation::{grants, keeps_until, overdue, under, StarvationPolicy, WaitingDemand};
+use planner::{Job, Resources, RunningTask, Shape};
 use protocol::job::JobSpec;
 use std::collections::BTreeMap;
 
 /// What each class and team holds and asks for.
-pub struct Floors {
-    floor: Floor,
+pub struct StarvationGuard {
+    floor: StarvationPolicy,
     /// Size of all machines together.
-    total: Amounts,
+    total: Resources,
     /// Classes and teams by name; the flag keeps the two apart.
     groups: BTreeMap<(bool, String), usize>,
     held: Vec<f64>,
-    claims: Vec<Claim>,
+    claims: Vec<WaitingDemand>,
     /// The plan's job that each claim is of.
     of: Vec<usize>,
 }
 
-impl Floors {
-    pub fn new(floor: Floor, sizes: impl Iterator<Item = Amounts>) -> Self {
-        let mut total = Amounts::new(0.0, 0.0, 0.0);
+impl StarvationGuard {
+    pub fn new(floor: StarvationPolicy, sizes: impl Iterator<Item = Resources>) -> Self {
+        let mut total = Resources::new(0.0, 0.0, 0.0);
         sizes.for_each(|s| total.give(&s));
         let groups = BTreeMap::new();
-        Floors { floor, total, groups, held: Vec::new(), claims: Vec::new(), of: Vec::new() }
+        StarvationGuard { floor, total, groups, held: Vec::new(), claims: Vec::new(), of: Vec::new() }
     }
 
     fn groups(&mut self, s: &JobSpec) -> [usize; 2] {
@@ -60,13 +60,13 @@
         // own. (Two parts of an array once ran in two zones.)
         let whole = job.shape == Shape::Gang || job.one_zone || job.zone_cap.is_some();
         let tasks = job.waiting.len();
-        self.claims.push(Claim { groups, submitted: job.submitted, tasks, each, whole, begun });
+        self.claims.push(WaitingDemand { groups, submitted: job.submitted, tasks, each, whole, begun });
         self.of.push(at);
     }
 
     /// Lets what is under its floor go first. Part of a job's tasks becomes a job of
     /// its own, which the plan has under the same name.
-    pub fn apply(&mut self, now: f64, ids: &mut Vec<String>, jobs: &mut Vec<Job>) -> Starving {
+    pub fn apply(&mut self, now: f64, ids: &mut Vec<String>, jobs: &mut Vec<Job>) -> StarvingGroups {
         let starving = under(now, &self.floor, &self.held, &self.claims);
         let mut granted = overdue(now, &self.floor, &self.claims);
         for ((c, &i), _) in self.claims.iter().zip(&self.of).zip(&granted).filter(|(_, n)| **n > 0) {
@@ -91,15 +91,15 @@
             }
         }
         let names = self.groups.iter().filter(|(_, &g)| starving[g]);
-        Starving { names: names.map(|(name, _)| name.clone()).collect() }
+        StarvingGroups { names: names.map(|(name, _)| name.clone()).collect() }
     }
 }
 
 /// The overdue gang for which machines gather in one zone, with the plan's number of the zone.
 #[derive(Debug, Default, PartialEq)]
-pub struct Gathers(pub Option<(String, usize)>);
+pub struct GangReservation(pub Option<(String, usize)>);
 
-impl Gathers {
+impl GangReservation {
     /// The zone of job `id`, if it is that gang.
     pub fn zone_of(&self, id: &str) -> Option<usize> {
         self.0.as_ref().filter(|(gang, _)| gang == id).map(|(_, zone)| *zone)
@@ -108,11 +108,11 @@
 
 /// Classes and teams under their floors, by whether it is a team, and name.
 #[derive(Debug, Default, PartialEq)]
-pub struct Starving {
+pub struct StarvingGroups {
     names: Vec<(bool, String)>,
 }
 
-impl Starving {
+impl StarvingGroups {
     fn has(&self, s: &JobSpec) -> bool {
         self.names.iter().any(|(team, name)| *name == if *team { &s.team } else { &s.class }[..])
     }
@@ -120,7 +120,7 @@
     /// What they run is not stopped for others. `spec`: of the task's job.
     pub fn spare<'a>(
         &self,
-        busy: impl Iterator<Item = &'a mut Busy>,
+        busy: impl Iterator<Item = &'a mut RunningTask>,
         spec: impl Fn(usize) -> Option<&'a JobSpec>,
     ) {
         if self.names.is_empty() {
