--- a/crates/controller/src/status_queries.rs
+++ b/crates/controller/src/status_queries.rs
@@ -14,16 +14,16 @@
 //! record says yet: what is told of it follows from the records of those before it, as
 //! fresh as its own (`docs/pipelines.md`).
 
-use crate::cancellation_lineage::Kin;
-use crate::client_requests::Found;
+use crate::cancellation_lineage::CancellationLineage;
+use crate::client_requests::DependencyLookup;
 use crate::records::*;
-use crate::{Core, Purpose, RequestId, StateOp, StateReply, Time};
+use crate::{CallContext, Controller, RequestId, StoreReply, StoreRequest, Time};
 use protocol::job::{JobStatus, Shape};
-use protocol::state::{Condition, Event, Events, Item, Txn};
+use protocol::state::{Compare, Event, Events, Item, Transaction};
 use std::collections::{BTreeMap, HashSet};
 
 /// Who asks after a job.
-pub(crate) enum To {
+pub(crate) enum Requester {
     /// A user, and what to say if there is no such job.
     User { request: RequestId, code: u16, why: String },
     /// The submission of that job, which names it.
@@ -32,14 +32,14 @@
     Kin,
 }
 
-pub(crate) struct Ask {
-    pub to: To,
+pub(crate) struct StatusQuery {
+    pub to: Requester,
     pub id: String,
     pub at: Time,
 }
 
 /// What a poll shows of a job, as of `version`.
-pub(crate) struct Row {
+pub(crate) struct CachedJob {
     version: u64,
     pub status: JobStatus,
     done: u32,
@@ -47,13 +47,13 @@
     /// Jobs that it waits for, as far as its record tells.
     pub awaits: Vec<String>,
     /// They are in parts beside its record, which have not been read.
-    pub apart: Option<Parts>,
+    pub apart: Option<SpecChunks>,
     service: bool,
 }
 
-impl Row {
+impl CachedJob {
     fn of(r: &JobRecord, version: u64) -> Self {
-        Row {
+        CachedJob {
             version,
             status: r.status,
             done: r.done,
@@ -71,24 +71,24 @@
 }
 
 #[derive(Default)]
-pub struct Polls {
+pub struct StatusQueries {
     /// Jobs that are not over, as of `revision` or later.
-    pub(crate) rows: BTreeMap<String, Row>,
+    pub(crate) rows: BTreeMap<String, CachedJob>,
     /// Questions that wait for what is known of the jobs before.
-    pub(crate) kin: Kin,
+    pub(crate) kin: CancellationLineage,
     /// None: the copy has no beginning yet, or fell behind.
     revision: Option<u64>,
     /// Counts the copy's beginnings.
     era: u64,
     fresh_at: Time,
     /// Questions that came since the read in flight was sent.
-    asked: Vec<Ask>,
+    asked: Vec<StatusQuery>,
     /// Questions that the read in flight answers.
-    looking: Option<Vec<Ask>>,
+    looking: Option<Vec<StatusQuery>>,
     /// Ids that the copy lacks, and those that are being compared.
-    strangers: Vec<Ask>,
-    comparing: Option<Vec<Ask>>,
-    reads: BTreeMap<String, (Option<u64>, Vec<Ask>)>,
+    strangers: Vec<StatusQuery>,
+    comparing: Option<Vec<StatusQuery>>,
+    reads: BTreeMap<String, (Option<u64>, Vec<StatusQuery>)>,
     waiting: usize,
     next_read: Time,
 }
@@ -97,7 +97,7 @@
 const MOST_WAITING: usize = 4_000;
 const MOST_ROWS: usize = 20_000;
 
-impl Polls {
+impl StatusQueries {
     /// The copy as it is now, if it has begun: what is read or written from now
     /// on may be noted in it for as long as it has not begun anew, because
     /// every change made since will come to it, or has come.
@@ -115,7 +115,7 @@
 
     /// Takes in the record of a job that is not over.
     fn note(&mut self, id: &str, r: &JobRecord, version: u64) {
-        let row = Row::of(r, version);
+        let row = CachedJob::of(r, version);
         match self.rows.get_mut(id) {
             Some(old) if old.version > version || old.version == version && old.apart.is_none() => {}
             Some(old) => {
@@ -147,7 +147,7 @@
     }
 
     /// A question that the copy cannot answer.
-    pub(crate) fn ask_for(&mut self, a: Ask) {
+    pub(crate) fn ask_for(&mut self, a: StatusQuery) {
         self.strangers.push(a);
     }
 
@@ -157,7 +157,7 @@
     }
 }
 
-impl Core {
+impl Controller {
     /// Answers from a read sent after now; `code` and `why` if nobody has
     /// submitted such a job.
     pub(crate) fn inquire(&mut self, request: RequestId, id: &str, code: u16, why: &str) {
@@ -168,64 +168,66 @@
             return self.refuse(request, 503, "busy");
         }
         self.polls.waiting += 1;
-        let to = To::User { request, code, why: why.to_string() };
-        self.polls.asked.push(Ask { to, id: id.to_string(), at: self.now });
+        let to = Requester::User { request, code, why: why.to_string() };
+        self.polls.asked.push(StatusQuery { to, id: id.to_string(), at: self.now });
     }
 
     /// Submission `submission` names job `id`.
     pub(crate) fn look_up(&mut self, submission: &str, id: &str) {
         if let Some((status, _)) = self.finals.get(id) {
-            return self.vetted(submission, id, Found::Known { status, service: false });
+            return self.vetted(submission, id, DependencyLookup::Known { status, service: false });
         }
-        let to = To::Submission(submission.to_string());
-        self.polls.asked.push(Ask { to, id: id.to_string(), at: self.now });
+        let to = Requester::Submission(submission.to_string());
+        self.polls.asked.push(StatusQuery { to, id: id.to_string(), at: self.now });
     }
 
-    pub(crate) fn refuse_all(&mut self, asks: Vec<Ask>, why: &str) {
+    pub(crate) fn refuse_all(&mut self, asks: Vec<StatusQuery>, why: &str) {
         for a in asks {
             match a.to {
-                To::User { request, .. } => {
+                Requester::User { request, .. } => {
                     self.polls.waiting -= 1;
                     self.refuse(request, 503, why);
                 }
-                To::Submission(submission) => self.vetted(&submission, &a.id, Found::Later),
-                To::Kin => self.polls.kin.answered(&a.id),
+                Requester::Submission(submission) => self.vetted(&submission, &a.id, DependencyLookup::Later),
+                Requester::Kin => self.polls.kin.answered(&a.id),
             }
         }
     }
 
     /// There is no such job, by fresh knowledge.
-    fn deny_all(&mut self, asks: Vec<Ask>) {
+    fn deny_all(&mut self, asks: Vec<StatusQuery>) {
         for a in asks {
             match a.to {
-                To::User { request, code, why } => {
+                Requester::User { request, code, why } => {
                     self.polls.waiting -= 1;
                     self.refuse(request, code, &why);
                 }
-                To::Submission(submission) => self.vetted(&submission, &a.id, Found::Missing),
-                To::Kin => self.polls.kin.answered(&a.id),
+                Requester::Submission(submission) => {
+                    self.vetted(&submission, &a.id, DependencyLookup::Missing)
+                }
+                Requester::Kin => self.polls.kin.answered(&a.id),
             }
         }
     }
 
     /// Says how a job is.
-    fn say(&mut self, a: Ask, status: JobStatus, counts: (u32, u32), service: bool) {
+    fn say(&mut self, a: StatusQuery, status: JobStatus, counts: (u32, u32), service: bool) {
         match a.to {
-            To::User { request, .. } => {
+            Requester::User { request, .. } => {
                 self.polls.waiting -= 1;
                 self.view(request, 200, &a.id, status, Some(counts));
             }
-            To::Submission(submission) => {
-                self.vetted(&submission, &a.id, Found::Known { status, service });
+            Requester::Submission(submission) => {
+                self.vetted(&submission, &a.id, DependencyLookup::Known { status, service });
             }
-            To::Kin => self.polls.kin.answered(&a.id),
+            Requester::Kin => self.polls.kin.answered(&a.id),
         }
     }
 
     /// Answers from the copy if the job is there, or has the jobs before it looked up first;
     /// else gives the question back. `clear`: jobs that are known by now not to be
     /// cancelled with any before them.
-    pub(crate) fn tell(&mut self, a: Ask, clear: &mut HashSet<String>) -> Option<Ask> {
+    pub(crate) fn tell(&mut self, a: StatusQuery, clear: &mut HashSet<String>) -> Option<StatusQuery> {
         if let Some((status, done)) = self.finals.get(&a.id) {
             self.say(a, status, (done, 0), false);
             return None;
@@ -236,7 +238,7 @@
             return Some(a);
         }
         // What only a later job's question asks is its own record, which is known now.
-        if !row.waits() || matches!(a.to, To::Kin) {
+        if !row.waits() || matches!(a.to, Requester::Kin) {
             self.say(a, status, counts, service);
             return None;
         }
@@ -284,18 +286,21 @@
             keys.sort();
             keys.dedup();
             p.comparing = Some(asks);
-            let conditions = keys.into_iter().map(|key| Condition { key, version: 0 }).collect();
-            self.commit_hedged(Purpose::Compare, Txn { conditions, changes: Vec::new() });
+            let conditions = keys.into_iter().map(|key| Compare { key, version: 0 }).collect();
+            self.commit_hedged(CallContext::Compare, Transaction { conditions, changes: Vec::new() });
         } else if let Some(after) = p.revision {
             p.looking = Some(std::mem::take(&mut p.asked));
-            self.state(Purpose::Look, StateOp::Watch { prefix: JOBS_WATCHED.to_string(), after, wait_ms: 0 });
+            self.state(
+                CallContext::Look,
+                StoreRequest::Watch { prefix: JOBS_WATCHED.to_string(), after, wait_ms: 0 },
+            );
         }
     }
 
-    pub(crate) fn on_look(&mut self, r: StateReply) {
+    pub(crate) fn on_look(&mut self, r: StoreReply) {
         let asks = self.polls.looking.take().unwrap_or_default();
         match r {
-            StateReply::Events(e) => {
+            StoreReply::Events(e) => {
                 self.note_events(&e);
                 let p = &mut self.polls;
                 p.revision = p.revision.max(Some(e.revision));
@@ -307,7 +312,7 @@
                     }
                 }
             }
-            StateReply::Gone => {
+            StoreReply::Gone => {
                 self.polls.forget();
                 self.polls.strangers.extend(asks);
             }
@@ -360,11 +365,11 @@
         }
     }
 
-    pub(crate) fn on_compare(&mut self, r: StateReply) {
+    pub(crate) fn on_compare(&mut self, r: StoreReply) {
         let asks = self.polls.comparing.take().unwrap_or_default();
         let (there, revision) = match r {
-            StateReply::Committed(revision) => (Vec::new(), revision),
-            StateReply::Conflict(c) if !c.failed.is_empty() => (c.failed, c.revision),
+            StoreReply::Committed(revision) => (Vec::new(), revision),
+            StoreReply::Conflict(c) if !c.failed.is_empty() => (c.failed, c.revision),
             _ => {
                 self.polls.next_read = self.now + self.d.renew_s / 4.0;
                 return self.refuse_all(asks, "state service not reached");
@@ -374,7 +379,7 @@
         if there.is_empty() {
             return self.deny_all(asks);
         }
-        let mut known: BTreeMap<String, (bool, Vec<Ask>)> = BTreeMap::new();
+        let mut known: BTreeMap<String, (bool, Vec<StatusQuery>)> = BTreeMap::new();
         for a in asks {
             let over = there.contains(&over_key(&a.id));
             if over || there.contains(&job_key(&a.id)) {
@@ -394,7 +399,7 @@
         }
     }
 
-    fn read_job(&mut self, id: String, over: bool, asks: Vec<Ask>) {
+    fn read_job(&mut self, id: String, over: bool, asks: Vec<StatusQuery>) {
         let quarter = self.reads.rate() / 4.0;
         if self.reads.left(self.now) < quarter.max(1.0) || !self.reads.take(self.now, 1.0) {
             return self.refuse_all(asks, "busy");
@@ -402,44 +407,44 @@
         let era = self.polls.era();
         self.polls.reads.insert(id.clone(), (era, asks));
         let key = if over { over_key(&id) } else { job_key(&id) };
-        self.state(Purpose::Poll { id, over }, StateOp::Get(key));
+        self.state(CallContext::Poll { id, over }, StoreRequest::Get(key));
     }
 
-    pub(crate) fn on_poll_read(&mut self, id: &str, over: bool, r: StateReply) {
+    pub(crate) fn on_poll_read(&mut self, id: &str, over: bool, r: StoreReply) {
         // Not among those that run: it has moved since, or never was. The other
         // place is read after this one, so a move cannot slip in between.
-        if matches!(r, StateReply::Missing(_)) && !over {
-            let purpose = Purpose::Poll { id: id.to_string(), over: true };
-            self.state(purpose, StateOp::Get(over_key(id)));
+        if matches!(r, StoreReply::Missing(_)) && !over {
+            let purpose = CallContext::Poll { id: id.to_string(), over: true };
+            self.state(purpose, StoreRequest::Get(over_key(id)));
             return;
         }
         let (era, asks) = self.polls.reads.remove(id).unwrap_or_default();
         match r {
-            StateReply::Item(Item { value: Value::Job(j), version, .. }) => {
+            StoreReply::Item(Item { value: Value::Job(j), version, .. }) => {
                 // The mark of a cancellation may lie beside a record of that size.
                 if !j.status.is_final() && j.may_be_marked(self.limits.value_bytes()) {
                     self.polls.reads.insert(id.to_string(), (era, asks));
                     let conditions = vec![
-                        Condition { key: job_key(id), version },
-                        Condition { key: mark_key(id), version: 0 },
+                        Compare { key: job_key(id), version },
+                        Compare { key: mark_key(id), version: 0 },
                     ];
-                    let purpose = Purpose::PollMark { id: id.to_string(), record: j, version };
-                    self.commit_hedged(purpose, Txn { conditions, changes: Vec::new() });
+                    let purpose = CallContext::PollMark { id: id.to_string(), record: j, version };
+                    self.commit_hedged(purpose, Transaction { conditions, changes: Vec::new() });
                     return;
                 }
-                if Row::of(&j, version).apart.is_some() && !j.status.is_final() {
+                if CachedJob::of(&j, version).apart.is_some() && !j.status.is_final() {
                     self.polls.reads.insert(id.to_string(), (era, asks));
                     return self.read_parts(None, *j, version);
                 }
                 self.tell_record(id, &j, version, era, asks);
             }
-            StateReply::Item(Item { value: Value::Over(o), .. }) => {
+            StoreReply::Item(Item { value: Value::Over(o), .. }) => {
                 self.finals.put(id, o.status, o.done);
                 for a in asks {
                     self.say(a, o.status, (o.done, 0), false);
                 }
             }
-            StateReply::Missing(_) => self.deny_all(asks),
+            StoreReply::Missing(_) => self.deny_all(asks),
             _ => self.refuse_all(asks, "state service not reached"),
         }
         self.tell_kin();
@@ -463,30 +468,37 @@
     /// Whether a job whose record is as large as that has been cancelled by a mark. Both are
     /// compared at once. (Where the mark was read by itself, the leader had written the end and
     /// removed the mark in between, and a cancelled job was called running.)
-    pub(crate) fn on_poll_mark(&mut self, id: &str, record: &JobRecord, version: u64, r: StateReply) {
+    pub(crate) fn on_poll_mark(&mut self, id: &str, record: &JobRecord, version: u64, r: StoreReply) {
         let (era, asks) = self.polls.reads.remove(id).unwrap_or_default();
         match r {
-            StateReply::Committed(_) => self.tell_record(id, record, version, era, asks),
-            StateReply::Conflict(c) if c.failed.contains(&mark_key(id)) => {
+            StoreReply::Committed(_) => self.tell_record(id, record, version, era, asks),
+            StoreReply::Conflict(c) if c.failed.contains(&mark_key(id)) => {
                 self.finals.put(id, JobStatus::Cancelled, 0);
                 for a in asks {
                     self.say(a, JobStatus::Cancelled, (0, 0), false);
                 }
             }
             // The record has changed since it was read.
-            StateReply::Conflict(_) => self.polls.strangers.extend(asks),
+            StoreReply::Conflict(_) => self.polls.strangers.extend(asks),
             _ => self.refuse_all(asks, "state service not reached"),
         }
         self.tell_kin();
     }
 
     /// Answers from a record that was read in `era`.
-    fn tell_record(&mut self, id: &str, j: &JobRecord, version: u64, era: Option<u64>, asks: Vec<Ask>) {
+    fn tell_record(
+        &mut self,
+        id: &str,
+        j: &JobRecord,
+        version: u64,
+        era: Option<u64>,
+        asks: Vec<StatusQuery>,
+    ) {
         self.note_record(id, j, version, era);
-        let row = Row::of(j, version);
+        let row = CachedJob::of(j, version);
         let mut clear = HashSet::new();
         for a in asks {
-            if row.waits() && !matches!(a.to, To::Kin) {
+            if row.waits() && !matches!(a.to, Requester::Kin) {
                 // From the copy, where it is now, or with the next look.
                 if let Some(a) = self.tell(a, &mut clear) {
                     self.polls.asked.push(a);
--- a/crates/controller/src/store_limits.rs
+++ b/crates/controller/src/store_limits.rs
@@ -1,14 +1,14 @@
 //! What the state service takes: the limits that the settings name, those that they say
 //! will hold some time, and which of the two a refusal has shown to be in force.
 
-use crate::Core;
+use crate::Controller;
 use settings::StateLimits;
 use tracing::info;
 
 /// Sizes fit both limits from the start. The rate is the present one until a refusal
 /// speaks against it: the coming one is not used before it has to be.
 #[derive(Debug, Clone)]
-pub struct Limits {
+pub struct StoreLimits {
     settings: StateLimits,
     /// Changes a second that are taken to be allowed now.
     rate: f64,
@@ -23,9 +23,9 @@
 /// service may write a number with another digit.
 const SPARE: f64 = 1.0 / 32.0;
 
-impl Limits {
+impl StoreLimits {
     pub fn new(settings: &StateLimits) -> Self {
-        Limits { settings: settings.clone(), rate: settings.write_rps, fallen: false }
+        StoreLimits { settings: settings.clone(), rate: settings.write_rps, fallen: false }
     }
 
     /// Bytes that a value may take in JSON.
@@ -79,7 +79,7 @@
     }
 }
 
-impl Core {
+impl Controller {
     /// The service had more changes than it takes in a second.
     pub(crate) fn too_many_changes(&mut self) {
         if self.limits.too_many() {
--- a/crates/controller/src/undecodable.rs
+++ b/crates/controller/src/undecodable.rs
@@ -2,18 +2,18 @@
 //! once and left alone; what may stand in them is never taken for absent.
 
 use crate::job::Job;
-use crate::leader::Lead;
+use crate::leader::LeaderState;
 use crate::messages::Time;
 use crate::records::{id_of, page_of_key};
-use planner::Amounts;
+use planner::Resources;
 use protocol::worker::{split_task, TaskState};
 use std::collections::BTreeMap;
 use tracing::warn;
 
 /// What such a job may take of its team's limit, if its own record could be read.
-struct Claim {
+struct UndecodableJob {
     team: String,
-    each: Amounts,
+    each: Resources,
     /// Tasks that have not ended.
     open: u32,
     /// By then whatever was launched of it is reported by its machine, or has ended.
@@ -24,11 +24,11 @@
 /// a machine that has tasks of theirs takes no other work. Nothing is stopped either, unless
 /// they are over.
 #[derive(Default)]
-pub struct Unread {
-    jobs: BTreeMap<String, Option<Claim>>,
+pub struct UndecodableRecords {
+    jobs: BTreeMap<String, Option<UndecodableJob>>,
 }
 
-impl Unread {
+impl UndecodableRecords {
     /// The value of `key` cannot be read. Returns the job that it is of, if it is one's.
     pub fn note(&mut self, key: &str) -> Option<String> {
         let id = id_of(key).or_else(|| page_of_key(key).map(|p| p.0));
@@ -47,15 +47,15 @@
     }
 }
 
-impl Lead {
+impl LeaderState {
     /// The value of `key` cannot be read. Returns its job, as far as that was known.
     pub fn set_aside(&mut self, key: &str, unseen_until: Time) -> Option<Job> {
         let id = self.unread.note(key)?;
         let job = self.jobs.remove(&id)?;
         let s = &job.spec;
-        let claim = Claim {
+        let claim = UndecodableJob {
             team: s.team.clone(),
-            each: Amounts::new(s.cores, s.accelerators, s.memory_gb),
+            each: Resources::new(s.cores, s.accelerators, s.memory_gb),
             open: s.tasks - job.done_count,
             unseen_until,
         };
@@ -66,7 +66,7 @@
     /// What the teams' tasks take that no record tells of: all that may run, and once all of it
     /// has been heard what machines report. (It was once not counted, and limits were
     /// overshot.)
-    pub fn unread_use(&self, now: Time) -> Vec<(&str, Amounts)> {
+    pub fn unread_use(&self, now: Time) -> Vec<(&str, Resources)> {
         let live = |id: &str| {
             let tasks = self.machines.values().flat_map(|m| &m.tasks);
             let live = tasks.filter(|t| t.state != TaskState::Exited);
@@ -76,8 +76,8 @@
         claims
             .map(|(id, c)| {
                 let tasks = f64::from(if now < c.unseen_until { c.open } else { live(id) });
-                let Amounts { cores, accelerators, memory_gb } = c.each;
-                (c.team.as_str(), Amounts::new(cores * tasks, accelerators * tasks, memory_gb * tasks))
+                let Resources { cores, accelerators, memory_gb } = c.each;
+                (c.team.as_str(), Resources::new(cores * tasks, accelerators * tasks, memory_gb * tasks))
             })
             .collect()
     }
--- a/crates/controller/src/work_conservation.rs
+++ b/crates/controller/src/work_conservation.rs
@@ -7,11 +7,11 @@
 
 /// Jobs that wait beside free places, with since when they have without a break.
 #[derive(Debug, Default)]
-pub struct Beside {
+pub struct WaitingBesideCapacity {
     since: BTreeMap<String, Time>,
 }
 
-impl Beside {
+impl WaitingBesideCapacity {
     /// A plan has found that just these do so.
     pub fn look(&mut self, now: Time, ids: &BTreeSet<&str>) {
         self.since.retain(|id, _| ids.contains(id.as_str()));
--- a/crates/controller/src/write_queue.rs
+++ b/crates/controller/src/write_queue.rs
@@ -5,15 +5,15 @@
 use crate::leader::Role;
 use crate::records::*;
 use crate::scheduling::band;
-use crate::{Core, Purpose, StateOp, StateReply, Time};
+use crate::{CallContext, Controller, StoreReply, StoreRequest, Time};
 use protocol::job::JobStatus;
-use protocol::state::{Change, Condition, Event, Item, Txn, TXN_LIMIT};
+use protocol::state::{Compare, Event, Item, Mutation, Transaction, TXN_LIMIT};
 use std::collections::BTreeSet;
 use tracing::{debug, warn};
 
 /// What the leader is writing, and when it may go on.
-pub struct Writes {
-    pub in_flight: Option<InFlight>,
+pub struct WriteQueue {
+    pub in_flight: Option<InFlightTransaction>,
     serial: u64,
     /// Records that are being read back: nothing is written before they are known.
     pub rereads: u32,
@@ -26,9 +26,9 @@
     one_by_one: bool,
 }
 
-impl Writes {
+impl WriteQueue {
     pub fn new(now: Time) -> Self {
-        Writes {
+        WriteQueue {
             in_flight: None,
             serial: 0,
             rereads: 0,
@@ -46,15 +46,15 @@
     }
 }
 
-pub struct InFlight {
+pub struct InFlightTransaction {
     pub serial: u64,
-    pub parts: Vec<Part>,
+    pub parts: Vec<TransactionEntry>,
     /// What it puts where.
     puts: Vec<(String, Value)>,
 }
 
 /// One job's share of a transaction.
-pub struct Part {
+pub struct TransactionEntry {
     pub id: String,
     pub count: u64,
     pub pages: BTreeSet<usize>,
@@ -72,7 +72,7 @@
 /// rest is for submissions and cancellations.
 pub const LEADER_WRITES: f64 = 0.7;
 
-impl InFlight {
+impl InFlightTransaction {
     pub fn touches(&self, id: &str) -> bool {
         self.parts.iter().any(|p| p.id == id)
     }
@@ -92,22 +92,22 @@
     }
 }
 
-fn puts(txn: &Txn<Value>) -> Vec<(String, Value)> {
-    let put = |c: &Change<Value>| match c {
-        Change::Put { key, value, .. } => Some((key.clone(), value.clone())),
-        Change::Delete { .. } => None,
+fn puts(txn: &Transaction<Value>) -> Vec<(String, Value)> {
+    let put = |c: &Mutation<Value>| match c {
+        Mutation::Put { key, value, .. } => Some((key.clone(), value.clone())),
+        Mutation::Delete { .. } => None,
     };
     txn.changes.iter().filter_map(put).collect()
 }
 
-impl Core {
+impl Controller {
     pub(crate) fn commit_on_time(&mut self) {
         let now = self.now;
         if let Role::Leader(l) = &mut self.role {
             if now >= l.writes.retry_at && !l.writes.reread_queue.is_empty() {
                 let token = l.token;
                 for key in std::mem::take(&mut l.writes.reread_queue) {
-                    self.state(Purpose::Reread { token, key: key.clone() }, StateOp::Get(key));
+                    self.state(CallContext::Reread { token, key: key.clone() }, StoreRequest::Get(key));
                 }
             }
         }
@@ -169,8 +169,8 @@
         let (token, open) = (l.token, l.archive.open());
         let (graph, alone) = (&l.pipelines.graph, l.writes.one_by_one);
         let budget = l.fleet.write_budget(rate);
-        let mut txn = Txn {
-            conditions: vec![Condition { key: LEADER_KEY.to_string(), version: token }],
+        let mut txn = Transaction {
+            conditions: vec![Compare { key: LEADER_KEY.to_string(), version: token }],
             changes: Vec::new(),
         };
         let mut parts = Vec::new();
@@ -212,7 +212,7 @@
                 txn.changes.extend(changes);
                 let pages = BTreeSet::from([0]);
                 let ends = Some(job.status);
-                parts.push(Part {
+                parts.push(TransactionEntry {
                     id,
                     count: job.mutated,
                     pages,
@@ -235,7 +235,7 @@
             if pages.contains(&0) {
                 txn.conditions.extend(job.mark_condition());
                 if let Some(key) = job.mark.map(|_| mark_key(&id)) {
-                    txn.changes.push(Change::Delete { key });
+                    txn.changes.push(Mutation::Delete { key });
                 }
             }
             for &page in &pages {
@@ -246,48 +246,48 @@
                     let key = page_key(&id, page, layout.number);
                     (key, Value::Page(job.page_record(page)), layout.version(page))
                 };
-                txn.conditions.push(Condition { key: key.clone(), version });
-                txn.changes.push(Change::Put { key, value, lease: None });
+                txn.conditions.push(Compare { key: key.clone(), version });
+                txn.changes.push(Mutation::Put { key, value, lease: None });
             }
             let ends = Some(job.status).filter(|s| s.is_final() && pages.contains(&0));
             let freed = job.freed_at.is_some() && pages.contains(&0);
-            parts.push(Part { id, count: job.mutated, pages, whole, moves: false, ends, freed });
+            parts.push(TransactionEntry { id, count: job.mutated, pages, whole, moves: false, ends, freed });
         }
         if parts.is_empty() {
             return;
         }
         l.writes.serial += 1;
         let serial = l.writes.serial;
-        l.writes.in_flight = Some(InFlight { serial, parts, puts: puts(&txn) });
+        l.writes.in_flight = Some(InFlightTransaction { serial, parts, puts: puts(&txn) });
         if !self.guards.versions {
             txn.conditions.clear();
         }
-        self.state(Purpose::Commit { token, serial }, StateOp::Commit(txn));
+        self.state(CallContext::Commit { token, serial }, StoreRequest::Commit(txn));
     }
 
-    pub(crate) fn on_commit(&mut self, token: u64, serial: u64, r: StateReply) {
+    pub(crate) fn on_commit(&mut self, token: u64, serial: u64, r: StoreReply) {
         let now = self.now;
         let retry = self.d.renew_s / 4.0;
         let Some(l) = self.lead(token) else { return };
         let Some(c) = l.writes.in_flight.take_if(|c| c.serial == serial) else { return };
         match r {
-            StateReply::Committed(revision) => {
+            StoreReply::Committed(revision) => {
                 self.limits.served();
                 self.applied(token, c.parts, revision);
             }
-            StateReply::Conflict(f) => {
+            StoreReply::Conflict(f) => {
                 if f.failed.iter().any(|k| k == LEADER_KEY) {
                     return self.step_down("leader key is another's");
                 }
                 debug!(?f.failed, "records changed meanwhile");
                 self.reread(token, f.failed);
             }
-            StateReply::Refused | StateReply::Gone => l.writes.retry_at = now + retry,
-            StateReply::Limited => {
+            StoreReply::Refused | StoreReply::Gone => l.writes.retry_at = now + retry,
+            StoreReply::Limited => {
                 l.writes.retry_at = now + retry;
                 self.too_many_changes();
             }
-            StateReply::Invalid => self.refused_parts(token, c.parts),
+            StoreReply::Invalid => self.refused_parts(token, c.parts),
             _ => {
                 // It may have been applied, or may be later. The stored
                 // versions tell; a late application fails on them.
@@ -330,7 +330,7 @@
     }
 
     /// A transaction with these parts was applied.
-    fn applied(&mut self, token: u64, parts: Vec<Part>, revision: u64) {
+    fn applied(&mut self, token: u64, parts: Vec<TransactionEntry>, revision: u64) {
         if let Some(l) = self.lead(token) {
             for part in parts.iter().filter(|p| p.ends == Some(JobStatus::Done)) {
                 l.learn_passed(&part.id);
@@ -361,11 +361,12 @@
 
     /// The service took a transaction for invalid. Alone, a part shows whether it was
     /// its own: such a job's writes wait, never everybody's.
-    fn refused_parts(&mut self, token: u64, parts: Vec<Part>) {
+    fn refused_parts(&mut self, token: u64, parts: Vec<TransactionEntry>) {
         let (now, aside_s) = (self.now, self.settings.params.workers.lease_s);
         let present = self.limits.present_bytes();
         let Some(l) = self.lead(token) else { return };
-        let larger = |p: &Part| l.jobs.get(&p.id).is_some_and(|j| j.needs_layout() || j.layout.wide());
+        let larger =
+            |p: &TransactionEntry| l.jobs.get(&p.id).is_some_and(|j| j.needs_layout() || j.layout.wide());
         let large = parts.iter().any(larger);
         if large {
             self.size_was_refused();
@@ -386,17 +387,17 @@
             l.writes.rereads += keys.len() as u32;
         }
         for key in keys {
-            self.state(Purpose::Reread { token, key: key.clone() }, StateOp::Get(key));
+            self.state(CallContext::Reread { token, key: key.clone() }, StoreRequest::Get(key));
         }
     }
 
-    pub(crate) fn on_reread(&mut self, token: u64, key: &str, r: StateReply) {
+    pub(crate) fn on_reread(&mut self, token: u64, key: &str, r: StoreReply) {
         let now = self.now;
         let retry = self.d.renew_s / 4.0;
         let unseen_until = self.unseen_until();
         let Some(l) = self.lead(token) else { return };
         match r {
-            StateReply::Item(Item { value, version, .. }) => {
+            StoreReply::Item(Item { value, version, .. }) => {
                 l.writes.rereads -= 1;
                 let done = l.writes.rereads == 0;
                 match value {
@@ -431,7 +432,7 @@
                     self.replay_deferred();
                 }
             }
-            StateReply::Missing(revision) => {
+            StoreReply::Missing(revision) => {
                 // A page that was never written, its version is 0 still; or a
                 // job that was over, and has moved. By whom is not known, nor as
                 // what: a leader that was cut off once took its own move, which
--- a/crates/controller/src/zonal_demand.rs
+++ b/crates/controller/src/zonal_demand.rs
@@ -1,16 +1,16 @@
 //! Machines for work that is bound to zones: rented where it may run. (For a job of one zone they
 //! were once rented where fewest stood, given back idle and rented there anew, for ever.)
 
-use crate::fleet::{Fleet, Pool};
+use crate::fleet::{Fleet, MachinePool};
 use crate::messages::Time;
 use protocol::cloud::MachineType;
 use std::collections::BTreeMap;
 
 /// Machines without work, by type, zone and whether spot.
 #[derive(Default)]
-pub struct AtHand<'a>(BTreeMap<(&'a str, &'a str, bool), u32>);
+pub struct AvailableCapacity<'a>(BTreeMap<(&'a str, &'a str, bool), u32>);
 
-impl<'a> AtHand<'a> {
+impl<'a> AvailableCapacity<'a> {
     pub fn add(&mut self, kind: &'a str, zone: &'a str, spot: bool, n: u32) {
         *self.0.entry((kind, zone, spot)).or_insert(0) += n;
     }
@@ -46,34 +46,34 @@
 }
 
 /// Work that waits for machines.
-pub struct Ask<'a> {
+pub struct CapacityRequest<'a> {
     pub job: &'a planner::Job,
     /// Tasks that need a machine more.
     pub tasks: f64,
     /// Pools with how many tasks a machine holds, the cheapest first.
-    pub pools: &'a [(f64, Pool, f64)],
+    pub pools: &'a [(f64, MachinePool, f64)],
 }
 
 /// What is wanted in certain zones.
-pub struct Bound<'a> {
+pub struct ZonalDemand<'a> {
     pub now: Time,
     pub types: &'a [MachineType],
     pub zones: &'a [String],
     pub fleet: &'a Fleet,
     /// Machines without work, booting ones included, and those of them that stand idle.
-    pub at_hand: AtHand<'a>,
-    pub idle: AtHand<'a>,
+    pub at_hand: AvailableCapacity<'a>,
+    pub idle: AvailableCapacity<'a>,
     /// Machines wanted, by pool and zone.
-    pub zoned: BTreeMap<(Pool, String), u32>,
+    pub zoned: BTreeMap<(MachinePool, String), u32>,
     /// Machines, by type and zone, that gangs wait for the others of.
     pub gathering: BTreeMap<(String, String), u32>,
     /// Machines that are coming for bound work, and those that it wants more, by pool. (What it wants
     /// in one zone is no reason to keep what stands idle in another.)
-    pub need: BTreeMap<Pool, f64>,
-    pub more: BTreeMap<Pool, u32>,
+    pub need: BTreeMap<MachinePool, f64>,
+    pub more: BTreeMap<MachinePool, u32>,
 }
 
-impl<'a> Bound<'a> {
+impl<'a> ZonalDemand<'a> {
     /// Zones that `job` is bound to, with how many of its tasks each may have; None: it may run
     /// in any, or has yet to choose its only one.
     fn bound_to(&self, job: &planner::Job) -> Option<Vec<(usize, f64)>> {
@@ -91,7 +91,7 @@
     }
 
     /// Notes what bound work wants. False if it is not bound.
-    pub fn want(&mut self, ask: &Ask) -> bool {
+    pub fn want(&mut self, ask: &CapacityRequest) -> bool {
         let Some(mut zones) = self.bound_to(ask.job) else { return false };
         let mut left = ask.tasks;
         for (_, pool, n) in ask.pools {
@@ -121,7 +121,7 @@
     fn take_at_hand(
         &mut self,
         job: &planner::Job,
-        pool: &Pool,
+        pool: &MachinePool,
         n: f64,
         zones: &mut [(usize, f64)],
         left: &mut f64,
@@ -147,7 +147,7 @@
 
     /// Machines that stand idle while a gang waits for the others are kept for it. (Where the
     /// others were refused, they were once given back and rented anew in turn, for ever.)
-    pub fn keep_idle(&mut self, ask: &Ask) {
+    pub fn keep_idle(&mut self, ask: &CapacityRequest) {
         let mut left = ask.tasks;
         for (_, pool, n) in ask.pools {
             let Some(t) = self.types.iter().find(|t| t.name == pool.0) else { continue };
@@ -163,7 +163,7 @@
     /// The machines of a job that has yet to choose its only zone come together in one: where
     /// most are at hand or can be had. (Rented in all zones alike, those of a large gang went back
     /// idle and were rented anew for ever.) Returns the tasks for which others have to come.
-    pub fn gather(&mut self, ask: &Ask) -> Option<f64> {
+    pub fn gather(&mut self, ask: &CapacityRequest) -> Option<f64> {
         let job = ask.job;
         let (_, pool, n) = ask.pools.first()?;
         let machines = (ask.tasks / n).ceil() as u32;
--- a/crates/dependencies/src/inheritance.rs
+++ b/crates/dependencies/src/inheritance.rs
@@ -1,12 +1,12 @@
 //! What a pipeline's last job asks of those before it: one deadline and one priority,
 //! passed back along the graph.
 
-use crate::Graph;
+use crate::DependencyGraph;
 use std::collections::HashMap;
 
 /// A job by itself. Times are in seconds on the caller's clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Own {
+pub struct OwnPriority {
     pub band: u8,
     /// When it has to be complete; `f64::MAX` or what the caller takes for never.
     pub deadline: f64,
@@ -18,7 +18,7 @@
 
 /// What those that need a job ask of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Passed {
+pub struct InheritedPriority {
     /// The priority of the most urgent of them.
     pub band: u8,
     /// The latest end with which all of them can still be in time.
@@ -26,27 +26,27 @@
     pub last_chance: f64,
 }
 
-impl Passed {
+impl InheritedPriority {
     /// What a job whose own figures are `own` asks of those before it, given what is asked of
     /// itself.
-    fn before(own: &Own, asked: Option<&Passed>) -> Passed {
+    fn before(own: &OwnPriority, asked: Option<&InheritedPriority>) -> InheritedPriority {
         let whole = asked.map_or(
-            Passed { band: own.band, deadline: own.deadline, last_chance: own.last_chance },
-            |p| Passed {
+            InheritedPriority { band: own.band, deadline: own.deadline, last_chance: own.last_chance },
+            |p| InheritedPriority {
                 band: own.band.max(p.band),
                 deadline: own.deadline.min(p.deadline),
                 last_chance: own.last_chance.min(p.last_chance),
             },
         );
-        Passed {
+        InheritedPriority {
             deadline: whole.deadline - own.takes_s,
             last_chance: whole.last_chance - own.takes_s,
             ..whole
         }
     }
 
-    fn and(self, other: Passed) -> Passed {
-        Passed {
+    fn and(self, other: InheritedPriority) -> InheritedPriority {
+        InheritedPriority {
             band: self.band.max(other.band),
             deadline: self.deadline.min(other.deadline),
             last_chance: self.last_chance.min(other.last_chance),
@@ -54,12 +54,12 @@
     }
 }
 
-impl Graph {
+impl DependencyGraph {
     /// What is asked of every job that another one needs. `own` gives a waiting job's own
     /// figures; a job that it does not know asks for nothing. Takes time in proportion to
     /// the jobs that wait and what they name.
-    pub fn passed(&self, own: impl Fn(&str) -> Option<Own>) -> HashMap<&str, Passed> {
-        let mut found: HashMap<&str, Option<Passed>> = HashMap::new();
+    pub fn passed(&self, own: impl Fn(&str) -> Option<OwnPriority>) -> HashMap<&str, InheritedPriority> {
+        let mut found: HashMap<&str, Option<InheritedPriority>> = HashMap::new();
         for id in self.named_by.keys() {
             // Those that need it come first: a list stands in for recursion.
             let mut left: Vec<(&str, bool)> = vec![(id, false)];
@@ -67,9 +67,9 @@
                 if ready {
                     let asks = self.needing(id).filter_map(|n| {
                         let asked = found.get(n).copied().flatten();
-                        own(n).map(|o| Passed::before(&o, asked.as_ref()))
+                        own(n).map(|o| InheritedPriority::before(&o, asked.as_ref()))
                     });
-                    let asked = asks.reduce(Passed::and);
+                    let asked = asks.reduce(InheritedPriority::and);
                     found.insert(id, asked);
                 } else if !found.contains_key(id) {
                     // Marked before it is worked out: users name accepted jobs only, so there
--- a/crates/dependencies/src/lib.rs
+++ b/crates/dependencies/src/lib.rs
@@ -8,20 +8,20 @@
 
 mod inheritance;
 
-pub use inheritance::{Own, Passed};
+pub use inheritance::{InheritedPriority, OwnPriority};
 
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How a job has ended, for good.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum JobOutcome {
     Done,
     Cancelled,
 }
 
 /// What follows from a fact.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Effects {
+pub struct GraphEffects {
     /// Jobs that wait for nothing any more.
     pub freed: Vec<String>,
     /// Jobs that are cancelled with it, directly or through others. None of their tasks has
@@ -33,7 +33,7 @@
 
 /// A job that awaits others.
 #[derive(Debug, Default)]
-struct Waiter {
+struct WaitingJob {
     /// All that its stored record names.
     awaits: BTreeSet<String>,
     /// Those of them that are not known to be done.
@@ -42,33 +42,33 @@
 
 /// Live jobs that wait, and what they wait for.
 #[derive(Debug, Default)]
-pub struct Graph {
-    waiters: BTreeMap<String, Waiter>,
+pub struct DependencyGraph {
+    waiters: BTreeMap<String, WaitingJob>,
     /// By awaited job, over or not: the waiters whose stored record names it.
     named_by: BTreeMap<String, BTreeSet<String>>,
     /// Awaited jobs of which nothing is known yet.
     unknown: BTreeSet<String>,
 }
 
-impl Graph {
+impl DependencyGraph {
     /// Live job `id` awaits others. `fate` tells of each whether it is over, or None while
-    /// it lives; `live` whether it is known to live. What neither knows is [`Graph::unknown`].
+    /// it lives; `live` whether it is known to live. What neither knows is [`DependencyGraph::unknown`].
     pub fn add(
         &mut self,
         id: &str,
         awaits: &[String],
-        fate: impl Fn(&str) -> Option<Fate>,
+        fate: impl Fn(&str) -> Option<JobOutcome>,
         live: impl Fn(&str) -> bool,
-    ) -> Effects {
+    ) -> GraphEffects {
         if self.waiters.contains_key(id) || awaits.is_empty() {
-            return Effects::default();
+            return GraphEffects::default();
         }
-        let mut waiter = Waiter { awaits: awaits.iter().cloned().collect(), ..Waiter::default() };
+        let mut waiter = WaitingJob { awaits: awaits.iter().cloned().collect(), ..WaitingJob::default() };
         let mut cancelled = false;
         for a in awaits {
             match fate(a) {
-                Some(Fate::Done) => {}
-                Some(Fate::Cancelled) => cancelled = true,
+                Some(JobOutcome::Done) => {}
+                Some(JobOutcome::Cancelled) => cancelled = true,
                 None => {
                     waiter.open.insert(a.clone());
                     if !live(a) {
@@ -80,7 +80,7 @@
         }
         let free = waiter.open.is_empty();
         self.waiters.insert(id.to_string(), waiter);
-        let mut effects = Effects::default();
+        let mut effects = GraphEffects::default();
         if cancelled {
             self.withdraw(id, &mut effects);
         } else if free {
@@ -90,10 +90,10 @@
     }
 
     /// Job `id` is over, and that is stored.
-    pub fn settle(&mut self, id: &str, fate: Fate) -> Effects {
-        let mut effects = Effects::default();
+    pub fn settle(&mut self, id: &str, fate: JobOutcome) -> GraphEffects {
+        let mut effects = GraphEffects::default();
         self.unknown.remove(id);
-        if fate == Fate::Cancelled {
+        if fate == JobOutcome::Cancelled {
             // Its user cancelled it while it waited itself, or one before it was.
             self.forget(id, &mut effects);
         }
@@ -101,8 +101,8 @@
         for name in names.iter().cloned().collect::<Vec<_>>() {
             let Some(w) = self.waiters.get_mut(&name) else { continue };
             match fate {
-                Fate::Cancelled => self.withdraw(&name, &mut effects),
-                Fate::Done => {
+                JobOutcome::Cancelled => self.withdraw(&name, &mut effects),
+                JobOutcome::Done => {
                     if w.open.remove(id) && w.open.is_empty() {
                         effects.freed.push(name);
                     }
@@ -114,7 +114,7 @@
 
     /// Takes `first` and all that need it out. (By a list, not by recursion: a chain may
     /// have thousands of jobs.)
-    fn withdraw(&mut self, first: &str, effects: &mut Effects) {
+    fn withdraw(&mut self, first: &str, effects: &mut GraphEffects) {
         let mut left = vec![first.to_string()];
         while let Some(id) = left.pop() {
             if !self.waiters.contains_key(&id) {
@@ -128,7 +128,7 @@
     }
 
     /// `id` waits for nothing any more, and its record says so or no longer matters.
-    fn forget(&mut self, id: &str, effects: &mut Effects) {
+    fn forget(&mut self, id: &str, effects: &mut GraphEffects) {
         let Some(w) = self.waiters.remove(id) else { return };
         for a in w.awaits {
             let Some(names) = self.named_by.get_mut(&a) else { continue };
@@ -144,7 +144,7 @@
     /// It is stored that `id` was freed: its record names nobody any more. Returns the
     /// jobs that nobody names since.
     pub fn stored_free(&mut self, id: &str) -> Vec<String> {
-        let mut effects = Effects::default();
+        let mut effects = GraphEffects::default();
         if self.waiters.get(id).is_some_and(|w| w.open.is_empty()) {
             self.forget(id, &mut effects);
         }
--- a/crates/dependencies/tests/graph.rs
+++ b/crates/dependencies/tests/graph.rs
@@ -1,6 +1,6 @@
 //! The graph against a plain model over generated pipelines.
 
-use anisecroft_dependencies::{Fate, Graph, Own, Passed};
+use anisecroft_dependencies::{DependencyGraph, InheritedPriority, JobOutcome, OwnPriority};
 use proptest::prelude::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,17 +23,18 @@
 /// What the stored facts say, by looking at everything.
 struct Model {
     awaits: Vec<Vec<usize>>,
-    fates: BTreeMap<usize, Fate>,
+    fates: BTreeMap<usize, JobOutcome>,
     /// Cancelled with another; told by the graph, not by its own record.
     withdrawn: BTreeSet<usize>,
 }
 
 impl Model {
     fn cancelled(&self, n: usize) -> bool {
-        self.fates.get(&n) == Some(&Fate::Cancelled) || self.awaits[n].iter().any(|&a| self.cancelled(a))
+        self.fates.get(&n) == Some(&JobOutcome::Cancelled)
+            || self.awaits[n].iter().any(|&a| self.cancelled(a))
     }
     fn free(&self, n: usize) -> bool {
-        self.awaits[n].iter().all(|a| self.fates.get(a) == Some(&Fate::Done))
+        self.awaits[n].iter().all(|a| self.fates.get(a) == Some(&JobOutcome::Done))
     }
 }
 
@@ -51,7 +52,7 @@
     fn freed_and_withdrawn_follow_from_the_facts(seed in any::<u64>(), jobs in 1usize..30) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut m = Model { awaits: dag(&mut rng, jobs), fates: BTreeMap::new(), withdrawn: BTreeSet::new() };
-        let mut g = Graph::default();
+        let mut g = DependencyGraph::default();
         let (mut added, mut freed) = (0, BTreeSet::new());
         for _ in 0..jobs * 6 {
             let effects = if added < jobs && rng.gen_bool(0.4) {
@@ -60,7 +61,7 @@
                 let awaits: Vec<String> = m.awaits[n].iter().map(|&a| id(a)).collect();
                 let known = |a: &str| {
                     let a: usize = a[4..].parse().unwrap();
-                    m.fates.get(&a).copied().or(m.withdrawn.contains(&a).then_some(Fate::Cancelled))
+                    m.fates.get(&a).copied().or(m.withdrawn.contains(&a).then_some(JobOutcome::Cancelled))
                 };
                 g.add(&id(n), &awaits, known, |_| true)
             } else {
@@ -71,9 +72,9 @@
                     continue;
                 }
                 let n = ready[rng.gen_range(0..ready.len())];
-                let fate = if m.free(n) && rng.gen_bool(0.8) { Fate::Done } else { Fate::Cancelled };
+                let fate = if m.free(n) && rng.gen_bool(0.8) { JobOutcome::Done } else { JobOutcome::Cancelled };
                 m.fates.insert(n, fate);
-                if rng.gen_bool(0.5) || fate == Fate::Done {
+                if rng.gen_bool(0.5) || fate == JobOutcome::Done {
                     g.stored_free(&id(n));
                 }
                 g.settle(&id(n), fate)
@@ -90,7 +91,7 @@
             }
             for n in 0..added {
                 let over = m.fates.contains_key(&n) || m.withdrawn.contains(&n);
-                prop_assert_eq!(m.cancelled(n), m.withdrawn.contains(&n) || m.fates.get(&n) == Some(&Fate::Cancelled));
+                prop_assert_eq!(m.cancelled(n), m.withdrawn.contains(&n) || m.fates.get(&n) == Some(&JobOutcome::Cancelled));
                 prop_assert_eq!(g.waits(&id(n)), !over && !m.free(n));
                 prop_assert!(!m.free(n) || m.awaits[n].is_empty() || over || freed.contains(&n));
             }
@@ -98,7 +99,7 @@
         // All end: nothing is left that a record would be kept for.
         for n in 0..added {
             g.stored_free(&id(n));
-            g.settle(&id(n), Fate::Cancelled);
+            g.settle(&id(n), JobOutcome::Cancelled);
         }
         prop_assert!((0..jobs).all(|n| !g.named(&id(n)) && !g.waits(&id(n))));
         prop_assert_eq!(g.unknown().count(), 0);
@@ -109,29 +110,29 @@
     fn one_deadline_is_passed_back_along_every_way(seed in any::<u64>(), jobs in 2usize..14) {
         let mut rng = SmallRng::seed_from_u64(seed);
         let awaits = dag(&mut rng, jobs);
-        let own: Vec<Own> = (0..jobs)
-            .map(|_| Own {
+        let own: Vec<OwnPriority> = (0..jobs)
+            .map(|_| OwnPriority {
                 band: rng.gen_range(0..4),
                 deadline: if rng.gen_bool(0.3) { rng.gen_range(10.0..500.0) } else { 1e9 },
                 last_chance: 2e9,
                 takes_s: rng.gen_range(1.0..50.0),
             })
             .collect();
-        let mut g = Graph::default();
+        let mut g = DependencyGraph::default();
         for (n, a) in awaits.iter().enumerate() {
             g.add(&id(n), &a.iter().map(|&a| id(a)).collect::<Vec<_>>(), |_| None, |_| true);
         }
         let passed = g.passed(|n| Some(own[n[4..].parse::<usize>().unwrap()]));
-        fn ways(n: usize, awaits: &[Vec<usize>], own: &[Own]) -> Option<Passed> {
+        fn ways(n: usize, awaits: &[Vec<usize>], own: &[OwnPriority]) -> Option<InheritedPriority> {
             let needing = (0..awaits.len()).filter(|&m| awaits[m].contains(&n));
             needing.map(|m| {
                 let (o, asked) = (own[m], ways(m, awaits, own));
-                Passed {
+                InheritedPriority {
                     band: o.band.max(asked.map_or(0, |p| p.band)),
                     deadline: o.deadline.min(asked.map_or(f64::MAX, |p| p.deadline)) - o.takes_s,
                     last_chance: o.last_chance.min(asked.map_or(f64::MAX, |p| p.last_chance)) - o.takes_s,
                 }
-            }).reduce(|a, b| Passed {
+            }).reduce(|a, b| InheritedPriority {
                 band: a.band.max(b.band),
                 deadline: a.deadline.min(b.deadline),
                 last_chance: a.last_chance.min(b.last_chance),
@@ -147,31 +148,31 @@
 /// each edge once.
 #[test]
 fn long_chains_and_wide_fans_end() {
-    let mut g = Graph::default();
+    let mut g = DependencyGraph::default();
     for n in 1..5_000 {
         g.add(&id(n), &[id(n - 1)], |_| None, |_| true);
     }
-    let own = Own { band: 1, deadline: 1e6, last_chance: 1e6, takes_s: 1.0 };
+    let own = OwnPriority { band: 1, deadline: 1e6, last_chance: 1e6, takes_s: 1.0 };
     let passed = g.passed(|_| Some(own));
     assert_eq!(passed["req-0"].deadline, 1e6 - 4_999.0);
-    assert_eq!(g.settle("req-0", Fate::Cancelled).withdrawn.len(), 4_999);
+    assert_eq!(g.settle("req-0", JobOutcome::Cancelled).withdrawn.len(), 4_999);
     for n in 1..10_000 {
         g.add(&id(n), &[id(0)], |_| None, |_| true);
     }
-    assert_eq!(g.settle("req-0", Fate::Done).freed.len(), 9_999);
+    assert_eq!(g.settle("req-0", JobOutcome::Done).freed.len(), 9_999);
 }
 
 /// What is awaited and unknown is asked for until it is known; what nobody awaits any
 /// more is not.
 #[test]
 fn the_unknown_is_asked_for_as_long_as_somebody_waits() {
-    let mut g = Graph::default();
+    let mut g = DependencyGraph::default();
     let awaits = [id(7), id(8)];
     assert_eq!(g.add("req-1", &awaits, |_| None, |a| a == "req-7"), Default::default());
     assert_eq!(g.unknown().collect::<Vec<_>>(), ["req-8"]);
-    g.settle("req-8", Fate::Done);
+    g.settle("req-8", JobOutcome::Done);
     assert_eq!((g.unknown().count(), g.waits("req-1")), (0, true));
-    assert_eq!(g.settle("req-7", Fate::Done).freed, ["req-1"]);
+    assert_eq!(g.settle("req-7", JobOutcome::Done).freed, ["req-1"]);
     // Its record still names both: they stay where the next leader reads them.
     assert!(g.named("req-7") && g.named("req-8"));
     assert_eq!(g.stored_free("req-1"), ["req-7", "req-8"]);
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -9,7 +9,7 @@
 
 /// What a task takes, or a machine has.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Amounts {
+pub struct Resources {
     pub cores: f64,
     pub accelerators: f64,
     pub memory_gb: f64,
@@ -17,30 +17,30 @@
 
 const SLACK: f64 = 1e-6;
 
-impl Amounts {
+impl Resources {
     pub fn new(cores: f64, accelerators: f64, memory_gb: f64) -> Self {
-        Amounts { cores, accelerators, memory_gb }
+        Resources { cores, accelerators, memory_gb }
     }
-    pub fn holds(&self, need: &Amounts) -> bool {
+    pub fn holds(&self, need: &Resources) -> bool {
         need.cores <= self.cores + SLACK
             && need.accelerators <= self.accelerators + SLACK
             && need.memory_gb <= self.memory_gb + SLACK
     }
-    pub fn take(&mut self, x: &Amounts) {
+    pub fn take(&mut self, x: &Resources) {
         self.cores -= x.cores;
         self.accelerators -= x.accelerators;
         self.memory_gb -= x.memory_gb;
     }
-    pub fn give(&mut self, x: &Amounts) {
+    pub fn give(&mut self, x: &Resources) {
         self.cores += x.cores;
         self.accelerators += x.accelerators;
         self.memory_gb += x.memory_gb;
     }
-    pub fn times(&self, n: f64) -> Amounts {
-        Amounts::new(self.cores * n, self.accelerators * n, self.memory_gb * n)
+    pub fn times(&self, n: f64) -> Resources {
+        Resources::new(self.cores * n, self.accelerators * n, self.memory_gb * n)
     }
     /// How many such tasks fit side by side.
-    pub fn count(&self, need: &Amounts) -> u32 {
+    pub fn count(&self, need: &Resources) -> u32 {
         let part = |have: f64, want: f64| if want > 0.0 { (have + SLACK) / want } else { f64::MAX };
         part(self.cores, need.cores)
             .min(part(self.accelerators, need.accelerators))
@@ -51,8 +51,8 @@
 
 /// A machine type, with the prices of both kinds.
 #[derive(Debug, Clone)]
-pub struct Type {
-    pub size: Amounts,
+pub struct InstanceType {
+    pub size: Resources,
     pub price: f64,
     pub spot_price: f64,
     pub fetch_gb_per_s: f64,
@@ -60,22 +60,22 @@
 
 /// Work that a machine holds until `end`.
 #[derive(Debug, Clone, Copy)]
-pub struct Busy {
+pub struct RunningTask {
     pub end: f64,
     /// It ends only when it is cancelled or stopped: nothing is reserved behind it.
     pub endless: bool,
-    pub takes: Amounts,
+    pub takes: Resources,
     pub band: u8,
     pub team: usize,
     /// Its team's guarantee covers it.
     pub covered: bool,
     /// What stopping it would cost, if it may be stopped for more urgent work.
-    pub victim: Option<Victim>,
+    pub victim: Option<PreemptionCandidate>,
 }
 
 /// Running work that a more urgent job may have stopped.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Victim {
+pub struct PreemptionCandidate {
     /// The caller's own number of it.
     pub owner: usize,
     /// Run time that would be lost.
@@ -91,8 +91,8 @@
     pub spot: bool,
     /// When it can take work: now, or when its boot is expected to end.
     pub ready: f64,
-    pub free: Amounts,
-    pub busy: Vec<Busy>,
+    pub free: Resources,
+    pub busy: Vec<RunningTask>,
     /// Images it is known to hold or to be fetching.
     pub images: Vec<u32>,
     /// Learned run time ratio of this machine, 1 when nothing is known.
@@ -113,7 +113,7 @@
     pub shape: Shape,
     /// Unfinished tasks without a machine.
     pub waiting: Vec<u32>,
-    pub needs: Amounts,
+    pub needs: Resources,
     /// Run time expected of a task.
     pub run_s: f64,
     /// The caller's own number of its image.
@@ -170,7 +170,7 @@
 #[derive(Debug, Clone)]
 pub struct Problem {
     pub now: f64,
-    pub types: Vec<Type>,
+    pub types: Vec<InstanceType>,
     pub zones: usize,
     pub machines: Vec<Machine>,
     pub jobs: Vec<Job>,
@@ -201,7 +201,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unmet {
+pub struct UnmetDemand {
     pub job: usize,
     pub tasks: u32,
     pub late: u32,
@@ -214,7 +214,7 @@
     pub reservations: Vec<Reservation>,
     /// Tasks, by job, that found no place now, and how many of these are
     /// expected after their deadline.
-    pub unmet: Vec<Unmet>,
+    pub unmet: Vec<UnmetDemand>,
     /// Tasks reserved for later that meet their deadline (of the job that is
     /// being planned).
     timely: u32,
@@ -229,7 +229,7 @@
 }
 
 /// A configuration of a job on a type: machine price per task and second.
-fn task_price(t: &Type, job: &Job) -> Option<f64> {
+fn task_price(t: &InstanceType, job: &Job) -> Option<f64> {
     let side_by_side = t.size.count(&job.needs);
     if side_by_side == 0 {
         return None;
@@ -240,7 +240,7 @@
 
 /// The job's allowed types, cheapest first; on ties, the one whose machines
 /// hold more of it, which takes the fewest machines.
-pub fn configurations(types: &[Type], job: &Job) -> Vec<(usize, f64)> {
+pub fn configurations(types: &[InstanceType], job: &Job) -> Vec<(usize, f64)> {
     let mut list: Vec<(usize, f64)> =
         job.kinds.iter().filter_map(|&k| task_price(&types[k], job).map(|p| (k, p))).collect();
     list.sort_by(|a, b| {
@@ -255,15 +255,15 @@
 /// their cheapest deadline-meeting configuration. A configuration that meets
 /// the deadline only by more machines costs their fetches too; a job that
 /// cannot meet it at all is bought elsewhere at twice its cost.
-pub fn pair_cost(now: f64, types: &[Type], first: &Job, second: &Job) -> f64 {
-    let (cost_first, end) = Costs::of(types, first).at(now);
-    let (cost_second, _) = Costs::of(types, second).at(end);
+pub fn pair_cost(now: f64, types: &[InstanceType], first: &Job, second: &Job) -> f64 {
+    let (cost_first, end) = CostCurve::of(types, first).at(now);
+    let (cost_second, _) = CostCurve::of(types, second).at(end);
     cost_first + cost_second
 }
 
 /// What a job's run costs by when it starts, worked out once per plan: the
 /// cheapest configuration still in time, so a step function of the start.
-struct Costs {
+struct CostCurve {
     /// Latest start for which a configuration is the cheapest one in time,
     /// its cost and how long it takes; latest starts rise.
     steps: Vec<(f64, f64, f64)>,
@@ -271,8 +271,8 @@
     late: (f64, f64),
 }
 
-impl Costs {
-    fn of(types: &[Type], job: &Job) -> Costs {
+impl CostCurve {
+    fn of(types: &[InstanceType], job: &Job) -> CostCurve {
         let tasks = job.waiting.len() as f64;
         let mut steps: Vec<(f64, f64, f64)> = Vec::new();
         let mut late = (f64::MAX, 0.0);
@@ -292,7 +292,7 @@
         if late.0 == f64::MAX {
             late = (0.0, 0.0);
         }
-        Costs { steps, late }
+        CostCurve { steps, late }
     }
 
     /// Cost of a start at that time, and the run's end.
@@ -307,8 +307,8 @@
 /// pair_cost(job, other)`. Costs are step functions of the start, so each sum
 /// is taken over sorted ends and steps, in n log n instead of n squared; a
 /// flood of jobs then needs no cut-off. A test compares it with the plain sum.
-pub fn deferrals(now: f64, types: &[Type], jobs: &[Job]) -> Vec<f64> {
-    let costs: Vec<Costs> = jobs.iter().map(|j| Costs::of(types, j)).collect();
+pub fn deferrals(now: f64, types: &[InstanceType], jobs: &[Job]) -> Vec<f64> {
+    let costs: Vec<CostCurve> = jobs.iter().map(|j| CostCurve::of(types, j)).collect();
     let first: Vec<(f64, f64)> = costs.iter().map(|c| c.at(now)).collect();
     let mut ends: Vec<f64> = first.iter().map(|f| f.1).collect();
     ends.sort_by(f64::total_cmp);
@@ -372,11 +372,11 @@
         })
         .sum::<f64>()
         / (up.len().max(1) as f64);
-    let mut rooms: Vec<(Seen, Vec<(Amounts, f64)>)> = Vec::new();
+    let mut rooms: Vec<(CapacityView, Vec<(Resources, f64)>)> = Vec::new();
     // Time that the job's waiting tasks take of all its machines together.
     let mut work = |i: usize| {
         let job = &p.jobs[i];
-        let seen = Seen { band: job.band, kinds: job.kinds.clone(), spot: job.spot, zone: job.zone };
+        let seen = CapacityView { band: job.band, kinds: job.kinds.clone(), spot: job.spot, zone: job.zone };
         let at = rooms.iter().position(|r| r.0 == seen).unwrap_or_else(|| {
             let alike = room_of(p, &up, &seen);
             rooms.push((seen, alike));
@@ -394,15 +394,16 @@
         for level in 0..2u8 {
             let due = |i: usize| if level == 0 { p.jobs[i].deadline } else { p.jobs[i].last_chance };
             left.sort_by(|&a, &b| due(a).total_cmp(&due(b)).then(a.cmp(&b)));
-            let (mut kept, mut dropped): (BinaryHeap<Load>, Vec<usize>) = (BinaryHeap::new(), Vec::new());
+            let (mut kept, mut dropped): (BinaryHeap<MachineLoad>, Vec<usize>) =
+                (BinaryHeap::new(), Vec::new());
             let mut total = ahead;
             for i in left {
                 let w = work(i);
-                kept.push(Load(w, i));
+                kept.push(MachineLoad(w, i));
                 total += w;
                 // Behind the queue, its own tasks take one run at least.
                 while p.now + (total - w).max(0.0) / ATTAINED + w.max(p.jobs[i].run_s) > due(i) {
-                    let Some(Load(w, gone)) = kept.pop() else { break };
+                    let Some(MachineLoad(w, gone)) = kept.pop() else { break };
                     total -= w;
                     dropped.push(gone);
                     if gone == i {
@@ -410,7 +411,7 @@
                     }
                 }
             }
-            for &Load(_, i) in &kept {
+            for &MachineLoad(_, i) in &kept {
                 tier[i] = level;
             }
             ahead = total;
@@ -422,7 +423,7 @@
 
 /// Which machines a job can have, as far as its room in time depends on it.
 #[derive(PartialEq)]
-struct Seen {
+struct CapacityView {
     band: u8,
     kinds: Vec<usize>,
     spot: bool,
@@ -431,8 +432,8 @@
 
 /// Room that work of a band may count on, as sizes and how many machines have
 /// each: most machines are alike, so a job need not look at every one.
-fn room_of(p: &Problem, up: &[&Machine], seen: &Seen) -> Vec<(Amounts, f64)> {
-    let mut alike: Vec<(Amounts, f64)> = Vec::new();
+fn room_of(p: &Problem, up: &[&Machine], seen: &CapacityView) -> Vec<(Resources, f64)> {
+    let mut alike: Vec<(Resources, f64)> = Vec::new();
     for m in up {
         let out = !seen.kinds.contains(&m.kind) || (m.spot && !seen.spot);
         if out || seen.zone.is_some_and(|z| z != m.zone) {
@@ -451,27 +452,27 @@
 }
 
 /// A job's work, the largest first.
-struct Load(f64, usize);
+struct MachineLoad(f64, usize);
 
-impl PartialEq for Load {
+impl PartialEq for MachineLoad {
     fn eq(&self, o: &Self) -> bool {
         self.cmp(o) == Ordering::Equal
     }
 }
-impl Eq for Load {}
-impl PartialOrd for Load {
+impl Eq for MachineLoad {}
+impl PartialOrd for MachineLoad {
     fn partial_cmp(&self, o: &Self) -> Option<Ordering> {
         Some(self.cmp(o))
     }
 }
-impl Ord for Load {
+impl Ord for MachineLoad {
     fn cmp(&self, o: &Self) -> Ordering {
         self.0.total_cmp(&o.0).then(self.1.cmp(&o.1))
     }
 }
 
 /// Part of a machine that `takes` holds.
-fn share(takes: &Amounts, size: &Amounts) -> f64 {
+fn share(takes: &Resources, size: &Resources) -> f64 {
     (takes.cores / size.cores.max(SLACK))
         .max(takes.accelerators / size.accelerators.max(SLACK))
         .max(takes.memory_gb / size.memory_gb.max(SLACK))
@@ -512,27 +513,27 @@
 }
 
 /// A machine's future while the plan is being made.
-struct Slot {
-    free: Amounts,
+struct MachineTimeline {
+    free: Resources,
     /// Ends of running work, soonest first.
-    busy: Vec<Busy>,
+    busy: Vec<RunningTask>,
     /// Reserved for a job of higher priority from `start` on.
-    reserved: Vec<(f64, Amounts)>,
+    reserved: Vec<(f64, Resources)>,
     /// What is left of the machine for good once running work has ended or was stopped.
-    rest: Amounts,
+    rest: Resources,
     /// The latest start of a reservation.
     last: f64,
 }
 
-impl Slot {
+impl MachineTimeline {
     /// Nothing that needs `least` or more and runs `run` or longer fits here
     /// any more, now or later.
-    fn closed(&self, now: f64, least: &Amounts, run: f64) -> bool {
+    fn closed(&self, now: f64, least: &Resources, run: f64) -> bool {
         !self.rest.holds(least) && (self.reserved.is_empty() || now + run > self.last)
     }
 
     /// Earliest time at which `need` fits, for a run of `run` seconds.
-    fn earliest(&self, now: f64, ready: f64, need: &Amounts, run: f64) -> Option<f64> {
+    fn earliest(&self, now: f64, ready: f64, need: &Resources, run: f64) -> Option<f64> {
         let mut at = now.max(ready);
         if self.closed(at, need, run) {
             return None;
@@ -570,20 +571,20 @@
 /// Whether `b` may be stopped for `job`: what is less urgent, and for a team's
 /// guarantee what another team runs beyond its own, unless that is more urgent.
 /// (Allowed as well, but reports that stopped urgent rebooking kept it waiting.)
-fn may_stop(job: &Job, b: &Busy) -> bool {
+fn may_stop(job: &Job, b: &RunningTask) -> bool {
     b.band < job.band || job.guaranteed && !b.covered && b.team != job.team && b.band == job.band
 }
 
 /// Where one task could go.
 #[derive(Clone, Copy)]
-struct Option1 {
+struct PlacementOption {
     machine: usize,
     at: f64,
     rank: (f64, f64),
 }
 
 /// The better option is the smaller one: earlier, then by rank.
-impl Ord for Option1 {
+impl Ord for PlacementOption {
     fn cmp(&self, o: &Self) -> Ordering {
         self.at
             .total_cmp(&o.at)
@@ -592,17 +593,17 @@
             .then(self.machine.cmp(&o.machine))
     }
 }
-impl PartialOrd for Option1 {
+impl PartialOrd for PlacementOption {
     fn partial_cmp(&self, o: &Self) -> Option<Ordering> {
         Some(self.cmp(o))
     }
 }
-impl PartialEq for Option1 {
+impl PartialEq for PlacementOption {
     fn eq(&self, o: &Self) -> bool {
         self.cmp(o) == Ordering::Equal
     }
 }
-impl Eq for Option1 {}
+impl Eq for PlacementOption {}
 
 /// A gang's best configuration so far; the smaller key is the better one.
 struct GangChoice {
@@ -616,10 +617,10 @@
 /// A job that found no place. Places only become fewer while a plan is made,
 /// so a job that asks for as much or more finds none either: under a backlog
 /// most jobs are passed over without a look at the machines.
-struct Barrier {
+struct KnownMisfit {
     shape: Shape,
     band: u8,
-    needs: Amounts,
+    needs: Resources,
     tasks: usize,
     /// At least what its run takes on any machine, fetch included.
     run_s: f64,
@@ -630,10 +631,10 @@
     one_zone: bool,
 }
 
-impl Barrier {
+impl KnownMisfit {
     /// `run_s`: at least what its run takes anywhere.
     fn of(job: &Job, run_s: f64) -> Self {
-        Barrier {
+        KnownMisfit {
             shape: job.shape,
             band: job.band,
             needs: job.needs,
@@ -664,16 +665,16 @@
 
 struct Planner<'a> {
     p: &'a Problem,
-    slots: Vec<Slot>,
+    slots: Vec<MachineTimeline>,
     teams: Vec<Team>,
     images: Vec<Vec<u32>>,
     /// Machines where some job may still find a place.
     open: Vec<usize>,
     /// The least that any job needs and how long the shortest runs.
-    least: (Amounts, f64),
-    barriers: Vec<Barrier>,
+    least: (Resources, f64),
+    barriers: Vec<KnownMisfit>,
     /// One of each sort of work that may be stopped.
-    preys: Vec<Busy>,
+    preys: Vec<RunningTask>,
     /// Jobs for which their teams' room is kept.
     kept: Vec<usize>,
     /// Looks at a machine for a job, as a measure of the effort.
@@ -694,17 +695,17 @@
                 busy.sort_by(|a, b| a.end.total_cmp(&b.end));
                 let mut rest = m.free;
                 busy.iter().for_each(|b| rest.give(&b.takes));
-                Slot { free: m.free, busy, reserved: Vec::new(), rest, last: 0.0 }
+                MachineTimeline { free: m.free, busy, reserved: Vec::new(), rest, last: 0.0 }
             })
             .collect();
-        let mut least = (Amounts::new(f64::MAX, f64::MAX, f64::MAX), f64::MAX);
+        let mut least = (Resources::new(f64::MAX, f64::MAX, f64::MAX), f64::MAX);
         for j in &p.jobs {
             least.0.cores = least.0.cores.min(j.needs.cores);
             least.0.accelerators = least.0.accelerators.min(j.needs.accelerators);
             least.0.memory_gb = least.0.memory_gb.min(j.needs.memory_gb);
             least.1 = least.1.min(j.run_s);
         }
-        let mut preys: Vec<Busy> = Vec::new();
+        let mut preys: Vec<RunningTask> = Vec::new();
         for b in p.machines.iter().flat_map(|m| &m.busy).filter(|b| b.victim.is_some()) {
             if !preys.iter().any(|x| (x.band, x.team, x.covered) == (b.band, b.team, b.covered)) {
                 preys.push(*b);
@@ -741,7 +742,7 @@
         if self.barriers.len() < MOST_BARRIERS && job.zone_cap.is_none() && !bound {
             let slowest = self.p.types.iter().map(|t| t.fetch_gb_per_s).filter(|r| *r > 0.0);
             let fetch = job.image_gb / slowest.fold(f64::MAX, f64::min);
-            self.barriers.push(Barrier::of(job, job.run_s + fetch));
+            self.barriers.push(KnownMisfit::of(job, job.run_s + fetch));
         }
     }
 
@@ -772,14 +773,14 @@
 
     /// Earliest place of one task on machine `m`. Earlier ends come first,
     /// coarsely; then the cheaper machine; then the fuller one.
-    fn option(&self, job: &Job, m: usize) -> Option<Option1> {
+    fn option(&self, job: &Job, m: usize) -> Option<PlacementOption> {
         if !self.allowed(job, m) {
             return None;
         }
         let machine = &self.p.machines[m];
         let run = (self.fetch_s(job, m) + job.run_s) * machine.slowness;
         let at = self.slots[m].earliest(self.p.now, machine.ready, &job.needs, run)?;
-        Some(Option1 { machine: m, at, rank: self.rank(job, m) })
+        Some(PlacementOption { machine: m, at, rank: self.rank(job, m) })
     }
 
     /// How well a task fits machine `m`, the smaller the better.
@@ -816,7 +817,7 @@
         }
         let ending = self.slots.iter().flat_map(|s| &s.busy);
         let ending = ending.filter(|b| b.team == job.team && !b.endless && b.end <= job.keeps_until);
-        let mut freed = Amounts::new(0.0, 0.0, 0.0);
+        let mut freed = Resources::new(0.0, 0.0, 0.0);
         ending.for_each(|b| freed.give(&b.takes));
         let need = job.needs.times(f64::from(n));
         let t = &mut self.teams[job.team];
@@ -839,7 +840,7 @@
             let place = busy.partition_point(|b| b.end <= end);
             let (takes, band, team, covered) = (job.needs, job.band, job.team, job.guaranteed);
             let endless = job.shape == Shape::Service;
-            busy.insert(place, Busy { end, endless, takes, band, team, covered, victim: None });
+            busy.insert(place, RunningTask { end, endless, takes, band, team, covered, victim: None });
             if !self.images[m].contains(&job.image) {
                 self.images[m].push(job.image);
             }
@@ -859,7 +860,7 @@
     }
 
     /// Options on every machine of `kind` and `zone`, in no order.
-    fn options(&mut self, job: &Job, kind: Option<usize>, zone: Option<usize>) -> Vec<Option1> {
+    fn options(&mut self, job: &Job, kind: Option<usize>, zone: Option<usize>) -> Vec<PlacementOption> {
         self.steps += self.open.len() as u64;
         self.open
             .iter()
@@ -1015,7 +1016,7 @@
             if !self.allowed(job, m) || machine.ready > p.now || !self.slots[m].reserved.is_empty() {
                 continue;
             }
-            let mut victims: Vec<(usize, Victim, Amounts)> = self.slots[m]
+            let mut victims: Vec<(usize, PreemptionCandidate, Resources)> = self.slots[m]
                 .busy
                 .iter()
                 .enumerate()
@@ -1111,7 +1112,7 @@
         let mut span: Option<Reservation> = None;
         // The tasks are alike and taking a place changes one machine's option
         // only, so the machines are looked at once, not once for every task.
-        let mut heap: BinaryHeap<Reverse<Option1>> =
+        let mut heap: BinaryHeap<Reverse<PlacementOption>> =
             self.options(job, None, zone).into_iter().map(Reverse).collect();
         // Zones are kept by the plain search only.
         let mut stoppable = !job.probe && !job.leftover && !job.one_zone && job.zone_cap.is_none();
@@ -1285,7 +1286,7 @@
             open.push(i);
         }
         if left > 0 && p.jobs[i].not_before <= p.now && !p.jobs[i].probe {
-            plan.unmet.push(Unmet { job: i, tasks: left, late: left.saturating_sub(plan.timely) });
+            plan.unmet.push(UnmetDemand { job: i, tasks: left, late: left.saturating_sub(plan.timely) });
         }
     }
     plan.beside = planner.beside(&open);
--- a/crates/planner/src/starvation.rs
+++ b/crates/planner/src/starvation.rs
@@ -6,7 +6,7 @@
 
 /// How small a part, and how long a wait.
 #[derive(Debug, Clone, Copy)]
-pub struct Floor {
+pub struct StarvationPolicy {
     /// Part of all machines that all groups under their floors get together.
     pub share: f64,
     /// How long a job of the group has to have waited since it was submitted.
@@ -17,13 +17,13 @@
 }
 
 /// Until when room may be kept for an overdue job, on the clock of `submitted`.
-pub fn keeps_until(floor: &Floor, submitted: f64) -> f64 {
+pub fn keeps_until(floor: &StarvationPolicy, submitted: f64) -> f64 {
     submitted + floor.patience_s + floor.keeps_s
 }
 
 /// Work of a job that waits.
 #[derive(Debug, Clone, Copy)]
-pub struct Claim {
+pub struct WaitingDemand {
     /// Its class and its team, as indices of `held`.
     pub groups: [usize; 2],
     pub submitted: f64,
@@ -38,7 +38,7 @@
 
 /// Groups that are under their floors, given the part of all machines that each
 /// holds.
-pub fn under(now: f64, floor: &Floor, held: &[f64], claims: &[Claim]) -> Vec<bool> {
+pub fn under(now: f64, floor: &StarvationPolicy, held: &[f64], claims: &[WaitingDemand]) -> Vec<bool> {
     let mut starving = vec![false; held.len()];
     for c in claims.iter().filter(|c| now - c.submitted > floor.patience_s) {
         for g in c.groups {
@@ -50,7 +50,12 @@
 
 /// How many tasks of each claim go before all other work: the oldest first, until
 /// each group has its part of the floor.
-pub fn grants(floor: &Floor, starving: &[bool], held: &[f64], claims: &[Claim]) -> Vec<usize> {
+pub fn grants(
+    floor: &StarvationPolicy,
+    starving: &[bool],
+    held: &[f64],
+    claims: &[WaitingDemand],
+) -> Vec<usize> {
     let parts = starving.iter().filter(|s| **s).count().max(1) as f64;
     let mut left: Vec<f64> = held.iter().map(|h| (floor.share / parts - h).max(0.0)).collect();
     let mut granted = vec![0; claims.len()];
@@ -72,7 +77,7 @@
 /// of what needs all of its places at once the oldest, whatever its size, one at a time.
 /// (A gang of a third of the machines never began beside small work of its own class:
 /// each machine that came free was taken before the last one did.)
-pub fn overdue(now: f64, floor: &Floor, claims: &[Claim]) -> Vec<usize> {
+pub fn overdue(now: f64, floor: &StarvationPolicy, claims: &[WaitingDemand]) -> Vec<usize> {
     let mut granted = vec![0; claims.len()];
     let mut by_age: Vec<usize> = (0..claims.len()).collect();
     by_age.retain(|&i| !claims[i].begun && now - claims[i].submitted > floor.patience_s);
--- a/crates/planner/src/work_conservation.rs
+++ b/crates/planner/src/work_conservation.rs
@@ -3,7 +3,7 @@
 //! the machine is kept ready for what usually comes. None of that may keep a job for long: the
 //! caller counts how long it has been [`Plan::beside`], and lets it go first in the end.
 
-use super::{Barrier, Job, Option1, Plan, Planner, Shape, Start, Unmet, SLACK};
+use super::{Job, KnownMisfit, PlacementOption, Plan, Planner, Shape, Start, UnmetDemand, SLACK};
 
 impl Planner<'_> {
     /// Machines with free places for `job`'s tasks, one for each: of a gang all or none, of others
@@ -18,11 +18,11 @@
             (false, _) => vec![None],
         };
         self.steps += (roomy.len() * zones.len()) as u64;
-        let mut options: Vec<Option1> = roomy
+        let mut options: Vec<PlacementOption> = roomy
             .iter()
             .filter(|&&m| self.suits(job, m) && self.p.machines[m].ready <= self.p.now)
             .filter(|&&m| self.slots[m].free.holds(&job.needs))
-            .map(|&machine| Option1 { machine, at: self.p.now, rank: self.rank(job, machine) })
+            .map(|&machine| PlacementOption { machine, at: self.p.now, rank: self.rank(job, machine) })
             .collect();
         options.sort_unstable();
         let mut best = Vec::new();
@@ -90,7 +90,7 @@
             .filter(|&m| p.machines[m].ready <= p.now && self.slots[m].free.holds(&least))
             .collect();
         // What found nothing speaks for all that ask for as much.
-        let (mut beside, mut fruitless): (Vec<usize>, Vec<Barrier>) = Default::default();
+        let (mut beside, mut fruitless): (Vec<usize>, Vec<KnownMisfit>) = Default::default();
         for &i in open.iter().filter(|_| !roomy.is_empty()) {
             let job = &p.jobs[i];
             self.steps += 1;
@@ -101,7 +101,7 @@
             if !self.free_places(job, &roomy, job.waiting.len()).is_empty() {
                 beside.push(i);
             } else if alike {
-                fruitless.push(Barrier { band: u8::MAX, ..Barrier::of(job, 0.0) });
+                fruitless.push(KnownMisfit { band: u8::MAX, ..KnownMisfit::of(job, 0.0) });
             }
         }
         beside
@@ -109,7 +109,7 @@
 
     /// Takes off `unmet` what the teams' limits let nobody run now: a machine more would be of no
     /// use to it. (A team at its limit of two machines once had sixty rented, again and again.)
-    pub(crate) fn within_limits(&mut self, unmet: &mut Vec<Unmet>) {
+    pub(crate) fn within_limits(&mut self, unmet: &mut Vec<UnmetDemand>) {
         let kept = self.teams.clone();
         // What is kept for a job comes free while its machines boot.
         for u in unmet.iter_mut().filter(|u| !self.kept.contains(&u.job)) {
--- a/crates/planner/tests/common/mod.rs
+++ b/crates/planner/tests/common/mod.rs
@@ -3,9 +3,9 @@
 use anisecroft_planner::*;
 
 /// Type 0: 4 slots at 4.0 (1.0 a slot); type 1: 2 slots at 6.0 (3.0 a slot).
-pub fn types() -> Vec<Type> {
-    let t = |accelerators: f64, price: f64| Type {
-        size: Amounts::new(100.0, accelerators, 100.0),
+pub fn types() -> Vec<InstanceType> {
+    let t = |accelerators: f64, price: f64| InstanceType {
+        size: Resources::new(100.0, accelerators, 100.0),
         price,
         spot_price: price / 4.0,
         fetch_gb_per_s: 1.0,
@@ -31,7 +31,7 @@
         band: 1,
         shape,
         waiting: (0..tasks).collect(),
-        needs: Amounts::new(1.0, accelerators, 1.0),
+        needs: Resources::new(1.0, accelerators, 1.0),
         run_s,
         image: 1,
         image_gb: 0.0,
--- a/crates/planner/tests/cura.rs
+++ b/crates/planner/tests/cura.rs
@@ -37,11 +37,11 @@
     let made = plan(&problem(vec![machine(1, 0), machine(0, 0)], vec![gang.clone()]));
     assert_eq!(made.starts.iter().map(|s| s.machine).collect::<Vec<_>>(), vec![1, 1]);
     let mut busy = machine(0, 0);
-    busy.free = Amounts::new(100.0, 0.0, 100.0);
-    busy.busy = vec![Busy {
+    busy.free = Resources::new(100.0, 0.0, 100.0);
+    busy.busy = vec![RunningTask {
         end: 60.0,
         endless: false,
-        takes: Amounts::new(0.0, 4.0, 0.0),
+        takes: Resources::new(0.0, 4.0, 0.0),
         band: 1,
         team: 0,
         covered: false,
@@ -69,19 +69,19 @@
 #[test]
 fn the_least_costly_work_is_stopped() {
     let mut m = machine(0, 0);
-    m.free = Amounts::new(50.0, 0.0, 50.0);
-    let takes = Amounts::new(1.0, 1.0, 1.0);
+    m.free = Resources::new(50.0, 0.0, 50.0);
+    let takes = Resources::new(1.0, 1.0, 1.0);
     m.busy = [40.0, 5.0, 60.0, 3.0]
         .iter()
         .enumerate()
-        .map(|(owner, &lost_s)| Busy {
+        .map(|(owner, &lost_s)| RunningTask {
             end: 100.0 - lost_s,
             endless: false,
             takes,
             band: 1,
             team: 0,
             covered: false,
-            victim: Some(Victim { owner, lost_s, stop_s: 1.0 }),
+            victim: Some(PreemptionCandidate { owner, lost_s, stop_s: 1.0 }),
         })
         .collect();
     let urgent = Job { band: 2, ..job(Shape::Gang, 1, 2.0, 30.0, 60.0) };
@@ -98,15 +98,15 @@
 #[test]
 fn a_guarantee_has_uncovered_work_stopped() {
     let mut m = machine(0, 0);
-    m.free = Amounts::new(50.0, 0.0, 50.0);
-    let held = |owner: usize, team: usize, covered: bool| Busy {
+    m.free = Resources::new(50.0, 0.0, 50.0);
+    let held = |owner: usize, team: usize, covered: bool| RunningTask {
         end: 400.0,
         endless: false,
-        takes: Amounts::new(1.0, 1.0, 1.0),
+        takes: Resources::new(1.0, 1.0, 1.0),
         band: 1,
         team,
         covered,
-        victim: Some(Victim { owner, lost_s: 10.0, stop_s: 1.0 }),
+        victim: Some(PreemptionCandidate { owner, lost_s: 10.0, stop_s: 1.0 }),
     };
     m.busy = vec![held(0, 1, true), held(1, 1, false), held(2, 0, false), held(3, 1, false)];
     let mut p = problem(vec![m], vec![job(Shape::Array, 3, 1.0, 30.0, 900.0)]);
@@ -125,10 +125,10 @@
 #[test]
 fn an_array_waits_as_long_as_it_can() {
     let mut m = machine(0, 0);
-    m.free = Amounts::new(50.0, 0.0, 50.0);
-    let victim = Some(Victim { owner: 7, lost_s: 10.0, stop_s: 1.0 });
-    let takes = Amounts::new(4.0, 4.0, 4.0);
-    m.busy = vec![Busy { end: 60.0, endless: false, takes, band: 0, team: 0, covered: false, victim }];
+    m.free = Resources::new(50.0, 0.0, 50.0);
+    let victim = Some(PreemptionCandidate { owner: 7, lost_s: 10.0, stop_s: 1.0 });
+    let takes = Resources::new(4.0, 4.0, 4.0);
+    m.busy = vec![RunningTask { end: 60.0, endless: false, takes, band: 0, team: 0, covered: false, victim }];
     let due = |due: f64| plan(&problem(vec![m.clone()], vec![job(Shape::Array, 2, 1.0, 30.0, due)])).stops;
     assert_eq!(due(200.0), Vec::<usize>::new());
     assert_eq!(due(80.0), vec![7]);
@@ -141,10 +141,10 @@
     let made = plan(&problem(vec![machine(0, 0)], vec![probe.clone()]));
     assert_eq!(made.starts.len(), 1);
     let mut m = machine(0, 0);
-    m.free = Amounts::new(50.0, 0.0, 50.0);
-    let victim = Some(Victim { owner: 7, lost_s: 10.0, stop_s: 1.0 });
-    let takes = Amounts::new(4.0, 4.0, 4.0);
-    m.busy = vec![Busy { end: 60.0, endless: false, takes, band: 0, team: 0, covered: false, victim }];
+    m.free = Resources::new(50.0, 0.0, 50.0);
+    let victim = Some(PreemptionCandidate { owner: 7, lost_s: 10.0, stop_s: 1.0 });
+    let takes = Resources::new(4.0, 4.0, 4.0);
+    m.busy = vec![RunningTask { end: 60.0, endless: false, takes, band: 0, team: 0, covered: false, victim }];
     for shape in [Shape::Array, Shape::Gang] {
         let made = plan(&problem(vec![m.clone()], vec![Job { shape, ..probe.clone() }]));
         assert!(made.starts.is_empty() && made.stops.is_empty() && made.unmet.is_empty());
@@ -170,9 +170,9 @@
         let machines = (0..100)
             .map(|i| {
                 let mut m = machine(0, i % 2);
-                m.free = Amounts::new(96.0, 0.0, 96.0);
-                let takes = Amounts::new(4.0, 4.0, 4.0);
-                m.busy = vec![Busy {
+                m.free = Resources::new(96.0, 0.0, 96.0);
+                let takes = Resources::new(4.0, 4.0, 4.0);
+                m.busy = vec![RunningTask {
                     end: 50.0 + i as f64 / 100.0,
                     endless: false,
                     takes,
@@ -201,9 +201,10 @@
     let gang = |keeps_until: f64| Job { floor: true, keeps_until, ..job(Shape::Gang, 4, 1.0, 50.0, 100.0) };
     let other = Job { team: 1, ..job(Shape::Array, 1, 1.0, 50.0, 100.0) };
     let starts = |keeps_until: f64, ends: f64| {
-        let takes = Amounts::new(0.0, 2.0, 0.0);
-        let busy = Busy { end: ends, endless: false, takes, band: 1, team: 0, covered: false, victim: None };
-        let running = Machine { free: Amounts::new(100.0, 2.0, 100.0), busy: vec![busy], ..machine(0, 0) };
+        let takes = Resources::new(0.0, 2.0, 0.0);
+        let busy =
+            RunningTask { end: ends, endless: false, takes, band: 1, team: 0, covered: false, victim: None };
+        let running = Machine { free: Resources::new(100.0, 2.0, 100.0), busy: vec![busy], ..machine(0, 0) };
         let small = job(Shape::Array, 2, 1.0, 50.0, 100.0);
         let machines = vec![running, machine(0, 0), machine(0, 0)];
         let limited = Team { cores_left: None, accelerators_left: Some(2.0) };
@@ -223,9 +224,9 @@
 #[test]
 fn what_gathers_for_an_overdue_gang_stands_ready() {
     let busy = |end: f64, zone: usize| {
-        let takes = Amounts::new(0.0, 4.0, 0.0);
-        let b = Busy { end, endless: false, takes, band: 1, team: 0, covered: false, victim: None };
-        Machine { free: Amounts::new(100.0, 0.0, 100.0), busy: vec![b], ..machine(0, zone) }
+        let takes = Resources::new(0.0, 4.0, 0.0);
+        let b = RunningTask { end, endless: false, takes, band: 1, team: 0, covered: false, victim: None };
+        Machine { free: Resources::new(100.0, 0.0, 100.0), busy: vec![b], ..machine(0, zone) }
     };
     let gang = Job { floor: true, one_zone: true, ..job(Shape::Gang, 2, 4.0, 50.0, 1000.0) };
     let short = job(Shape::Array, 1, 1.0, 10.0, 1000.0);
@@ -253,9 +254,9 @@
     ) {
         let machines: Vec<Machine> = machines.into_iter().map(|(kind, zone, spot, used)| {
             let mut m = Machine { spot, ..machine(kind, zone) };
-            let takes = Amounts::new(0.0, used.min(m.free.accelerators), 0.0);
+            let takes = Resources::new(0.0, used.min(m.free.accelerators), 0.0);
             m.free.take(&takes);
-            m.busy.push(Busy { end: 50.0, endless: false, takes, band: 0, team: 0, covered: false, victim: None });
+            m.busy.push(RunningTask { end: 50.0, endless: false, takes, band: 0, team: 0, covered: false, victim: None });
             m
         }).collect();
         let jobs: Vec<Job> = jobs.into_iter().map(|(shape, tasks, acc, run, due, one_zone, spot, band)| Job {
@@ -317,9 +318,9 @@
     ) {
         let machines: Vec<Machine> = free.iter().map(|&(kind, room, spot, image)| {
             let mut m = Machine { spot, ..machine(kind, 0) };
-            let used = Amounts::new(0.0, (m.free.accelerators - f64::from(room)).max(0.0), 0.0);
+            let used = Resources::new(0.0, (m.free.accelerators - f64::from(room)).max(0.0), 0.0);
             m.free.take(&used);
-            m.busy.push(Busy { end: 1e5, endless: false, takes: used, band: 1, team: 0, covered: false, victim: None });
+            m.busy.push(RunningTask { end: 1e5, endless: false, takes: used, band: 1, team: 0, covered: false, victim: None });
             if !image { m.images.clear(); }
             m
         }).collect();
@@ -331,7 +332,7 @@
             let p = problem(left.clone(), vec![Job { waiting: vec![task], ..j.clone() }]);
             let Some(&s) = plan(&p).starts.first() else { break };
             left[s.machine].free.take(&j.needs);
-            left[s.machine].busy.push(Busy { end: 1e4, endless: false, takes: j.needs, band: 1, team: 0, covered: false, victim: None });
+            left[s.machine].busy.push(RunningTask { end: 1e4, endless: false, takes: j.needs, band: 1, team: 0, covered: false, victim: None });
             if !left[s.machine].images.contains(&1) { left[s.machine].images.push(1); }
             one_by_one.push((s.task, s.machine));
         }
--- a/crates/planner/tests/floor.rs
+++ b/crates/planner/tests/floor.rs
@@ -1,13 +1,13 @@
 //! The floor under classes and teams, as pure functions.
 
-use anisecroft_planner::starvation::{grants, overdue, under, Claim, Floor};
+use anisecroft_planner::starvation::{grants, overdue, under, StarvationPolicy, WaitingDemand};
 use proptest::prelude::*;
 
-const FLOOR: Floor = Floor { share: 0.1, patience_s: 60.0, keeps_s: 40.0 };
+const FLOOR: StarvationPolicy = StarvationPolicy { share: 0.1, patience_s: 60.0, keeps_s: 40.0 };
 
-fn claim() -> impl Strategy<Value = Claim> {
+fn claim() -> impl Strategy<Value = WaitingDemand> {
     let numbers = (0usize..3, 3usize..6, 0.0..200.0f64, 1usize..40, 0.0..0.2f64, any::<(bool, bool)>());
-    numbers.prop_map(|(class, team, submitted, tasks, each, (whole, begun))| Claim {
+    numbers.prop_map(|(class, team, submitted, tasks, each, (whole, begun))| WaitingDemand {
         groups: [class, team],
         submitted,
         tasks,
@@ -46,7 +46,7 @@
     #[test]
     fn the_overdue_begin(claims in prop::collection::vec(claim(), 0..30)) {
         let granted = overdue(200.0, &FLOOR, &claims);
-        let due = |c: &Claim| !c.begun && c.submitted < 200.0 - FLOOR.patience_s;
+        let due = |c: &WaitingDemand| !c.begun && c.submitted < 200.0 - FLOOR.patience_s;
         let mut arrays = 0.0;
         for (c, n) in claims.iter().zip(&granted).filter(|(_, n)| **n > 0) {
             let all = if c.whole { c.tasks } else { 1 };
--- a/crates/planner/tests/room.rs
+++ b/crates/planner/tests/room.rs
@@ -7,10 +7,10 @@
 
 /// A machine with one accelerator of four free; the rest is held until `end`.
 fn partly(end: f64, endless: bool) -> Machine {
-    let takes = Amounts::new(1.0, 3.0, 1.0);
+    let takes = Resources::new(1.0, 3.0, 1.0);
     let mut m = machine(0, 0);
     m.free.take(&takes);
-    m.busy = vec![Busy { end, endless, takes, band: 1, team: 0, covered: false, victim: None }];
+    m.busy = vec![RunningTask { end, endless, takes, band: 1, team: 0, covered: false, victim: None }];
     m
 }
 
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -30,7 +30,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Rent {
+pub struct RentRequest {
     #[serde(rename = "booking")]
     pub request: String,
     #[serde(rename = "breed")]
--- a/crates/protocol/src/forwarding.rs
+++ b/crates/protocol/src/forwarding.rs
@@ -1,7 +1,9 @@
 //! Reports and commands between the workers' format and the controllers' own.
 
-use crate::peer::{Cause, Content, Entry, Op, Order, Orders, Phase, Task};
-use crate::worker::{Command, ExitCause, Report, ReportAnswer, TaskReport, TaskState, Verb};
+use crate::peer::{
+    Cause, ForwardedHeartbeat, HeartbeatContent, MachineCommands, Op, Phase, Task, TaskCommand,
+};
+use crate::worker::{Command, CommandKind, ExitCause, Heartbeat, HeartbeatResponse, TaskState, TaskStatus};
 
 impl From<TaskState> for Phase {
     fn from(s: TaskState) -> Self {
@@ -55,8 +57,8 @@
     })
 }
 
-impl From<&Report> for Content {
-    fn from(r: &Report) -> Self {
+impl From<&Heartbeat> for HeartbeatContent {
+    fn from(r: &Heartbeat) -> Self {
         let tasks = r.tasks.iter().map(|t| Task {
             task: t.task.clone(),
             attempt: t.attempt,
@@ -64,7 +66,7 @@
             cause: t.cause.map_or(Cause::None, Cause::from).into(),
             saved: t.saved,
         });
-        Content {
+        HeartbeatContent {
             addr: r.addr.clone(),
             machine_type: r.machine_type.clone(),
             zone: r.zone.clone(),
@@ -76,14 +78,14 @@
     }
 }
 
-impl Entry {
+impl ForwardedHeartbeat {
     /// The report that an entry with content passes on. None without content,
     /// or with a phase that a later version has added.
-    pub fn report(self) -> Option<Report> {
+    pub fn report(self) -> Option<Heartbeat> {
         let c = self.content?;
         let tasks = c.tasks.into_iter().map(|t| {
             let (phase, exit) = (t.phase(), t.cause());
-            Some(TaskReport {
+            Some(TaskStatus {
                 task: t.task,
                 attempt: t.attempt,
                 state: state(phase)?,
@@ -91,7 +93,7 @@
                 saved: t.saved,
             })
         });
-        Some(Report {
+        Some(Heartbeat {
             machine: self.machine,
             addr: c.addr,
             machine_type: c.machine_type,
@@ -106,30 +108,30 @@
     }
 }
 
-impl From<&Command> for Order {
+impl From<&Command> for TaskCommand {
     fn from(c: &Command) -> Self {
         let op = match c.op {
-            Verb::Start => Op::Start,
-            Verb::Stop => Op::Stop,
-            Verb::Forget => Op::Forget,
+            CommandKind::Start => Op::Start,
+            CommandKind::Stop => Op::Stop,
+            CommandKind::Forget => Op::Forget,
         };
-        Order { op: op.into(), task: c.task.clone(), attempt: c.attempt, grace_s: c.grace_s }
+        TaskCommand { op: op.into(), task: c.task.clone(), attempt: c.attempt, grace_s: c.grace_s }
     }
 }
 
-impl Orders {
+impl MachineCommands {
     /// The answer to the worker. Commands that this version does not know are
     /// left out; the leader repeats what is still due.
-    pub fn answer(self, token: u64) -> ReportAnswer {
+    pub fn answer(self, token: u64) -> HeartbeatResponse {
         let commands = self.orders.into_iter().filter_map(|o| {
             let op = match o.op() {
                 Op::Unknown => return None,
-                Op::Start => Verb::Start,
-                Op::Stop => Verb::Stop,
-                Op::Forget => Verb::Forget,
+                Op::Start => CommandKind::Start,
+                Op::Stop => CommandKind::Stop,
+                Op::Forget => CommandKind::Forget,
             };
             Some(Command { op, task: o.task, attempt: o.attempt, grace_s: o.grace_s })
         });
-        ReportAnswer { token, commands: commands.collect() }
+        HeartbeatResponse { token, commands: commands.collect() }
     }
 }
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -1,6 +1,6 @@
 //! What users send and are told.
 
-use crate::Malformed;
+use crate::DecodeError;
 use serde::de::IntoDeserializer;
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::BTreeSet;
@@ -100,8 +100,8 @@
 
 impl JobSpec {
     /// Checks what types cannot: ranges, finite amounts, forms of names.
-    pub fn check(&self) -> Result<(), Malformed> {
-        let bad = |field: &str| Err(Malformed::Field(format!("invalid {field}")));
+    pub fn check(&self) -> Result<(), DecodeError> {
+        let bad = |field: &str| Err(DecodeError::Field(format!("invalid {field}")));
         let amount = |x: f64| x.is_finite() && (0.0..1e9).contains(&x);
         if !valid_id(&self.id) {
             return bad("id");
@@ -180,6 +180,6 @@
 
 /// Body of every refusal.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Refusal {
+pub struct ErrorResponse {
     pub error: String,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod state;
 pub mod worker;
 
-pub use codec::{decode, encode, first_map, Malformed};
+pub use codec::{decode, encode, first_map, DecodeError};
 
 /// Largest request body a receiver has to take, in bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -45,7 +45,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Condition {
+pub struct Compare {
     #[serde(rename = "path")]
     pub key: String,
     #[serde(rename = "stamp")]
@@ -54,7 +54,7 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
-pub enum Change<V> {
+pub enum Mutation<V> {
     Put {
         #[serde(rename = "write")]
         key: String,
@@ -70,11 +70,11 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Txn<V> {
+pub struct Transaction<V> {
     #[serde(rename = "when")]
-    pub conditions: Vec<Condition>,
+    pub conditions: Vec<Compare>,
     #[serde(rename = "writes")]
-    pub changes: Vec<Change<V>>,
+    pub changes: Vec<Mutation<V>>,
 }
 
 /// Largest transaction, in bytes of its JSON form.
@@ -87,7 +87,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Conflict {
+pub struct CasConflict {
     #[serde(default)]
     pub failed: Vec<String>,
     #[serde(rename = "ledger", default)]
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -40,7 +40,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TaskReport {
+pub struct TaskStatus {
     #[serde(rename = "leg")]
     pub task: String,
     #[serde(rename = "try")]
@@ -54,7 +54,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "stall")]
     pub machine: String,
     #[serde(rename = "endpoint")]
@@ -74,12 +74,12 @@
     #[serde(rename = "recallS", default, skip_serializing_if = "Option::is_none")]
     pub notice_s: Option<f64>,
     #[serde(rename = "legs", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Verb {
+pub enum CommandKind {
     #[serde(rename = "launch")]
     Start,
     Stop,
@@ -90,7 +90,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Command {
     #[serde(rename = "verb")]
-    pub op: Verb,
+    pub op: CommandKind,
     #[serde(rename = "leg")]
     pub task: String,
     #[serde(rename = "try")]
@@ -101,7 +101,7 @@
 
 /// Response to a report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     #[serde(rename = "baton")]
     pub token: u64,
     #[serde(rename = "orders")]
--- a/crates/protocol/tests/formats.rs
+++ b/crates/protocol/tests/formats.rs
@@ -2,7 +2,7 @@
 
 use anisecroft_protocol::job::*;
 use anisecroft_protocol::worker::*;
-use anisecroft_protocol::{decode, encode, Malformed};
+use anisecroft_protocol::{decode, encode, DecodeError};
 use proptest::prelude::*;
 
 fn spec() -> JobSpec {
@@ -64,7 +64,7 @@
     #[test]
     fn no_bytes_panic_a_decoder(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode::<JobSpec>(&bytes);
-        let _ = decode::<Report>(&bytes);
+        let _ = decode::<Heartbeat>(&bytes);
     }
 
     #[test]
@@ -76,21 +76,26 @@
 
     #[test]
     fn reports_survive_the_wire(session in 1u64.., seq in any::<u64>(), token in any::<u64>(), n in 0u32..MOST_TASKS) {
-        let r = Report {
+        let r = Heartbeat {
             machine: "vm-000231".into(), addr: "10.1.0.232:9000".into(), machine_type: "g8".into(), zone: "a".into(),
             spot: true, session, seq, token, notice_s: None,
-            tasks: vec![TaskReport { task: task_name("req-1", n), attempt: seq, state: TaskState::Exited, cause: Some(ExitCause::Busy), saved: None }],
+            tasks: vec![TaskStatus { task: task_name("req-1", n), attempt: seq, state: TaskState::Exited, cause: Some(ExitCause::Busy), saved: None }],
         };
         prop_assert_eq!(split_task(&r.tasks[0].task), Some(("req-1", n)));
-        prop_assert_eq!(decode::<Report>(&encode(&r)).unwrap(), r);
+        prop_assert_eq!(decode::<Heartbeat>(&encode(&r)).unwrap(), r);
     }
 }
 
 #[test]
 fn words_on_the_wire_are_the_protocols() {
-    let body = encode(&ReportAnswer {
+    let body = encode(&HeartbeatResponse {
         token: 41,
-        commands: vec![Command { op: Verb::Forget, task: "req-1/0".into(), attempt: 2, grace_s: None }],
+        commands: vec![Command {
+            op: CommandKind::Forget,
+            task: "req-1/0".into(),
+            attempt: 2,
+            grace_s: None,
+        }],
     });
     let text = String::from_utf8_lossy(&body).to_string();
     for word in ["baton", "orders", "verb", "clear", "leg", "try"] {
@@ -118,11 +123,11 @@
 #[test]
 fn what_is_not_a_job_is_refused() {
     // Sequences would be taken for structs by serde; the protocol has only maps.
-    assert_eq!(decode::<JobSpec>(&[0x93, 1, 2, 3]).unwrap_err(), Malformed::NotAMap);
-    assert_eq!(decode::<JobSpec>(b"").unwrap_err(), Malformed::NotAMap);
+    assert_eq!(decode::<JobSpec>(&[0x93, 1, 2, 3]).unwrap_err(), DecodeError::NotAMap);
+    assert_eq!(decode::<JobSpec>(b"").unwrap_err(), DecodeError::NotAMap);
     let mut trailing = encode(&spec());
     trailing.push(0xc0);
-    assert_eq!(decode::<JobSpec>(&trailing).unwrap_err(), Malformed::Trailing);
+    assert_eq!(decode::<JobSpec>(&trailing).unwrap_err(), DecodeError::Trailing);
     for bad in [
         JobSpec { tasks: 0, ..spec() },
         JobSpec { tasks: MOST_TASKS + 1, ..spec() },
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -64,7 +64,7 @@
     #[serde(default)]
     pub teams: Vec<Team>,
     #[serde(default)]
-    pub objectives: Vec<Objective>,
+    pub objectives: Vec<Slo>,
     pub workers: Workers,
     pub state: StateLimits,
     pub cloud: CloudLimits,
@@ -86,7 +86,7 @@
 }
 
 #[derive(Debug, Clone, Deserialize)]
-pub struct Objective {
+pub struct Slo {
     pub kind: String,
     #[serde(default)]
     pub class: Option<String>,
@@ -273,7 +273,7 @@
     /// Whether a cut leader's workers can lose their leases in time for a cancellation, and are
     /// answered in between (`docs/safety.md`).
     fn check_room(&self) -> Result<(), SettingsError> {
-        let (w, d) = (&self.params.workers, Derived::from(self));
+        let (w, d) = (&self.params.workers, Timing::from(self));
         let clocks = w.cancel_s - (d.grace_s + w.lease_s) * DRIFT - EXPIRY_S;
         let dates = d.grace_s - 2.0 * d.renew_s - d.state_timeout_s;
         if clocks >= 0.0 && dates >= 0.0 {
@@ -306,7 +306,7 @@
 /// Figures that the program derives from the settings, each as a ratio to a
 /// figure of the settings. This is the one place where they are explained.
 #[derive(Debug, Clone, Copy)]
-pub struct Derived {
+pub struct Timing {
     /// Leadership lease. A fifth of the workers' lease: a crashed leader is
     /// replaced, and every worker answered again, well inside their lease.
     pub leader_ttl_s: f64,
@@ -422,11 +422,11 @@
 /// How much faster one clock may run than another: 0.05% each, with room.
 pub const DRIFT: f64 = 1.002;
 
-impl Derived {
+impl Timing {
     pub fn from(s: &Settings) -> Self {
         let w = &s.params.workers;
         let leave_s = ((w.cancel_s - w.lease_s) / 4.0).min(w.lease_s / 3.0);
-        Derived {
+        Timing {
             leader_ttl_s: (w.lease_s / 5.0).clamp(0.5, 60.0),
             renew_s: (w.lease_s / 20.0).clamp(0.1, 15.0),
             grace_s: (w.cancel_s - w.lease_s) * GRACE,
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,6 +1,6 @@
 //! A wrong settings file stops the start with one line that names the field.
 
-use anisecroft_settings::{Derived, Settings};
+use anisecroft_settings::{Settings, Timing};
 
 const GOOD: &str = include_str!("../../../docs/example.toml");
 
@@ -51,7 +51,7 @@
 #[test]
 fn a_cut_leaders_tasks_end_in_time_for_a_cancellation() {
     let s = Settings::parse(GOOD).unwrap();
-    let d = Derived::from(&s);
+    let d = Timing::from(&s);
     let w = &s.params.workers;
     // From the last confirmed renewal: grace, an answer on its way, the lease.
     assert!(d.grace_s + w.lease_s * 1.001 < w.cancel_s);
--- a/crates/sharding/src/forwarding.rs
+++ b/crates/sharding/src/forwarding.rs
@@ -1,22 +1,22 @@
 //! The leader's side: what it knows of the nodes that answer for it.
 
-use crate::{Hearing, RequestId, Time};
-use protocol::peer::{Attend, Orders, RelayReply, RelayRequest};
+use crate::{HeartbeatObservations, RequestId, Time};
+use protocol::peer::{ForwardReply, ForwardRequest, LeaderOnly, MachineCommands};
 use settings::DRIFT;
 use std::collections::{BTreeMap, VecDeque};
 
 /// A start of a node's process.
-pub type Source = (String, u64);
+pub type ProxyId = (String, u64);
 
 /// A reply that is due, for the request that waits for it.
 #[derive(Debug, PartialEq)]
-pub struct Reply {
+pub struct DueReply {
     pub request: RequestId,
-    pub reply: RelayReply,
+    pub reply: ForwardReply,
 }
 
 /// A request that waits for something to tell.
-struct Open {
+struct OpenForward {
     request: RequestId,
     number: u64,
     came: Time,
@@ -24,15 +24,15 @@
 }
 
 #[derive(Default)]
-struct Relay {
+struct ForwardingProxy {
     /// Until when it may answer reports, by this node's clock.
     leave_until: Time,
     /// Every report that it answered before then has come here.
     known_to: Time,
     /// Replies that it may have, with when they were sent.
     replies: VecDeque<(u64, Time)>,
-    open: Option<Open>,
-    orders: Vec<Orders>,
+    open: Option<OpenForward>,
+    orders: Vec<MachineCommands>,
     unknown: Vec<String>,
     /// What it attends as of the last reply that it acknowledged; None: unknown.
     attends: Option<(u64, BTreeMap<String, bool>)>,
@@ -46,10 +46,10 @@
 const MOST_RELAYS: usize = 64;
 
 #[derive(Default)]
-pub struct Relays {
+pub struct HeartbeatForwarding {
     /// Which nodes the workers reach, by the reports that come by each.
-    pub hearing: Hearing,
-    map: BTreeMap<Source, Relay>,
+    pub hearing: HeartbeatObservations,
+    map: BTreeMap<ProxyId, ForwardingProxy>,
     /// Machines that only the leader answers, and whether something is to be
     /// stopped there.
     attended: BTreeMap<String, bool>,
@@ -57,10 +57,10 @@
     changes: u64,
 }
 
-impl Relays {
+impl HeartbeatForwarding {
     /// A node's request; false if there are too many nodes. `ready`: its
     /// reports are taken in.
-    pub fn on_request(&mut self, now: Time, request: RequestId, r: &RelayRequest, ready: bool) -> bool {
+    pub fn on_request(&mut self, now: Time, request: RequestId, r: &ForwardRequest, ready: bool) -> bool {
         let source = (r.node.clone(), r.incarnation);
         if self.map.len() >= MOST_RELAYS && !self.map.contains_key(&source) {
             return false;
@@ -75,19 +75,19 @@
                 relay.attends = Some((change, told));
             }
         }
-        relay.open = Some(Open { request, number: r.number, came: now, ready });
+        relay.open = Some(OpenForward { request, number: r.number, came: now, ready });
         true
     }
 
     /// The answer to a report that came by `source`.
-    pub fn order(&mut self, source: &Source, orders: Orders) {
+    pub fn order(&mut self, source: &ProxyId, orders: MachineCommands) {
         if let Some(r) = self.map.get_mut(source) {
             r.orders.push(orders);
         }
     }
 
     /// `machine`'s content is wanted in full.
-    pub fn want(&mut self, source: &Source, machine: &str) {
+    pub fn want(&mut self, source: &ProxyId, machine: &str) {
         if let Some(r) = self.map.get_mut(source) {
             r.unknown.push(machine.to_string());
         }
@@ -115,7 +115,7 @@
 
     /// Replies that are due: those with something to tell, and those that have
     /// waited for `hold`. Each gives leave for `leave` seconds.
-    pub fn due(&mut self, now: Time, token: u64, leave: Time, hold: Time) -> Vec<Reply> {
+    pub fn due(&mut self, now: Time, token: u64, leave: Time, hold: Time) -> Vec<DueReply> {
         let mut due = Vec::new();
         for relay in self.map.values_mut() {
             let Some(open) = &relay.open else { continue };
@@ -126,20 +126,20 @@
                 continue;
             }
             let Some(open) = relay.open.take() else { continue };
-            let mut reply = RelayReply {
+            let mut reply = ForwardReply {
                 token,
                 leave_ms: (leave.max(0.0) * 1000.0) as u32,
                 ready: open.ready,
                 afresh: relay.attends.is_none(),
                 unknown: std::mem::take(&mut relay.unknown),
                 orders: std::mem::take(&mut relay.orders),
-                ..RelayReply::default()
+                ..ForwardReply::default()
             };
             if news {
                 let empty = BTreeMap::new();
                 let base = relay.attends.as_ref().map_or(&empty, |(_, a)| a);
                 let added = self.attended.iter().filter(|(m, s)| base.get(*m) != Some(s));
-                reply.attend = added.map(|(m, s)| Attend { machine: m.clone(), stops: *s }).collect();
+                reply.attend = added.map(|(m, s)| LeaderOnly { machine: m.clone(), stops: *s }).collect();
                 let gone = base.keys().filter(|m| !self.attended.contains_key(*m));
                 reply.attend_no_more = gone.cloned().collect();
                 relay.told = Some((open.number, self.changes, self.attended.clone()));
@@ -149,7 +149,7 @@
             if relay.replies.len() > MOST_REPLIES {
                 relay.replies.pop_front();
             }
-            due.push(Reply { request: open.request, reply });
+            due.push(DueReply { request: open.request, reply });
         }
         due
     }
@@ -164,7 +164,8 @@
     /// may have answered it unbeknown to this one: not before `known_to`, or the
     /// lease was over already then, and not after its leave.
     pub fn surely_over(&self, answered: Time, over: Time, now: Time) -> bool {
-        let by = |r: &Relay| answered + over < r.known_to || answered.max(r.leave_until) + over < now;
+        let by =
+            |r: &ForwardingProxy| answered + over < r.known_to || answered.max(r.leave_until) + over < now;
         answered + over < now && self.map.values().all(by)
     }
 
--- a/crates/sharding/src/heartbeat_observations.rs
+++ b/crates/sharding/src/heartbeat_observations.rs
@@ -9,7 +9,7 @@
 
 /// When reports of a zone came by a node last, and since when without a gap.
 #[derive(Debug, Clone, Copy)]
-struct Span {
+struct ObservationSpan {
     last: Time,
     since: Time,
 }
@@ -17,11 +17,11 @@
 /// Reports by node and zone. A node that others hear may be cut off from the
 /// workers, or from those of one zone. A state machine without clock.
 #[derive(Debug, Default)]
-pub struct Hearing {
-    spans: BTreeMap<String, BTreeMap<String, Span>>,
+pub struct HeartbeatObservations {
+    spans: BTreeMap<String, BTreeMap<String, ObservationSpan>>,
 }
 
-impl Hearing {
+impl HeartbeatObservations {
     /// A report of a worker in `zone` had come to `node` at `came`. A silence longer
     /// than `gap` ends a node's hearing of a zone.
     pub fn heard(&mut self, came: Time, node: &str, zone: &str, gap: Time) {
@@ -37,7 +37,7 @@
                 span.last = span.last.max(came);
             }
             None => {
-                zones.insert(zone.to_string(), Span { last: came, since: came });
+                zones.insert(zone.to_string(), ObservationSpan { last: came, since: came });
             }
         }
     }
@@ -45,7 +45,7 @@
     /// Whether workers of `zone` have reached `node` all along since `since`. Of a node
     /// that has had none of them for `lately` or ever nothing is known, unless it
     /// should have had `part` of them, a few at least.
-    pub fn reached(&self, now: Time, node: &str, zone: &str, part: usize, t: &Spans) -> bool {
+    pub fn reached(&self, now: Time, node: &str, zone: &str, part: usize, t: &ObservationWindows) -> bool {
         match self.spans.get(node).and_then(|zones| zones.get(zone)) {
             Some(span) if now - span.last <= t.gap => span.since <= now - t.within,
             Some(span) if now - span.last <= t.lately => false,
@@ -56,7 +56,7 @@
 
 /// By what a node's hearing is judged, in seconds.
 #[derive(Debug, Clone, Copy)]
-pub struct Spans {
+pub struct ObservationWindows {
     /// A longer silence ends it.
     pub gap: Time,
     /// What is newer than that may have gaps before it.
--- a/crates/sharding/src/heartbeat_proxy.rs
+++ b/crates/sharding/src/heartbeat_proxy.rs
@@ -1,27 +1,27 @@
 //! A node that takes workers' reports for the leader.
 
 use crate::{RequestId, Time};
-use protocol::peer::{Content, Entry, Orders, RelayReply, RelayRequest};
-use protocol::worker::{Report, ReportAnswer, TaskState};
-use settings::Derived;
+use protocol::peer::{ForwardReply, ForwardRequest, ForwardedHeartbeat, HeartbeatContent, MachineCommands};
+use protocol::worker::{Heartbeat, HeartbeatResponse, TaskState};
+use settings::Timing;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What the node has to do.
 #[derive(Debug, PartialEq)]
-pub enum Act {
+pub enum ProxyAction {
     /// Answer a report with 200.
-    Answer(RequestId, ReportAnswer),
+    Answer(RequestId, HeartbeatResponse),
     /// Send the worker on, to that node if one is named.
     Elsewhere(RequestId, Option<String>),
     /// Answer with 503.
     Refuse(RequestId, &'static str),
-    /// Ask the leader, by name; the reply goes to [`Gateway::on_reply`].
-    Call(String, RelayRequest),
+    /// Ask the leader, by name; the reply goes to [`HeartbeatProxy::on_reply`].
+    Call(String, ForwardRequest),
 }
 
 /// Guards that tests turn off to show that the simulation notices.
 #[derive(Debug, Clone, Copy)]
-pub struct GatewayGuards {
+pub struct ProxySafetyChecks {
     /// Answer only while the leave lasts.
     pub leave: bool,
     /// Commands go out with the token of the leader that gave them, and to the
@@ -29,9 +29,9 @@
     pub token: bool,
 }
 
-impl Default for GatewayGuards {
+impl Default for ProxySafetyChecks {
     fn default() -> Self {
-        GatewayGuards { leave: true, token: true }
+        ProxySafetyChecks { leave: true, token: true }
     }
 }
 
@@ -42,76 +42,76 @@
 const MOST_WORKERS: usize = 20_000;
 
 /// A report whose answer waits.
-struct Held {
+struct HeldHeartbeat {
     request: RequestId,
     came: Time,
-    /// Its key in `Gateway::ends`.
+    /// Its key in `HeartbeatProxy::ends`.
     end: u64,
 }
 
 /// A report's place in its worker's order.
-type Place = (u64, u64);
+type HeartbeatPosition = (u64, u64);
 
-struct Worker {
+struct ProxiedWorker {
     /// The newest report, without its tally.
-    report: Report,
-    newest: Place,
+    report: Heartbeat,
+    newest: HeartbeatPosition,
     /// Since which report its content has been the same.
-    unchanged_since: Place,
+    unchanged_since: HeartbeatPosition,
     /// The leadership that has the content in full, as of that report.
-    passed: Option<(u64, Place)>,
+    passed: Option<(u64, HeartbeatPosition)>,
     /// When that report came.
     came: Time,
     /// The same, but earlier for a worker that was sent on.
     heard: Time,
-    held: Option<Held>,
+    held: Option<HeldHeartbeat>,
     /// It has yet to be passed on.
     queued: bool,
 }
 
-struct Leave {
+struct DelegatedLease {
     token: u64,
     until: Time,
     /// The leader takes reports in.
     ready: bool,
 }
 
-struct Call {
+struct InFlightForward {
     number: u64,
     sent: Time,
     /// What it passed on, and whether in full.
-    passed: Vec<(String, Place, bool)>,
+    passed: Vec<(String, HeartbeatPosition, bool)>,
 }
 
-pub struct Gateway {
-    pub guards: GatewayGuards,
+pub struct HeartbeatProxy {
+    pub guards: ProxySafetyChecks,
     node: String,
     incarnation: u64,
-    d: Derived,
+    d: Timing,
     /// Whom to ask, and since when it is known.
     leader: Option<(String, u64)>,
     leader_since: Time,
-    leave: Option<Leave>,
-    workers: BTreeMap<String, Worker>,
+    leave: Option<DelegatedLease>,
+    workers: BTreeMap<String, ProxiedWorker>,
     queue: VecDeque<String>,
     /// Machines that only the leader answers; true: something is to be stopped.
     attended: BTreeMap<String, bool>,
     /// Ends of held reports' time, in milliseconds.
     ends: BTreeSet<(u64, String)>,
-    call: Option<Call>,
+    call: Option<InFlightForward>,
     number: u64,
     acked: u64,
     next_call: Time,
     failures: u32,
     swept: Time,
-    out: Vec<Act>,
+    out: Vec<ProxyAction>,
 }
 
 fn millis(t: Time) -> u64 {
     (t.max(0.0) * 1000.0) as u64
 }
 
-fn same_content(a: &Report, b: &Report) -> bool {
+fn same_content(a: &Heartbeat, b: &Heartbeat) -> bool {
     a.session == b.session
         && a.token == b.token
         && a.addr == b.addr
@@ -123,11 +123,11 @@
         && a.tasks == b.tasks
 }
 
-impl Gateway {
+impl HeartbeatProxy {
     /// `incarnation` has to differ between two starts of the same node.
-    pub fn new(node: &str, incarnation: u64, d: Derived) -> Self {
-        Gateway {
-            guards: GatewayGuards::default(),
+    pub fn new(node: &str, incarnation: u64, d: Timing) -> Self {
+        HeartbeatProxy {
+            guards: ProxySafetyChecks::default(),
             node: node.to_string(),
             incarnation,
             d,
@@ -149,7 +149,7 @@
     }
 
     /// What is to be done since the last time.
-    pub fn take_acts(&mut self) -> Vec<Act> {
+    pub fn take_acts(&mut self) -> Vec<ProxyAction> {
         std::mem::take(&mut self.out)
     }
 
@@ -176,7 +176,7 @@
         self.workers.contains_key(machine)
     }
 
-    fn leave_now(&self, now: Time) -> Option<&Leave> {
+    fn leave_now(&self, now: Time) -> Option<&DelegatedLease> {
         self.leave.as_ref().filter(|l| now < l.until || !self.guards.leave)
     }
 
@@ -193,7 +193,7 @@
 
     /// Gives all reports that wait here back, for a node that has become the
     /// leader itself.
-    pub fn hand_over(&mut self) -> Vec<(RequestId, Report)> {
+    pub fn hand_over(&mut self) -> Vec<(RequestId, Heartbeat)> {
         self.leave = None;
         self.leader = None;
         self.call = None;
@@ -206,7 +206,7 @@
 
     /// Whether there is nothing for the worker here, so that another node may as
     /// well have it: the leader has had all that it says.
-    pub fn may_go(&self, now: Time, report: &Report) -> bool {
+    pub fn may_go(&self, now: Time, report: &Heartbeat) -> bool {
         let (Some(w), Some(l)) = (self.workers.get(&report.machine), self.leave_now(now)) else {
             return false;
         };
@@ -224,14 +224,14 @@
     }
 
     /// A worker's report.
-    pub fn on_report(&mut self, now: Time, request: RequestId, report: Report) {
+    pub fn on_report(&mut self, now: Time, request: RequestId, report: Heartbeat) {
         let place = (report.session, report.seq);
         let machine = report.machine.clone();
         let full = self.workers.len() >= MOST_WORKERS && !self.workers.contains_key(&machine);
         if full {
-            return self.out.push(Act::Refuse(request, "too many workers"));
+            return self.out.push(ProxyAction::Refuse(request, "too many workers"));
         }
-        let w = self.workers.entry(machine.clone()).or_insert_with(|| Worker {
+        let w = self.workers.entry(machine.clone()).or_insert_with(|| ProxiedWorker {
             report: report.clone(),
             newest: (0, 0),
             unchanged_since: place,
@@ -243,11 +243,11 @@
         });
         if place <= w.newest {
             // Its sender has given it up.
-            return self.out.push(Act::Refuse(request, "a newer report came"));
+            return self.out.push(ProxyAction::Refuse(request, "a newer report came"));
         }
         if let Some(old) = w.held.take() {
             self.ends.remove(&(old.end, machine.clone()));
-            self.out.push(Act::Refuse(old.request, "a newer report came"));
+            self.out.push(ProxyAction::Refuse(old.request, "a newer report came"));
         }
         // It has been elsewhere meanwhile: the leader is asked again.
         if now - w.heard > self.d.heard_s {
@@ -261,7 +261,9 @@
         let Some(l) = self.leave_now(now) else { return self.hold_without_leave(now, request, &machine) };
         if !l.ready || !self.asks_leader(&self.workers[&machine], l) {
             let token = l.token;
-            return self.out.push(Act::Answer(request, ReportAnswer { token, commands: Vec::new() }));
+            return self
+                .out
+                .push(ProxyAction::Answer(request, HeartbeatResponse { token, commands: Vec::new() }));
         }
         let idle = self.workers[&machine].report.tasks.iter().all(|t| t.state == TaskState::Exited);
         // The leader answers busy machines after half of that at the latest.
@@ -272,14 +274,14 @@
     fn hold(&mut self, machine: String, request: RequestId, came: Time, until: Time) {
         let end = millis(until);
         if let Some(w) = self.workers.get_mut(&machine) {
-            w.held = Some(Held { request, came, end });
+            w.held = Some(HeldHeartbeat { request, came, end });
             self.ends.insert((end, machine));
         }
     }
 
     /// Whether the leader has to see the report before it is answered: all but
     /// a busy machine's that says what the leader has had already.
-    fn asks_leader(&self, w: &Worker, l: &Leave) -> bool {
+    fn asks_leader(&self, w: &ProxiedWorker, l: &DelegatedLease) -> bool {
         let known = w.passed.is_some_and(|(token, at)| token == l.token && w.unchanged_since <= at);
         let quiet = w.report.tasks.iter().all(|t| t.state != TaskState::Exited);
         !known || w.report.tasks.is_empty() || !quiet || self.attended.contains_key(&w.report.machine)
@@ -308,7 +310,7 @@
 
     fn hold_without_leave(&mut self, now: Time, request: RequestId, machine: &str) {
         if !self.leave_may_come(now) {
-            return self.out.push(Act::Elsewhere(request, self.leader_name()));
+            return self.out.push(ProxyAction::Elsewhere(request, self.leader_name()));
         }
         let until = now + self.longest();
         self.hold(machine.to_string(), request, now, until);
@@ -342,19 +344,21 @@
             let last = h.came + self.longest();
             match (leave, stops) {
                 // Something there is to be stopped: only the leader renews it.
-                (Some(_), Some(true)) => self.out.push(Act::Refuse(h.request, "the leader has not answered")),
+                (Some(_), Some(true)) => {
+                    self.out.push(ProxyAction::Refuse(h.request, "the leader has not answered"))
+                }
                 (Some(token), _) => {
-                    let answer = ReportAnswer { token, commands: Vec::new() };
-                    self.out.push(Act::Answer(h.request, answer));
+                    let answer = HeartbeatResponse { token, commands: Vec::new() };
+                    self.out.push(ProxyAction::Answer(h.request, answer));
                 }
                 (None, _) if self.leave_may_come(now) && h.end < millis(last) => {
                     self.hold(machine, h.request, h.came, last);
                 }
                 // All of them at the leader would not help it.
                 (None, _) if self.leader_reads() => {
-                    self.out.push(Act::Refuse(h.request, "the leader reads its records"));
+                    self.out.push(ProxyAction::Refuse(h.request, "the leader reads its records"));
                 }
-                (None, _) => self.out.push(Act::Elsewhere(h.request, self.leader_name())),
+                (None, _) => self.out.push(ProxyAction::Elsewhere(h.request, self.leader_name())),
             }
         }
     }
@@ -379,10 +383,10 @@
             let Some(w) = self.workers.get_mut(&machine) else { continue };
             w.queued = false;
             let base = w.passed.filter(|(t, at)| *t == token && w.unchanged_since <= *at).map(|(_, at)| at.1);
-            let content = base.is_none().then(|| Content::from(&w.report));
+            let content = base.is_none().then(|| HeartbeatContent::from(&w.report));
             size += machine.len() + 12 + content.as_ref().map_or(0, |c| 80 + 32 * c.tasks.len());
             passed.push((machine.clone(), w.newest, content.is_some()));
-            entries.push(Entry {
+            entries.push(ForwardedHeartbeat {
                 machine,
                 session: w.newest.0,
                 seq: w.newest.1,
@@ -393,8 +397,8 @@
             });
         }
         self.number += 1;
-        self.call = Some(Call { number: self.number, sent: now, passed });
-        let request = RelayRequest {
+        self.call = Some(InFlightForward { number: self.number, sent: now, passed });
+        let request = ForwardRequest {
             node: self.node.clone(),
             incarnation: self.incarnation,
             number: self.number,
@@ -403,11 +407,11 @@
             complete: ready && self.queue.is_empty(),
             entries,
         };
-        self.out.push(Act::Call(leader, request));
+        self.out.push(ProxyAction::Call(leader, request));
     }
 
     /// The reply to the request on its way; None: it failed or came too late.
-    pub fn on_reply(&mut self, now: Time, reply: Option<RelayReply>) {
+    pub fn on_reply(&mut self, now: Time, reply: Option<ForwardReply>) {
         let Some(call) = self.call.take() else { return };
         let current = self.leave.as_ref().map_or(0, |l| l.token);
         let exact = self.guards.token;
@@ -432,7 +436,7 @@
         let until = call.sent + f64::from(reply.leave_ms) / 1000.0;
         let until =
             self.leave.as_ref().filter(|l| l.token == reply.token).map_or(until, |l| l.until.max(until));
-        self.leave = Some(Leave { token: reply.token, until, ready: reply.ready });
+        self.leave = Some(DelegatedLease { token: reply.token, until, ready: reply.ready });
         self.attended.extend(reply.attend.into_iter().map(|a| (a.machine, a.stops)));
         for machine in &reply.attend_no_more {
             self.attended.remove(machine);
@@ -471,13 +475,14 @@
             }
             if let Some(h) = self.workers.get_mut(&machine).and_then(|w| w.held.take()) {
                 self.ends.remove(&(h.end, machine));
-                self.out.push(Act::Answer(h.request, ReportAnswer { token, commands: Vec::new() }));
+                self.out
+                    .push(ProxyAction::Answer(h.request, HeartbeatResponse { token, commands: Vec::new() }));
             }
         }
     }
 
     /// The leader's answer to one report, if that still waits here.
-    fn carry_back(&mut self, now: Time, token: u64, orders: Orders) {
+    fn carry_back(&mut self, now: Time, token: u64, orders: MachineCommands) {
         let exact = self.guards.token;
         let live = self.leave_now(now).is_some_and(|l| l.token == token || !exact);
         let token = match &self.leader {
@@ -491,9 +496,9 @@
         let Some(h) = w.held.take() else { return };
         self.ends.remove(&(h.end, orders.machine.clone()));
         self.out.push(if live {
-            Act::Answer(h.request, orders.answer(token))
+            ProxyAction::Answer(h.request, orders.answer(token))
         } else {
-            Act::Elsewhere(h.request, self.leader_name())
+            ProxyAction::Elsewhere(h.request, self.leader_name())
         });
     }
 }
--- a/crates/sharding/src/peer_liveness.rs
+++ b/crates/sharding/src/peer_liveness.rs
@@ -5,13 +5,13 @@
 
 /// When each node was last heard, and since when without a gap.
 #[derive(Debug, Default)]
-pub struct Presence {
+pub struct PeerLiveness {
     nodes: BTreeMap<String, (Time, Time)>,
     /// The start of each node's process that was seen last.
     starts: BTreeMap<String, u64>,
 }
 
-impl Presence {
+impl PeerLiveness {
     /// `node` was heard; a silence longer than `gap` ends its presence.
     pub fn heard(&mut self, now: Time, node: &str, gap: Time) {
         let (last, since) = self.nodes.entry(node.to_string()).or_insert((now, now));
--- a/crates/sharding/src/shard_balancer.rs
+++ b/crates/sharding/src/shard_balancer.rs
@@ -5,7 +5,7 @@
 
 /// A node as far as workers are concerned.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Member {
+pub struct ShardMember {
     pub node: String,
     /// Workers that report to it.
     pub workers: u32,
@@ -15,7 +15,7 @@
     pub weight: f64,
 }
 
-impl Member {
+impl ShardMember {
     fn capacity(&self) -> f64 {
         f64::from(self.room) * self.weight.clamp(0.0, 1.0)
     }
@@ -38,7 +38,7 @@
 
 /// Hands out moves at a steady rate, so that no storm comes of them.
 #[derive(Debug)]
-pub struct Spread {
+pub struct ShardBalancer {
     lease_s: f64,
     level: f64,
     at: Time,
@@ -50,10 +50,10 @@
     probes: BTreeMap<String, (u32, Time)>,
 }
 
-impl Spread {
+impl ShardBalancer {
     /// `lease_s`: the workers' lease.
     pub fn new(lease_s: f64) -> Self {
-        Spread {
+        ShardBalancer {
             lease_s,
             level: 0.0,
             at: 0.0,
@@ -64,16 +64,22 @@
     }
 
     /// The part of all workers that `own` should have.
-    fn part(own: &Member, others: &[Member]) -> f64 {
+    fn part(own: &ShardMember, others: &[ShardMember]) -> f64 {
         let workers: u32 = own.workers + others.iter().map(|m| m.workers).sum::<u32>();
-        let capacity = own.capacity() + others.iter().map(Member::capacity).sum::<f64>();
+        let capacity = own.capacity() + others.iter().map(ShardMember::capacity).sum::<f64>();
         f64::from(workers) * own.capacity() / capacity.max(1e-9)
     }
 
     /// The node that had better take `machine`'s worker, which reports here, if
     /// any: at most this node's part of them in a lease, and only as far as it
     /// has clearly more than its part.
-    pub fn better(&mut self, now: Time, machine: &str, own: &Member, others: &[Member]) -> Option<String> {
+    pub fn better(
+        &mut self,
+        now: Time,
+        machine: &str,
+        own: &ShardMember,
+        others: &[ShardMember],
+    ) -> Option<String> {
         let part = Self::part(own, others);
         let rate = (part / self.lease_s).max(1.0);
         self.level = (self.level + (now - self.at).max(0.0) * rate).min(rate);
@@ -120,29 +126,29 @@
     }
 
     /// Where a worker goes that finds no room here.
-    pub fn roomiest<'a>(&self, now: Time, others: &'a [Member]) -> Option<&'a Member> {
-        let avoided = |m: &Member| self.avoid.get(&m.node).is_some_and(|until| now < *until);
+    pub fn roomiest<'a>(&self, now: Time, others: &'a [ShardMember]) -> Option<&'a ShardMember> {
+        let avoided = |m: &ShardMember| self.avoid.get(&m.node).is_some_and(|until| now < *until);
         let open = others.iter().filter(|m| m.free() > 0 && !avoided(m));
-        let lack = |m: &&Member| m.capacity() - f64::from(m.workers);
+        let lack = |m: &&ShardMember| m.capacity() - f64::from(m.workers);
         open.max_by(|a, b| lack(a).total_cmp(&lack(b)).then_with(|| b.node.cmp(&a.node)))
     }
 }
 
 /// A node's own weight, from how late it is.
 #[derive(Debug)]
-pub struct Lateness {
+pub struct EventLoopLag {
     /// Mean lateness of its timers, in seconds.
     late: f64,
     weight: f64,
 }
 
-impl Default for Lateness {
+impl Default for EventLoopLag {
     fn default() -> Self {
-        Lateness { late: 0.0, weight: 1.0 }
+        EventLoopLag { late: 0.0, weight: 1.0 }
     }
 }
 
-impl Lateness {
+impl EventLoopLag {
     /// A timer fired that much late.
     pub fn note(&mut self, late: f64) {
         self.late += (late.clamp(0.0, 10.0) - self.late) / 16.0;
--- a/crates/sharding/src/zone_reachability.rs
+++ b/crates/sharding/src/zone_reachability.rs
@@ -9,28 +9,28 @@
 const FEWEST: usize = 4;
 
 #[derive(Debug, Default, Clone, Copy)]
-struct Count {
+struct ZoneCount {
     up: usize,
     heard: usize,
 }
 
 /// Zones out of reach, from what the leader hears. A state machine without clock.
 #[derive(Debug, Default)]
-pub struct Reach {
+pub struct ZoneReachability {
     /// Zones that are dark, since when.
     dark: BTreeMap<String, Time>,
     /// Zones that were, with when they came back.
     back: BTreeMap<String, Time>,
 }
 
-impl Reach {
+impl ZoneReachability {
     /// Looks at all machines that are up: the zone of each, and whether it was
     /// heard lately. A zone gets dark when less than a third of its machines
     /// are heard and more than half of all others, and light again when half
     /// are heard. Returns whether anything changed.
     pub fn look<'a>(&mut self, now: Time, machines: impl Iterator<Item = (&'a str, bool)>) -> bool {
-        let mut zones: BTreeMap<&str, Count> = BTreeMap::new();
-        let mut all = Count::default();
+        let mut zones: BTreeMap<&str, ZoneCount> = BTreeMap::new();
+        let mut all = ZoneCount::default();
         for (zone, heard) in machines.filter(|(zone, _)| !zone.is_empty()) {
             let count = zones.entry(zone).or_default();
             for c in [count, &mut all] {
@@ -45,7 +45,7 @@
         self.dark.retain(|zone, _| zones.contains_key(zone.as_str()));
         let mut changed = self.dark.len() < before;
         for (zone, c) in zones {
-            let others = Count { up: all.up - c.up, heard: all.heard - c.heard };
+            let others = ZoneCount { up: all.up - c.up, heard: all.heard - c.heard };
             if self.dark.contains_key(zone) {
                 if c.heard * 2 >= c.up {
                     self.dark.remove(zone);
--- a/crates/sharding/tests/gateways.rs
+++ b/crates/sharding/tests/gateways.rs
@@ -1,26 +1,28 @@
 //! One worker, two nodes that take its reports, a leader and its successor, with
 //! every message between nodes delivered late, lost or out of turn.
 
-use anisecroft_sharding::{Act, Gateway, GatewayGuards, Reach, Relays, RequestId, Source};
-use protocol::peer::{Op, Order, Orders, RelayReply, RelayRequest};
+use anisecroft_sharding::{
+    HeartbeatForwarding, HeartbeatProxy, ProxyAction, ProxyId, ProxySafetyChecks, RequestId, ZoneReachability,
+};
+use protocol::peer::{ForwardReply, ForwardRequest, MachineCommands, Op, TaskCommand};
 use protocol::worker::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
-use settings::{Derived, Settings};
+use settings::{Settings, Timing};
 use std::collections::BTreeMap;
 
 const NODES: [&str; 2] = ["chiefs-1", "chiefs-2"];
 const MACHINE: &str = "vm-000001";
 
-fn derived() -> (Derived, f64) {
+fn derived() -> (Timing, f64) {
     let s = Settings::parse(include_str!("../../../docs/example.toml")).unwrap();
-    (Derived::from(&s), s.params.workers.lease_s)
+    (Timing::from(&s), s.params.workers.lease_s)
 }
 
 /// A leader that answers every held report with a launch, whose attempt says by
 /// whom and for which report it was given.
 struct Leader {
     token: u64,
-    relays: Relays,
+    relays: HeartbeatForwarding,
     newest: (u64, u64),
     content: (u64, u64),
     answered: f64,
@@ -30,14 +32,14 @@
 
 struct World {
     rng: SmallRng,
-    d: Derived,
+    d: Timing,
     lease_s: f64,
     now: f64,
-    gateways: Vec<Gateway>,
+    gateways: Vec<HeartbeatProxy>,
     leaders: Vec<Leader>,
     /// Messages on their way, with when they arrive.
-    requests: Vec<(f64, usize, RelayRequest)>,
-    replies: Vec<(f64, usize, u64, RelayReply)>,
+    requests: Vec<(f64, usize, ForwardRequest)>,
+    replies: Vec<(f64, usize, u64, ForwardReply)>,
     /// Which node's request a leader has, and its number.
     asked: BTreeMap<RequestId, (usize, u64)>,
     /// The request of each node that is on its way, and since when.
@@ -56,10 +58,10 @@
 }
 
 impl World {
-    fn new(seed: u64, guards: GatewayGuards) -> Self {
+    fn new(seed: u64, guards: ProxySafetyChecks) -> Self {
         let (d, lease_s) = derived();
         let gateways = NODES.iter().map(|n| {
-            let mut g = Gateway::new(n, 7, d);
+            let mut g = HeartbeatProxy::new(n, 7, d);
             g.guards = guards;
             g
         });
@@ -96,11 +98,11 @@
     fn carry_out(&mut self, n: usize) {
         for act in self.gateways[n].take_acts() {
             match act {
-                Act::Answer(id, answer) => self.answered(id, &answer),
-                Act::Elsewhere(id, _) | Act::Refuse(id, _) => {
+                ProxyAction::Answer(id, answer) => self.answered(id, &answer),
+                ProxyAction::Elsewhere(id, _) | ProxyAction::Refuse(id, _) => {
                     self.reports.remove(&id);
                 }
-                Act::Call(_, request) => {
+                ProxyAction::Call(_, request) => {
                     self.calls.insert(n, (request.number, self.now));
                     if let Some(at) = self.way() {
                         self.requests.push((at, n, request));
@@ -110,7 +112,7 @@
         }
     }
 
-    fn answered(&mut self, id: RequestId, answer: &ReportAnswer) {
+    fn answered(&mut self, id: RequestId, answer: &HeartbeatResponse) {
         let Some((seq, sent)) = self.reports.remove(&id) else { return };
         self.answers += 1;
         for c in &answer.commands {
@@ -132,7 +134,7 @@
         }
         self.seq += 1;
         self.next += 1;
-        let task = TaskReport {
+        let task = TaskStatus {
             task: "req-1/0".into(),
             attempt: 1,
             state: TaskState::Running,
@@ -141,7 +143,7 @@
         };
         // Now and then something is new, or it is idle.
         let tasks = if self.rng.gen_bool(0.4) { vec![] } else { vec![task] };
-        let report = Report {
+        let report = Heartbeat {
             machine: MACHINE.into(),
             addr: String::new(),
             machine_type: "big".into(),
@@ -241,7 +243,7 @@
     fn new(token: u64, now: f64) -> Self {
         Leader {
             token,
-            relays: Relays::default(),
+            relays: HeartbeatForwarding::default(),
             newest: (0, 0),
             content: (0, 0),
             answered: now,
@@ -249,8 +251,8 @@
         }
     }
 
-    fn on_request(&mut self, now: f64, id: RequestId, r: &RelayRequest) {
-        let source: Source = (r.node.clone(), r.incarnation);
+    fn on_request(&mut self, now: f64, id: RequestId, r: &ForwardRequest) {
+        let source: ProxyId = (r.node.clone(), r.incarnation);
         let ready = r.token == self.token;
         self.relays.on_request(now, id, r, ready);
         for e in r.entries.iter().filter(|_| ready) {
@@ -269,15 +271,16 @@
             }
             if e.held {
                 let attempt = self.token * 1_000_000 + e.seq;
-                let order = Order { op: Op::Start.into(), task: "req-2/0".into(), attempt, grace_s: None };
+                let order =
+                    TaskCommand { op: Op::Start.into(), task: "req-2/0".into(), attempt, grace_s: None };
                 let (machine, seq) = (e.machine.clone(), e.seq);
-                self.relays.order(&source, Orders { machine, session: 1, seq, orders: vec![order] });
+                self.relays.order(&source, MachineCommands { machine, session: 1, seq, orders: vec![order] });
             }
         }
     }
 }
 
-fn run(seed: u64, guards: GatewayGuards) -> World {
+fn run(seed: u64, guards: ProxySafetyChecks) -> World {
     let mut w = World::new(seed, guards);
     while w.now < 150.0 && w.broken.is_none() {
         w.step();
@@ -289,7 +292,7 @@
 fn answers_and_leases_hold_with_every_message_late() {
     let (mut answers, mut launches) = (0, 0);
     for seed in 0..300 {
-        let w = run(seed, GatewayGuards::default());
+        let w = run(seed, ProxySafetyChecks::default());
         assert_eq!(w.broken, None, "seed {seed} at {}", w.now);
         (answers, launches) = (answers + w.answers, launches + w.launches);
     }
@@ -300,7 +303,7 @@
 /// for over.
 #[test]
 fn without_the_leave_a_lease_is_taken_for_over() {
-    let guards = GatewayGuards { leave: false, ..GatewayGuards::default() };
+    let guards = ProxySafetyChecks { leave: false, ..ProxySafetyChecks::default() };
     assert!((0..300).any(|seed| run(seed, guards).broken.is_some()));
 }
 
@@ -308,7 +311,7 @@
 /// leader's token.
 #[test]
 fn without_the_token_a_command_answers_another_report() {
-    let guards = GatewayGuards { token: false, ..GatewayGuards::default() };
+    let guards = ProxySafetyChecks { token: false, ..ProxySafetyChecks::default() };
     assert!((0..300).any(|seed| run(seed, guards).broken.is_some()));
 }
 
@@ -317,14 +320,14 @@
 #[test]
 fn a_takeover_hears_five_hundred_reports_in_two_requests() {
     let (d, _) = derived();
-    let mut g = Gateway::new(NODES[0], 7, d);
-    let leave = |token| RelayReply { token, leave_ms: 5000, ready: true, ..RelayReply::default() };
+    let mut g = HeartbeatProxy::new(NODES[0], 7, d);
+    let leave = |token| ForwardReply { token, leave_ms: 5000, ready: true, ..ForwardReply::default() };
     g.follow(0.0, Some(("chiefs-0".into(), 3)));
     g.on_time(d.relay_s);
     g.on_reply(d.relay_s, Some(leave(3)));
     g.take_acts();
     for n in 0..500u64 {
-        let report = Report {
+        let report = Heartbeat {
             machine: format!("vm-{n:06}"),
             addr: "10.1.0.1:9000".into(),
             machine_type: "g8".into(),
@@ -343,7 +346,7 @@
     while heard < 500 && requests < 10 {
         g.on_time(now);
         for act in g.take_acts() {
-            let Act::Call(_, request) = act else { continue };
+            let ProxyAction::Call(_, request) = act else { continue };
             requests += 1;
             heard += request.entries.len();
             oldest = request.entries.iter().map(|e| e.age_ms).max().unwrap_or(0).max(oldest);
@@ -361,8 +364,8 @@
 /// a third of a zone was once given up in that moment.
 #[test]
 fn a_zone_that_is_just_back_is_waited_for() {
-    let mut reach = Reach::default();
-    let look = |reach: &mut Reach, now, heard: usize| {
+    let mut reach = ZoneReachability::default();
+    let look = |reach: &mut ZoneReachability, now, heard: usize| {
         let machines = (0..10).map(|n| ("a", n < heard)).chain((0..10).map(|_| ("b", true)));
         reach.look(now, machines);
         (reach.is_dark("a"), reach.is_back("a", now, 25.0))
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -1,6 +1,6 @@
 //! The cloud: machines that boot, a list that lags.
 
-use controller::{CloudOp, CloudReply};
+use controller::{CloudReply, CloudRequest};
 use protocol::cloud::*;
 use std::collections::BTreeMap;
 
@@ -88,13 +88,13 @@
         served
     }
 
-    pub fn execute(&mut self, now: f64, op: &CloudOp, late: f64, boot: f64) -> CloudReply {
+    pub fn execute(&mut self, now: f64, op: &CloudRequest, late: f64, boot: f64) -> CloudReply {
         if !self.admits(now) {
             return CloudReply::Refused;
         }
         match op {
-            CloudOp::Types => CloudReply::Types(MachineTypes { types: self.types.clone() }),
-            CloudOp::List { after } => {
+            CloudRequest::Types => CloudReply::Types(MachineTypes { types: self.types.clone() }),
+            CloudRequest::List { after } => {
                 let as_of = now - self.lag * late;
                 let mut machines = self
                     .history
@@ -108,7 +108,7 @@
                 machines.truncate(MOST_LISTED);
                 CloudReply::List(MachineList { machines, more })
             }
-            CloudOp::Rent(r) => {
+            CloudRequest::Rent(r) => {
                 if let Some(done) = self.answered.get(&r.request) {
                     return CloudReply::Machines(Machines { machines: done.clone() });
                 }
@@ -137,7 +137,7 @@
                 self.answered.insert(r.request.clone(), names.clone());
                 CloudReply::Machines(Machines { machines: names })
             }
-            CloudOp::Delete(names) => {
+            CloudRequest::Delete(names) => {
                 for n in names {
                     self.remove(n);
                 }
--- a/crates/simulation/src/explore/line.rs
+++ b/crates/simulation/src/explore/line.rs
@@ -2,7 +2,7 @@
 
 use super::script::{script, Script, SCRIPTS};
 use crate::sim::Trouble;
-use controller::Guards;
+use controller::SafetyChecks;
 
 /// One run: a script, and which trouble strikes at which of its messages.
 #[derive(Debug, Clone, PartialEq)]
@@ -15,7 +15,7 @@
 }
 
 /// A name, with what switches the guard off.
-type Guard = (&'static str, fn(&mut Guards));
+type Guard = (&'static str, fn(&mut SafetyChecks));
 
 /// Names of the guards.
 const GUARDS: [Guard; 16] = [
@@ -66,8 +66,8 @@
 }
 
 /// All guards on, but for the named one.
-pub fn guards(without: Option<&str>) -> Guards {
-    let mut guards = Guards::default();
+pub fn guards(without: Option<&str>) -> SafetyChecks {
+    let mut guards = SafetyChecks::default();
     if let Some((_, off)) = GUARDS.iter().find(|g| Some(g.0) == without) {
         off(&mut guards);
     }
--- a/crates/simulation/src/explore/play.rs
+++ b/crates/simulation/src/explore/play.rs
@@ -3,7 +3,7 @@
 use super::line::{guards, word, Line};
 use super::script::{script, workers, Script};
 use crate::sim::{Border, Crossing, Trouble};
-use crate::Sim;
+use crate::Simulation;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 /// How long after the last trouble everything has to be over: what waits beside room breaks its
@@ -40,7 +40,7 @@
 
 fn play_on(line: &Line, record: bool) -> Outcome {
     let s = script(line.script).expect("a line names a script that there is");
-    let mut sim = Sim::new(s.setup(line.seed, guards(line.without)));
+    let mut sim = Simulation::new(s.setup(line.seed, guards(line.without)));
     sim.interfere(line.plan.clone(), record);
     let broken = run_out(&mut sim, s, line.plan.len());
     let crossings = sim.crossings().iter().filter(|c| c.at < s.until_s).cloned().collect();
@@ -48,7 +48,7 @@
 }
 
 /// Runs until all is over after the last of so many troubles, or a rule is broken.
-fn run_out(sim: &mut Sim, script: &Script, troubles: usize) -> Option<(String, f64, String)> {
+fn run_out(sim: &mut Simulation, script: &Script, troubles: usize) -> Option<(String, f64, String)> {
     let mut over_at = f64::MAX;
     loop {
         sim.run(sim.now + 1.0);
--- a/crates/simulation/src/explore/script.rs
+++ b/crates/simulation/src/explore/script.rs
@@ -1,7 +1,7 @@
 //! Short fixed runs of a few jobs, in which each message is a point for trouble.
 
 use crate::{Fault, Setup};
-use controller::Guards;
+use controller::SafetyChecks;
 use protocol::cloud::MachineType;
 use protocol::job::*;
 use settings::{Settings, Workers};
@@ -146,7 +146,7 @@
 
 impl Script {
     /// The run, ready to be played by three controllers.
-    pub fn setup(&self, seed: u64, guards: Guards) -> Setup {
+    pub fn setup(&self, seed: u64, guards: SafetyChecks) -> Setup {
         Setup {
             nodes: 3,
             settings: settings(self.limit),
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -9,5 +9,5 @@
 pub mod state;
 pub mod worker;
 
-pub use rules::{Broken, Rule};
-pub use sim::{Border, Digest, Fault, Setup, Sim, Trouble};
+pub use rules::{Rule, Violation};
+pub use sim::{Border, Digest, Fault, Setup, Simulation, Trouble};
--- a/crates/simulation/src/rules.rs
+++ b/crates/simulation/src/rules.rs
@@ -23,7 +23,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     pub rule: Rule,
     pub at: f64,
     pub what: String,
@@ -45,7 +45,7 @@
     pub cancel_asked: BTreeSet<String>,
     pub cancelled_at: BTreeMap<String, f64>,
     pub done: BTreeMap<String, BTreeSet<u32>>,
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     /// Within that time after a cancellation was told, all that need the job are
     /// called cancelled.
     pub cancel_s: f64,
@@ -54,7 +54,7 @@
 impl Ledger {
     pub fn break_rule(&mut self, rule: Rule, at: f64, what: String) {
         if self.broken.len() < 20 {
-            self.broken.push(Broken { rule, at, what });
+            self.broken.push(Violation { rule, at, what });
         }
     }
 
--- a/crates/simulation/src/sim.rs
+++ b/crates/simulation/src/sim.rs
@@ -11,17 +11,17 @@
 pub use looks::{LookCounts, LostWrite};
 
 use crate::cloud::Cloud;
-use crate::rules::{Broken, Ledger, Rule};
+use crate::rules::{Ledger, Rule, Violation};
 use crate::state::{Limits, Store};
 use crate::worker::{Launch, Phase, TaskKey, Worker};
 use controller::*;
 use prost::Message;
 use protocol::cloud::MachineType;
 use protocol::job::*;
-use protocol::peer::RelayRequest;
+use protocol::peer::ForwardRequest;
 use protocol::worker::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
-use settings::{Derived, Operator, Peer, Settings};
+use settings::{Operator, Peer, Settings, Timing};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
@@ -254,27 +254,27 @@
     pub loss: f64,
     /// How long nodes wait for the reply to a relay; None: as derived.
     pub relay_timeout_s: Option<f64>,
-    pub guards: Guards,
+    pub guards: SafetyChecks,
 }
 
 enum Ev {
     Tick(usize, u64),
-    StateArrives(usize, u64, CallId, StateOp),
+    StateArrives(usize, u64, CallId, StoreRequest),
     /// A transaction whose sender gets no answer; late or at once.
-    LateWrite(usize, u64, CallId, StateOp),
-    CloudArrives(usize, u64, CallId, CloudOp),
+    LateWrite(usize, u64, CallId, StoreRequest),
+    CloudArrives(usize, u64, CallId, CloudRequest),
     DoArrives(usize, u64, CallId, String, DirectCommands),
-    RelayArrives(usize, u64, CallId, usize, RelayRequest),
+    RelayArrives(usize, u64, CallId, usize, ForwardRequest),
     Views,
     Reply(usize, u64, Input),
     GiveUp(usize, u64, CallId, Input),
     Work(String),
     ReportArrives(String, u64, usize, Vec<u8>),
-    AnswerArrives(String, u64, usize, Answer),
+    AnswerArrives(String, u64, usize, HttpResponse),
     ReportGivenUp(String, u64),
     User(String),
     UserArrives(String, u64, usize, Request),
-    UserAnswer(String, u64, Answer),
+    UserAnswer(String, u64, HttpResponse),
     UserGivesUp(String, u64),
     Fault(usize),
     World,
@@ -299,7 +299,7 @@
 }
 
 struct Node {
-    core: Option<Core>,
+    core: Option<Controller>,
     incarnation: u64,
     started: f64,
     /// This node's steady clock against true time.
@@ -327,7 +327,7 @@
     node: usize,
     incarnation: u64,
     call: CallId,
-    op: StateOp,
+    op: StoreRequest,
     until: f64,
 }
 
@@ -340,7 +340,7 @@
     over: bool,
 }
 
-pub struct Sim {
+pub struct Simulation {
     pub now: f64,
     pub ledger: Ledger,
     pub starts: u64,
@@ -371,7 +371,7 @@
     pub leaderless_s: f64,
     last_lead: f64,
     settings: Settings,
-    guards: Guards,
+    guards: SafetyChecks,
     faults: Vec<Fault>,
     loss: f64,
     rng: SmallRng,
@@ -398,7 +398,7 @@
     quiet_from: f64,
     format_said: Option<u32>,
     /// The answer to what was submitted outside the users' course.
-    by_hand: Option<Answer>,
+    by_hand: Option<HttpResponse>,
     peers_refused: f64,
     zone_cut: (f64, &'static str),
     wander: f64,
@@ -441,7 +441,7 @@
 
 const NODE_NAMES: [&str; 5] = ["n-0", "n-1", "n-2", "n-3", "n-4"];
 
-impl Sim {
+impl Simulation {
     pub fn new(setup: Setup) -> Self {
         let mut rng = SmallRng::seed_from_u64(setup.seed);
         let zones = &setup.types[0].zones;
@@ -471,9 +471,9 @@
             txn_ops: state.txn_ops,
             write_rps: f64::MAX,
         });
-        let usual = Derived::from(&setup.settings).relay_timeout_s;
+        let usual = Timing::from(&setup.settings).relay_timeout_s;
         let relay_timeout_s = setup.relay_timeout_s.unwrap_or(usual);
-        let mut sim = Sim {
+        let mut sim = Simulation {
             now: 0.0,
             ledger,
             starts: 0,
@@ -569,7 +569,7 @@
         s.zone.clone_from(&self.nodes[n].zone);
         let peer = |name: &&str| Peer { node: (*name).into(), zone: String::new(), addr: s.peer_listen };
         s.peers = NODE_NAMES[..self.nodes.len()].iter().filter(|m| **m != s.node).map(peer).collect();
-        let mut core = Core::new(s, Operator::default(), self.rng.gen());
+        let mut core = Controller::new(s, Operator::default(), self.rng.gen());
         core.set_guards(self.guards);
         let node = &mut self.nodes[n];
         node.core = Some(core);
@@ -647,15 +647,15 @@
                 }
             }
             Output::State(call, op) => {
-                if let StateOp::Commit(txn) = &op {
+                if let StoreRequest::Commit(txn) = &op {
                     self.changes += txn.changes.len() as u64;
                 }
                 let wait = match &op {
-                    StateOp::Watch { wait_ms, .. } => *wait_ms as f64 / 1000.0,
+                    StoreRequest::Watch { wait_ms, .. } => *wait_ms as f64 / 1000.0,
                     _ => 0.0,
                 };
-                self.open_call(n, call, 1.5 + wait, Input::State(call, StateReply::Unknown));
-                let late = self.now < self.late_writes.0 && matches!(op, StateOp::Commit(_));
+                self.open_call(n, call, 1.5 + wait, Input::State(call, StoreReply::Unknown));
+                let late = self.now < self.late_writes.0 && matches!(op, StoreRequest::Commit(_));
                 if late && self.rng.gen_bool(self.late_writes.1) {
                     let at = self.now + self.rng.gen_range(2.0..LATEST_WRITE_S);
                     return self.send(at, Some(n), Ev::LateWrite(n, inc, call, op));
@@ -663,7 +663,7 @@
                 let cut = self.state_cut(n);
                 let slow = self.slow_down();
                 let served = self.now >= self.state_down.max(self.nodes[n].refused);
-                let lost = self.now < self.lost_answers.0 && served && matches!(op, StateOp::Commit(_));
+                let lost = self.now < self.lost_answers.0 && served && matches!(op, StoreRequest::Commit(_));
                 if lost && self.rng.gen_bool(self.lost_answers.1) {
                     let at = self.through(cut).unwrap_or(self.now);
                     return self.send(at + slow, Some(n), Ev::LateWrite(n, inc, call, op));
@@ -730,7 +730,7 @@
     }
 
     fn token(&self, n: usize) -> Option<u64> {
-        self.nodes[n].core.as_ref().and_then(Core::token)
+        self.nodes[n].core.as_ref().and_then(Controller::token)
     }
 
     /// The node that leads with the highest token.
@@ -741,7 +741,7 @@
     /// Whether the leader has read all records.
     pub fn has_loaded(&self) -> bool {
         let core = self.leader().and_then(|n| self.nodes[n].core.as_ref());
-        core.is_some_and(Core::has_loaded)
+        core.is_some_and(Controller::has_loaded)
     }
 
     /// Whether a node leads while another leads with a higher token.
@@ -788,7 +788,7 @@
                 if a == b || cut || idle(&self.nodes[a], self.now) || idle(&self.nodes[b], self.now) {
                     continue;
                 }
-                if let Some(mut view) = self.nodes[a].core.as_ref().map(Core::view_for_peers) {
+                if let Some(mut view) = self.nodes[a].core.as_ref().map(Controller::view_for_peers) {
                     view.format = self.format_said.map_or(view.format, |f| f.min(view.format));
                     self.feed(b, Input::Peer(view));
                 }
@@ -804,7 +804,7 @@
     }
 
     /// Runs until `end`, or until a rule is broken.
-    pub fn run(&mut self, end: f64) -> &[Broken] {
+    pub fn run(&mut self, end: f64) -> &[Violation] {
         while let Some(Reverse(Entry(at, _, ev))) = self.queue.pop() {
             if at > end {
                 self.push(at, ev);
@@ -834,7 +834,7 @@
             Ev::Tick(n, inc) => {
                 if self.alive(n, inc) {
                     self.feed(n, Input::Tick);
-                    let pause = self.nodes[n].core.as_ref().map_or(1.0, Core::wake_s);
+                    let pause = self.nodes[n].core.as_ref().map_or(1.0, Controller::wake_s);
                     self.send(self.now + pause, Some(n), Ev::Tick(n, inc));
                 }
             }
@@ -890,7 +890,7 @@
             }
             Ev::Views => {
                 self.views();
-                let every = Derived::from(&self.settings).renew_s;
+                let every = Timing::from(&self.settings).renew_s;
                 self.push(self.now + every, Ev::Views);
             }
             Ev::Work(vm) => self.work(&vm),
@@ -943,18 +943,18 @@
         self.feed(n, Input::Request(id, r));
     }
 
-    fn state_arrives(&mut self, n: usize, inc: u64, call: CallId, op: StateOp) {
+    fn state_arrives(&mut self, n: usize, inc: u64, call: CallId, op: StoreRequest) {
         let cut = self.state_cut(n);
-        let is_watch = matches!(op, StateOp::Watch { .. });
+        let is_watch = matches!(op, StoreRequest::Watch { .. });
         if self.now < self.state_down || self.now < self.nodes[n].refused {
             // Open watches wait; what comes anew is refused.
-            return self.reply(n, inc, Input::State(call, StateReply::Refused), cut, None);
+            return self.reply(n, inc, Input::State(call, StoreReply::Refused), cut, None);
         }
         let before = self.store.revision;
         match self.store.execute(self.now, &op) {
             Some(r) => {
-                self.conflicts += u64::from(matches!(r, StateReply::Conflict(_)));
-                if matches!(r, StateReply::Committed(_)) {
+                self.conflicts += u64::from(matches!(r, StoreReply::Conflict(_)));
+                if matches!(r, StoreReply::Committed(_)) {
                     self.applied_writes[n] = self.applied_writes[n].max((inc, call));
                 }
                 let slow = self.slow_down();
@@ -963,7 +963,7 @@
                 }
             }
             None if is_watch => {
-                let StateOp::Watch { wait_ms, .. } = &op else { return };
+                let StoreRequest::Watch { wait_ms, .. } = &op else { return };
                 let until = self.now + *wait_ms as f64 / 1000.0;
                 self.watches.push(Watch { node: n, incarnation: inc, call, op, until });
             }
@@ -1040,7 +1040,7 @@
         self.reply(n, inc, Input::Worker(call, WorkerReply::Report { executed, report }), cut, None);
     }
 
-    fn answer_arrives(&mut self, vm: &str, seq: u64, n: usize, a: &Answer) {
+    fn answer_arrives(&mut self, vm: &str, seq: u64, n: usize, a: &HttpResponse) {
         let lease_s = self.settings.params.workers.lease_s;
         let (now, nodes) = (self.now, self.nodes.len());
         let Some(w) = self.workers.get_mut(vm) else { return };
@@ -1059,7 +1059,7 @@
         }
         match a.status {
             200 => {
-                let Ok(answer) = protocol::decode::<ReportAnswer>(&a.body) else { return };
+                let Ok(answer) = protocol::decode::<HeartbeatResponse>(&a.body) else { return };
                 if answer.token < w.token {
                     return;
                 }
@@ -1162,7 +1162,7 @@
             self.quarantined.extend(core.quarantined().map(String::from));
         }
         self.count_misjudged();
-        let led = self.nodes.iter().any(|n| n.core.as_ref().is_some_and(Core::is_leader));
+        let led = self.nodes.iter().any(|n| n.core.as_ref().is_some_and(Controller::is_leader));
         if led {
             self.last_lead = now;
         }
@@ -1173,7 +1173,7 @@
     fn count_misjudged(&mut self) {
         let now = self.now;
         let (lease_s, silent_s) =
-            (self.settings.params.workers.lease_s, Derived::from(&self.settings).silent_s);
+            (self.settings.params.workers.lease_s, Timing::from(&self.settings).silent_s);
         for (n, node) in self.nodes.iter().enumerate() {
             let Some(core) = &node.core else { continue };
             // A replaced one gives no work, and may hear a report that was held for it.
@@ -1451,7 +1451,7 @@
         self.push(now + 4.0, Ev::UserGivesUp(id.to_string(), asked));
     }
 
-    fn user_answer(&mut self, id: &str, asked: u64, a: &Answer) {
+    fn user_answer(&mut self, id: &str, asked: u64, a: &HttpResponse) {
         let now = self.now;
         if asked == u64::MAX {
             self.by_hand = Some(a.clone());
@@ -1496,7 +1496,7 @@
 
     fn fault(&mut self, i: usize) {
         let now = self.now;
-        let nth = |sim: &Sim, n: usize| {
+        let nth = |sim: &Simulation, n: usize| {
             let count = sim.workers.len().max(1);
             sim.workers.keys().nth(n % count).cloned()
         };
@@ -1661,7 +1661,7 @@
 
     /// Submits `spec` to node `n` and goes on until there is an answer. What becomes of the
     /// job is not judged.
-    pub fn submit(&mut self, n: usize, spec: JobSpec) -> Answer {
+    pub fn submit(&mut self, n: usize, spec: JobSpec) -> HttpResponse {
         let body = protocol::encode(&spec);
         self.ledger.submitted.insert(spec.id.clone());
         self.ledger.specs.insert(spec.id.clone(), spec);
@@ -1673,14 +1673,14 @@
         self.ask_by_hand(n, Request::Up).status == 200
     }
 
-    fn ask_by_hand(&mut self, n: usize, request: Request) -> Answer {
+    fn ask_by_hand(&mut self, n: usize, request: Request) -> HttpResponse {
         self.by_hand = None;
         self.push(self.now, Ev::UserArrives("by hand".into(), u64::MAX, n, request));
         let end = self.now + 10.0;
         while self.by_hand.is_none() && self.now < end {
             self.run(self.now + 0.05);
         }
-        let none = Answer { status: 0, body: Vec::new(), retry_after_s: None };
+        let none = HttpResponse { status: 0, body: Vec::new(), retry_after_s: None };
         self.by_hand.take().unwrap_or(none)
     }
 
--- a/crates/simulation/src/sim/border.rs
+++ b/crates/simulation/src/sim/border.rs
@@ -78,7 +78,7 @@
     asked: BTreeMap<(usize, u64, CallId), String>,
 }
 
-impl Sim {
+impl Simulation {
     /// Has troubles strike at messages of these numbers (from 1 on), and records what crosses.
     pub fn interfere(&mut self, mut plan: Vec<(u64, Trouble)>, record: bool) {
         plan.sort_by_key(|p| p.0);
@@ -252,7 +252,7 @@
             Ev::Reply(_, _, input) => reply_label(input),
             Ev::ReportArrives(_, _, to, body) => format!("report to {}: {}", self.role(*to), tasks(body)),
             Ev::AnswerArrives(_, _, n, a) => {
-                let commands = protocol::decode::<ReportAnswer>(&a.body).map(|r| verbs(&r.commands));
+                let commands = protocol::decode::<HeartbeatResponse>(&a.body).map(|r| verbs(&r.commands));
                 format!("answer of {} {} {}", self.role(*n), a.status, commands.unwrap_or_default())
             }
             Ev::UserArrives(id, _, _, r) => {
@@ -281,7 +281,8 @@
     Some(match ev {
         Ev::Tick(..) => Border::Timer,
         Ev::StateArrives(_, _, _, op) | Ev::LateWrite(_, _, _, op) => {
-            let reads = matches!(op, StateOp::Get(_) | StateOp::List { .. } | StateOp::Watch { .. });
+            let reads =
+                matches!(op, StoreRequest::Get(_) | StoreRequest::List { .. } | StoreRequest::Watch { .. });
             Border::State { writes: !reads }
         }
         Ev::CloudArrives(..) => Border::Cloud,
@@ -356,8 +357,8 @@
 }
 
 fn tasks(body: &[u8]) -> String {
-    let Ok(report) = protocol::decode::<Report>(body) else { return String::new() };
-    let state = |t: &TaskReport| match t.cause {
+    let Ok(report) = protocol::decode::<Heartbeat>(body) else { return String::new() };
+    let state = |t: &TaskStatus| match t.cause {
         Some(cause) => format!("{:?} {cause:?}", t.state),
         None => first_word(&t.state),
     };
@@ -373,34 +374,36 @@
     }
 }
 
-fn state_label(op: &StateOp) -> String {
+fn state_label(op: &StoreRequest) -> String {
     match op {
-        StateOp::Get(key) => format!("get {}", prefix(key)),
-        StateOp::List { prefix: p, .. } => format!("list {p}"),
-        StateOp::Watch { prefix: p, .. } => format!("watch {p}"),
-        StateOp::Commit(txn) => format!("commit {}", each(txn.changes.iter().map(change_label).collect())),
+        StoreRequest::Get(key) => format!("get {}", prefix(key)),
+        StoreRequest::List { prefix: p, .. } => format!("list {p}"),
+        StoreRequest::Watch { prefix: p, .. } => format!("watch {p}"),
+        StoreRequest::Commit(txn) => {
+            format!("commit {}", each(txn.changes.iter().map(change_label).collect()))
+        }
         other => first_word(other),
     }
 }
 
-fn change_label(change: &protocol::state::Change<controller::records::Value>) -> String {
+fn change_label(change: &protocol::state::Mutation<controller::records::Value>) -> String {
     use controller::records::Value;
-    use protocol::state::Change;
+    use protocol::state::Mutation;
     match change {
-        Change::Delete { key } => format!("{} gone", prefix(key)),
-        Change::Put { key, value: Value::Job(j), .. } => {
+        Mutation::Delete { key } => format!("{} gone", prefix(key)),
+        Mutation::Put { key, value: Value::Job(j), .. } => {
             let placed = if j.page.places.is_empty() { "" } else { " placed" };
             let done = if j.page.done.chars().any(|c| c != '0') { " some done" } else { "" };
             format!("{} {:?}{placed}{done}", prefix(key), j.status)
         }
-        Change::Put { key, value: Value::Over(o), .. } => format!("{} {:?}", prefix(key), o.status),
-        Change::Put { key, .. } => prefix(key).to_string(),
+        Mutation::Put { key, value: Value::Over(o), .. } => format!("{} {:?}", prefix(key), o.status),
+        Mutation::Put { key, .. } => prefix(key).to_string(),
     }
 }
 
 fn reply_label(input: &Input) -> String {
     match input {
-        Input::State(_, StateReply::Events(e)) => format!("events: {}", !e.events.is_empty()),
+        Input::State(_, StoreReply::Events(e)) => format!("events: {}", !e.events.is_empty()),
         Input::State(_, r) => first_word(r),
         Input::Cloud(_, r) => first_word(r),
         Input::Worker(_, WorkerReply::Report { executed, .. }) => format!("executed: {executed}"),
--- a/crates/simulation/src/sim/digest.rs
+++ b/crates/simulation/src/sim/digest.rs
@@ -2,7 +2,7 @@
 //! on the wire: two versions of the code behave alike on a day if their digests are equal,
 //! whatever their types and fields are called.
 
-use super::Sim;
+use super::Simulation;
 use controller::*;
 use prost::Message;
 use protocol::cloud::Machines;
@@ -88,49 +88,49 @@
     }
 }
 
-fn answer(answer: &Answer) -> Parts {
+fn answer(answer: &HttpResponse) -> Parts {
     let retry = answer.retry_after_s.map_or(u64::MAX, u64::from);
     Parts::default().number(answer.status.into()).bytes(&answer.body).number(retry)
 }
 
-fn state(op: &StateOp) -> Parts {
+fn state(op: &StoreRequest) -> Parts {
     match op {
-        StateOp::Get(key) => Parts::kind(1).text(key),
-        StateOp::List { prefix, after } => Parts::kind(2).text(prefix).optional(after.as_deref()),
-        StateOp::Commit(txn) => Parts::kind(3).body(txn),
-        StateOp::Grant { ttl_ms } => Parts::kind(4).body(&GrantLease { ttl_ms: *ttl_ms }),
-        StateOp::Renew(id) => Parts::kind(5).number(*id),
-        StateOp::Revoke(id) => Parts::kind(6).number(*id),
-        StateOp::Watch { prefix, after, wait_ms } => {
+        StoreRequest::Get(key) => Parts::kind(1).text(key),
+        StoreRequest::List { prefix, after } => Parts::kind(2).text(prefix).optional(after.as_deref()),
+        StoreRequest::Commit(txn) => Parts::kind(3).body(txn),
+        StoreRequest::Grant { ttl_ms } => Parts::kind(4).body(&GrantLease { ttl_ms: *ttl_ms }),
+        StoreRequest::Renew(id) => Parts::kind(5).number(*id),
+        StoreRequest::Revoke(id) => Parts::kind(6).number(*id),
+        StoreRequest::Watch { prefix, after, wait_ms } => {
             Parts::kind(7).text(prefix).number(*after).number(*wait_ms)
         }
     }
 }
 
-fn state_reply(reply: &StateReply) -> Parts {
+fn state_reply(reply: &StoreReply) -> Parts {
     match reply {
-        StateReply::Item(item) => Parts::kind(1).body(item),
-        StateReply::Missing(revision) => Parts::kind(2).body(&Missing { revision: *revision }),
-        StateReply::Page(page) => Parts::kind(3).body(page),
-        StateReply::Committed(revision) => Parts::kind(4).body(&Committed { revision: *revision }),
-        StateReply::Conflict(conflict) => Parts::kind(5).body(conflict),
-        StateReply::Granted(lease) => Parts::kind(6).body(&Lease { lease: *lease }),
-        StateReply::Done => Parts::kind(7),
-        StateReply::Events(events) => Parts::kind(8).body(events),
-        StateReply::Gone => Parts::kind(9),
-        StateReply::Invalid => Parts::kind(10),
-        StateReply::Limited => Parts::kind(11),
-        StateReply::Refused => Parts::kind(12),
-        StateReply::Unknown => Parts::kind(13),
+        StoreReply::Item(item) => Parts::kind(1).body(item),
+        StoreReply::Missing(revision) => Parts::kind(2).body(&Missing { revision: *revision }),
+        StoreReply::Page(page) => Parts::kind(3).body(page),
+        StoreReply::Committed(revision) => Parts::kind(4).body(&Committed { revision: *revision }),
+        StoreReply::Conflict(conflict) => Parts::kind(5).body(conflict),
+        StoreReply::Granted(lease) => Parts::kind(6).body(&Lease { lease: *lease }),
+        StoreReply::Done => Parts::kind(7),
+        StoreReply::Events(events) => Parts::kind(8).body(events),
+        StoreReply::Gone => Parts::kind(9),
+        StoreReply::Invalid => Parts::kind(10),
+        StoreReply::Limited => Parts::kind(11),
+        StoreReply::Refused => Parts::kind(12),
+        StoreReply::Unknown => Parts::kind(13),
     }
 }
 
-fn cloud(op: &CloudOp) -> Parts {
+fn cloud(op: &CloudRequest) -> Parts {
     match op {
-        CloudOp::Types => Parts::kind(1),
-        CloudOp::List { after } => Parts::kind(2).optional(after.as_deref()),
-        CloudOp::Rent(rent) => Parts::kind(3).body(rent),
-        CloudOp::Delete(names) => Parts::kind(4).body(&Machines { machines: names.clone() }),
+        CloudRequest::Types => Parts::kind(1),
+        CloudRequest::List { after } => Parts::kind(2).optional(after.as_deref()),
+        CloudRequest::Rent(rent) => Parts::kind(3).body(rent),
+        CloudRequest::Delete(names) => Parts::kind(4).body(&Machines { machines: names.clone() }),
     }
 }
 
@@ -204,7 +204,7 @@
     }
 }
 
-impl Sim {
+impl Simulation {
     /// Takes the digest of every message from here on.
     pub fn record_digest(&mut self) {
         self.digest = Some(Digest::default());
--- a/crates/simulation/src/sim/looks.rs
+++ b/crates/simulation/src/sim/looks.rs
@@ -52,7 +52,7 @@
     pub unfit_refused: u64,
 }
 
-impl Sim {
+impl Simulation {
     /// How often users' meetings were brought about.
     pub fn looks(&self) -> LookCounts {
         self.looks.counts
@@ -105,7 +105,7 @@
         }
     }
 
-    pub(super) fn look_answered(&mut self, number: u64, a: &Answer) {
+    pub(super) fn look_answered(&mut self, number: u64, a: &HttpResponse) {
         let now = self.now;
         let Some(look) = self.looks.open.remove(&number) else { return };
         let id = look.id;
@@ -219,11 +219,11 @@
     }
 
     /// A transaction without an answer was executed; it was carried out if the revision moved.
-    pub(super) fn note_lost(&mut self, node: usize, op: &StateOp, before: u64) {
-        let StateOp::Commit(txn) = op else { return };
+    pub(super) fn note_lost(&mut self, node: usize, op: &StoreRequest, before: u64) {
+        let StoreRequest::Commit(txn) = op else { return };
         if self.store.revision != before {
             let keys = txn.changes.iter().map(|c| match c {
-                protocol::state::Change::Put { key, .. } | protocol::state::Change::Delete { key } => {
+                protocol::state::Mutation::Put { key, .. } | protocol::state::Mutation::Delete { key } => {
                     key.clone()
                 }
             });
--- a/crates/simulation/src/sim/order.rs
+++ b/crates/simulation/src/sim/order.rs
@@ -25,7 +25,7 @@
     looked: f64,
 }
 
-impl Sim {
+impl Simulation {
     /// Copies of reports that reached a node after a new leader had begun.
     pub fn kept_delivered(&self) -> u64 {
         self.kept.delivered
@@ -38,7 +38,7 @@
         self.kept = Kept { until, after_s, token, due: None, reports: Vec::new(), delivered };
     }
 
-    pub(super) fn keep_copy(&mut self, vm: &str, report: &Report) {
+    pub(super) fn keep_copy(&mut self, vm: &str, report: &Heartbeat) {
         if self.now < self.kept.until && self.kept.due.is_none() && self.rng.gen_bool(0.3) {
             self.kept.reports.push((vm.to_string(), protocol::encode(report)));
         }
--- a/crates/simulation/src/state.rs
+++ b/crates/simulation/src/state.rs
@@ -1,7 +1,7 @@
 //! The state service.
 
 use controller::records::{json_size, Value};
-use controller::{StateOp, StateReply};
+use controller::{StoreReply, StoreRequest};
 use protocol::state::*;
 use std::collections::BTreeMap;
 
@@ -47,8 +47,8 @@
 
     /// What `key` holds is from now on what nobody can read.
     pub fn damage(&mut self, key: &str) {
-        let change = Change::Put { key: key.to_string(), value: Value::Unread, lease: None };
-        self.commit(&Txn { conditions: Vec::new(), changes: vec![change] });
+        let change = Mutation::Put { key: key.to_string(), value: Value::Unread, lease: None };
+        self.commit(&Transaction { conditions: Vec::new(), changes: vec![change] });
     }
 
     /// How many keys begin with `prefix`.
@@ -88,15 +88,15 @@
     }
 
     /// Executes a request; None for a watch that has to wait.
-    pub fn execute(&mut self, now: f64, op: &StateOp) -> Option<StateReply> {
+    pub fn execute(&mut self, now: f64, op: &StoreRequest) -> Option<StoreReply> {
         Some(match op {
-            StateOp::Get(key) => match self.items.get(key) {
+            StoreRequest::Get(key) => match self.items.get(key) {
                 Some((value, version, _)) => {
-                    StateReply::Item(Item { key: key.clone(), value: value.clone(), version: *version })
+                    StoreReply::Item(Item { key: key.clone(), value: value.clone(), version: *version })
                 }
-                None => StateReply::Missing(self.revision),
+                None => StoreReply::Missing(self.revision),
             },
-            StateOp::List { prefix, after } => {
+            StoreRequest::List { prefix, after } => {
                 let items: Vec<Item<Value>> = self
                     .items
                     .range(after.clone().unwrap_or_else(|| prefix.clone())..)
@@ -107,31 +107,31 @@
                     .collect();
                 // Small pages, so that paging is exercised.
                 let more = items.len() > 7;
-                StateReply::Page(Page {
+                StoreReply::Page(Page {
                     items: items.into_iter().take(7).collect(),
                     more,
                     revision: self.revision,
                 })
             }
-            StateOp::Grant { ttl_ms } => {
+            StoreRequest::Grant { ttl_ms } => {
                 self.next_lease += 1;
                 let ttl = *ttl_ms as f64 / 1000.0;
                 self.leases.insert(self.next_lease, (now + ttl, ttl));
-                StateReply::Granted(self.next_lease)
+                StoreReply::Granted(self.next_lease)
             }
-            StateOp::Renew(id) => match self.leases.get_mut(id) {
+            StoreRequest::Renew(id) => match self.leases.get_mut(id) {
                 Some(l) => {
                     l.0 = now + l.1;
-                    StateReply::Done
+                    StoreReply::Done
                 }
-                None => StateReply::Gone,
+                None => StoreReply::Gone,
             },
-            StateOp::Revoke(id) => {
+            StoreRequest::Revoke(id) => {
                 self.end_lease(*id);
-                StateReply::Done
+                StoreReply::Done
             }
-            StateOp::Commit(txn) => self.limited_commit(now, txn),
-            StateOp::Watch { prefix, after, wait_ms } => {
+            StoreRequest::Commit(txn) => self.limited_commit(now, txn),
+            StoreRequest::Watch { prefix, after, wait_ms } => {
                 let events: Vec<Event<Value>> = self
                     .log
                     .iter()
@@ -141,13 +141,13 @@
                 if events.is_empty() && *wait_ms > 0 {
                     return None;
                 }
-                StateReply::Events(Events { revision: self.revision, events })
+                StoreReply::Events(Events { revision: self.revision, events })
             }
         })
     }
 
-    pub fn quiet(&self) -> StateReply {
-        StateReply::Events(Events { revision: self.revision, events: Vec::new() })
+    pub fn quiet(&self) -> StoreReply {
+        StoreReply::Events(Events { revision: self.revision, events: Vec::new() })
     }
 
     /// Other limits from now on. What is stored stays.
@@ -170,25 +170,25 @@
         held.map(|(_, i)| json_size(&i.0)).max().unwrap_or(0)
     }
 
-    fn limited_commit(&mut self, now: f64, txn: &Txn<Value>) -> StateReply {
+    fn limited_commit(&mut self, now: f64, txn: &Transaction<Value>) -> StoreReply {
         let l = self.limits;
-        let value_fits = |c: &Change<Value>| match c {
-            Change::Put { value, .. } => l.value_bytes == usize::MAX || json_size(value) <= l.value_bytes,
-            Change::Delete { .. } => true,
+        let value_fits = |c: &Mutation<Value>| match c {
+            Mutation::Put { value, .. } => l.value_bytes == usize::MAX || json_size(value) <= l.value_bytes,
+            Mutation::Delete { .. } => true,
         };
         let fits = txn.changes.len() <= l.txn_ops
             && txn.conditions.len() <= l.txn_ops.saturating_mul(4)
             && txn.changes.iter().all(value_fits);
         if !fits || protocol::encode(txn).len() > TXN_LIMIT {
             self.invalid += 1;
-            return StateReply::Invalid;
+            return StoreReply::Invalid;
         }
         let (room, at) = self.room;
         let room = (room + (now - at) * l.write_rps).min(l.write_rps);
         self.room = (room, now);
         if l.write_rps < f64::MAX && room < txn.changes.len() as f64 {
             self.limited += 1;
-            return StateReply::Limited;
+            return StoreReply::Limited;
         }
         self.room.0 -= txn.changes.len() as f64;
         let reply = self.commit(txn);
@@ -208,11 +208,11 @@
         (first.copied(), puts.len())
     }
 
-    fn commit(&mut self, txn: &Txn<Value>) -> StateReply {
+    fn commit(&mut self, txn: &Transaction<Value>) -> StoreReply {
         for c in &txn.changes {
-            if let Change::Put { lease: Some(id), .. } = c {
+            if let Mutation::Put { lease: Some(id), .. } = c {
                 if !self.leases.contains_key(id) {
-                    return StateReply::Gone;
+                    return StoreReply::Gone;
                 }
             }
         }
@@ -223,26 +223,26 @@
             .map(|c| c.key.clone())
             .collect();
         if !failed.is_empty() {
-            return StateReply::Conflict(Conflict { failed, revision: self.revision });
+            return StoreReply::Conflict(CasConflict { failed, revision: self.revision });
         }
         self.revision += 1;
         let revision = self.revision;
         for c in &txn.changes {
             let (key, event) = match c {
-                Change::Put { key, value, lease } => {
+                Mutation::Put { key, value, lease } => {
                     if let Some(inspect) = self.inspect {
                         inspect(key, value);
                     }
                     self.items.insert(key.clone(), (value.clone(), revision, *lease));
                     (key, Event::Put { key: key.clone(), value: value.clone(), version: revision })
                 }
-                Change::Delete { key } => {
+                Mutation::Delete { key } => {
                     self.items.remove(key);
                     (key, Event::Delete { key: key.clone(), version: revision })
                 }
             };
             self.log.push((revision, event, key.clone()));
         }
-        StateReply::Committed(revision)
+        StoreReply::Committed(revision)
     }
 }
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -90,12 +90,12 @@
         }
     }
 
-    pub fn report(&mut self) -> Report {
+    pub fn report(&mut self) -> Heartbeat {
         self.seq += 1;
         let tasks = self
             .tasks
             .iter()
-            .map(|((job, n), t)| TaskReport {
+            .map(|((job, n), t)| TaskStatus {
                 task: task_name(job, *n),
                 attempt: t.attempt,
                 state: match t.phase {
@@ -111,7 +111,7 @@
                 saved: None,
             })
             .collect();
-        Report {
+        Heartbeat {
             machine: self.place.id.clone(),
             addr: self.place.addr.clone().unwrap_or_default(),
             machine_type: self.place.machine_type.clone(),
@@ -156,7 +156,7 @@
         let Some((job, n)) = split_task(&c.task) else { return };
         let key = (job.to_string(), n);
         match c.op {
-            Verb::Start => {
+            CommandKind::Start => {
                 let known = self.tasks.get(&key);
                 if known.is_some_and(|t| t.attempt == c.attempt) {
                     return;
@@ -168,14 +168,14 @@
                 };
                 self.tasks.insert(key, Task { attempt: c.attempt, phase });
             }
-            Verb::Stop => {
+            CommandKind::Stop => {
                 if let Some(t) = self.tasks.get_mut(&key).filter(|t| t.attempt == c.attempt) {
                     if !matches!(t.phase, Phase::Exited(_)) {
                         t.phase = Phase::Exited(ExitCause::Stopped);
                     }
                 }
             }
-            Verb::Forget => {
+            CommandKind::Forget => {
                 if self
                     .tasks
                     .get(&key)
--- a/crates/simulation/tests/answers.rs
+++ b/crates/simulation/tests/answers.rs
@@ -5,15 +5,15 @@
 mod common;
 
 use anisecroft_simulation::sim::LookCounts;
-use anisecroft_simulation::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Simulation};
 use anyorder::*;
 use common::{setup, unlimited};
 use controller::records::*;
 use controller::*;
 use protocol::cloud::MachineType;
 use protocol::job::*;
-use protocol::state::{Change, Txn};
-use protocol::worker::{task_name, ExitCause, Report, TaskReport, TaskState};
+use protocol::state::{Mutation, Transaction};
+use protocol::worker::{task_name, ExitCause, Heartbeat, TaskState, TaskStatus};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -71,14 +71,14 @@
 
 /// A report of the only machine that all tasks of a job are done.
 fn all_done(job: &JobSpec, token: u64) -> Request {
-    let done = |task| TaskReport {
+    let done = |task| TaskStatus {
         task: task_name(&job.id, task),
         attempt: 1,
         state: TaskState::Exited,
         cause: Some(ExitCause::Done),
         saved: None,
     };
-    Request::Report(protocol::encode(&Report {
+    Request::Report(protocol::encode(&Heartbeat {
         machine: "vm-000001".into(),
         addr: "10.1.0.1:9000".into(),
         machine_type: "big".into(),
@@ -102,7 +102,7 @@
         let mut w = World::new(1, Course { nodes, ids: 1, lead: true, trouble: false, cancels: 0.0 });
         let (id, job) = ("req-0", record.spec.clone());
         let changes = vec![put(job_key(id), Value::Job(Box::new(record)))];
-        w.store.execute(0.0, &StateOp::Commit(Txn { conditions: vec![], changes }));
+        w.store.execute(0.0, &StoreRequest::Commit(Transaction { conditions: vec![], changes }));
         w.submitted.insert(id.into());
         while w.leader().is_none() {
             w.settle(0.02, |op| writes(op, id));
@@ -133,7 +133,7 @@
         record.status = JobStatus::Running;
         pad(&mut record, bytes);
         let changes = vec![put(job_key("req-0"), Value::Job(Box::new(record)))];
-        w.store.execute(0.0, &StateOp::Commit(Txn { conditions: vec![], changes }));
+        w.store.execute(0.0, &StoreRequest::Commit(Transaction { conditions: vec![], changes }));
         w.submitted.insert("req-0".into());
         w
     }
@@ -143,7 +143,7 @@
         let Some(Value::Job(j)) = self.stored(job_key(id)) else { return };
         let record = JobRecord { status: JobStatus::Done, page: PageRecord::default(), ..*j };
         let changes = vec![put(job_key(id), Value::Job(Box::new(record)))];
-        self.store.execute(self.now, &StateOp::Commit(Txn { conditions: vec![], changes }));
+        self.store.execute(self.now, &StoreRequest::Commit(Transaction { conditions: vec![], changes }));
     }
 
     /// Another leader takes a mark in: one write removes it and stores the cancellation.
@@ -151,8 +151,8 @@
         let Some(Value::Job(j)) = self.stored(job_key(id)) else { return };
         let record = JobRecord { status: JobStatus::Cancelled, page: PageRecord::default(), ..*j };
         let changes =
-            vec![put(job_key(id), Value::Job(Box::new(record))), Change::Delete { key: mark_key(id) }];
-        self.store.execute(self.now, &StateOp::Commit(Txn { conditions: vec![], changes }));
+            vec![put(job_key(id), Value::Job(Box::new(record))), Mutation::Delete { key: mark_key(id) }];
+        self.store.execute(self.now, &StoreRequest::Commit(Transaction { conditions: vec![], changes }));
     }
 }
 
@@ -172,10 +172,12 @@
 }
 
 /// Whether a node looks for the mark beside the first job's record.
-fn looks(op: &StateOp) -> bool {
+fn looks(op: &StoreRequest) -> bool {
     match op {
-        StateOp::Get(key) => *key == mark_key("req-0"),
-        StateOp::Commit(t) => t.changes.is_empty() && t.conditions.iter().any(|c| c.key == mark_key("req-0")),
+        StoreRequest::Get(key) => *key == mark_key("req-0"),
+        StoreRequest::Commit(t) => {
+            t.changes.is_empty() && t.conditions.iter().any(|c| c.key == mark_key("req-0"))
+        }
         _ => false,
     }
 }
@@ -216,8 +218,8 @@
 
 impl World {
     /// Has job `id` read by node `n` and keeps the reply on its way.
-    fn read_slowly(&mut self, n: usize, id: &str) -> (CallId, StateReply) {
-        let read = StateOp::Get(job_key(id));
+    fn read_slowly(&mut self, n: usize, id: &str) -> (CallId, StoreReply) {
+        let read = StoreRequest::Get(job_key(id));
         self.ask(n, id, Request::Poll(id.into()));
         self.settle(1.0, |op| *op == read);
         let at = self.calls.iter().position(|c| c.3 == read).expect("it is being read");
@@ -227,12 +229,15 @@
 
     /// Stores that so many other jobs are over.
     fn end_others(&mut self, count: usize) {
-        let over = |n| OverRecord { status: JobStatus::Done, done: n % 7, at: 1e9 };
+        let over = |n| TerminalRecord { status: JobStatus::Done, done: n % 7, at: 1e9 };
         for from in (0..count).step_by(100) {
             let ids = from..from + 100;
             let changes =
                 ids.map(|n| put(over_key(&format!("req-{}", 1000 + n)), Value::Over(over(n as u32))));
-            self.store.execute(0.0, &StateOp::Commit(Txn { conditions: vec![], changes: changes.collect() }));
+            self.store.execute(
+                0.0,
+                &StoreRequest::Commit(Transaction { conditions: vec![], changes: changes.collect() }),
+            );
         }
     }
 }
@@ -265,14 +270,14 @@
 fn a_page_left_of_a_cancelled_job_frees_nobody() {
     for nodes in [3, 5] {
         let mut w = World::new(1, Course { nodes, ids: 1, lead: true, trouble: false, cancels: 0.0 });
-        let over = OverRecord { status: JobStatus::Cancelled, done: 0, at: 1e9 };
+        let over = TerminalRecord { status: JobStatus::Cancelled, done: 0, at: 1e9 };
         let next = JobRecord::new(w.spec("req-4"), 1e9, TIGHT);
         let changes = vec![
             put(over_key("req-3"), Value::Over(over)),
             put(page_key("req-3", 1, 0), Value::Page(PageRecord::default())),
             put(job_key("req-4"), Value::Job(Box::new(next))),
         ];
-        w.store.execute(0.0, &StateOp::Commit(Txn { conditions: vec![], changes }));
+        w.store.execute(0.0, &StoreRequest::Commit(Transaction { conditions: vec![], changes }));
         w.submitted.insert("req-4".into());
         w.cancel_asked.insert("req-3".into());
         for _ in 0..3 {
@@ -339,7 +344,7 @@
 /// Plays so many crowds; what was asked in each.
 fn crowds(seeds: Range<u64>) -> Vec<LookCounts> {
     let play = |seed| {
-        let mut sim = Sim::new(crowd(seed));
+        let mut sim = Simulation::new(crowd(seed));
         assert_eq!(sim.run(400.0), [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
         sim.looks()
@@ -501,14 +506,14 @@
         w.settle(1.0, |_| false);
         if end.is_final() {
             let Some(Value::Job(j)) = w.stored(job_key("req-0")) else { panic!("it is not stored") };
-            let over = Value::Over(OverRecord { status: end, done: j.done, at: j.at });
-            let changes = vec![Change::Delete { key: job_key("req-0") }, put(over_key("req-0"), over)];
-            w.store.execute(w.now, &StateOp::Commit(Txn { conditions: vec![], changes }));
+            let over = Value::Over(TerminalRecord { status: end, done: j.done, at: j.at });
+            let changes = vec![Mutation::Delete { key: job_key("req-0") }, put(over_key("req-0"), over)];
+            w.store.execute(w.now, &StoreRequest::Commit(Transaction { conditions: vec![], changes }));
             w.cancel_asked.insert("req-0".into());
         }
         let other = Value::Types(vec![MachineType { name: "other".into(), ..big() }]);
         let changes = vec![put(TYPES_KEY.into(), other)];
-        w.store.execute(w.now, &StateOp::Commit(Txn { conditions: vec![], changes }));
+        w.store.execute(w.now, &StoreRequest::Commit(Transaction { conditions: vec![], changes }));
         w.settle(4.0, |_| false);
         let Request::Submit(whole) = sent(&body(), "req-0") else { return };
         let mut all: Vec<Request> = submissions().iter().map(|(_, body, _)| sent(body, "req-0")).collect();
--- a/crates/simulation/tests/anyorder/machines.rs
+++ b/crates/simulation/tests/anyorder/machines.rs
@@ -3,9 +3,9 @@
 use anisecroft_simulation::cloud::Cloud;
 use anisecroft_simulation::worker::{Launch, Phase, Task, TaskKey, Worker};
 use controller::*;
-use protocol::cloud::{MachineType, Rent};
+use protocol::cloud::{MachineType, RentRequest};
 use protocol::job::JobSpec;
-use protocol::worker::ReportAnswer;
+use protocol::worker::HeartbeatResponse;
 use rand::{rngs::SmallRng, Rng};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -30,8 +30,8 @@
     pub fn with(job: &JobSpec, kind: MachineType, lease_s: f64, rng: &mut SmallRng) -> Self {
         let (machine_type, zone) = (kind.name.clone(), kind.zones[0].clone());
         let mut cloud = Cloud::new(vec![kind], 3, 1.0);
-        let rent = Rent { request: "first".into(), machine_type, zone, spot: false, count: 1 };
-        cloud.execute(0.0, &CloudOp::Rent(rent), 1.0, 0.0);
+        let rent = RentRequest { request: "first".into(), machine_type, zone, spot: false, count: 1 };
+        cloud.execute(0.0, &CloudRequest::Rent(rent), 1.0, 0.0);
         let (open, next, results) = (BTreeMap::new(), FIRST, BTreeSet::new());
         let mut m = Machines { cloud, workers: BTreeMap::new(), open, next, lease_s, results };
         m.go_on(0.0, rng);
@@ -44,7 +44,7 @@
     }
 
     /// A call to the cloud.
-    pub fn call(&mut self, now: f64, op: &CloudOp) -> CloudReply {
+    pub fn call(&mut self, now: f64, op: &CloudRequest) -> CloudReply {
         let r = self.cloud.execute(now, op, 1.0, 0.5);
         for id in std::mem::take(&mut self.cloud.deleted) {
             self.workers.remove(&id);
@@ -91,7 +91,7 @@
     }
 
     /// The answer to a report.
-    pub fn answered(&mut self, now: f64, n: usize, request: RequestId, a: &Answer) {
+    pub fn answered(&mut self, now: f64, n: usize, request: RequestId, a: &HttpResponse) {
         let Some((id, seq)) = self.open.remove(&(n, request)) else { return };
         let Some(w) = self.workers.get_mut(&id) else { return };
         let Some((_, session, sent)) = w.in_flight.filter(|f| f.0 == seq && now - f.2 <= PATIENCE_S) else {
@@ -99,7 +99,7 @@
         };
         w.in_flight = None;
         w.expire(now, self.lease_s);
-        let answer = protocol::decode::<ReportAnswer>(&a.body).ok();
+        let answer = protocol::decode::<HeartbeatResponse>(&a.body).ok();
         let Some(answer) = answer.filter(|r| a.status == 200 && session == w.session && r.token >= w.token)
         else {
             return;
