--- a/crates/simulation/tests/anyorder/mod.rs
+++ b/crates/simulation/tests/anyorder/mod.rs
@@ -10,7 +10,7 @@
 use machines::Machines;
 use protocol::cloud::MachineType;
 use protocol::job::*;
-use protocol::state::{Change, Condition, Txn};
+use protocol::state::{Compare, Mutation, Transaction};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use settings::{NextLimits, Operator, Peer, Settings};
 use std::collections::{BTreeMap, BTreeSet};
@@ -42,12 +42,12 @@
     s
 }
 
-pub fn put(key: String, value: Value) -> Change<Value> {
-    Change::Put { key, value, lease: None }
+pub fn put(key: String, value: Value) -> Mutation<Value> {
+    Mutation::Put { key, value, lease: None }
 }
 
-pub fn holds(key: String, version: u64) -> Condition {
-    Condition { key, version }
+pub fn holds(key: String, version: u64) -> Compare {
+    Compare { key, version }
 }
 
 /// Gives a record a placement with which it takes so many bytes.
@@ -134,17 +134,17 @@
     pub course: Course,
     pub rng: SmallRng,
     pub now: f64,
-    pub cores: Vec<Core>,
+    pub cores: Vec<Controller>,
     pub starts: Vec<u64>,
     pub store: Store,
     /// Calls on their way to the store, and replies on their way back, with the start of the
     /// node that they are of.
-    pub calls: Vec<(usize, u64, CallId, StateOp)>,
+    pub calls: Vec<(usize, u64, CallId, StoreRequest)>,
     pub replies: Vec<(usize, u64, Input)>,
     /// The cloud and the workers, if the nodes lead themselves.
     pub machines: Option<Machines>,
     /// Transactions that have been given up and are carried out some time.
-    pub overdue: Vec<StateOp>,
+    pub overdue: Vec<StoreRequest>,
     /// Open questions: job, and what had been told when it was sent.
     pub open: BTreeMap<(usize, RequestId), (String, Told)>,
     pub told: BTreeMap<String, Told>,
@@ -178,7 +178,7 @@
             first.push(put(job_key("req-0"), Value::Job(Box::new(record))));
             machines
         });
-        store.execute(0.0, &StateOp::Commit(Txn { conditions: vec![], changes: first }));
+        store.execute(0.0, &StoreRequest::Commit(Transaction { conditions: vec![], changes: first }));
         let mut w = World {
             course,
             rng,
@@ -205,8 +205,8 @@
         w
     }
 
-    pub fn core(&mut self, n: usize) -> Core {
-        Core::new(settings(n, self.course.nodes), Operator::default(), self.rng.gen())
+    pub fn core(&mut self, n: usize) -> Controller {
+        Controller::new(settings(n, self.course.nodes), Operator::default(), self.rng.gen())
     }
 
     pub fn exchange_views(&mut self) {
@@ -277,7 +277,7 @@
         self.broken.get_or_insert(what);
     }
 
-    pub fn answered(&mut self, n: usize, id: RequestId, a: &Answer) {
+    pub fn answered(&mut self, n: usize, id: RequestId, a: &HttpResponse) {
         if let (true, Some(m)) = (id >= machines::FIRST, &mut self.machines) {
             return m.answered(self.now, n, id, a);
         }
@@ -376,8 +376,8 @@
         let before = j.awaits().first().map(|a| self.status_of(a));
         let mut changes = Vec::new();
         if j.status.is_final() {
-            let over = OverRecord { status: j.status, done: j.done, at: j.at };
-            changes = vec![Change::Delete { key: job_key(id) }, put(over_key(id), Value::Over(over))];
+            let over = TerminalRecord { status: j.status, done: j.done, at: j.at };
+            changes = vec![Mutation::Delete { key: job_key(id) }, put(over_key(id), Value::Over(over))];
             self.met.moved += 1;
         } else if mark.is_some() || before == Some(JobStatus::Cancelled) {
             // It may be stored late.
@@ -386,14 +386,14 @@
             }
             let record = JobRecord { status: JobStatus::Cancelled, page: PageRecord::default(), ..*j };
             changes.push(put(job_key(id), Value::Job(Box::new(record))));
-            changes.extend(mark.map(|_| Change::Delete { key: mark_key(id) }));
+            changes.extend(mark.map(|_| Mutation::Delete { key: mark_key(id) }));
         } else if before.is_none_or(|s| s == JobStatus::Done) {
             let freed_at = before.map(|_| 1e9 + self.now);
             let record = self.gone_on(JobRecord { freed_at, ..*j });
             changes.push(put(job_key(id), Value::Job(Box::new(record))));
         }
         if !changes.is_empty() {
-            self.store.execute(self.now, &StateOp::Commit(Txn { conditions, changes }));
+            self.store.execute(self.now, &StoreRequest::Commit(Transaction { conditions, changes }));
         }
     }
 
@@ -440,31 +440,31 @@
     pub fn serve(&mut self) {
         let (n, start, call, op) = self.calls.remove(self.rng.gen_range(0..self.calls.len()));
         let trouble = self.course.trouble;
-        let is_commit = matches!(&op, StateOp::Commit(t) if !t.changes.is_empty());
-        if let (StateOp::Commit(t), true) = (&op, is_commit) {
+        let is_commit = matches!(&op, StoreRequest::Commit(t) if !t.changes.is_empty());
+        if let (StoreRequest::Commit(t), true) = (&op, is_commit) {
             let marked =
-                |c: &Change<Value>| matches!(c, Change::Put { key, .. } if key.starts_with(MARK_PREFIX));
+                |c: &Mutation<Value>| matches!(c, Mutation::Put { key, .. } if key.starts_with(MARK_PREFIX));
             self.met.marks += u64::from(t.changes.iter().any(marked));
         }
         if trouble && self.rng.gen_bool(0.06) {
             let reply = match self.rng.gen_range(0..3) {
-                0 => StateReply::Refused,
+                0 => StoreReply::Refused,
                 1 if is_commit => {
                     self.met.late += 1;
                     self.overdue.push(op);
-                    StateReply::Unknown
+                    StoreReply::Unknown
                 }
                 _ => {
                     self.met.lost += 1;
                     self.store.execute(self.now, &op);
-                    StateReply::Unknown
+                    StoreReply::Unknown
                 }
             };
             return self.replies.push((n, start, Input::State(call, reply)));
         }
-        if trouble && matches!(op, StateOp::Watch { .. }) && self.rng.gen_bool(0.08) {
+        if trouble && matches!(op, StoreRequest::Watch { .. }) && self.rng.gen_bool(0.08) {
             self.met.gone += 1;
-            return self.replies.push((n, start, Input::State(call, StateReply::Gone)));
+            return self.replies.push((n, start, Input::State(call, StoreReply::Gone)));
         }
         let r = self.store.execute(self.now, &op).unwrap_or_else(|| self.store.quiet());
         self.replies.push((n, start, Input::State(call, r)));
@@ -519,15 +519,15 @@
 }
 
 /// Whether `op` is a leader's write of job `id`.
-pub fn writes(op: &StateOp, id: &str) -> bool {
-    let StateOp::Commit(t) = op else { return false };
+pub fn writes(op: &StoreRequest, id: &str) -> bool {
+    let StoreRequest::Commit(t) = op else { return false };
     let led = t.conditions.iter().any(|c| c.key == LEADER_KEY);
     led && t.conditions.iter().any(|c| c.key == job_key(id))
 }
 
 impl World {
     /// Carries all out at once for `for_s` seconds, but for what is held.
-    pub fn settle(&mut self, for_s: f64, held: impl Fn(&StateOp) -> bool) {
+    pub fn settle(&mut self, for_s: f64, held: impl Fn(&StoreRequest) -> bool) {
         let end = self.now + for_s;
         while self.now < end {
             self.now += 0.02;
@@ -544,7 +544,7 @@
 
     /// The node that leads and has read all records.
     pub fn leader(&self) -> Option<usize> {
-        self.cores.iter().position(Core::has_loaded)
+        self.cores.iter().position(Controller::has_loaded)
     }
 
     pub fn stored(&mut self, key: String) -> Option<Value> {
@@ -553,8 +553,8 @@
 
     /// The same with its version.
     fn stored_at(&mut self, key: String) -> Option<(Value, u64)> {
-        match self.store.execute(self.now, &StateOp::Get(key)) {
-            Some(StateReply::Item(i)) => Some((i.value, i.version)),
+        match self.store.execute(self.now, &StoreRequest::Get(key)) {
+            Some(StoreReply::Item(i)) => Some((i.value, i.version)),
             _ => None,
         }
     }
--- a/crates/simulation/tests/at_limits.rs
+++ b/crates/simulation/tests/at_limits.rs
@@ -7,13 +7,13 @@
 mod by_hand;
 
 use anisecroft_simulation::state::Store;
-use anisecroft_simulation::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Simulation};
 use by_hand::*;
 use common::*;
 use controller::records::*;
 use controller::*;
 use protocol::job::*;
-use protocol::state::{Change, Txn};
+use protocol::state::{Mutation, Transaction};
 use protocol::worker::*;
 
 /// A job of one long task that fits a machine several times.
@@ -139,12 +139,14 @@
     w.deliver(&hand.next());
     w.run(2.0);
     let key = job_key("req-1");
-    let Some(StateReply::Item(item)) = w.store.execute(w.now, &StateOp::Get(key.clone())) else { panic!() };
+    let Some(StoreReply::Item(item)) = w.store.execute(w.now, &StoreRequest::Get(key.clone())) else {
+        panic!()
+    };
     let Value::Job(record) = item.value else { panic!() };
     let cancelled = Box::new(JobRecord { status: JobStatus::Cancelled, ..*record });
-    let change = Change::Put { key, value: Value::Job(cancelled), lease: None };
-    let txn = Txn { conditions: Vec::new(), changes: vec![change] };
-    w.store.execute(w.now, &StateOp::Commit(txn));
+    let change = Mutation::Put { key, value: Value::Job(cancelled), lease: None };
+    let txn = Transaction { conditions: Vec::new(), changes: vec![change] };
+    w.store.execute(w.now, &StoreRequest::Commit(txn));
     w.direct.clear();
     w.run(0.3);
     let direct = w.told(&hand);
@@ -272,7 +274,7 @@
     let mut hands = ["vm-1", "vm-2", "vm-3"].map(Hand::new);
     for (hand, tasks) in hands.iter_mut().zip([0..4, 4..8, 0..0]) {
         let (state, cause, saved) = (TaskState::Running, None, None);
-        let runs = |n| TaskReport { task: task_name("req-1", n), attempt: 1, state, cause, saved };
+        let runs = |n| TaskStatus { task: task_name("req-1", n), attempt: 1, state, cause, saved };
         hand.report.tasks = tasks.map(runs).collect();
         w.turn(hand);
     }
@@ -367,7 +369,7 @@
 /// way or another, and the leader changes before, just after, or later. Twice.
 fn limits_full(seed: u64, nodes: usize, n: usize, for_s: f64, after: f64) -> Shown {
     let what = format!("seed {seed}: way {n} for {for_s} s, {after} s after, {nodes} nodes");
-    let mut sim = Sim::new(full(seed, nodes));
+    let mut sim = Simulation::new(full(seed, nodes));
     let mut shown = Shown::default();
     for at in [60.0, 150.0] {
         sim.run(at);
--- a/crates/simulation/tests/common/by_hand.rs
+++ b/crates/simulation/tests/common/by_hand.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 
 pub struct ByHand {
-    pub core: Core,
+    pub core: Controller,
     pub store: Store,
     pub now: f64,
     /// Machines that the cloud lists.
@@ -24,22 +24,22 @@
     pub writes_held: bool,
     /// Reads of single keys that are served yet, if not all.
     pub reads_left: Option<u32>,
-    pub answers: BTreeMap<RequestId, Answer>,
+    pub answers: BTreeMap<RequestId, HttpResponse>,
     /// Direct commands, with when and to which address.
     pub direct: Vec<(f64, CallId, String, DirectCommands)>,
-    watches: Vec<(f64, CallId, StateOp)>,
+    watches: Vec<(f64, CallId, StoreRequest)>,
     last_request: RequestId,
 }
 
 /// A worker as the test holds it.
 #[derive(Debug, Clone)]
 pub struct Hand {
-    pub report: Report,
+    pub report: Heartbeat,
 }
 
 impl Hand {
     pub fn new(machine: &str) -> Self {
-        let report = Report {
+        let report = Heartbeat {
             machine: machine.into(),
             addr: addr_of(machine),
             machine_type: "big".into(),
@@ -55,13 +55,13 @@
     }
 
     /// Its next report, or its next answer to a direct command.
-    pub fn next(&mut self) -> Report {
+    pub fn next(&mut self) -> Heartbeat {
         self.report.seq += 1;
         self.report.clone()
     }
 
     /// Carries out what it is told; launched tasks run at once.
-    pub fn obey(&mut self, answer: &ReportAnswer) {
+    pub fn obey(&mut self, answer: &HeartbeatResponse) {
         self.report.token = self.report.token.max(answer.token);
         self.carry_out(&answer.commands);
     }
@@ -71,17 +71,17 @@
             let tasks = &mut self.report.tasks;
             let known = tasks.iter_mut().find(|t| t.task == c.task && t.attempt == c.attempt);
             match (c.op, known) {
-                (Verb::Start, None) => tasks.push(TaskReport {
+                (CommandKind::Start, None) => tasks.push(TaskStatus {
                     task: c.task.clone(),
                     attempt: c.attempt,
                     state: TaskState::Running,
                     cause: None,
                     saved: None,
                 }),
-                (Verb::Stop, Some(t)) if t.state != TaskState::Exited => {
+                (CommandKind::Stop, Some(t)) if t.state != TaskState::Exited => {
                     (t.state, t.cause) = (TaskState::Exited, Some(ExitCause::Stopped));
                 }
-                (Verb::Forget, Some(_)) => tasks.retain(|t| t.task != c.task),
+                (CommandKind::Forget, Some(_)) => tasks.retain(|t| t.task != c.task),
                 _ => {}
             }
         }
@@ -100,13 +100,14 @@
 
 /// What of `commands` is to stop a task of `job`.
 pub fn stops<'a>(commands: &'a [Command], job: &'a str) -> impl Iterator<Item = &'a Command> {
-    let of = move |c: &&Command| c.op == Verb::Stop && split_task(&c.task).is_some_and(|(id, _)| id == job);
+    let of =
+        move |c: &&Command| c.op == CommandKind::Stop && split_task(&c.task).is_some_and(|(id, _)| id == job);
     commands.iter().filter(of)
 }
 
 /// Whether `commands` launch a task of `job`.
 pub fn launches(commands: &[Command], job: &str) -> bool {
-    let starts = commands.iter().filter(|c| c.op == Verb::Start);
+    let starts = commands.iter().filter(|c| c.op == CommandKind::Start);
     starts.filter_map(|c| split_task(&c.task)).any(|(id, _)| id == job)
 }
 
@@ -131,7 +132,7 @@
         s.peers.clear();
         ByHand {
             // No machine goes back for being idle.
-            core: Core::new(s, Operator { idle_hold: 1000.0, ..Operator::default() }, 1),
+            core: Controller::new(s, Operator { idle_hold: 1000.0, ..Operator::default() }, 1),
             store,
             now,
             listed,
@@ -173,15 +174,15 @@
         MachineList { machines: self.listed.iter().map(machine).collect(), more: false }
     }
 
-    fn cloud(&mut self, op: &CloudOp) -> CloudReply {
+    fn cloud(&mut self, op: &CloudRequest) -> CloudReply {
         if self.cloud_down {
             return CloudReply::Refused;
         }
         match op {
-            CloudOp::Types => CloudReply::Types(MachineTypes { types: super::common::types() }),
-            CloudOp::List { .. } => CloudReply::List(self.list()),
-            CloudOp::Rent(_) => CloudReply::NoCapacity,
-            CloudOp::Delete(names) => {
+            CloudRequest::Types => CloudReply::Types(MachineTypes { types: super::common::types() }),
+            CloudRequest::List { .. } => CloudReply::List(self.list()),
+            CloudRequest::Rent(_) => CloudReply::NoCapacity,
+            CloudRequest::Delete(names) => {
                 self.listed.retain(|m| !names.contains(m));
                 CloudReply::Done
             }
@@ -205,22 +206,22 @@
         }
     }
 
-    fn state(&mut self, call: CallId, op: StateOp) {
-        if self.lists_down && matches!(op, StateOp::List { .. }) {
-            return self.feed(Input::State(call, StateReply::Refused));
+    fn state(&mut self, call: CallId, op: StoreRequest) {
+        if self.lists_down && matches!(op, StoreRequest::List { .. }) {
+            return self.feed(Input::State(call, StoreReply::Refused));
         }
-        if self.writes_held && matches!(op, StateOp::Commit(_)) {
+        if self.writes_held && matches!(op, StoreRequest::Commit(_)) {
             return;
         }
-        if matches!(op, StateOp::Get(_)) {
+        if matches!(op, StoreRequest::Get(_)) {
             match &mut self.reads_left {
-                Some(0) => return self.feed(Input::State(call, StateReply::Refused)),
+                Some(0) => return self.feed(Input::State(call, StoreReply::Refused)),
                 left => *left = left.map(|n| n - 1),
             }
         }
         match (self.store.execute(self.now, &op), &op) {
             (Some(reply), _) => self.feed(Input::State(call, reply)),
-            (None, StateOp::Watch { wait_ms, .. }) => {
+            (None, StoreRequest::Watch { wait_ms, .. }) => {
                 self.watches.push((self.now + *wait_ms as f64 / 1000.0, call, op));
             }
             (None, _) => {}
@@ -271,12 +272,12 @@
         assert_eq!(self.status(Request::Cancel(job.into())), 200);
     }
 
-    pub fn deliver(&mut self, report: &Report) -> RequestId {
+    pub fn deliver(&mut self, report: &Heartbeat) -> RequestId {
         self.ask(Request::Report(protocol::encode(report)))
     }
 
     /// The 200 that a report was answered with by now.
-    pub fn answer(&self, id: RequestId) -> Option<ReportAnswer> {
+    pub fn answer(&self, id: RequestId) -> Option<HeartbeatResponse> {
         let answer = self.answers.get(&id).filter(|a| a.status == 200)?;
         protocol::decode(&answer.body).ok()
     }
--- a/crates/simulation/tests/common/mod.rs
+++ b/crates/simulation/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the simulated days have in common.
 
 use anisecroft_simulation::{Fault, Setup};
-use controller::Guards;
+use controller::SafetyChecks;
 use protocol::cloud::MachineType;
 use protocol::job::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -89,13 +89,13 @@
         seed,
         loss: 0.002,
         relay_timeout_s: None,
-        guards: Guards::default(),
+        guards: SafetyChecks::default(),
     }
 }
 
 #[allow(dead_code)]
-pub fn derived() -> settings::Derived {
-    settings::Derived::from(&settings())
+pub fn derived() -> settings::Timing {
+    settings::Timing::from(&settings())
 }
 
 /// A small array that nothing binds, of short tasks.
--- a/crates/simulation/tests/day_end.rs
+++ b/crates/simulation/tests/day_end.rs
@@ -3,10 +3,10 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Simulation};
 use common::*;
 use controller::records::{job_key, Value};
-use controller::Guards;
+use controller::SafetyChecks;
 use protocol::job::*;
 
 /// Machines that hear nothing, one or a third of a zone, for less and for more than a lease:
@@ -14,7 +14,7 @@
 #[test]
 fn work_leaves_a_machine_that_hears_nothing() {
     for seed in 0..12 {
-        assert_eq!(left_by_the_deaf(seed, Guards::default()), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(left_by_the_deaf(seed, SafetyChecks::default()), Vec::<String>::new(), "seed {seed}");
     }
 }
 
@@ -22,12 +22,12 @@
 /// seed in ten: which ones moves with every change of timing.)
 #[test]
 fn without_a_look_at_its_sessions_work_stays_on_a_deaf_machine() {
-    let guards = Guards { ears: false, ..Guards::default() };
+    let guards = SafetyChecks { ears: false, ..SafetyChecks::default() };
     assert!((0..72).any(|seed| !left_by_the_deaf(seed, guards).is_empty()));
 }
 
 /// Jobs that are not over two and a half leases after the last was submitted.
-fn left_by_the_deaf(seed: u64, guards: Guards) -> Vec<String> {
+fn left_by_the_deaf(seed: u64, guards: SafetyChecks) -> Vec<String> {
     let for_s = [5.0, 40.0, 120.0, 600.0][seed as usize % 4];
     let fault = match seed % 3 {
         0 => Fault::DeafZone { zone: "a", for_s },
@@ -54,7 +54,7 @@
     (w.report_s, w.lease_s, w.cancel_s) = (6.0, 31.0, 51.0);
     let lease_s = w.lease_s;
     s.jobs = vec![(1.0, array, None), (44.0, gang("req-2"), None), (70.0, gang("req-3"), None)];
-    let mut sim = Sim::new(Setup { capacity: 6, guards, ..s });
+    let mut sim = Simulation::new(Setup { capacity: 6, guards, ..s });
     assert_eq!(sim.run(70.0 + 2.5 * lease_s), [], "seed {seed}");
     sim.unfinished()
 }
@@ -67,7 +67,7 @@
         let mut s = setup(seed, vec![(40.0, copies)]);
         unlimited(&mut s);
         s.jobs = vec![(1.0, JobSpec { tasks: 24, ..long_array() }, None)];
-        let mut sim = Sim::new(Setup { capacity: 6, loss: 0.0, ..s });
+        let mut sim = Simulation::new(Setup { capacity: 6, loss: 0.0, ..s });
         assert_eq!(sim.run(62.0), [], "seed {seed}");
         (0..2).for_each(|nth| sim.strike(Fault::Take { nth }));
         if seed % 2 == 0 {
@@ -85,7 +85,7 @@
 fn a_controller_with_only_its_workers_is_not_healthy() {
     let d = derived();
     for node in 0..3 {
-        let mut sim = Sim::new(Setup { loss: 0.0, ..setup(9, vec![]) });
+        let mut sim = Simulation::new(Setup { loss: 0.0, ..setup(9, vec![]) });
         assert_eq!(sim.run(40.0), []);
         assert!((0..3).all(|n| sim.healthy(n)), "{node}");
         sim.strike(Fault::Alone { node, for_s: 60.0 });
@@ -115,7 +115,7 @@
                 (at + 9.0, Fault::Deaf { nth: 1, for_s }),
             ]),
         }
-        let mut sim = Sim::new(setup(seed, faults.clone()));
+        let mut sim = Simulation::new(setup(seed, faults.clone()));
         assert_eq!(sim.run(800.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
     }
@@ -161,7 +161,7 @@
             ..plain.clone()
         };
         s.jobs.extend([(60.0, gang, None), (61.0, array, None)]);
-        let mut sim = Sim::new(Setup { capacity: 30, ..s });
+        let mut sim = Simulation::new(Setup { capacity: 30, ..s });
         assert_eq!(sim.run(61.0 + 240.0), [], "seed {seed}");
         let running =
             |v: &Value| matches!(v, Value::Job(j) if j.running > 0 || j.status == JobStatus::Running);
@@ -204,7 +204,7 @@
             );
         }
         let nodes = if seed % 2 == 0 { 3 } else { 5 };
-        let mut sim = Sim::new(Setup { nodes, ..setup(seed, faults.clone()) });
+        let mut sim = Simulation::new(Setup { nodes, ..setup(seed, faults.clone()) });
         assert_eq!(sim.run(800.0), [], "seed {seed}, {for_s} s: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}, {for_s} s: {faults:?}");
     }
@@ -217,7 +217,7 @@
     for seed in 1000..1400u64 {
         let faults = newest_troubles(seed);
         let nodes = if seed % 2 == 0 { 3 } else { 5 };
-        let mut sim = Sim::new(Setup { nodes, ..setup(seed, faults.clone()) });
+        let mut sim = Simulation::new(Setup { nodes, ..setup(seed, faults.clone()) });
         assert_eq!(sim.run(800.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
     }
--- a/crates/simulation/tests/digests.rs
+++ b/crates/simulation/tests/digests.rs
@@ -9,7 +9,7 @@
 mod common;
 
 use anisecroft_simulation::explore::{guards, SCRIPTS};
-use anisecroft_simulation::{Fault, Setup, Sim, Trouble};
+use anisecroft_simulation::{Fault, Setup, Simulation, Trouble};
 use common::*;
 use protocol::cloud::MachineType;
 use protocol::job::*;
@@ -23,16 +23,16 @@
 /// A day by name, and how it is played.
 struct Day {
     name: String,
-    play: Box<dyn Fn() -> Sim + Send + Sync>,
+    play: Box<dyn Fn() -> Simulation + Send + Sync>,
 }
 
-fn day(kind: &str, seed: u64, play: impl Fn() -> Sim + Send + Sync + 'static) -> Day {
+fn day(kind: &str, seed: u64, play: impl Fn() -> Simulation + Send + Sync + 'static) -> Day {
     Day { name: format!("{kind}-{seed}"), play: Box::new(play) }
 }
 
 /// Runs a day from its setup, with the digest taken.
-fn run(setup: Setup, until: f64) -> Sim {
-    let mut sim = Sim::new(setup);
+fn run(setup: Setup, until: f64) -> Simulation {
+    let mut sim = Simulation::new(setup);
     sim.record_digest();
     sim.run(until);
     sim
@@ -133,8 +133,8 @@
 
 /// The state service refuses the leader alone, users cancel, and the service is down for all
 /// while the successor takes over.
-fn meeting(seed: u64) -> Sim {
-    let mut sim = Sim::new(setup(seed, vec![]));
+fn meeting(seed: u64) -> Simulation {
+    let mut sim = Simulation::new(setup(seed, vec![]));
     sim.record_digest();
     sim.run(69.0 + seed as f64 % 7.0);
     if let Some(node) = sim.leader() {
@@ -150,7 +150,7 @@
 }
 
 /// A script of the explorer's with a trouble of each of some kinds, at messages that the seed draws.
-fn scripted(nth: usize, seed: u64) -> Sim {
+fn scripted(nth: usize, seed: u64) -> Simulation {
     let script = &SCRIPTS[nth];
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5c71);
     let kinds = [
@@ -167,7 +167,7 @@
     ];
     // None of these on the first seed.
     let plan = (0..seed % 3).map(|_| (rng.gen_range(50..900), kinds[rng.gen_range(0..kinds.len())]));
-    let mut sim = Sim::new(script.setup(seed, guards(None)));
+    let mut sim = Simulation::new(script.setup(seed, guards(None)));
     sim.interfere(plan.collect(), false);
     sim.record_digest();
     sim.run(script.until_s + 20.0);
--- a/crates/simulation/tests/explore.rs
+++ b/crates/simulation/tests/explore.rs
@@ -2,7 +2,7 @@
 //! refused in one line.
 
 use anisecroft_simulation::explore::*;
-use anisecroft_simulation::{Border, Sim, Trouble};
+use anisecroft_simulation::{Border, Simulation, Trouble};
 use std::process::Command;
 
 fn options(every: usize) -> Options {
@@ -95,7 +95,7 @@
 fn a_record_changes_nothing() {
     for script in SCRIPTS.iter().step_by(3) {
         let run = |recorded: Option<bool>| {
-            let mut sim = Sim::new(script.setup(5, guards(None)));
+            let mut sim = Simulation::new(script.setup(5, guards(None)));
             if let Some(record) = recorded {
                 sim.interfere(Vec::new(), record);
             }
--- a/crates/simulation/tests/explored.rs
+++ b/crates/simulation/tests/explored.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Simulation};
 use common::*;
 use protocol::job::*;
 
@@ -16,7 +16,7 @@
         unlimited(&mut s);
         let idle = JobSpec { priority: Priority::Low, tasks: 2, estimate_s: 110.0, ..long_array() };
         s.jobs = vec![(1.0, idle, None)];
-        let mut sim = Sim::new(Setup { capacity: 2, loss: 0.0, ..s });
+        let mut sim = Simulation::new(Setup { capacity: 2, loss: 0.0, ..s });
         assert_eq!(sim.run(70.0), [], "seed {seed}");
         assert!(sim.starts > 0 && !sim.unfinished().is_empty(), "seed {seed}: it is not running");
         let rented = sim.rented();
--- a/crates/simulation/tests/floors.rs
+++ b/crates/simulation/tests/floors.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use anisecroft_simulation::{Setup, Sim};
+use anisecroft_simulation::{Setup, Simulation};
 use common::*;
 use protocol::job::*;
 
@@ -11,10 +11,10 @@
     JobSpec { id, class, team, shape, priority, tasks, estimate_s: 30.0, ..long_array() }
 }
 
-fn day(seed: u64, jobs: Vec<(f64, JobSpec, Option<f64>)>, capacity: usize) -> Sim {
+fn day(seed: u64, jobs: Vec<(f64, JobSpec, Option<f64>)>, capacity: usize) -> Simulation {
     let mut s = setup(seed, vec![]);
     unlimited(&mut s);
-    Sim::new(Setup { jobs, capacity, loss: 0.0, ..s })
+    Simulation::new(Setup { jobs, capacity, loss: 0.0, ..s })
 }
 
 /// Urgent work asks for twice the fleet all day long; a small job of another class
--- a/crates/simulation/tests/gateways.rs
+++ b/crates/simulation/tests/gateways.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Rule, Setup, Sim};
+use anisecroft_simulation::{Fault, Rule, Setup, Simulation};
 use common::*;
-use controller::{GatewayGuards, Guards};
+use controller::{ProxySafetyChecks, SafetyChecks};
 use protocol::job::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 
@@ -46,7 +46,7 @@
 fn holds(seeds: std::ops::Range<u64>, troubles: impl Fn(u64) -> Vec<(f64, Fault)>) {
     for seed in seeds {
         let faults = troubles(seed);
-        let mut sim = Sim::new(setup(seed, faults.clone()));
+        let mut sim = Simulation::new(setup(seed, faults.clone()));
         assert_eq!(sim.run(700.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
         assert!(sim.relayed > 0, "seed {seed} relayed nothing");
@@ -79,9 +79,9 @@
 }
 
 /// Runs many seeds with a guard off until a rule breaks.
-fn caught(rules: &[Rule], guards: Guards, setup: impl Fn(u64) -> Setup) -> bool {
+fn caught(rules: &[Rule], guards: SafetyChecks, setup: impl Fn(u64) -> Setup) -> bool {
     (0..200).any(|seed| {
-        let broken = Sim::new(Setup { guards, ..setup(seed) }).run(300.0).to_vec();
+        let broken = Simulation::new(Setup { guards, ..setup(seed) }).run(300.0).to_vec();
         broken.iter().any(|b| rules.contains(&b.rule))
     })
 }
@@ -102,14 +102,14 @@
 /// those of machines that were given up.
 #[test]
 fn without_the_leave_a_rule_breaks() {
-    let gateway = GatewayGuards { leave: false, ..GatewayGuards::default() };
-    assert!(caught(&ANY, Guards { gateway, ..Guards::default() }, cut_zones));
+    let gateway = ProxySafetyChecks { leave: false, ..ProxySafetyChecks::default() };
+    assert!(caught(&ANY, SafetyChecks { gateway, ..SafetyChecks::default() }, cut_zones));
 }
 
 /// What a gateway answered before it was lost is not known to the leader.
 #[test]
 fn without_the_wait_for_a_lost_gateway_a_task_runs_twice() {
-    let guards = Guards { relay_wait: false, ..Guards::default() };
+    let guards = SafetyChecks { relay_wait: false, ..SafetyChecks::default() };
     let long_leave = |seed| {
         // Most seeds find no free machine within the few seconds that are missing.
         let mut s = cut_zones(200 + seed);
@@ -124,7 +124,7 @@
 /// gone that run.
 #[test]
 fn without_the_order_of_reports_a_rule_breaks() {
-    let guards = Guards { order: false, ..Guards::default() };
+    let guards = SafetyChecks { order: false, ..SafetyChecks::default() };
     let wandering = |seed: u64| {
         let cut = |i: u64| Fault::PeersCut { node: ((seed + i) % 3) as usize, for_s: 8.0 };
         let cuts = (0..10).map(|i| (20.0 + 13.0 * i as f64, cut(i)));
@@ -149,18 +149,18 @@
 #[test]
 fn relays_held_for_long_break_no_rule() {
     for seed in 300..312 {
-        let mut sim = Sim::new(held_relays(seed));
+        let mut sim = Simulation::new(held_relays(seed));
         assert_eq!(sim.run(700.0), [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
 }
 
 /// Machines that are full for the whole run, and what their reports cost.
-fn busy_fleet(capacity: usize) -> Sim {
+fn busy_fleet(capacity: usize) -> Simulation {
     let spec = JobSpec { tasks: capacity as u32 * 4, ..long_array() };
     let mut s = setup(31, vec![]);
     unlimited(&mut s);
-    let mut sim = Sim::new(Setup { jobs: vec![(1.0, spec, None)], capacity, loss: 0.0, ..s });
+    let mut sim = Simulation::new(Setup { jobs: vec![(1.0, spec, None)], capacity, loss: 0.0, ..s });
     assert_eq!(sim.run(150.0), []);
     sim
 }
@@ -192,7 +192,7 @@
 #[test]
 fn workers_are_spread_evenly() {
     let mut sim = busy_fleet(120);
-    let even = |sim: &Sim| {
+    let even = |sim: &Simulation| {
         let counts = sim.workers_by_node();
         let part = counts.iter().sum::<usize>() as f64 / counts.len() as f64;
         counts.iter().all(|&c| c as f64 <= part * 1.25)
@@ -213,7 +213,7 @@
     unlimited(&mut s);
     // Seven tenths of 20 sockets at each of three nodes: 42 workers.
     s.settings.params.resources.max_connections = 20;
-    let mut sim = Sim::new(Setup { jobs: vec![(1.0, spec, None)], capacity: 100, loss: 0.0, ..s });
+    let mut sim = Simulation::new(Setup { jobs: vec![(1.0, spec, None)], capacity: 100, loss: 0.0, ..s });
     for end in 1..40 {
         assert_eq!(sim.run(f64::from(end) * 5.0), []);
         assert!(sim.machines() <= 42, "{} machines for 42 workers' room", sim.machines());
@@ -228,9 +228,9 @@
     let mut s = setup(34, vec![]);
     unlimited(&mut s);
     s.settings.params.resources.max_connections = 40;
-    let most = settings::Derived::from(&s.settings).worker_most as usize;
+    let most = settings::Timing::from(&s.settings).worker_most as usize;
     let spec = JobSpec { tasks: 400, estimate_s: 100.0, ..long_array() };
-    let mut sim = Sim::new(Setup { jobs: vec![(1.0, spec, None)], capacity: 60, loss: 0.0, ..s });
+    let mut sim = Simulation::new(Setup { jobs: vec![(1.0, spec, None)], capacity: 60, loss: 0.0, ..s });
     assert_eq!(sim.run(100.0), []);
     assert!(sim.machines() > most + 20, "{}", sim.machines());
     for node in [1, 2] {
--- a/crates/simulation/tests/hand_over.rs
+++ b/crates/simulation/tests/hand_over.rs
@@ -6,7 +6,7 @@
 mod by_hand;
 
 use anisecroft_simulation::state::Store;
-use anisecroft_simulation::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Simulation};
 use by_hand::*;
 use common::*;
 use controller::records::LEADER_KEY;
@@ -153,7 +153,7 @@
 }
 
 /// Plays `troubles` from now on.
-fn play(sim: &mut Sim, troubles: Vec<(f64, Fault)>) {
+fn play(sim: &mut Simulation, troubles: Vec<(f64, Fault)>) {
     let begun = sim.now;
     for (at, fault) in troubles {
         sim.run(begun + at);
@@ -163,7 +163,7 @@
 
 fn handed_over(seed: u64, nodes: usize, n: usize) -> Shown {
     let what = format!("seed {seed}: change {n}, {nodes} nodes");
-    let mut sim = Sim::new(cancelled_around(seed, nodes));
+    let mut sim = Simulation::new(cancelled_around(seed, nodes));
     sim.run(CHANGE - BEFORE - 20.0);
     old_reports(seed).into_iter().for_each(|f| sim.strike(f));
     sim.run(CHANGE);
@@ -205,7 +205,7 @@
         let later = 40.0 + n as f64 * 2.5;
         (*at, *cancel) = (if n % 3 == 0 { later - 3.0 } else { *at }, cancel.map(|_| later));
     }
-    let mut sim = Sim::new(s);
+    let mut sim = Simulation::new(s);
     old_reports(seed).into_iter().for_each(|f| sim.strike(f));
     for n in 0..10 {
         sim.run(40.0 + n as f64 * 12.0);
--- a/crates/simulation/tests/left_lying.rs
+++ b/crates/simulation/tests/left_lying.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Rule, Setup, Sim};
+use anisecroft_simulation::{Fault, Rule, Setup, Simulation};
 use common::*;
-use controller::Guards;
+use controller::SafetyChecks;
 use protocol::job::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 
@@ -24,16 +24,16 @@
 type Jobs = Vec<(f64, JobSpec, Option<f64>)>;
 
 /// A day of `jobs` and nothing else on up to `capacity` machines, with three or five controllers.
-fn day(seed: u64, guards: Guards, capacity: usize, jobs: Jobs) -> Sim {
+fn day(seed: u64, guards: SafetyChecks, capacity: usize, jobs: Jobs) -> Simulation {
     let mut s = setup(seed, vec![]);
     unlimited(&mut s);
     let nodes = 3 + 2 * (seed % 2) as usize;
-    Sim::new(Setup { jobs, capacity, nodes, guards, loss: 0.0, ..s })
+    Simulation::new(Setup { jobs, capacity, nodes, guards, loss: 0.0, ..s })
 }
 
 /// Fourteen machines stand idle when an outage of the state service ends that was longer than three
 /// leases, and work comes at once. Machines rented since, and those given back.
-fn after_an_outage(seed: u64, guards: Guards) -> (u32, usize) {
+fn after_an_outage(seed: u64, guards: SafetyChecks) -> (u32, usize) {
     let first = (2.0, array(1, 12, 4.0, 60.0), None);
     let later = (2..4).map(|n| (95.0, array(n, 2, 4.0, 60.0), None));
     let mut sim = day(seed, guards, 60, [first].into_iter().chain(later).collect());
@@ -54,16 +54,16 @@
 fn after_an_outage_idle_machines_take_the_work() {
     for seed in 0..6 {
         // (Two at most for what usually comes.)
-        let (rented, deleted) = after_an_outage(seed, Guards::default());
+        let (rented, deleted) = after_an_outage(seed, SafetyChecks::default());
         assert!(rented <= 2 && deleted == 0, "seed {seed}: {rented} rented, {deleted} given back");
     }
-    let (rented, deleted) = after_an_outage(0, Guards { asleep: false, ..Guards::default() });
+    let (rented, deleted) = after_an_outage(0, SafetyChecks { asleep: false, ..SafetyChecks::default() });
     assert!(rented > 2 && deleted >= 12, "{rented} rented, {deleted} given back");
 }
 
 /// Nothing reaches the leader but the state service for eight seconds, in which work comes.
 /// Machines rented by the end of that.
-fn unheard_for_a_moment(seed: u64, guards: Guards) -> u32 {
+fn unheard_for_a_moment(seed: u64, guards: SafetyChecks) -> u32 {
     // (All machines in one zone, so that it is not taken for one that is out of reach.)
     let idle = JobSpec { priority: Priority::Low, class: "spare".into(), ..array(1, 12, 4.0, 20.0) };
     let first = (2.0, in_zone("a", idle), None);
@@ -83,16 +83,16 @@
 #[test]
 fn nothing_is_rented_for_what_silent_machines_may_take() {
     for seed in 0..6 {
-        assert_eq!(unheard_for_a_moment(seed, Guards::default()), 0, "seed {seed}");
+        assert_eq!(unheard_for_a_moment(seed, SafetyChecks::default()), 0, "seed {seed}");
     }
-    let off = Guards { asleep: false, ..Guards::default() };
+    let off = SafetyChecks { asleep: false, ..SafetyChecks::default() };
     assert!((0..6).any(|seed| unheard_for_a_moment(seed, off) > 0));
 }
 
 /// Work bound to a zone that is full, while fewer machines stand in the other: of one zone by name, an
 /// array that has begun there, a service of which half may be in each. The jobs that
 /// have not ended, or begun.
-fn bound(seed: u64, guards: Guards) -> Vec<String> {
+fn bound(seed: u64, guards: SafetyChecks) -> Vec<String> {
     let mut jobs: Jobs = (1..25).map(|n| (2.0, in_zone("b", service(n)), None)).collect();
     jobs.push((150.0, in_zone("b", array(100, 1, 4.0, 20.0)), None));
     let pair = JobSpec { tasks: 2, spread: true, ..service(101) };
@@ -109,9 +109,9 @@
 #[test]
 fn machines_for_bound_work_come_where_it_may_run() {
     for seed in 0..6 {
-        assert_eq!(bound(seed, Guards::default()), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(bound(seed, SafetyChecks::default()), Vec::<String>::new(), "seed {seed}");
     }
-    let off = Guards { bound: false, ..Guards::default() };
+    let off = SafetyChecks { bound: false, ..SafetyChecks::default() };
     assert!((0..6).any(|seed| !bound(seed, off).is_empty()));
 }
 
@@ -127,7 +127,7 @@
         }
         let late = |n| JobSpec { due_s: Some(60.0), ..array(n, 1, 4.0, 30.0) };
         let jobs = (10..60).map(|n| (2.0 + n as f64 * 0.2, late(n), None)).collect();
-        let mut sim = Sim::new(Setup { jobs, capacity: 60, loss: 0.0, ..s });
+        let mut sim = Simulation::new(Setup { jobs, capacity: 60, loss: 0.0, ..s });
         assert_eq!(sim.run(200.0), [], "seed {seed}");
         assert!(sim.rented() < 10, "seed {seed}: {} rented", sim.rented());
     }
@@ -135,7 +135,7 @@
 
 /// A gang needs room on all three machines, of which one is full for the whole day; work that takes
 /// longer than that comes, and work that does not.
-fn held_for_a_gang(seed: u64, guards: Guards) -> Vec<Rule> {
+fn held_for_a_gang(seed: u64, guards: SafetyChecks) -> Vec<Rule> {
     let gang = JobSpec { shape: Shape::Gang, due_s: Some(10.0), ..array(10, 3, 1.5, 30.0) };
     let jobs = vec![
         (2.0, array(1, 1, 4.0, 3000.0), None),
@@ -152,15 +152,15 @@
 #[test]
 fn no_place_is_held_for_long() {
     for seed in 0..6 {
-        assert_eq!(held_for_a_gang(seed, Guards::default()), [], "seed {seed}");
+        assert_eq!(held_for_a_gang(seed, SafetyChecks::default()), [], "seed {seed}");
     }
-    let off = Guards { beside: false, ..Guards::default() };
+    let off = SafetyChecks { beside: false, ..SafetyChecks::default() };
     assert!((0..6).any(|seed| held_for_a_gang(seed, off) == [Rule::LeftWaiting]));
 }
 
 /// What nobody waits for may use the cheaper type only, which cannot be had, while a dearer machine
 /// that others use has room.
-fn left_beside_a_dear_machine(seed: u64, guards: Guards) -> Vec<Rule> {
+fn left_beside_a_dear_machine(seed: u64, guards: SafetyChecks) -> Vec<Rule> {
     let mut s = setup(seed, vec![]);
     unlimited(&mut s);
     s.types.push(protocol::cloud::MachineType { name: "dear".into(), price: 40.0, ..s.types[0].clone() });
@@ -168,7 +168,7 @@
     let idle = JobSpec { priority: Priority::Low, class: "spare".into(), ..array(2, 3, 1.0, 30.0) };
     let jobs = vec![(2.0, dear, None), (60.0, idle, None)];
     let nodes = 3 + 2 * (seed % 2) as usize;
-    let mut sim = Sim::new(Setup { jobs, capacity: 1, nodes, guards, loss: 0.0, ..s });
+    let mut sim = Simulation::new(Setup { jobs, capacity: 1, nodes, guards, loss: 0.0, ..s });
     sim.run(300.0).iter().map(|b| b.rule).collect()
 }
 
@@ -176,15 +176,15 @@
 #[test]
 fn what_nobody_waits_for_gets_what_is_free() {
     for seed in 0..4 {
-        assert_eq!(left_beside_a_dear_machine(seed, Guards::default()), [], "seed {seed}");
+        assert_eq!(left_beside_a_dear_machine(seed, SafetyChecks::default()), [], "seed {seed}");
     }
-    let off = Guards { beside: false, ..Guards::default() };
+    let off = SafetyChecks { beside: false, ..SafetyChecks::default() };
     assert_eq!(left_beside_a_dear_machine(0, off), [Rule::LeftWaiting]);
 }
 
 /// More work than room, urgent and not, of every shape, bound to zones and types; machines are lost,
 /// cut off, mute, deaf, faulty or slow, links are slow, leaders end. Then all is well again.
-fn crowded(seed: u64) -> Sim {
+fn crowded(seed: u64) -> Simulation {
     let rng = &mut SmallRng::seed_from_u64(seed ^ 0x1e_f7);
     let mut faults: Vec<(f64, Fault)> = (0..8)
         .map(|_| {
@@ -226,7 +226,7 @@
         unlimited(&mut s);
     }
     let nodes = 3 + 2 * (seed / 2 % 2) as usize;
-    Sim::new(Setup { capacity: 3 + (seed % 5) as usize, nodes, ..s })
+    Simulation::new(Setup { capacity: 3 + (seed % 5) as usize, nodes, ..s })
 }
 
 #[test]
@@ -251,7 +251,7 @@
     for seed in 0..4 {
         let idle = JobSpec { priority: Priority::Low, class: "spare".into(), ..array(2, 1, 1.0, 20.0) };
         let jobs = vec![(2.0, array(1, 1, 1.0, 3000.0), None), (40.0, idle, None)];
-        let mut sim = day(seed, Guards::default(), 4, jobs);
+        let mut sim = day(seed, SafetyChecks::default(), 4, jobs);
         sim.run(30.0);
         sim.strike(Fault::Sick { nth: 0 });
         assert_eq!(sim.run(400.0), [], "seed {seed}");
--- a/crates/simulation/tests/limits.rs
+++ b/crates/simulation/tests/limits.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Simulation};
 use common::*;
 use protocol::job::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -53,7 +53,7 @@
         }
         // With some, writes of unknown outcome are in flight as it happens.
         let loss = if seed % 4 == 3 { 0.02 } else { 0.002 };
-        let mut sim = Sim::new(Setup { capacity: 20, loss, ..wide(seed, kb, part, faults.clone()) });
+        let mut sim = Simulation::new(Setup { capacity: 20, loss, ..wide(seed, kb, part, faults.clone()) });
         assert_eq!(sim.run(600.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
         assert!(sim.store().invalid < 20, "seed {seed}: {} refused", sim.store().invalid);
@@ -90,7 +90,7 @@
             s.jobs[77].2 = Some(20.0);
         }
         s.faults.extend((0..3).map(|node| (30.0 + seed as f64, Fault::Crash { node, for_s: 2.0 })));
-        let mut sim = Sim::new(Setup { capacity: 8, ..s });
+        let mut sim = Simulation::new(Setup { capacity: 8, ..s });
         assert_eq!(sim.run(25.0), [], "seed {seed}");
         assert!(sim.store().largest("") <= 2048, "seed {seed}: {}", sim.store().largest(""));
         assert_eq!(sim.run(500.0), [], "seed {seed}");
--- a/crates/simulation/tests/lost_answers.rs
+++ b/crates/simulation/tests/lost_answers.rs
@@ -4,7 +4,7 @@
 mod common;
 mod stage;
 
-use anisecroft_simulation::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Simulation};
 use common::{setup, unlimited};
 use controller::records::{
     JobRecord, LeaderRecord, StoredPlacement, Value, FORMAT, FORMAT_KEY, LEADER_KEY, TYPES_KEY,
@@ -18,18 +18,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Loses the answers of the first `count` transactions that change a key with that beginning.
-fn lose(prefix: &'static str, count: usize) -> Box<dyn FnMut(&StateOp) -> Fate> {
-    once(prefix, count, Fate::Lost)
+fn lose(prefix: &'static str, count: usize) -> Box<dyn FnMut(&StoreRequest) -> JobOutcome> {
+    once(prefix, count, JobOutcome::Lost)
 }
 
-fn once(prefix: &'static str, count: usize, fate: Fate) -> Box<dyn FnMut(&StateOp) -> Fate> {
+fn once(prefix: &'static str, count: usize, fate: JobOutcome) -> Box<dyn FnMut(&StoreRequest) -> JobOutcome> {
     let mut left = count;
     Box::new(move |op| {
         if left > 0 && writes(op, prefix) {
             left -= 1;
             return fate;
         }
-        Fate::Answered
+        JobOutcome::Answered
     })
 }
 
@@ -37,7 +37,7 @@
 /// are missing. (Users once got 503 after the time-out, and asked again a second later.)
 #[test]
 fn a_submission_without_an_answer_is_accepted_within_a_second() {
-    for (n, fate) in [Fate::Lost, Fate::Late(6.0), Fate::Answered].into_iter().enumerate() {
+    for (n, fate) in [JobOutcome::Lost, JobOutcome::Late(6.0), JobOutcome::Answered].into_iter().enumerate() {
         let mut s = Stage::leading();
         s.fate = once("j/", 1, fate);
         let sent = s.now;
@@ -55,9 +55,12 @@
 /// The same of a cancellation, also by a mark beside a record that is too large.
 #[test]
 fn a_cancellation_without_an_answer_is_confirmed_within_a_second() {
-    for (fate, marked) in
-        [(Fate::Lost, false), (Fate::Late(6.0), false), (Fate::Lost, true), (Fate::Late(6.0), true)]
-    {
+    for (fate, marked) in [
+        (JobOutcome::Lost, false),
+        (JobOutcome::Late(6.0), false),
+        (JobOutcome::Lost, true),
+        (JobOutcome::Late(6.0), true),
+    ] {
         let mut s = if marked { with_a_large_record() } else { Stage::leading() };
         if !marked {
             s.submit(&spec("req-1", 1));
@@ -96,12 +99,12 @@
     s.run(0.5);
     let mut left = 1;
     s.fate = Box::new(move |op| {
-        let compares = matches!(op, StateOp::Commit(t) if t.changes.is_empty());
+        let compares = matches!(op, StoreRequest::Commit(t) if t.changes.is_empty());
         if compares && left > 0 {
             left -= 1;
-            return Fate::Lost;
+            return JobOutcome::Lost;
         }
-        Fate::Answered
+        JobOutcome::Answered
     });
     let sent = s.now;
     let asked = ["req-1", "req-2"].map(|id| s.ask(Request::Poll(id.into())));
@@ -116,13 +119,13 @@
 #[test]
 fn reading_back_has_its_bounds() {
     let mut s = Stage::leading();
-    s.fate = Box::new(|op| if writes(op, "j/") { Fate::Lost } else { Fate::Refused });
+    s.fate = Box::new(|op| if writes(op, "j/") { JobOutcome::Lost } else { JobOutcome::Refused });
     s.run(1.0);
     s.submit(&spec("req-1", 1));
     s.run(3.0);
     assert_eq!(s.reads("j/"), 0);
     let mut s = Stage::leading();
-    s.fate = Box::new(|op| if writes(op, "j/") { Fate::Late(9.0) } else { Fate::Answered });
+    s.fate = Box::new(|op| if writes(op, "j/") { JobOutcome::Late(9.0) } else { JobOutcome::Answered });
     (0..400).for_each(|n| {
         s.submit(&spec(&format!("req-{n}"), 1));
     });
@@ -155,7 +158,7 @@
         let mut s = Stage::new();
         let mut claim = lose("a/leader", 1);
         s.fate = Box::new(move |op| match op {
-            StateOp::Watch { prefix, .. } if prefix == "a/" && !watched => Fate::Held,
+            StoreRequest::Watch { prefix, .. } if prefix == "a/" && !watched => JobOutcome::Held,
             _ => claim(op),
         });
         s.run(within);
@@ -172,24 +175,24 @@
     let mut s = Stage::new();
     let (mut watches, mut looks) = (0, 0);
     s.fate = Box::new(move |op| match op {
-        StateOp::Watch { .. } => {
+        StoreRequest::Watch { .. } => {
             watches += 1;
             if watches == 1 {
-                Fate::Refused
+                JobOutcome::Refused
             } else {
-                Fate::Answered
+                JobOutcome::Answered
             }
         }
-        StateOp::Grant { .. } => Fate::Held,
-        StateOp::Get(key) if key == LEADER_KEY => {
+        StoreRequest::Grant { .. } => JobOutcome::Held,
+        StoreRequest::Get(key) if key == LEADER_KEY => {
             looks += 1;
             if looks == 2 {
-                Fate::Held
+                JobOutcome::Held
             } else {
-                Fate::Answered
+                JobOutcome::Answered
             }
         }
-        _ => Fate::Answered,
+        _ => JobOutcome::Answered,
     });
     s.run(0.6);
     s.release();
@@ -209,7 +212,7 @@
     s.run(0.5);
     let mut end = lose("jo/", 1);
     s.fate = Box::new(move |op| match op {
-        StateOp::Watch { prefix, .. } if prefix == "j" => Fate::Held,
+        StoreRequest::Watch { prefix, .. } if prefix == "j" => JobOutcome::Held,
         _ => end(op),
     });
     let request = s.report(&[]);
@@ -218,7 +221,7 @@
     s.report(&[task("req-1", 0, TaskState::Exited)]);
     s.run(TIMEOUT_S + 0.1);
     assert_eq!((s.store.count("j/"), s.store.count("jo/"), s.core.places()), (0, 1, 0));
-    s.fate = Box::new(|_| Fate::Answered);
+    s.fate = Box::new(|_| JobOutcome::Answered);
     let released = s.now;
     s.release();
     for _ in 0..4 {
@@ -321,18 +324,18 @@
     s.report(&tasks(placed, &state_of(0)));
     s.run(0.5);
     // Some places are given while a write is on its way; from then on the job may be divided.
-    s.fate = Box::new(|op| if held(op) { Fate::Held } else { Fate::Answered });
+    s.fate = Box::new(|op| if held(op) { JobOutcome::Held } else { JobOutcome::Answered });
     for ended in [25, 50] {
         s.report(&tasks(placed, &state_of(ended)));
         s.run(0.6);
     }
     s.all_have_this_version();
     let mut record = lose("j/", 1);
-    s.fate = Box::new(move |op| if is_watch(op) { Fate::Held } else { record(op) });
+    s.fate = Box::new(move |op| if is_watch(op) { JobOutcome::Held } else { record(op) });
     while s.release() {}
     s.run(TIMEOUT_S + 0.5);
     assert!(s.store.count("t/") > 1, "{} pages", s.store.count("t/"));
-    s.fate = Box::new(|_| Fate::Answered);
+    s.fate = Box::new(|_| JobOutcome::Answered);
     while s.release() {}
     let mut started = BTreeSet::new();
     for _ in 0..4 {
@@ -343,16 +346,16 @@
     assert_eq!(started.len(), 50);
 }
 
-fn is_watch(op: &StateOp) -> bool {
-    matches!(op, StateOp::Watch { prefix, .. } if prefix == "j")
+fn is_watch(op: &StoreRequest) -> bool {
+    matches!(op, StoreRequest::Watch { prefix, .. } if prefix == "j")
 }
 
-fn held(op: &StateOp) -> bool {
+fn held(op: &StoreRequest) -> bool {
     is_watch(op) || writes(op, "j/")
 }
 
 /// Kinds of transactions whose answer was lost, with how many there were.
-fn kinds(sim: &Sim) -> BTreeMap<&'static str, usize> {
+fn kinds(sim: &Simulation) -> BTreeMap<&'static str, usize> {
     let mut kinds = BTreeMap::new();
     for w in &sim.lost_writes {
         let mut note = |kind| *kinds.entry(kind).or_insert(0) += 1;
@@ -408,7 +411,7 @@
 
 /// Answers are lost, transactions late, or both, for two minutes, at that share in all; before, as the
 /// first leader begins, most answers are lost.
-fn lossy(seed: u64, nodes: usize, share: f64) -> Sim {
+fn lossy(seed: u64, nodes: usize, share: f64) -> Simulation {
     let (from, for_s) = ([4.0, 15.0][seed as usize / 3 % 2], 110.0);
     let mut faults = match seed % 4 {
         0 => vec![Fault::LostAnswers { share, for_s }],
@@ -425,11 +428,11 @@
     if seed % 3 > 0 {
         faults.push((20.0 + seed as f64 % 40.0, Fault::LimitsFall));
     }
-    Sim::new(Setup { nodes, faults, ..mixture(seed) })
+    Simulation::new(Setup { nodes, faults, ..mixture(seed) })
 }
 
 /// The leader is replaced, or ends, once.
-fn hand_over(sim: &mut Sim, seed: u64) {
+fn hand_over(sim: &mut Simulation, seed: u64) {
     let Some(node) = sim.leader() else { return };
     sim.strike(match seed % 4 {
         0 => Fault::Crash { node, for_s: 0.2 },
@@ -439,7 +442,7 @@
     });
 }
 
-fn play(seed: u64) -> Sim {
+fn play(seed: u64) -> Simulation {
     let nodes = 3 + (seed / 2 % 2) as usize * 2;
     let what = format!("seed {seed}, {nodes} nodes");
     let mut sim = lossy(seed, nodes, 0.3);
@@ -493,7 +496,7 @@
     let job = |n: usize| JobSpec { estimate_s: 3.0, ..spec(&format!("req-{n:04}"), 1) };
     s.jobs = (0..300).map(|n| (10.0 + n as f64 * 0.2, job(n), None)).collect();
     let at: BTreeMap<String, f64> = s.jobs.iter().map(|(at, spec, _)| (spec.id.clone(), *at)).collect();
-    let mut sim = Sim::new(Setup { nodes, ..s });
+    let mut sim = Simulation::new(Setup { nodes, ..s });
     assert_eq!(sim.run(100.0), [], "seed {seed}");
     assert_eq!(sim.ledger.accepted.len(), 300, "seed {seed}");
     sim.ledger.accepted_at.iter().filter(|(id, told)| **told - at[*id] <= 1.0).count()
--- a/crates/simulation/tests/meetings.rs
+++ b/crates/simulation/tests/meetings.rs
@@ -2,16 +2,16 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Rule, Setup, Sim};
+use anisecroft_simulation::{Fault, Rule, Setup, Simulation};
 use common::*;
-use controller::Guards;
+use controller::SafetyChecks;
 use protocol::job::*;
 
 /// When the cancellations are asked for.
 const ASKED: f64 = 70.0;
 
 /// Long arrays, most of which their users cancel at `ASKED`, on machines that hold them all.
-fn cancelled_arrays(seed: u64, guards: Guards) -> Setup {
+fn cancelled_arrays(seed: u64, guards: SafetyChecks) -> Setup {
     let mut s = setup(seed, vec![]);
     unlimited(&mut s);
     s.jobs = (0..24)
@@ -33,12 +33,12 @@
 }
 
 /// Cancellations that have been told since `at`.
-fn told_since(sim: &Sim, at: f64) -> usize {
+fn told_since(sim: &Simulation, at: f64) -> usize {
     sim.ledger.cancelled_at.values().filter(|t| **t >= at).count()
 }
 
 /// Runs until `until` holds, for `most` seconds at most.
-fn run_until(sim: &mut Sim, most: f64, until: impl Fn(&Sim) -> bool) -> bool {
+fn run_until(sim: &mut Simulation, most: f64, until: impl Fn(&Simulation) -> bool) -> bool {
     let end = sim.now + most;
     while sim.now < end && sim.ledger.broken.is_empty() {
         if until(sim) {
@@ -52,8 +52,8 @@
 /// The state service refuses the leader alone, others confirm cancellations, a successor
 /// claims, and the service is down for all before that one has read anything. It
 /// once renewed the workers' leases all the same, by the date of its claim.
-fn unread_takeover(seed: u64, guards: Guards) -> Sim {
-    let mut sim = Sim::new(cancelled_arrays(seed, guards));
+fn unread_takeover(seed: u64, guards: SafetyChecks) -> Simulation {
+    let mut sim = Simulation::new(cancelled_arrays(seed, guards));
     sim.run(ASKED - 1.0);
     let Some(first) = sim.leader() else { return sim };
     sim.strike(Fault::StateRefuses { node: first, for_s: 25.0 });
@@ -71,7 +71,7 @@
 #[test]
 fn a_successor_that_has_read_nothing_renews_no_lease() {
     for seed in 0..8 {
-        let sim = unread_takeover(seed, Guards::default());
+        let sim = unread_takeover(seed, SafetyChecks::default());
         assert_eq!(sim.ledger.broken, [], "seed {seed}");
         assert!(sim.ledger.cancelled_at.len() >= 15, "seed {seed}: {}", sim.ledger.cancelled_at.len());
     }
@@ -80,7 +80,7 @@
 /// The guard of it: who renews leases without having read keeps what is cancelled.
 #[test]
 fn without_the_grace_an_unread_successor_keeps_what_is_cancelled() {
-    let guards = Guards { grace: false, ..Guards::default() };
+    let guards = SafetyChecks { grace: false, ..SafetyChecks::default() };
     let broken = |seed| unread_takeover(seed, guards).ledger.broken;
     assert!((0..8).any(|seed| broken(seed).iter().any(|b| b.rule == Rule::RanCancelled)));
 }
@@ -90,7 +90,7 @@
 const MEETINGS: usize = 19;
 
 /// Begins meeting `n` at the node that leads now: troubles, each so many seconds later.
-fn begin(sim: &mut Sim, n: usize, for_s: f64) {
+fn begin(sim: &mut Simulation, n: usize, for_s: f64) {
     let leader = sim.leader().unwrap_or(0);
     let nodes = sim.workers_by_node().len();
     let next = (leader + 1) % nodes;
@@ -206,7 +206,7 @@
             spec.estimate_s *= 4.0;
         }
     }
-    let mut sim = Sim::new(Setup { nodes, ..s });
+    let mut sim = Simulation::new(Setup { nodes, ..s });
     for (at, first, second) in [(45.0, a, b), (125.0, b, a)] {
         sim.run(at);
         begin(&mut sim, first, for_s);
@@ -262,7 +262,7 @@
 /// The operators' first meeting, twice in a row: the service refuses the leader alone, the others
 /// confirm cancellations, and then it is down for all, for longer than `cancel_s`, while workers
 /// report on.
-fn gap(seed: u64, guards: Guards) -> Sim {
+fn gap(seed: u64, guards: SafetyChecks) -> Simulation {
     let mut s = cancelled_arrays(seed, guards);
     let w = &mut s.settings.params.workers;
     (w.report_s, w.lease_s, w.cancel_s) = (6.0, 31.0, 51.0);
@@ -275,7 +275,7 @@
         };
         s.jobs.extend([again(200 + n, ASKED - 2.0), again(300 + n, ASKED + 84.0)]);
     }
-    let mut sim = Sim::new(s);
+    let mut sim = Simulation::new(s);
     for at in [ASKED, ASKED + 86.0] {
         sim.run(at);
         let node = sim.leader().unwrap_or(0);
@@ -293,12 +293,12 @@
 #[test]
 fn what_is_cancelled_in_a_gap_is_gone_in_time() {
     for seed in 0..6 {
-        assert_eq!(gap(seed, Guards::default()).ledger.broken, [], "seed {seed}");
+        assert_eq!(gap(seed, SafetyChecks::default()).ledger.broken, [], "seed {seed}");
     }
 }
 
 #[test]
 fn without_the_grace_what_is_cancelled_in_a_gap_stays() {
-    let guards = Guards { grace: false, ..Guards::default() };
+    let guards = SafetyChecks { grace: false, ..SafetyChecks::default() };
     assert!((0..6).any(|seed| gap(seed, guards).ledger.broken.iter().any(|b| b.rule == Rule::RanCancelled)));
 }
--- a/crates/simulation/tests/pipelines.rs
+++ b/crates/simulation/tests/pipelines.rs
@@ -2,17 +2,17 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Rule, Setup, Sim};
+use anisecroft_simulation::{Fault, Rule, Setup, Simulation};
 use common::*;
 use controller::records::{job_key, over_key, Value};
-use controller::Guards;
+use controller::SafetyChecks;
 use protocol::job::*;
 use settings::NextLimits;
 
 #[test]
 fn a_quiet_day_runs_every_pipeline_in_order() {
     for seed in [1, 2] {
-        let mut sim = Sim::new(linked(seed, vec![]));
+        let mut sim = Simulation::new(linked(seed, vec![]));
         assert_eq!(sim.run(600.0), []);
         assert_eq!(sim.unfinished(), Vec::<String>::new());
         assert!(sim.starts > 30, "{}", sim.starts);
@@ -25,7 +25,7 @@
 fn pipelines_among_troubles_break_no_rule() {
     for seed in 300..324 {
         let faults = troubles(seed);
-        let mut sim = Sim::new(linked(seed, faults.clone()));
+        let mut sim = Simulation::new(linked(seed, faults.clone()));
         assert_eq!(sim.run(900.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
     }
@@ -56,22 +56,22 @@
         (spec.tasks, spec.cores, spec.accelerators, spec.memory_gb) = (300, 0.25, 0.0, 0.25);
     }
     let nodes = if seed % 2 == 0 { 3 } else { 5 };
-    let mut sim = Sim::new(Setup { nodes, capacity: 10, ..s });
+    let mut sim = Simulation::new(Setup { nodes, capacity: 10, ..s });
     assert_eq!(sim.run(900.0), [], "seed {seed}: {faults:?}");
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
 }
 
 /// Whether some seed breaks one of `rules` with guards off.
-fn caught(rules: &[Rule], guards: Guards, faults: impl Fn(u64) -> Vec<(f64, Fault)>) -> bool {
+fn caught(rules: &[Rule], guards: SafetyChecks, faults: impl Fn(u64) -> Vec<(f64, Fault)>) -> bool {
     (300..400).any(|seed| {
         let s = Setup { guards, ..linked(seed, faults(seed)) };
-        Sim::new(s).run(400.0).iter().any(|b| rules.contains(&b.rule))
+        Simulation::new(s).run(400.0).iter().any(|b| rules.contains(&b.rule))
     })
 }
 
 #[test]
 fn without_the_order_a_task_starts_too_early() {
-    let guards = Guards { awaits: false, ..Guards::default() };
+    let guards = SafetyChecks { awaits: false, ..SafetyChecks::default() };
     assert!(caught(&[Rule::TooEarly], guards, |_| vec![]));
 }
 
@@ -87,10 +87,10 @@
         };
         (0..150).map(cut).collect()
     };
-    let guards = Guards { lineage: false, ..Guards::default() };
+    let guards = SafetyChecks { lineage: false, ..SafetyChecks::default() };
     assert!(caught(&[Rule::Orphaned], guards, faults));
     for seed in 300..306 {
-        assert_eq!(Sim::new(linked(seed, faults(seed))).run(400.0), [], "seed {seed}");
+        assert_eq!(Simulation::new(linked(seed, faults(seed))).run(400.0), [], "seed {seed}");
     }
 }
 
@@ -119,7 +119,7 @@
         ..long_array()
     };
     let jobs = (0..8).map(|n| (2.0 + n as f64 * 0.1, stage(n), None)).collect();
-    let mut sim = Sim::new(Setup { jobs, capacity: 2, loss: 0.0, ..s });
+    let mut sim = Simulation::new(Setup { jobs, capacity: 2, loss: 0.0, ..s });
     assert_eq!(sim.run(300.0), []);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
     let mut pauses = Vec::new();
@@ -155,7 +155,7 @@
     // Something urgent goes on beside it.
     let beside = JobSpec { id: "req-2".into(), tasks: 1, estimate_s: 5.0, ..long_array() };
     jobs.push((41.0, beside, None));
-    let mut sim = Sim::new(Setup { jobs, capacity: 3, loss: 0.0, ..s });
+    let mut sim = Simulation::new(Setup { jobs, capacity: 3, loss: 0.0, ..s });
     assert_eq!(sim.run(52.0), []);
     let open = sim.unfinished();
     assert!(open.len() <= 2, "{} not told", open.len());
@@ -179,7 +179,7 @@
     };
     let service = JobSpec { shape: Shape::Service, ..array("req-2", &[]) };
     s.jobs = vec![(1.0, array("req-1", &[]), None), (1.0, service, Some(150.0))];
-    let mut sim = Sim::new(Setup { capacity: 2, loss: 0.0, ..s });
+    let mut sim = Simulation::new(Setup { capacity: 2, loss: 0.0, ..s });
     assert_eq!(sim.run(40.0), []);
     for (awaits, status, word) in [
         (&["req-9"][..], 422, "never accepted"),
--- a/crates/simulation/tests/polls.rs
+++ b/crates/simulation/tests/polls.rs
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use protocol::cloud::MachineType;
 use protocol::job::*;
-use protocol::state::{Change, Txn};
+use protocol::state::{Mutation, Transaction};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use settings::{Operator, Settings};
 use std::collections::{BTreeMap, BTreeSet};
@@ -65,11 +65,11 @@
 struct World {
     rng: SmallRng,
     now: f64,
-    cores: Vec<Core>,
+    cores: Vec<Controller>,
     store: Store,
     /// Calls on their way to the store, and replies on their way back.
-    calls: Vec<(usize, CallId, StateOp)>,
-    replies: Vec<(usize, CallId, StateReply)>,
+    calls: Vec<(usize, CallId, StoreRequest)>,
+    replies: Vec<(usize, CallId, StoreReply)>,
     /// Open questions: job, and what had been told when it was asked.
     open: BTreeMap<(usize, RequestId), (String, Told)>,
     told: BTreeMap<String, Told>,
@@ -84,14 +84,15 @@
 impl World {
     fn new(seed: u64) -> Self {
         let mut store = Store::default();
-        let put = |key: &str, value| Txn {
+        let put = |key: &str, value| Transaction {
             conditions: vec![],
-            changes: vec![Change::Put { key: key.into(), value, lease: None }],
+            changes: vec![Mutation::Put { key: key.into(), value, lease: None }],
         };
-        store.execute(0.0, &StateOp::Commit(put(TYPES_KEY, Value::Types(vec![big()]))));
-        store.execute(0.0, &StateOp::Commit(put(FORMAT_KEY, Value::Format(FORMAT))));
+        store.execute(0.0, &StoreRequest::Commit(put(TYPES_KEY, Value::Types(vec![big()]))));
+        store.execute(0.0, &StoreRequest::Commit(put(FORMAT_KEY, Value::Format(FORMAT))));
         let settings = Settings::parse(include_str!("../../../docs/example.toml")).unwrap();
-        let cores = (0..NODES as u64).map(|n| Core::new(settings.clone(), Operator::default(), n)).collect();
+        let cores =
+            (0..NODES as u64).map(|n| Controller::new(settings.clone(), Operator::default(), n)).collect();
         World {
             rng: SmallRng::seed_from_u64(seed),
             now: 0.0,
@@ -115,9 +116,9 @@
                 Output::Answer(id, a) => self.answered(n, id, &a),
                 Output::State(call, op) => {
                     self.reads += u64::from(match &op {
-                        StateOp::Get(key) => key.starts_with("j/"),
-                        StateOp::Watch { wait_ms: 0, .. } => true,
-                        StateOp::Commit(t) => t.changes.is_empty(),
+                        StoreRequest::Get(key) => key.starts_with("j/"),
+                        StoreRequest::Watch { wait_ms: 0, .. } => true,
+                        StoreRequest::Commit(t) => t.changes.is_empty(),
                         _ => false,
                     });
                     self.calls.push((n, call, op));
@@ -134,7 +135,7 @@
         self.feed(n, Input::Request(self.next, r));
     }
 
-    fn answered(&mut self, n: usize, id: RequestId, a: &Answer) {
+    fn answered(&mut self, n: usize, id: RequestId, a: &HttpResponse) {
         let Some((job, told)) = self.open.remove(&(n, id)) else { return };
         self.answered += 1;
         let said = match a.status {
@@ -175,7 +176,7 @@
             8..=12 if !self.calls.is_empty() => {
                 let (n, call, op) = self.calls.remove(self.rng.gen_range(0..self.calls.len()));
                 if trouble && self.rng.gen_bool(0.05) {
-                    self.replies.push((n, call, StateReply::Refused));
+                    self.replies.push((n, call, StoreReply::Refused));
                 } else if let Some(r) = self.store.execute(self.now, &op) {
                     self.replies.push((n, call, r));
                 } else {
--- a/crates/simulation/tests/returns.rs
+++ b/crates/simulation/tests/returns.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Simulation};
 use common::*;
 use protocol::job::*;
 
@@ -22,7 +22,7 @@
             let crash = |node| (cut + hold - 12.0, Fault::Crash { node, for_s: 3.0 });
             faults.extend([0, 2].map(crash));
         }
-        let mut sim = Sim::new(setup(seed, faults));
+        let mut sim = Simulation::new(setup(seed, faults));
         assert_eq!(sim.run(300.0), [], "seed {seed}");
         given_back += sim.deleted.len();
         assert!(sim.ghosts.is_empty(), "seed {seed}: {:?}", sim.ghosts);
@@ -31,16 +31,16 @@
 }
 
 /// Work that fills `machines` machines for longer than the day.
-fn full(seed: u64, machines: usize) -> Sim {
+fn full(seed: u64, machines: usize) -> Simulation {
     full_of(3, seed, machines)
 }
 
-fn full_of(nodes: usize, seed: u64, machines: usize) -> Sim {
+fn full_of(nodes: usize, seed: u64, machines: usize) -> Simulation {
     let spec = JobSpec { tasks: machines as u32 * 4, ..long_array() };
     let mut s = setup(seed, vec![]);
     unlimited(&mut s);
     let mut sim =
-        Sim::new(Setup { jobs: vec![(1.0, spec, None)], capacity: machines, loss: 0.0, nodes, ..s });
+        Simulation::new(Setup { jobs: vec![(1.0, spec, None)], capacity: machines, loss: 0.0, nodes, ..s });
     assert_eq!(sim.run(100.0), []);
     sim
 }
--- a/crates/simulation/tests/rules.rs
+++ b/crates/simulation/tests/rules.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use anisecroft_simulation::rules::Ledger;
-use anisecroft_simulation::{Fault, Rule, Setup, Sim};
+use anisecroft_simulation::{Fault, Rule, Setup, Simulation};
 use common::*;
-use controller::Guards;
+use controller::SafetyChecks;
 use protocol::job::*;
 
 /// What users were told of one accepted job, by when they asked and were answered.
@@ -31,7 +31,7 @@
 }
 
 /// All troubles of users, reports and writes at once.
-fn all_new(seed: u64, guards: Guards) -> Sim {
+fn all_new(seed: u64, guards: SafetyChecks) -> Simulation {
     let for_s = 60.0;
     let faults = vec![
         (20.0, Fault::CloseLooks { for_s: 150.0 }),
@@ -45,19 +45,19 @@
         (70.0, Fault::Crash { node: (seed % 3) as usize, for_s: 0.2 }),
         (75.0, Fault::Crash { node: ((seed + 1) % 3) as usize, for_s: 9.0 }),
     ];
-    let mut sim = Sim::new(Setup { guards, ..setup(seed, faults) });
+    let mut sim = Simulation::new(Setup { guards, ..setup(seed, faults) });
     sim.run(500.0);
     sim
 }
 
 #[test]
 fn the_newest_troubles_come_about_and_break_no_rule() {
-    let sims: Vec<Sim> = (0..6).map(|seed| all_new(seed, Guards::default())).collect();
+    let sims: Vec<Simulation> = (0..6).map(|seed| all_new(seed, SafetyChecks::default())).collect();
     for (seed, sim) in sims.iter().enumerate() {
         assert_eq!(sim.ledger.broken, [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
-    let looks: Vec<_> = sims.iter().map(Sim::looks).collect();
+    let looks: Vec<_> = sims.iter().map(Simulation::looks).collect();
     assert!(looks.iter().all(|l| l.close_answered > 100 && l.unfit_refused > 5), "{looks:?}");
     assert!(looks.iter().any(|l| l.cancelled_at_once > 0) && looks.iter().any(|l| l.cancelled_at_end > 0));
     assert!(sims.iter().all(|s| !s.lost_writes.is_empty()));
@@ -75,7 +75,7 @@
     let mut without = s.settings.clone();
     without.params.teams.iter_mut().for_each(|t| t.accelerators_max = 0.0);
     let run = |judged: bool| {
-        let mut sim = Sim::new(Setup { jobs: s.jobs.clone(), ..setup(3, vec![]) });
+        let mut sim = Simulation::new(Setup { jobs: s.jobs.clone(), ..setup(3, vec![]) });
         if judged {
             sim.judge_by(without.clone());
         }
--- a/crates/simulation/tests/scale.rs
+++ b/crates/simulation/tests/scale.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Simulation};
 use common::*;
 use protocol::job::*;
 use std::collections::BTreeSet;
@@ -40,9 +40,9 @@
 
 /// Until `rest_s` after the last trouble: all machines are up and at work before the first, and
 /// known again.
-fn returns(run_s: f64, faults: &[(f64, Fault)], rest_s: f64) -> Sim {
+fn returns(run_s: f64, faults: &[(f64, Fault)], rest_s: f64) -> Simulation {
     let (first, last) = (faults[0].0, faults[faults.len() - 1].0);
-    let mut sim = Sim::new(large(run_s, faults.to_vec()));
+    let mut sim = Simulation::new(large(run_s, faults.to_vec()));
     sim.limit_cloud();
     assert_eq!(sim.run(first), []);
     assert_eq!((sim.rented(), sim.starts), (MACHINES, u64::from(MACHINES)), "at {first}");
@@ -54,7 +54,7 @@
 }
 
 /// Each machine was rented once and each task started once: nothing that lived was given up.
-fn stays_whole(sim: &Sim) {
+fn stays_whole(sim: &Simulation) {
     eprintln!(
         "{} reports, {} relayed, {} changes, leaderless {:.1} s, {} refused by the cloud",
         sim.reports,
@@ -110,7 +110,7 @@
         ..plain_array("req-1", 300)
     };
     s.jobs = vec![(1.0, gang, None)];
-    let mut sim = Sim::new(s);
+    let mut sim = Simulation::new(s);
     assert_eq!(sim.run(300.0), []);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
     assert_eq!(sim.starts, 300);
--- a/crates/simulation/tests/short_work.rs
+++ b/crates/simulation/tests/short_work.rs
@@ -2,14 +2,14 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Setup, Sim};
+use anisecroft_simulation::{Fault, Setup, Simulation};
 use common::*;
 use protocol::job::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use settings::NextLimits;
 
 /// Runs until `until` holds, for `most` seconds at most.
-fn run_until(sim: &mut Sim, most: f64, until: impl Fn(&Sim) -> bool) -> bool {
+fn run_until(sim: &mut Simulation, most: f64, until: impl Fn(&Simulation) -> bool) -> bool {
     let end = sim.now + most;
     while sim.now < end && sim.ledger.broken.is_empty() {
         if until(sim) {
@@ -22,7 +22,7 @@
 
 /// Nothing of the day is left: every job is over, known and nothing more; no machine is rented that
 /// nobody knows of or needs.
-fn nothing_stays_behind(sim: &Sim, what: &str) {
+fn nothing_stays_behind(sim: &Simulation, what: &str) {
     assert_eq!(sim.ledger.broken, [], "{what}");
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "{what}");
     let left = ["j/", "t/", "w/", "jx/"].map(|prefix| sim.store().count(prefix));
@@ -75,7 +75,7 @@
 /// in which the cloud has carried out its rental and it does not know, four times; it is back at once
 /// or later. Machines rented so.
 fn rented_unawares(seed: u64) -> u32 {
-    let mut sim = Sim::new(day(seed, 90.0, vec![(0.0, Fault::FastBoots { for_s: 130.0 })]));
+    let mut sim = Simulation::new(day(seed, 90.0, vec![(0.0, Fault::FastBoots { for_s: 130.0 })]));
     sim.run(12.0);
     sim.strike(lag(seed, 90.0));
     let (mut unawares, mut ends) = (0, 0);
@@ -108,7 +108,7 @@
 
 /// Such jobs for two minutes at nine tenths of the rate that the state service takes, with others
 /// cancelled at their end; the leader ends in the middle, and answers are lost or late.
-fn flood(seed: u64) -> Sim {
+fn flood(seed: u64) -> Simulation {
     let cancels = Fault::CancelAtEnd { share: 0.1, for_s: 150.0 };
     let faults = vec![
         (0.0, Fault::FastBoots { for_s: 150.0 }),
@@ -121,7 +121,7 @@
     let mut s = day(seed, 120.0, faults);
     let next = NextLimits { rps: None, write_rps: Some(24.0), value_kb: None, txn_ops: None };
     s.settings.params.state.next = Some(next);
-    let mut sim = Sim::new(s);
+    let mut sim = Simulation::new(s);
     sim.run(130.0);
     let rate = sim.changes as f64 / 120.0;
     assert!(rate > 18.0, "seed {seed}: {rate} changes a second");
--- a/crates/simulation/tests/simulation.rs
+++ b/crates/simulation/tests/simulation.rs
@@ -2,15 +2,15 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Rule, Setup, Sim};
+use anisecroft_simulation::{Fault, Rule, Setup, Simulation};
 use common::*;
-use controller::Guards;
+use controller::SafetyChecks;
 use protocol::job::*;
 use rand::{rngs::SmallRng, SeedableRng};
 
 #[test]
 fn a_quiet_day_runs_every_job() {
-    let mut sim = Sim::new(setup(1, vec![]));
+    let mut sim = Simulation::new(setup(1, vec![]));
     assert_eq!(sim.run(400.0), []);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
     assert_eq!(sim.ledger.accepted.len(), 40);
@@ -23,7 +23,7 @@
     // that was cut off took its failed move of a job for done.
     for seed in (0..24).chain([3087, 6233]) {
         let faults = if seed < 24 { troubles(seed) } else { late_returns(seed) };
-        let mut sim = Sim::new(setup(seed, faults.clone()));
+        let mut sim = Simulation::new(setup(seed, faults.clone()));
         assert_eq!(sim.run(700.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
     }
@@ -35,7 +35,7 @@
         let mut faults = troubles(seed);
         // All five crash together, in the middle of whatever goes on.
         faults.extend((0..5).map(|node| (90.0, Fault::Crash { node, for_s: [0.2, 5.0][seed as usize % 2] })));
-        let mut sim = Sim::new(Setup { nodes: 5, ..setup(seed, faults.clone()) });
+        let mut sim = Simulation::new(Setup { nodes: 5, ..setup(seed, faults.clone()) });
         assert_eq!(sim.run(700.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
     }
@@ -52,7 +52,7 @@
             s.broken.insert(spec.id.clone());
             *cancel = Some(*at + 120.0);
         }
-        let mut sim = Sim::new(s);
+        let mut sim = Simulation::new(s);
         assert_eq!(sim.run(700.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
     }
@@ -76,7 +76,7 @@
         jobs.push((70.0, spec, Some(200.0)));
     }
     let broken = (10..16).map(|n| format!("req-{n}")).collect();
-    let mut sim = Sim::new(Setup { broken, ..roomy(jobs, 8) });
+    let mut sim = Simulation::new(Setup { broken, ..roomy(jobs, 8) });
     assert_eq!(sim.run(190.0), []);
     assert!(sim.failures >= 12, "{} failures", sim.failures);
     assert!(sim.failures < 200, "{} failures", sim.failures);
@@ -96,7 +96,7 @@
     };
     let mut s = roomy(vec![(1.0, array, None), (60.0, wide("req-2", 2, Priority::High, 1.0), None)], 100);
     s.settings.params.state.value_kb = 8.0;
-    let mut sim = Sim::new(s);
+    let mut sim = Simulation::new(s);
     assert_eq!(sim.run(150.0), []);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
     assert!(sim.changes < 2000, "{} changes", sim.changes);
@@ -107,7 +107,7 @@
 #[test]
 fn a_large_gangs_machines_come_together() {
     let gang = JobSpec { one_zone: true, ..wide("req-1", 5, Priority::High, 4.0) };
-    let mut sim = Sim::new(roomy(vec![(1.0, gang, None)], 12));
+    let mut sim = Simulation::new(roomy(vec![(1.0, gang, None)], 12));
     assert_eq!(sim.run(300.0), []);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
     assert!(sim.rented() <= 7, "{} rented for five", sim.rented());
@@ -129,7 +129,7 @@
             faults.extend((0..3).map(|node| (60.0 + wait_s, Fault::Crash { node, for_s: 0.2 })));
         }
         let jobs = vec![(1.0, first, None), (45.0, gang, cancel)];
-        let mut sim = Sim::new(Setup { faults, seed, ..roomy(jobs, 3) });
+        let mut sim = Simulation::new(Setup { faults, seed, ..roomy(jobs, 3) });
         assert_eq!(sim.run(90.0 + wait_s * 3.6), [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
@@ -148,7 +148,7 @@
     let mut failures = 0;
     for seed in 21..29 {
         let faults = vec![(40.0, Fault::Sick { nth: 0 })];
-        let mut sim = Sim::new(Setup { seed, faults, ..roomy(jobs.clone(), 6) });
+        let mut sim = Simulation::new(Setup { seed, faults, ..roomy(jobs.clone(), 6) });
         assert_eq!(sim.run(400.0), []);
         assert_eq!(sim.unfinished(), Vec::<String>::new());
         assert!(sim.failures >= 1);
@@ -166,7 +166,7 @@
         let faults = vec![(60.0, Fault::Silent { node, for_s: 60.0 })];
         // A lost report and a frozen node in turn would be a silent machine.
         let s = Setup { nodes, jobs: long_jobs(), capacity: 4, loss: 0.0, ..setup(13, faults) };
-        let mut sim = Sim::new(s);
+        let mut sim = Simulation::new(s);
         assert_eq!(sim.run(59.0), []);
         let (deleted, starts) = (sim.deleted.len(), sim.starts);
         assert_eq!(sim.run(200.0), []);
@@ -211,7 +211,7 @@
         (1.0, JobSpec { estimate_s: 400.0, ..wide("req-1", 32, Priority::Low, 1.0) }, None),
         (90.0, wide("req-2", 8, Priority::High, 4.0), None),
     ];
-    let mut sim = Sim::new(roomy(jobs, 8));
+    let mut sim = Simulation::new(roomy(jobs, 8));
     assert_eq!(sim.run(89.0), []);
     let before = sim.direct_calls;
     assert_eq!(sim.run(130.0), []);
@@ -225,7 +225,7 @@
 fn changes_per_task_fall_with_an_arrays_size() {
     let changes = |tasks: u32, capacity: usize| {
         let mut sim =
-            Sim::new(roomy(vec![(1.0, wide("req-1", tasks, Priority::Normal, 1.0), None)], capacity));
+            Simulation::new(roomy(vec![(1.0, wide("req-1", tasks, Priority::Normal, 1.0), None)], capacity));
         assert_eq!(sim.run(300.0), []);
         assert_eq!(sim.unfinished(), Vec::<String>::new());
         sim.changes as f64 / f64::from(tasks)
@@ -238,7 +238,7 @@
 fn a_crashed_leader_is_replaced_within_half_a_worker_lease() {
     // Whoever leads, one of the three crashes ends its leadership.
     let faults = (0..3).map(|n| (30.0 + 40.0 * n as f64, Fault::Crash { node: n, for_s: 8.0 })).collect();
-    let mut sim = Sim::new(setup(3, faults));
+    let mut sim = Simulation::new(setup(3, faults));
     assert_eq!(sim.run(200.0), []);
     assert!(
         sim.leaderless_s > 0.5 && sim.leaderless_s < settings().params.workers.lease_s / 2.0,
@@ -251,7 +251,7 @@
 /// first leader and claimed over and over.
 #[test]
 fn followers_see_the_first_leader_of_a_fresh_store() {
-    let mut sim = Sim::new(Setup { jobs: vec![], ..setup(5, vec![]) });
+    let mut sim = Simulation::new(Setup { jobs: vec![], ..setup(5, vec![]) });
     assert_eq!(sim.run(60.0), []);
     assert!(sim.conflicts <= 2, "{}", sim.conflicts);
 }
@@ -285,7 +285,7 @@
         let cut = Fault::Cut { node, state: false, workers: true, for_s: 60.0 };
         let s = setup(11, vec![(60.0, cut)]);
         // A lost report and a cut node in turn would be a silent machine.
-        let mut sim = Sim::new(Setup { jobs: long_jobs(), capacity: 4, loss: 0.0, ..s });
+        let mut sim = Simulation::new(Setup { jobs: long_jobs(), capacity: 4, loss: 0.0, ..s });
         assert_eq!(sim.run(59.0), []);
         let (before, starts) = (sim.deleted.len(), sim.starts);
         assert_eq!(sim.run(140.0), []);
@@ -299,7 +299,7 @@
 #[test]
 fn a_takeover_deletes_no_machine_that_is_up() {
     let crashes = (0..3).map(|node| (100.0, Fault::Crash { node, for_s: 3.0 })).collect();
-    let mut sim = Sim::new(Setup { jobs: long_jobs(), ..setup(12, crashes) });
+    let mut sim = Simulation::new(Setup { jobs: long_jobs(), ..setup(12, crashes) });
     assert_eq!(sim.run(99.0), []);
     let (before, starts) = (sim.deleted.len(), sim.starts);
     assert_eq!(sim.run(150.0), []);
@@ -308,24 +308,24 @@
 }
 
 /// Runs many seeds with a guard off until the rule breaks.
-fn caught(rules: &[Rule], guards: Guards, faults: impl Fn(u64) -> Vec<(f64, Fault)>) -> bool {
+fn caught(rules: &[Rule], guards: SafetyChecks, faults: impl Fn(u64) -> Vec<(f64, Fault)>) -> bool {
     (0..150).any(|seed| {
         let mut s = setup(seed, faults(seed));
         s.guards = guards;
-        let broken = Sim::new(s).run(300.0).to_vec();
+        let broken = Simulation::new(s).run(300.0).to_vec();
         broken.iter().any(|b| rules.contains(&b.rule))
     })
 }
 
 #[test]
 fn without_the_quota_guard_a_limit_breaks() {
-    let guards = Guards { quota: false, ..Guards::default() };
+    let guards = SafetyChecks { quota: false, ..SafetyChecks::default() };
     assert!(caught(&[Rule::Quota], guards, |_| vec![]));
 }
 
 #[test]
 fn without_the_lease_wait_a_task_runs_twice() {
-    let guards = Guards { lease_wait: false, ..Guards::default() };
+    let guards = SafetyChecks { lease_wait: false, ..SafetyChecks::default() };
     // The cloud is out, or deleting the silent machine would end its tasks.
     let faults = |seed: u64| {
         let hangs =
@@ -337,7 +337,7 @@
 
 #[test]
 fn without_write_ahead_a_takeover_breaks_a_rule() {
-    let guards = Guards { write_ahead: false, versions: false, ..Guards::default() };
+    let guards = SafetyChecks { write_ahead: false, versions: false, ..SafetyChecks::default() };
     assert!(caught(
         &[Rule::RanTwice, Rule::Quota, Rule::WrongPlace, Rule::WentBack, Rule::RanCancelled],
         guards,
@@ -347,7 +347,7 @@
 
 #[test]
 fn without_versions_a_final_state_goes_back() {
-    let guards = Guards { versions: false, ..Guards::default() };
+    let guards = SafetyChecks { versions: false, ..SafetyChecks::default() };
     // Held writes of a cut leader arrive after its successor's.
     let faults = |seed: u64| {
         let cut = |i: u64| Fault::Cut {
@@ -363,7 +363,7 @@
 
 #[test]
 fn without_the_grace_a_cancelled_task_stays() {
-    let guards = Guards { grace: false, ..Guards::default() };
+    let guards = SafetyChecks { grace: false, ..SafetyChecks::default() };
     assert!(caught(&[Rule::RanCancelled, Rule::RanTwice, Rule::Quota, Rule::WrongPlace], guards, |_| {
         (0..3)
             .map(|n| (40.0, Fault::StateRefuses { node: n, for_s: 0.0 }))
--- a/crates/simulation/tests/stage/mod.rs
+++ b/crates/simulation/tests/stage/mod.rs
@@ -6,7 +6,7 @@
 use controller::*;
 use protocol::cloud::*;
 use protocol::job::*;
-use protocol::state::{Change, Txn};
+use protocol::state::{Mutation, Transaction};
 use protocol::worker::*;
 use settings::{Operator, Settings};
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 
 /// What becomes of a call.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Fate {
+pub enum JobOutcome {
     Answered,
     /// Carried out, without an answer.
     Lost,
@@ -29,21 +29,21 @@
 }
 
 pub struct Stage {
-    pub core: Core,
+    pub core: Controller,
     pub store: Store,
     pub now: f64,
     /// What becomes of calls from now on.
-    pub fate: Box<dyn FnMut(&StateOp) -> Fate>,
+    pub fate: Box<dyn FnMut(&StoreRequest) -> JobOutcome>,
     /// Before keys with that beginning are listed first, somebody else stores these.
     pub before_list: Option<(&'static str, Vec<(String, Value)>)>,
     /// All transactions, with when they were sent.
-    pub sent: Vec<(f64, Txn<Value>)>,
-    pub answers: BTreeMap<RequestId, (f64, Answer)>,
+    pub sent: Vec<(f64, Transaction<Value>)>,
+    pub answers: BTreeMap<RequestId, (f64, HttpResponse)>,
     /// Keys that were read.
     gets: Vec<String>,
     replies: Vec<(f64, Input)>,
-    late: Vec<(f64, StateOp)>,
-    watches: Vec<(f64, CallId, StateOp)>,
+    late: Vec<(f64, StoreRequest)>,
+    watches: Vec<(f64, CallId, StoreRequest)>,
     pub held: Vec<Input>,
     seq: u64,
     next: RequestId,
@@ -57,10 +57,10 @@
     plain_array(id, tasks)
 }
 
-pub fn task(id: &str, number: u32, state: TaskState) -> TaskReport {
+pub fn task(id: &str, number: u32, state: TaskState) -> TaskStatus {
     let cause = (state == TaskState::Exited).then_some(ExitCause::Done);
     // An array that is placed in order has these attempts.
-    TaskReport { task: task_name(id, number), attempt: u64::from(number) + 1, state, cause, saved: None }
+    TaskStatus { task: task_name(id, number), attempt: u64::from(number) + 1, state, cause, saved: None }
 }
 
 pub fn settings() -> Settings {
@@ -75,11 +75,11 @@
     /// With `items` in the store.
     pub fn with(settings: Settings, items: impl IntoIterator<Item = (String, Value)>) -> Self {
         Stage {
-            core: Core::new(settings, Operator::default(), 1),
+            core: Controller::new(settings, Operator::default(), 1),
             store: Store::holding(items),
             before_list: None,
             now: 0.0,
-            fate: Box::new(|_| Fate::Answered),
+            fate: Box::new(|_| JobOutcome::Answered),
             sent: vec![],
             answers: BTreeMap::new(),
             gets: vec![],
@@ -118,36 +118,39 @@
         }
     }
 
-    fn call(&mut self, call: CallId, op: StateOp) {
-        if let StateOp::Commit(txn) = &op {
+    fn call(&mut self, call: CallId, op: StoreRequest) {
+        if let StoreRequest::Commit(txn) = &op {
             self.sent.push((self.now, txn.clone()));
         }
-        if let StateOp::Get(key) = &op {
+        if let StoreRequest::Get(key) = &op {
             self.gets.push(key.clone());
         }
-        let unknown = (self.now + TIMEOUT_S, Input::State(call, StateReply::Unknown));
+        let unknown = (self.now + TIMEOUT_S, Input::State(call, StoreReply::Unknown));
         let fate = (self.fate)(&op);
-        if fate == Fate::Refused {
-            return self.replies.push((self.now + WAY_S, Input::State(call, StateReply::Refused)));
+        if fate == JobOutcome::Refused {
+            return self.replies.push((self.now + WAY_S, Input::State(call, StoreReply::Refused)));
         }
-        if let Fate::Late(at) = fate {
+        if let JobOutcome::Late(at) = fate {
             self.late.push((self.now + at, op));
             return self.replies.push(unknown);
         }
-        if let StateOp::List { prefix, .. } = &op {
+        if let StoreRequest::List { prefix, .. } = &op {
             if let Some((_, items)) = self.before_list.take_if(|b| b.0 == prefix) {
-                let put = |(key, value)| Change::Put { key, value, lease: None };
+                let put = |(key, value)| Mutation::Put { key, value, lease: None };
                 let changes = items.into_iter().map(put).collect();
-                self.store.execute(self.now, &StateOp::Commit(Txn { conditions: vec![], changes }));
+                self.store
+                    .execute(self.now, &StoreRequest::Commit(Transaction { conditions: vec![], changes }));
             }
         }
         let reply = self.store.execute(self.now, &op);
         match (reply, fate) {
-            (Some(r), Fate::Answered) => self.replies.push((self.now + 2.0 * WAY_S, Input::State(call, r))),
-            (Some(r), Fate::Held) => self.held.push(Input::State(call, r)),
+            (Some(r), JobOutcome::Answered) => {
+                self.replies.push((self.now + 2.0 * WAY_S, Input::State(call, r)))
+            }
+            (Some(r), JobOutcome::Held) => self.held.push(Input::State(call, r)),
             (Some(_), _) => self.replies.push(unknown),
             (None, _) => {
-                let StateOp::Watch { wait_ms, .. } = &op else { return };
+                let StoreRequest::Watch { wait_ms, .. } = &op else { return };
                 self.watches.push((self.now + *wait_ms as f64 / 1000.0, call, op));
             }
         }
@@ -175,7 +178,7 @@
         for (until, call, op) in std::mem::take(&mut self.watches) {
             let r = self.store.execute(self.now, &op);
             match r.or_else(|| (self.now >= until).then(|| self.store.quiet())) {
-                Some(r) if (self.fate)(&op) == Fate::Held => self.held.push(Input::State(call, r)),
+                Some(r) if (self.fate)(&op) == JobOutcome::Held => self.held.push(Input::State(call, r)),
                 Some(r) => self.replies.push((self.now + WAY_S, Input::State(call, r))),
                 None => self.watches.push((until, call, op)),
             }
@@ -220,9 +223,9 @@
     }
 
     /// The machine reports these tasks. Its answer may come later.
-    pub fn report(&mut self, tasks: &[TaskReport]) -> RequestId {
+    pub fn report(&mut self, tasks: &[TaskStatus]) -> RequestId {
         self.seq += 1;
-        let report = Report {
+        let report = Heartbeat {
             machine: "vm-1".into(),
             addr: "10.1.0.1:9000".into(),
             machine_type: "big".into(),
@@ -240,8 +243,8 @@
     /// What the answer to a report starts.
     pub fn started(&self, request: RequestId) -> Vec<String> {
         let answer = self.answers.get(&request).filter(|a| a.1.status == 200);
-        let commands = answer.map(|a| protocol::decode::<ReportAnswer>(&a.1.body).unwrap().commands);
-        let starts = commands.into_iter().flatten().filter(|c| c.op == Verb::Start);
+        let commands = answer.map(|a| protocol::decode::<HeartbeatResponse>(&a.1.body).unwrap().commands);
+        let starts = commands.into_iter().flatten().filter(|c| c.op == CommandKind::Start);
         starts.map(|c| c.task).collect()
     }
 
@@ -258,27 +261,27 @@
 
     /// Transactions since `at` that change a key with that beginning.
     pub fn writes(&self, at: f64, prefix: &str) -> usize {
-        let touches = |t: &Txn<Value>| t.changes.iter().any(|c| changed(c).starts_with(prefix));
+        let touches = |t: &Transaction<Value>| t.changes.iter().any(|c| changed(c).starts_with(prefix));
         self.sent.iter().filter(|(sent, t)| *sent > at && touches(t)).count()
     }
 }
 
 /// The key that a change is of.
-pub fn changed(c: &Change<Value>) -> &str {
+pub fn changed(c: &Mutation<Value>) -> &str {
     match c {
-        Change::Put { key, .. } | Change::Delete { key } => key,
+        Mutation::Put { key, .. } | Mutation::Delete { key } => key,
     }
 }
 
 /// Whether `op` changes a key with that beginning.
-pub fn writes(op: &StateOp, prefix: &str) -> bool {
-    matches!(op, StateOp::Commit(t) if t.changes.iter().any(|c| changed(c).starts_with(prefix)))
+pub fn writes(op: &StoreRequest, prefix: &str) -> bool {
+    matches!(op, StoreRequest::Commit(t) if t.changes.iter().any(|c| changed(c).starts_with(prefix)))
 }
 
-fn cloud(op: &CloudOp) -> CloudReply {
+fn cloud(op: &CloudRequest) -> CloudReply {
     match op {
-        CloudOp::Types => CloudReply::Types(MachineTypes { types: vec![big()] }),
-        CloudOp::List { .. } => CloudReply::List(MachineList {
+        CloudRequest::Types => CloudReply::Types(MachineTypes { types: vec![big()] }),
+        CloudRequest::List { .. } => CloudReply::List(MachineList {
             machines: vec![ListedMachine {
                 id: "vm-1".into(),
                 addr: Some("10.1.0.1:9000".into()),
@@ -290,7 +293,7 @@
             }],
             more: false,
         }),
-        CloudOp::Rent(_) => CloudReply::NoCapacity,
-        CloudOp::Delete(_) => CloudReply::Done,
+        CloudRequest::Rent(_) => CloudReply::NoCapacity,
+        CloudRequest::Delete(_) => CloudReply::Done,
     }
 }
--- a/crates/simulation/tests/stored.rs
+++ b/crates/simulation/tests/stored.rs
@@ -89,7 +89,7 @@
         page: page(),
         ran_on: (0..24).map(|n| format!("vm-{n:06}")).collect(),
         freed_at: Some(1.7e9 + 2.5),
-        parts: Some(Parts { nonce: "5eed".into(), count: 2 }),
+        parts: Some(SpecChunks { nonce: "5eed".into(), count: 2 }),
         layout: 1,
     }))
 }
@@ -123,7 +123,7 @@
     for (name, status) in
         [("over.msgpack", JobStatus::Done), ("over_cancelled.msgpack", JobStatus::Cancelled)]
     {
-        stored(name, &Value::Over(OverRecord { status, done: 40, at: 1.7e9 }));
+        stored(name, &Value::Over(TerminalRecord { status, done: 40, at: 1.7e9 }));
     }
     let images = ImagesRecord {
         images: vec![("img-7".into(), 6.2), ("img-8".into(), 1.0)],
@@ -198,8 +198,8 @@
     running.chain(causes.into_iter().enumerate().map(|(n, c)| task(5 + n, Phase::Exited, c))).collect()
 }
 
-fn content() -> Content {
-    Content {
+fn content() -> HeartbeatContent {
+    HeartbeatContent {
         addr: "10.1.0.1:9000".into(),
         machine_type: "big".into(),
         zone: "a".into(),
@@ -210,8 +210,8 @@
     }
 }
 
-fn entry() -> Entry {
-    Entry {
+fn entry() -> ForwardedHeartbeat {
+    ForwardedHeartbeat {
         machine: "vm-000001".into(),
         session: 2,
         seq: 88,
@@ -222,15 +222,15 @@
     }
 }
 
-fn orders() -> Orders {
-    let order = |(n, op): (usize, Op)| Order {
+fn orders() -> MachineCommands {
+    let order = |(n, op): (usize, Op)| TaskCommand {
         op: op.into(),
         task: format!("req-1/{n}"),
         attempt: 3 + n as u64,
         grace_s: Some(5.0),
     };
     let ops = [Op::Start, Op::Stop, Op::Forget];
-    Orders {
+    MachineCommands {
         machine: "vm-000001".into(),
         session: 2,
         seq: 88,
@@ -256,7 +256,7 @@
     said("task.protobuf", &tasks()[0]);
     said("content.protobuf", &content());
     said("entry.protobuf", &entry());
-    let request = RelayRequest {
+    let request = ForwardRequest {
         node: "n-1".into(),
         incarnation: 5,
         number: 9,
@@ -268,9 +268,9 @@
     said("relay_request.protobuf", &request);
     said("order.protobuf", &orders().orders[1]);
     said("orders.protobuf", &orders());
-    let attend = Attend { machine: "vm-000002".into(), stops: true };
+    let attend = LeaderOnly { machine: "vm-000002".into(), stops: true };
     said("attend.protobuf", &attend);
-    let reply = RelayReply {
+    let reply = ForwardReply {
         token: 41,
         leave_ms: 1500,
         ready: true,
--- a/crates/simulation/tests/takeover.rs
+++ b/crates/simulation/tests/takeover.rs
@@ -4,7 +4,7 @@
 use controller::records::*;
 use controller::*;
 use protocol::job::*;
-use protocol::worker::{Report, ReportAnswer, TaskReport, TaskState, Verb};
+use protocol::worker::{CommandKind, Heartbeat, HeartbeatResponse, TaskState, TaskStatus};
 use settings::{NextLimits, Operator, Peer, Settings};
 
 fn settings() -> Settings {
@@ -50,13 +50,13 @@
 
 /// One core, alone with the state service; the cloud does not answer.
 struct World {
-    core: Core,
+    core: Controller,
     store: Store,
     now: f64,
     requests: u64,
     bytes: u64,
     changes: u64,
-    answers: std::collections::BTreeMap<RequestId, Answer>,
+    answers: std::collections::BTreeMap<RequestId, HttpResponse>,
     /// The state service is down, or only its watches answer nothing.
     down: bool,
     watches_down: bool,
@@ -64,14 +64,14 @@
     hold_writes: bool,
     held_writes: Vec<CallId>,
     /// Watches that wait: until when, for which call.
-    watches: Vec<(f64, CallId, StateOp)>,
+    watches: Vec<(f64, CallId, StoreRequest)>,
     /// Another controller that hears no workers either, so that this one does not resign.
     peer: Option<protocol::peer::View>,
 }
 
 impl World {
     fn new(store: Store) -> Self {
-        let core = Core::new(settings(), Operator::default(), 1);
+        let core = Controller::new(settings(), Operator::default(), 1);
         let answers = Default::default();
         World {
             core,
@@ -96,7 +96,7 @@
         let node = "n-1".to_string();
         s.peers = vec![Peer { node: node.clone(), zone: String::new(), addr: s.peer_listen }];
         let view = protocol::peer::View { node, state_reached: true, format: FORMAT, ..Default::default() };
-        let core = Core::new(s, Operator::default(), 1);
+        let core = Controller::new(s, Operator::default(), 1);
         let mut w = World { core, peer: Some(view), now, ..World::new(store) };
         w.store.expire(now);
         w.take_over();
@@ -110,23 +110,25 @@
             }
             let Output::State(call, op) = o else { continue };
             self.requests += 1;
-            if let StateOp::Commit(txn) = &op {
+            if let StoreRequest::Commit(txn) = &op {
                 self.changes += txn.changes.len() as u64;
             }
             if self.down {
-                self.feed(Input::State(call, StateReply::Refused));
+                self.feed(Input::State(call, StoreReply::Refused));
                 continue;
             }
-            let job = |c: &protocol::state::Change<Value>| match c {
-                protocol::state::Change::Put { key, .. } => key.starts_with(JOB_PREFIX),
-                protocol::state::Change::Delete { .. } => false,
+            let job = |c: &protocol::state::Mutation<Value>| match c {
+                protocol::state::Mutation::Put { key, .. } => key.starts_with(JOB_PREFIX),
+                protocol::state::Mutation::Delete { .. } => false,
             };
-            if matches!(&op, StateOp::Commit(txn) if self.hold_writes && txn.changes.iter().any(job)) {
+            if matches!(&op, StoreRequest::Commit(txn) if self.hold_writes && txn.changes.iter().any(job)) {
                 self.held_writes.push(call);
                 continue;
             }
             let waits = match &op {
-                StateOp::Watch { wait_ms, .. } if *wait_ms > 0 => Some(self.now + *wait_ms as f64 / 1000.0),
+                StoreRequest::Watch { wait_ms, .. } if *wait_ms > 0 => {
+                    Some(self.now + *wait_ms as f64 / 1000.0)
+                }
                 _ => None,
             };
             if let (Some(until), true) = (waits, self.watches_down) {
@@ -138,9 +140,9 @@
                 continue;
             };
             self.bytes += match &reply {
-                StateReply::Item(i) => protocol::encode(i).len() as u64,
-                StateReply::Page(p) => protocol::encode(p).len() as u64,
-                StateReply::Events(e) => protocol::encode(e).len() as u64,
+                StoreReply::Item(i) => protocol::encode(i).len() as u64,
+                StoreReply::Page(p) => protocol::encode(p).len() as u64,
+                StoreReply::Events(e) => protocol::encode(e).len() as u64,
                 _ => 20,
             };
             self.feed(Input::State(call, reply));
@@ -188,7 +190,7 @@
 /// Requests and bytes until all live work is known, after `over` jobs.
 fn takeover(over: usize) -> (u64, u64) {
     let finished = (0..over).map(|n| {
-        let o = OverRecord { status: JobStatus::Done, done: 3, at: 1e9 };
+        let o = TerminalRecord { status: JobStatus::Done, done: 3, at: 1e9 };
         (over_key(&format!("req-{}", 1_000 + n)), Value::Over(o))
     });
     let format = (FORMAT_KEY.to_string(), Value::Format(FORMAT));
@@ -257,7 +259,7 @@
         job("req-1".into(), vec![], JobStatus::Done),
         job("req-2".into(), vec![], JobStatus::Pending),
         (FORMAT_KEY.to_string(), Value::Format(FORMAT)),
-        (over_key("req-3"), Value::Over(OverRecord { status: JobStatus::Done, done: 3, at: 1e9 })),
+        (over_key("req-3"), Value::Over(TerminalRecord { status: JobStatus::Done, done: 3, at: 1e9 })),
     ];
     items.extend((0..waiting).map(|n| {
         let first = if n < moved { "req-3" } else { "req-1" };
@@ -384,8 +386,8 @@
     assert_eq!(w.core.tasks_done(), ended);
 }
 
-fn report(machine: &str, seq: u64, tasks: Vec<TaskReport>) -> Input {
-    let report = Report {
+fn report(machine: &str, seq: u64, tasks: Vec<TaskStatus>) -> Input {
+    let report = Heartbeat {
         machine: machine.into(),
         addr: "10.0.0.1:1".into(),
         machine_type: "big".into(),
@@ -413,20 +415,22 @@
     w.run(2.0);
     assert!(!w.held_writes.is_empty());
     let key = job_key("req-2");
-    let Some(StateReply::Item(item)) = w.store.execute(w.now, &StateOp::Get(key.clone())) else { panic!() };
+    let Some(StoreReply::Item(item)) = w.store.execute(w.now, &StoreRequest::Get(key.clone())) else {
+        panic!()
+    };
     let Value::Job(record) = item.value else { panic!() };
     let value = Value::Job(Box::new(JobRecord { status: JobStatus::Cancelled, ..*record }));
-    let txn = protocol::state::Txn {
-        conditions: vec![protocol::state::Condition { key: key.clone(), version: item.version }],
-        changes: vec![protocol::state::Change::Put { key, value, lease: None }],
+    let txn = protocol::state::Transaction {
+        conditions: vec![protocol::state::Compare { key: key.clone(), version: item.version }],
+        changes: vec![protocol::state::Mutation::Put { key, value, lease: None }],
     };
-    assert!(matches!(w.store.execute(w.now, &StateOp::Commit(txn)), Some(StateReply::Committed(_))));
+    assert!(matches!(w.store.execute(w.now, &StoreRequest::Commit(txn)), Some(StoreReply::Committed(_))));
     w.run(0.2);
     for call in std::mem::take(&mut w.held_writes) {
-        w.feed(Input::State(call, StateReply::Refused));
+        w.feed(Input::State(call, StoreReply::Refused));
     }
     w.run(2.0);
-    let running = TaskReport {
+    let running = TaskStatus {
         task: "req-2/4".into(),
         attempt: 1,
         state: TaskState::Running,
@@ -435,8 +439,8 @@
     };
     w.feed(report("vm-000004", 1, vec![running]));
     w.run(3.9);
-    let answer: ReportAnswer = protocol::decode(&w.answers[&1].body).unwrap();
-    let stops = answer.commands.iter().filter(|c| c.op == Verb::Stop && c.task == "req-2/4");
+    let answer: HeartbeatResponse = protocol::decode(&w.answers[&1].body).unwrap();
+    let stops = answer.commands.iter().filter(|c| c.op == CommandKind::Stop && c.task == "req-2/4");
     assert_eq!(stops.count(), 1, "{:?}", answer.commands);
 }
 
--- a/crates/simulation/tests/versions.rs
+++ b/crates/simulation/tests/versions.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use anisecroft_simulation::{Setup, Sim};
+use anisecroft_simulation::{Setup, Simulation};
 use common::*;
 use controller::records::*;
 use prost::Message;
@@ -23,7 +23,7 @@
         Types(Vec<MachineType>),
         Job(Box<JobRecord>),
         Page(PageRecord),
-        Over(OverRecord),
+        Over(TerminalRecord),
         Images(ImagesRecord),
         Format(u32),
     }
@@ -118,11 +118,12 @@
     let view = protocol::peer::View::decode(&include_bytes!("production/view.protobuf")[..]).unwrap();
     assert_eq!((&view.node[..], view.token, view.format, view.room), ("n-1", 41, 2, 100));
     let relay =
-        protocol::peer::RelayRequest::decode(&include_bytes!("production/relay.protobuf")[..]).unwrap();
+        protocol::peer::ForwardRequest::decode(&include_bytes!("production/relay.protobuf")[..]).unwrap();
     assert_eq!((relay.token, relay.entries.len(), relay.entries[0].age_ms), (41, 1, 120));
     let report = relay.entries.into_iter().next().and_then(|e| e.report()).unwrap();
     assert_eq!((report.tasks.len(), &report.tasks[0].task[..]), (1, "req-1/3"));
-    let reply = protocol::peer::RelayReply::decode(&include_bytes!("production/reply.protobuf")[..]).unwrap();
+    let reply =
+        protocol::peer::ForwardReply::decode(&include_bytes!("production/reply.protobuf")[..]).unwrap();
     assert_eq!(reply.token, 41);
 }
 
@@ -148,7 +149,7 @@
         for (_, spec, _) in s.jobs.iter_mut().step_by(5).filter(|j| j.1.shape == Shape::Array) {
             (spec.tasks, spec.cores, spec.accelerators, spec.memory_gb) = (200, 0.25, 0.0, 0.25);
         }
-        let mut sim = Sim::new(Setup { capacity: 12, ..s });
+        let mut sim = Simulation::new(Setup { capacity: 12, ..s });
         sim.inspect(look);
         sim.say_format(FORMAT_MOVES);
         assert_eq!(sim.run(500.0), [], "seed {seed}");
@@ -165,7 +166,7 @@
     unlimited(&mut s);
     s.settings.params.state.next = Some(NextLimits { value_kb: Some(2.0), ..NextLimits::default() });
     let array = JobSpec { tasks: 900, cores: 0.25, accelerators: 0.0, memory_gb: 0.25, ..long_array() };
-    let mut sim = Sim::new(Setup { jobs: vec![(1.0, array, None)], capacity: 12, ..s });
+    let mut sim = Simulation::new(Setup { jobs: vec![(1.0, array, None)], capacity: 12, ..s });
     sim.say_format(FORMAT_MOVES);
     assert_eq!(sim.run(60.0), []);
     assert_eq!(sim.store().format(), Some(FORMAT_MOVES));
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 client with kept connections and a deadline on every call.
 
 use crate::socket::Socket;
-use crate::timeouts::Deadlines;
+use crate::timeouts::TimeoutWheel;
 use async_io::Async;
 use futures_lite::AsyncReadExt;
 use http_types::{Method, Request, Url};
@@ -22,7 +22,7 @@
     pub body: Vec<u8>,
 }
 
-pub enum Failure {
+pub enum ClientError {
     /// No byte of the request was sent.
     NotSent,
     /// It may have been carried out, or may be yet.
@@ -31,7 +31,7 @@
 
 #[derive(Default)]
 pub struct Client {
-    pub deadlines: Deadlines,
+    pub deadlines: TimeoutWheel,
     idle: RefCell<HashMap<SocketAddrV4, Vec<(Socket, Instant)>>>,
 }
 
@@ -60,7 +60,7 @@
         body: Option<Vec<u8>>,
         timeout: Duration,
         reuse: bool,
-    ) -> Result<Response, Failure> {
+    ) -> Result<Response, ClientError> {
         let deadline = Instant::now() + timeout;
         let kept = if reuse { self.kept(addr) } else { None };
         let safe = method == Method::Get;
@@ -68,14 +68,14 @@
             let r = self.exchange(addr, stream, method, target, body.clone(), deadline, reuse).await;
             // The other side may have closed a kept connection just then. What
             // can be asked twice is asked again on a new one.
-            if !(safe && matches!(r, Err(Failure::Unknown))) || Instant::now() >= deadline {
+            if !(safe && matches!(r, Err(ClientError::Unknown))) || Instant::now() >= deadline {
                 return r;
             }
         }
         let left = deadline.saturating_duration_since(Instant::now());
         let stream = match self.deadlines.within(left, Async::<TcpStream>::connect(addr)).await {
             Some(Ok(s)) => s,
-            _ => return Err(Failure::NotSent),
+            _ => return Err(ClientError::NotSent),
         };
         self.exchange(addr, Socket::new(stream), method, target, body, deadline, reuse).await
     }
@@ -90,8 +90,8 @@
         body: Option<Vec<u8>>,
         deadline: Instant,
         reuse: bool,
-    ) -> Result<Response, Failure> {
-        let url = Url::parse(&format!("http://{addr}{target}")).map_err(|_| Failure::NotSent)?;
+    ) -> Result<Response, ClientError> {
+        let url = Url::parse(&format!("http://{addr}{target}")).map_err(|_| ClientError::NotSent)?;
         let mut request = Request::new(method, url);
         if !reuse {
             request.insert_header("connection", "close");
@@ -120,7 +120,7 @@
                 }
                 Ok(Response { status, body })
             }
-            _ => Err(Failure::Unknown),
+            _ => Err(ClientError::Unknown),
         }
     }
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -10,9 +10,9 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use client::Client;
-use controller::{Answer, CallId, Core, Input, Output, Request, RequestId};
+use controller::{CallId, Controller, HttpResponse, Input, Output, Request, RequestId};
 use protocol::worker::DirectCommands;
-use settings::{Derived, Operator, Settings};
+use settings::{Operator, Settings, Timing};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
 use std::net::TcpListener;
@@ -22,18 +22,18 @@
 
 pub struct Driver {
     executor: Rc<LocalExecutor<'static>>,
-    shelf: Arc<peers::Shelf>,
-    relays: peers::Relays,
+    shelf: Arc<peers::RelayMailbox>,
+    relays: peers::HeartbeatForwarding,
     /// Direct commands that wait for a connection, and how many have one.
     orders: RefCell<VecDeque<(CallId, String, DirectCommands)>>,
     orders_open: Cell<usize>,
-    core: RefCell<Core>,
+    core: RefCell<Controller>,
     client: Client,
     settings: Settings,
-    derived: Derived,
+    derived: Timing,
     start: Instant,
     next: Cell<RequestId>,
-    waiting: RefCell<HashMap<RequestId, async_channel::Sender<Answer>>>,
+    waiting: RefCell<HashMap<RequestId, async_channel::Sender<HttpResponse>>>,
 }
 
 /// Longest wait for an answer of the core's own making.
@@ -112,7 +112,7 @@
     }
 
     /// Puts a request to the core and waits for its answer.
-    pub(crate) async fn ask(self: &Rc<Self>, request: Request) -> Option<Answer> {
+    pub(crate) async fn ask(self: &Rc<Self>, request: Request) -> Option<HttpResponse> {
         let id = self.next_id();
         let (sender, receiver) = async_channel::bounded(1);
         self.waiting.borrow_mut().insert(id, sender);
@@ -143,16 +143,16 @@
         .bytes()
         .fold(u64::from(std::process::id()), |h, b| h.wrapping_mul(0x0100_0000_01b3) ^ u64::from(b));
     let executor = Rc::new(LocalExecutor::new());
-    let (shelf, calls) = peers::Shelf::new();
+    let (shelf, calls) = peers::RelayMailbox::new();
     let driver = Rc::new(Driver {
         executor: executor.clone(),
         shelf,
-        relays: peers::Relays::default(),
+        relays: peers::HeartbeatForwarding::default(),
         orders: RefCell::default(),
         orders_open: Cell::new(0),
-        core: RefCell::new(Core::new(settings.clone(), operator, seed)),
+        core: RefCell::new(Controller::new(settings.clone(), operator, seed)),
         client: Client::default(),
-        derived: Derived::from(&settings),
+        derived: Timing::from(&settings),
         settings,
         start: Instant::now(),
         next: Cell::new(0),
--- a/crates/transport/src/peers.rs
+++ b/crates/transport/src/peers.rs
@@ -9,7 +9,7 @@
 use hyper::client::conn::http2::SendRequest;
 use protocol::peer::peers_client::PeersClient;
 use protocol::peer::peers_server::{Peers, PeersServer};
-use protocol::peer::{RelayReply, RelayRequest, View};
+use protocol::peer::{ForwardReply, ForwardRequest, View};
 use smol_hyper::rt::FuturesIo;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -42,33 +42,33 @@
 /// The server's side. tonic wants it to be `Send`; the core is not, so the
 /// views pass through a shelf that the driver fills and empties, and relays
 /// through a channel.
-pub struct Shelf {
+pub struct RelayMailbox {
     own: Mutex<View>,
     heard: Mutex<Vec<View>>,
-    relays: async_channel::Sender<Relayed>,
+    relays: async_channel::Sender<InboundForward>,
 }
 
 /// A relay and where its reply goes.
-pub type Relayed = (RelayRequest, async_channel::Sender<RelayReply>);
+pub type InboundForward = (ForwardRequest, async_channel::Sender<ForwardReply>);
 
-impl Shelf {
-    pub fn new() -> (Arc<Shelf>, async_channel::Receiver<Relayed>) {
+impl RelayMailbox {
+    pub fn new() -> (Arc<RelayMailbox>, async_channel::Receiver<InboundForward>) {
         let (relays, calls) = async_channel::bounded(MOST_PEERS);
-        (Arc::new(Shelf { own: Mutex::default(), heard: Mutex::default(), relays }), calls)
+        (Arc::new(RelayMailbox { own: Mutex::default(), heard: Mutex::default(), relays }), calls)
     }
 }
 
 /// Relays on both sides: connections to the nodes that lead or led, by name,
 /// and replies that this node owes.
 #[derive(Default)]
-pub struct Relays {
+pub struct HeartbeatForwarding {
     /// With how many calls in a row were not answered in time.
-    links: RefCell<HashMap<String, (PeersClient<Channel>, u32)>>,
-    pub waiting: RefCell<HashMap<RequestId, async_channel::Sender<RelayReply>>>,
+    links: RefCell<HashMap<String, (PeersClient<PeerChannel>, u32)>>,
+    pub waiting: RefCell<HashMap<RequestId, async_channel::Sender<ForwardReply>>>,
 }
 
 #[derive(Clone)]
-struct Service(Arc<Shelf>);
+struct Service(Arc<RelayMailbox>);
 
 #[tonic::async_trait]
 impl Peers for Service {
@@ -84,8 +84,8 @@
 
     async fn relay(
         &self,
-        r: tonic::Request<RelayRequest>,
-    ) -> Result<tonic::Response<RelayReply>, tonic::Status> {
+        r: tonic::Request<ForwardRequest>,
+    ) -> Result<tonic::Response<ForwardReply>, tonic::Status> {
         let (sender, reply) = async_channel::bounded(1);
         let busy = |_| tonic::Status::resource_exhausted("too many relays");
         self.0.relays.try_send((r.into_inner(), sender)).map_err(busy)?;
@@ -136,12 +136,12 @@
 }
 
 /// Hands relays of other nodes to the core.
-pub async fn take_relays(driver: Rc<Driver>, calls: async_channel::Receiver<Relayed>) {
+pub async fn take_relays(driver: Rc<Driver>, calls: async_channel::Receiver<InboundForward>) {
     while let Ok((request, reply)) = calls.recv().await {
         let id = driver.next_id();
         let mut waiting = driver.relays.waiting.borrow_mut();
         // Callers that have given up.
-        waiting.retain(|_, s: &mut async_channel::Sender<RelayReply>| !s.is_closed());
+        waiting.retain(|_, s: &mut async_channel::Sender<ForwardReply>| !s.is_closed());
         waiting.insert(id, reply);
         drop(waiting);
         driver.feed(Input::RelayRequest(id, request));
@@ -149,7 +149,7 @@
 }
 
 /// Passes reports to `node`; None if no reply comes in time.
-pub async fn relay(driver: &Rc<Driver>, node: &str, request: RelayRequest) -> Option<RelayReply> {
+pub async fn relay(driver: &Rc<Driver>, node: &str, request: ForwardRequest) -> Option<ForwardReply> {
     let addr = driver.settings.peers.iter().find(|p| p.node == node)?.addr;
     let kept = driver.relays.links.borrow_mut().remove(node);
     let longest = Duration::from_secs_f64(driver.derived.relay_timeout_s);
@@ -182,12 +182,12 @@
 
 /// A connection's requests as tonic's client wants them.
 #[derive(Clone)]
-struct Channel {
+struct PeerChannel {
     send: SendRequest<BoxBody>,
     authority: String,
 }
 
-impl tower_service::Service<http::Request<BoxBody>> for Channel {
+impl tower_service::Service<http::Request<BoxBody>> for PeerChannel {
     type Response = http::Response<hyper::body::Incoming>;
     type Error = hyper::Error;
     type Future = Pin<Box<dyn Future<Output = Result<Self::Response, Self::Error>> + Send>>;
@@ -205,7 +205,7 @@
     }
 }
 
-async fn connect(driver: &Driver, addr: SocketAddrV4) -> Option<PeersClient<Channel>> {
+async fn connect(driver: &Driver, addr: SocketAddrV4) -> Option<PeersClient<PeerChannel>> {
     let stream = Async::<TcpStream>::connect(addr).await.ok()?;
     let _ = stream.get_ref().set_nodelay(true);
     let local = Local(driver.executor.clone());
@@ -214,12 +214,12 @@
     driver.spawn(async move {
         let _ = connection.await;
     });
-    Some(PeersClient::new(Channel { send, authority: addr.to_string() }))
+    Some(PeersClient::new(PeerChannel { send, authority: addr.to_string() }))
 }
 
 /// Exchanges views with one peer for as long as the process runs.
 pub async fn exchange(driver: Rc<Driver>, addr: SocketAddrV4, every: Duration) {
-    let mut client: Option<PeersClient<Channel>> = None;
+    let mut client: Option<PeersClient<PeerChannel>> = None;
     loop {
         Timer::after(every).await;
         driver.take_views();
--- a/crates/transport/src/services.rs
+++ b/crates/transport/src/services.rs
@@ -1,11 +1,11 @@
 //! The state service, the cloud and the workers, as calls of the core.
 
-use crate::client::{Client, Failure, Response};
+use crate::client::{Client, ClientError, Response};
 use controller::records::Value;
-use controller::{CloudOp, CloudReply, StateOp, StateReply, WorkerReply};
+use controller::{CloudReply, CloudRequest, StoreReply, StoreRequest, WorkerReply};
 use http_types::Method;
 use protocol::state::*;
-use protocol::worker::{DirectCommands, Report};
+use protocol::worker::{DirectCommands, Heartbeat};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 use tracing::{debug, warn};
@@ -51,22 +51,24 @@
     protocol::decode::<T>(body).ok().or_else(|| parsed::<L>(body, what).map(plain))
 }
 
-pub async fn state(client: &Client, addr: SocketAddrV4, op: StateOp, timeout: Duration) -> StateReply {
-    let is_commit = matches!(op, StateOp::Commit(_));
+pub async fn state(client: &Client, addr: SocketAddrV4, op: StoreRequest, timeout: Duration) -> StoreReply {
+    let is_commit = matches!(op, StoreRequest::Commit(_));
     let (method, target, body, timeout) = match &op {
-        StateOp::Get(key) => (Method::Get, format!("/kv/{key}"), None, timeout),
-        StateOp::List { prefix, after } => {
+        StoreRequest::Get(key) => (Method::Get, format!("/kv/{key}"), None, timeout),
+        StoreRequest::List { prefix, after } => {
             let after = after.as_ref().map(|a| format!("&since={}", query(a))).unwrap_or_default();
             (Method::Get, format!("/kv?starts={}{after}&most=1000", query(prefix)), None, timeout * 2)
         }
-        StateOp::Commit(txn) => (Method::Post, "/commit".to_string(), Some(protocol::encode(txn)), timeout),
-        StateOp::Grant { ttl_ms } => {
+        StoreRequest::Commit(txn) => {
+            (Method::Post, "/commit".to_string(), Some(protocol::encode(txn)), timeout)
+        }
+        StoreRequest::Grant { ttl_ms } => {
             let body = protocol::encode(&GrantLease { ttl_ms: *ttl_ms });
             (Method::Post, "/grants".to_string(), Some(body), timeout)
         }
-        StateOp::Renew(id) => (Method::Post, format!("/grants/{id}/renew"), None, timeout),
-        StateOp::Revoke(id) => (Method::Delete, format!("/grants/{id}"), None, timeout),
-        StateOp::Watch { prefix, after, wait_ms } => (
+        StoreRequest::Renew(id) => (Method::Post, format!("/grants/{id}/renew"), None, timeout),
+        StoreRequest::Revoke(id) => (Method::Delete, format!("/grants/{id}"), None, timeout),
+        StoreRequest::Watch { prefix, after, wait_ms } => (
             Method::Get,
             format!("/follow?starts={}&since={after}&blockMs={wait_ms}", query(prefix)),
             None,
@@ -76,71 +78,74 @@
     };
     let Response { status, body } = match client.call(addr, method, &target, body, timeout, true).await {
         Ok(r) => r,
-        Err(Failure::NotSent) => return StateReply::Refused,
-        Err(Failure::Unknown) => return StateReply::Unknown,
+        Err(ClientError::NotSent) => return StoreReply::Refused,
+        Err(ClientError::Unknown) => return StoreReply::Unknown,
     };
     let reply = match (&op, status) {
-        (StateOp::Get(_), 200) => {
-            stored(&body, "key", |x: Item<Lenient>| x.map(|l| l.0)).map(StateReply::Item)
+        (StoreRequest::Get(_), 200) => {
+            stored(&body, "key", |x: Item<Lenient>| x.map(|l| l.0)).map(StoreReply::Item)
         }
-        (StateOp::Get(_), 404) => {
-            parsed::<Missing>(&body, "missing key").map(|m| StateReply::Missing(m.revision))
+        (StoreRequest::Get(_), 404) => {
+            parsed::<Missing>(&body, "missing key").map(|m| StoreReply::Missing(m.revision))
         }
-        (StateOp::List { .. }, 200) => {
-            stored(&body, "page", |x: Page<Lenient>| x.map(|l| l.0)).map(StateReply::Page)
+        (StoreRequest::List { .. }, 200) => {
+            stored(&body, "page", |x: Page<Lenient>| x.map(|l| l.0)).map(StoreReply::Page)
         }
-        (StateOp::Commit(_), 200) => {
-            parsed::<Committed>(&body, "commit").map(|c| StateReply::Committed(c.revision))
+        (StoreRequest::Commit(_), 200) => {
+            parsed::<Committed>(&body, "commit").map(|c| StoreReply::Committed(c.revision))
         }
-        (StateOp::Commit(_), 409) => parsed::<Conflict>(&body, "conflict").map(StateReply::Conflict),
-        (StateOp::Commit(_), 400) => {
-            let why = protocol::decode::<protocol::job::Refusal>(&body).map(|r| r.error).unwrap_or_default();
+        (StoreRequest::Commit(_), 409) => parsed::<CasConflict>(&body, "conflict").map(StoreReply::Conflict),
+        (StoreRequest::Commit(_), 400) => {
+            let why =
+                protocol::decode::<protocol::job::ErrorResponse>(&body).map(|r| r.error).unwrap_or_default();
             warn!(error = %why, "transaction refused");
-            Some(if why == "no such lease" { StateReply::Gone } else { StateReply::Invalid })
+            Some(if why == "no such lease" { StoreReply::Gone } else { StoreReply::Invalid })
+        }
+        (_, 429) => Some(StoreReply::Limited),
+        (StoreRequest::Grant { .. }, 200) => {
+            parsed::<Lease>(&body, "lease").map(|l| StoreReply::Granted(l.lease))
         }
-        (_, 429) => Some(StateReply::Limited),
-        (StateOp::Grant { .. }, 200) => parsed::<Lease>(&body, "lease").map(|l| StateReply::Granted(l.lease)),
-        (StateOp::Renew(_) | StateOp::Revoke(_), 200 | 204) => Some(StateReply::Done),
-        (StateOp::Renew(_) | StateOp::Revoke(_), 404) => Some(StateReply::Gone),
-        (StateOp::Watch { .. }, 200) => {
-            stored(&body, "events", |x: Events<Lenient>| x.map(|l| l.0)).map(StateReply::Events)
+        (StoreRequest::Renew(_) | StoreRequest::Revoke(_), 200 | 204) => Some(StoreReply::Done),
+        (StoreRequest::Renew(_) | StoreRequest::Revoke(_), 404) => Some(StoreReply::Gone),
+        (StoreRequest::Watch { .. }, 200) => {
+            stored(&body, "events", |x: Events<Lenient>| x.map(|l| l.0)).map(StoreReply::Events)
         }
-        (StateOp::Watch { .. }, 410) => Some(StateReply::Gone),
+        (StoreRequest::Watch { .. }, 410) => Some(StoreReply::Gone),
         _ => {
             debug!(status, %target, "state service refused");
-            Some(StateReply::Refused)
+            Some(StoreReply::Refused)
         }
     };
     // An answer that cannot be read tells nothing about what was done.
-    reply.unwrap_or(if is_commit { StateReply::Unknown } else { StateReply::Refused })
+    reply.unwrap_or(if is_commit { StoreReply::Unknown } else { StoreReply::Refused })
 }
 
-pub async fn cloud(client: &Client, addr: SocketAddrV4, op: CloudOp, timeout: Duration) -> CloudReply {
+pub async fn cloud(client: &Client, addr: SocketAddrV4, op: CloudRequest, timeout: Duration) -> CloudReply {
     let (method, target, body) = match &op {
-        CloudOp::Types => (Method::Get, "/machine_types".to_string(), None),
-        CloudOp::List { after } => {
+        CloudRequest::Types => (Method::Get, "/machine_types".to_string(), None),
+        CloudRequest::List { after } => {
             let since = after.as_ref().map(|a| format!("since={}&", query(a))).unwrap_or_default();
             (Method::Get, format!("/rentals?{since}most=500"), None)
         }
-        CloudOp::Rent(r) => (Method::Post, "/rentals".to_string(), Some(protocol::encode(r))),
-        CloudOp::Delete(names) => {
+        CloudRequest::Rent(r) => (Method::Post, "/rentals".to_string(), Some(protocol::encode(r))),
+        CloudRequest::Delete(names) => {
             let body = protocol::encode(&protocol::cloud::Machines { machines: names.clone() });
             (Method::Post, "/rentals/delete".to_string(), Some(body))
         }
     };
     let Response { status, body } = match client.call(addr, method, &target, body, timeout, true).await {
         Ok(r) => r,
-        Err(Failure::NotSent) => return CloudReply::Refused,
-        Err(Failure::Unknown) => return CloudReply::Unknown,
+        Err(ClientError::NotSent) => return CloudReply::Refused,
+        Err(ClientError::Unknown) => return CloudReply::Unknown,
     };
     let reply = match (&op, status) {
-        (CloudOp::Types, 200) => parsed(&body, "machine types").map(CloudReply::Types),
-        (CloudOp::List { .. }, 200) => parsed(&body, "machine list").map(CloudReply::List),
-        (CloudOp::Rent(_), 200) => parsed(&body, "rental").map(CloudReply::Machines),
-        (CloudOp::Delete(_), 200) => Some(CloudReply::Done),
-        (CloudOp::Rent(_), 503) => {
-            let full =
-                protocol::decode::<protocol::job::Refusal>(&body).is_ok_and(|r| r.error == "no capacity");
+        (CloudRequest::Types, 200) => parsed(&body, "machine types").map(CloudReply::Types),
+        (CloudRequest::List { .. }, 200) => parsed(&body, "machine list").map(CloudReply::List),
+        (CloudRequest::Rent(_), 200) => parsed(&body, "rental").map(CloudReply::Machines),
+        (CloudRequest::Delete(_), 200) => Some(CloudReply::Done),
+        (CloudRequest::Rent(_), 503) => {
+            let full = protocol::decode::<protocol::job::ErrorResponse>(&body)
+                .is_ok_and(|r| r.error == "no capacity");
             Some(if full { CloudReply::NoCapacity } else { CloudReply::Refused })
         }
         (_, 400) => Some(CloudReply::Malformed),
@@ -153,10 +158,12 @@
     let Ok(addr) = addr.parse::<SocketAddrV4>() else { return WorkerReply::Failed };
     let sent = client.call(addr, Method::Post, "/do", Some(protocol::encode(&body)), timeout, false).await;
     match sent {
-        Ok(r) if r.status == 200 || r.status == 409 => match parsed::<Report>(&r.body, "worker's report") {
-            Some(report) => WorkerReply::Report { executed: r.status == 200, report: Box::new(report) },
-            None => WorkerReply::Failed,
-        },
+        Ok(r) if r.status == 200 || r.status == 409 => {
+            match parsed::<Heartbeat>(&r.body, "worker's report") {
+                Some(report) => WorkerReply::Report { executed: r.status == 200, report: Box::new(report) },
+                None => WorkerReply::Failed,
+            }
+        }
         _ => WorkerReply::Failed,
     }
 }
--- a/crates/transport/src/timeouts.rs
+++ b/crates/transport/src/timeouts.rs
@@ -13,17 +13,18 @@
 /// or more for every message they were most of a busy node's work. These cost
 /// none; they end late by up to a tick.
 #[derive(Default)]
-pub struct Deadlines {
+pub struct TimeoutWheel {
     wakers: RefCell<BTreeMap<(Instant, u64), Waker>>,
     next: Cell<u64>,
 }
 
-impl Deadlines {
+impl TimeoutWheel {
     /// `f`'s outcome, or None if it takes longer than `left`.
     pub async fn within<T>(&self, left: Duration, f: impl Future<Output = T>) -> Option<T> {
         let number = self.next.get();
         self.next.set(number + 1);
-        let due = Due { deadlines: self, key: (Instant::now() + left, number), registered: Cell::new(false) };
+        let due =
+            Timeout { deadlines: self, key: (Instant::now() + left, number), registered: Cell::new(false) };
         future::or(async { Some(f.await) }, async {
             due.await;
             None
@@ -44,13 +45,13 @@
     }
 }
 
-struct Due<'a> {
-    deadlines: &'a Deadlines,
+struct Timeout<'a> {
+    deadlines: &'a TimeoutWheel,
     key: (Instant, u64),
     registered: Cell<bool>,
 }
 
-impl Future for Due<'_> {
+impl Future for Timeout<'_> {
     type Output = ();
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         // Swept away since: it is over.
@@ -63,7 +64,7 @@
     }
 }
 
-impl Drop for Due<'_> {
+impl Drop for Timeout<'_> {
     fn drop(&mut self) {
         self.deadlines.wakers.borrow_mut().remove(&self.key);
     }
