--- a/crates/controller/src/archive.rs
+++ b/crates/controller/src/archive.rs
@@ -21,7 +21,7 @@
 pub struct TerminalJob {
     pub id: String,
     pub version: u64,
-    pub over: TerminalRecord,
+    pub record: TerminalRecord,
     /// Pages and whatever else of it is stored.
     pub keys: Vec<String>,
 }
@@ -30,22 +30,22 @@
 /// watch shows of them from before is over. No record comes back.
 #[derive(Default)]
 pub struct ArchivedJobs {
-    gone_at: BTreeMap<String, u64>,
+    archived_at: BTreeMap<String, u64>,
 }
 
 impl ArchivedJobs {
-    pub fn note(&mut self, id: &str, revision: u64) {
-        self.gone_at.insert(id.to_string(), revision);
+    pub fn record(&mut self, id: &str, revision: u64) {
+        self.archived_at.insert(id.to_string(), revision);
     }
 
     /// Whether a record of job `id` in that version is over.
     pub fn covers(&self, id: &str, version: u64) -> bool {
-        self.gone_at.get(id).is_some_and(|gone_at| version <= *gone_at)
+        self.archived_at.get(id).is_some_and(|gone_at| version <= *gone_at)
     }
 
     /// The watch has shown all up to `revision`, and all of that was carried out.
-    pub fn passed(&mut self, revision: u64) {
-        self.gone_at.retain(|_, gone_at| *gone_at > revision);
+    pub fn forget_until(&mut self, revision: u64) {
+        self.archived_at.retain(|_, gone_at| *gone_at > revision);
     }
 }
 
@@ -53,26 +53,26 @@
 pub struct Archive {
     /// The format that every node reads, and the version of its key; None: not known yet.
     format: Option<(u32, u64)>,
-    format_busy: bool,
-    format_at: Time,
+    format_in_flight: bool,
+    format_check_at: Time,
     /// What has yet to move, by id.
     pub waiting: BTreeMap<String, TerminalJob>,
     /// What stays as long as a live job's record names it: the next leader has to learn
     /// how it ended without a read for each.
-    pub held: BTreeMap<String, TerminalJob>,
-    pub departed: ArchivedJobs,
+    pub held_for_dependents: BTreeMap<String, TerminalJob>,
+    pub archived: ArchivedJobs,
     /// Keys of layouts that count no more.
-    stale: Vec<String>,
+    stale_keys: Vec<String>,
     /// Those of them that are being deleted.
     deleting: Vec<String>,
     /// A transaction on its way, with what it moves.
-    moving: Option<Vec<TerminalJob>>,
+    in_flight: Option<Vec<TerminalJob>>,
     retry_at: Time,
     budget: Option<RateLimiter>,
     /// Parts of the machines' images as last stored, and when to look again.
     images: BTreeMap<usize, (ImagesRecord, u64)>,
     images_at: Time,
-    images_busy: Option<(usize, ImagesRecord)>,
+    images_in_flight: Option<(usize, ImagesRecord)>,
 }
 
 /// Part of the state service's rate of changes that moving takes at most, beyond
@@ -86,37 +86,37 @@
 
 impl Archive {
     /// Whether jobs that end may move at once.
-    pub fn open(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.format.is_some_and(|(f, _)| f >= FORMAT_MOVES)
     }
 
     /// Whether every node is known to read what this version writes.
-    pub fn newest(&self) -> bool {
+    pub fn supports_current_format(&self) -> bool {
         self.format.is_some_and(|(f, _)| f >= FORMAT)
     }
 
     /// Keys that nobody reads any more.
-    pub fn discard(&mut self, keys: Vec<String>) {
-        self.stale.extend(keys);
+    pub fn discard_keys(&mut self, keys: Vec<String>) {
+        self.stale_keys.extend(keys);
     }
 
     /// A live job's record names it.
     pub fn hold(&mut self, id: &str) {
         if let Some(f) = self.waiting.remove(id) {
-            self.held.insert(f.id.clone(), f);
+            self.held_for_dependents.insert(f.id.clone(), f);
         }
     }
 
     /// Nobody's record names that job any more.
     pub fn release(&mut self, id: &str) {
-        if let Some(f) = self.held.remove(id) {
+        if let Some(f) = self.held_for_dependents.remove(id) {
             self.waiting.insert(f.id.clone(), f);
         }
     }
 
     /// How a job ended whose record still lies among those that run.
-    pub fn over(&self, id: &str) -> Option<JobStatus> {
-        self.held.get(id).or_else(|| self.waiting.get(id)).map(|f| f.over.status)
+    pub fn terminal_status(&self, id: &str) -> Option<JobStatus> {
+        self.held_for_dependents.get(id).or_else(|| self.waiting.get(id)).map(|f| f.record.status)
     }
 
     /// What an earlier leader stored of the machines' images.
@@ -135,7 +135,7 @@
         let (key, over) = (job_key(&f.id), over_key(&f.id));
         conditions.push(Compare { key: key.clone(), version: f.version });
         changes.push(Mutation::Delete { key });
-        changes.push(Mutation::Put { key: over, value: Value::Over(f.over.clone()), lease: None });
+        changes.push(Mutation::Put { key: over, value: Value::Terminal(f.record.clone()), lease: None });
     }
     (conditions, changes, left)
 }
@@ -169,52 +169,55 @@
 
 impl Controller {
     /// Moves what is over and stores what machines hold, as far as there is time.
-    pub(crate) fn archive_on_time(&mut self) {
-        if !self.entitled() {
+    pub(crate) fn tick_archive(&mut self) {
+        if !self.may_act() {
             return;
         }
         self.agree_on_format();
-        self.move_on_time();
+        self.tick_archive_moves();
         self.store_images();
     }
 
     /// A new format is used once every node has said that it reads it, or what was asked
     /// of the service shows that it does; that is stored, and holds from then on.
     fn agree_on_format(&mut self) {
-        let (now, renew_s) = (self.now, self.d.renew_s);
+        let (now, renew_s) = (self.now, self.timing.renewal_interval_s);
         let Role::Leader(l) = &mut self.role else { return };
-        let token = l.token;
-        if l.archive.format_busy || l.archive.newest() || now < l.archive.format_at {
+        let token = l.fencing_token;
+        if l.archive.format_in_flight
+            || l.archive.supports_current_format()
+            || now < l.archive.format_check_at
+        {
             return;
         }
-        l.archive.format_at = now + renew_s;
-        let reads = self.versions.all_read(&self.settings.peers);
+        l.archive.format_check_at = now + renew_s;
+        let reads = self.formats.common_format(&self.settings.peers);
         match l.archive.format {
             None => {
-                l.archive.format_busy = true;
-                self.state(CallContext::FormatLook { token }, StoreRequest::Get(FORMAT_KEY.to_string()));
+                l.archive.format_in_flight = true;
+                self.call_store(CallContext::FormatRead { token }, StoreRequest::Get(FORMAT_KEY.to_string()));
             }
             Some((format, version)) if reads > format => {
-                l.archive.format_busy = true;
+                l.archive.format_in_flight = true;
                 let leads = Compare { key: LEADER_KEY.to_string(), version: token };
                 let new = Compare { key: FORMAT_KEY.to_string(), version };
                 let value = Value::Format(reads);
                 let put = Mutation::Put { key: FORMAT_KEY.to_string(), value, lease: None };
-                let txn = Transaction { conditions: vec![leads, new], changes: vec![put] };
-                self.state(CallContext::FormatWrite { token, format: reads }, StoreRequest::Commit(txn));
+                let txn = Transaction { compares: vec![leads, new], mutations: vec![put] };
+                self.call_store(CallContext::FormatWrite { token, format: reads }, StoreRequest::Commit(txn));
             }
             Some(_) => {}
         }
     }
 
-    pub(crate) fn on_format_look(&mut self, token: u64, r: StoreReply) {
-        let Some(l) = self.lead(token) else { return };
-        l.archive.format_busy = false;
+    pub(crate) fn on_format_read(&mut self, token: u64, r: StoreReply) {
+        let Some(l) = self.leader_state(token) else { return };
+        l.archive.format_in_flight = false;
         match r {
             StoreReply::Item(Item { value: Value::Format(f), version, .. }) => {
                 l.archive.format = Some((f, version));
                 if f >= FORMAT {
-                    self.versions.is_evident();
+                    self.formats.confirm();
                 }
             }
             StoreReply::Missing(_) => l.archive.format = Some((0, 0)),
@@ -223,22 +226,22 @@
     }
 
     /// Looks whether the gate is open, until it is known that every node has this version.
-    pub(crate) fn look_at_gate(&mut self) {
-        if !self.newest_forms() && self.versions.gate.begin(self.now, self.d.renew_s) {
-            self.state(CallContext::GateLook, StoreRequest::Get(FORMAT_KEY.to_string()));
+    pub(crate) fn tick_format_gate(&mut self) {
+        if !self.uses_current_format() && self.formats.gate.begin(self.now, self.timing.renewal_interval_s) {
+            self.call_store(CallContext::FormatGateRead, StoreRequest::Get(FORMAT_KEY.to_string()));
         }
     }
 
-    pub(crate) fn on_gate_look(&mut self, r: StoreReply) {
-        self.versions.gate.end(matches!(r, StoreReply::Item(_) | StoreReply::Missing(_)));
+    pub(crate) fn on_format_gate_read(&mut self, r: StoreReply) {
+        self.formats.gate.end(matches!(r, StoreReply::Item(_) | StoreReply::Missing(_)));
         if matches!(r, StoreReply::Item(Item { value: Value::Format(f), .. }) if f >= FORMAT) {
-            self.versions.is_evident();
+            self.formats.confirm();
         }
     }
 
     pub(crate) fn on_format_write(&mut self, token: u64, format: u32, r: StoreReply) {
-        let Some(l) = self.lead(token) else { return };
-        l.archive.format_busy = false;
+        let Some(l) = self.leader_state(token) else { return };
+        l.archive.format_in_flight = false;
         if let StoreReply::Committed(revision) = r {
             info!(format, "all nodes read this format of records, used from now on");
             l.archive.format = Some((format, revision));
@@ -248,84 +251,88 @@
     }
 
     /// `job` is over, its record stored under `j/` in that version.
-    pub(crate) fn finished(&mut self, f: TerminalJob) {
+    pub(crate) fn archive_job(&mut self, f: TerminalJob) {
         if let Role::Leader(l) = &mut self.role {
-            let place =
-                if l.pipelines.graph.named(&f.id) { &mut l.archive.held } else { &mut l.archive.waiting };
+            let place = if l.dependencies.graph.has_dependents(&f.id) {
+                &mut l.archive.held_for_dependents
+            } else {
+                &mut l.archive.waiting
+            };
             place.entry(f.id.clone()).or_insert(f);
         }
     }
 
     /// Its record has left those that run: it is over, and nothing is left of it.
-    pub(crate) fn has_moved(&mut self, id: &str, revision: u64) {
-        self.tell_over(id);
+    pub(crate) fn on_job_archived(&mut self, id: &str, revision: u64) {
+        self.log_job_finished(id);
         let Role::Leader(l) = &mut self.role else { return };
-        l.archive.departed.note(id, revision);
+        l.archive.archived.record(id, revision);
         if let Some(job) = l.jobs.remove(id) {
-            self.finals.put(id, job.status, job.done_count);
+            self.terminal_states.insert(id, job.status, job.done_count);
         }
     }
 
-    fn move_on_time(&mut self) {
+    fn tick_archive_moves(&mut self) {
         let now = self.now;
-        let most = self.limits.changes();
-        let all = self.limits.write_rps();
+        let most = self.store_limits.mutations();
+        let all = self.store_limits.write_rps();
         let Role::Leader(l) = &mut self.role else { return };
-        let (token, rate) = (l.token, all * crate::write_queue::LEADER_WRITES);
+        let (token, rate) = (l.fencing_token, all * crate::write_queue::LEADER_WRITES);
         let a = &mut l.archive;
-        let nothing = a.waiting.is_empty() && a.stale.is_empty();
-        if !a.open() || a.moving.is_some() || nothing || now < a.retry_at {
+        let nothing = a.waiting.is_empty() && a.stale_keys.is_empty();
+        if !a.is_enabled() || a.in_flight.is_some() || nothing || now < a.retry_at {
             return;
         }
         let own = a.budget.get_or_insert_with(|| RateLimiter::new(all * MOVES));
         let shared = l.fleet.write_budget(rate);
-        let allowed = own.left(now).min(shared.left(now) - rate / 2.0).min(most as f64) as usize;
+        let allowed =
+            own.available_at(now).min(shared.available_at(now) - rate / 2.0).min(most as f64) as usize;
         if allowed < 2 {
             return;
         }
         let leads = Compare { key: LEADER_KEY.to_string(), version: token };
-        let mut txn = Transaction { conditions: vec![leads], changes: Vec::new() };
+        let mut txn = Transaction { compares: vec![leads], mutations: Vec::new() };
         let mut moving = Vec::new();
         // Deleting twice does no harm.
-        a.deleting = a.stale.split_off(a.stale.len().saturating_sub(allowed / 2));
-        txn.changes.extend(a.deleting.iter().map(|key| Mutation::Delete { key: key.clone() }));
+        a.deleting = a.stale_keys.split_off(a.stale_keys.len().saturating_sub(allowed / 2));
+        txn.mutations.extend(a.deleting.iter().map(|key| Mutation::Delete { key: key.clone() }));
         while let Some((id, mut f)) = a.waiting.pop_first() {
-            let room = allowed - txn.changes.len();
+            let room = allowed - txn.mutations.len();
             // A job with more pages than that takes several transactions.
             let whole = f.keys.len() + 2 <= room;
-            if !whole && !txn.changes.is_empty() {
+            if !whole && !txn.mutations.is_empty() {
                 a.waiting.insert(id, f);
                 break;
             }
             let (conditions, changes, left) = moves(&f, room);
-            txn.conditions.extend(conditions);
-            txn.changes.extend(changes);
+            txn.compares.extend(conditions);
+            txn.mutations.extend(changes);
             if !whole {
                 f.keys = left;
                 a.waiting.insert(id, f);
                 break;
             }
             moving.push(f);
-            if txn.changes.len() + 2 > allowed {
+            if txn.mutations.len() + 2 > allowed {
                 break;
             }
         }
-        let n = txn.changes.len() as f64;
-        own.take(now, n);
-        shared.take(now, n);
-        a.moving = Some(moving);
-        self.state(CallContext::Move { token }, StoreRequest::Commit(txn));
+        let n = txn.mutations.len() as f64;
+        own.try_acquire(now, n);
+        shared.try_acquire(now, n);
+        a.in_flight = Some(moving);
+        self.call_store(CallContext::ArchiveMove { token }, StoreRequest::Commit(txn));
     }
 
-    pub(crate) fn on_move(&mut self, token: u64, r: StoreReply) {
+    pub(crate) fn on_archive_moved(&mut self, token: u64, r: StoreReply) {
         let now = self.now;
-        let retry = self.d.renew_s / 4.0;
-        let Some(l) = self.lead(token) else { return };
-        let moving = l.archive.moving.take().unwrap_or_default();
+        let retry = self.timing.renewal_interval_s / 4.0;
+        let Some(l) = self.leader_state(token) else { return };
+        let moving = l.archive.in_flight.take().unwrap_or_default();
         let deleting = std::mem::take(&mut l.archive.deleting);
         // (Parts whose deletion got no answer once lay there until the next takeover.)
         if !matches!(r, StoreReply::Committed(_)) {
-            l.archive.stale.extend(deleting);
+            l.archive.stale_keys.extend(deleting);
         }
         match r {
             StoreReply::Committed(_) => debug!(jobs = moving.len(), "moved what is over"),
@@ -351,15 +358,15 @@
     fn store_images(&mut self) {
         let now = self.now;
         let every = self.settings.params.workers.lease_s;
-        let room = self.limits.value_bytes() * 3 / 4;
-        let all = self.limits.write_rps();
+        let room = self.store_limits.value_bytes() * 3 / 4;
+        let all = self.store_limits.write_rps();
         let Role::Leader(l) = &mut self.role else { return };
-        let (token, rate) = (l.token, all * crate::write_queue::LEADER_WRITES);
+        let (token, rate) = (l.fencing_token, all * crate::write_queue::LEADER_WRITES);
         let shared = l.fleet.write_budget(rate);
-        if !l.archive.open() || l.archive.images_busy.is_some() || now < l.archive.images_at {
+        if !l.archive.is_enabled() || l.archive.images_in_flight.is_some() || now < l.archive.images_at {
             return;
         }
-        if shared.left(now) < rate / 2.0 {
+        if shared.available_at(now) < rate / 2.0 {
             return;
         }
         let held = l.images_held(IMAGES_EACH);
@@ -370,26 +377,26 @@
             l.archive.images_at = now + every;
             return;
         };
-        l.fleet.write_budget(rate).take(now, 1.0);
+        l.fleet.write_budget(rate).try_acquire(now, 1.0);
         let version = l.archive.images.get(&n).map_or(0, |s| s.1);
-        l.archive.images_busy = Some((n, part.clone()));
+        l.archive.images_in_flight = Some((n, part.clone()));
         // Spread over the time until the next look.
         l.archive.images_at = now + every / PARTS_A_LEASE as f64;
         let key = images_key(n);
         let leads = Compare { key: LEADER_KEY.to_string(), version: token };
         let conditions = vec![leads, Compare { key: key.clone(), version }];
         let put = Mutation::Put { key, value: Value::Images(part), lease: None };
-        self.state(
+        self.call_store(
             CallContext::ImagesWrite { token },
-            StoreRequest::Commit(Transaction { conditions, changes: vec![put] }),
+            StoreRequest::Commit(Transaction { compares: conditions, mutations: vec![put] }),
         );
     }
 
     pub(crate) fn on_images_write(&mut self, token: u64, r: StoreReply) {
         let now = self.now;
         let every = self.settings.params.workers.lease_s;
-        let Some(l) = self.lead(token) else { return };
-        let Some((n, part)) = l.archive.images_busy.take() else { return };
+        let Some(l) = self.leader_state(token) else { return };
+        let Some((n, part)) = l.archive.images_in_flight.take() else { return };
         match r {
             StoreReply::Committed(revision) => {
                 l.archive.images.insert(n, (part, revision));
@@ -402,7 +409,7 @@
             StoreReply::Conflict(_) | StoreReply::Unknown => {
                 l.archive.images_at = now + every;
                 let purpose = CallContext::ImagesRead { token, part: n };
-                self.state(purpose, StoreRequest::Get(images_key(n)));
+                self.call_store(purpose, StoreRequest::Get(images_key(n)));
             }
             // It only helps the next leader.
             _ => l.archive.images_at = now + every,
@@ -411,7 +418,7 @@
 
     /// A part of the machines' images as it is stored.
     pub(crate) fn on_images_read(&mut self, token: u64, part: usize, r: StoreReply) {
-        let Some(l) = self.lead(token) else { return };
+        let Some(l) = self.leader_state(token) else { return };
         if let StoreReply::Item(Item { value: Value::Images(record), version, .. }) = r {
             l.archive.read_images(part, record, version);
         }
@@ -420,23 +427,23 @@
 
 /// The changes that move a job which has just ended.
 pub fn moved(job: &Job) -> (Vec<Compare>, Vec<Mutation<Value>>) {
-    let (mut conditions, changes, _) = moves(&TerminalJob::of(job), usize::MAX);
-    conditions.extend(job.mark_condition());
+    let (mut conditions, changes, _) = moves(&TerminalJob::from_job(job), usize::MAX);
+    conditions.extend(job.mark_compare());
     (conditions, changes)
 }
 
 impl TerminalJob {
-    pub fn of(job: &Job) -> Self {
+    pub fn from_job(job: &Job) -> Self {
         TerminalJob {
             id: job.spec.id.clone(),
             version: job.version,
-            over: over_record(job.status, job.done_count, job.at),
-            keys: job.other_keys(),
+            record: over_record(job.status, job.done_count, job.submitted_wall_s),
+            keys: job.keys_beside_record(),
         }
     }
 }
 
 /// What is left of a job that is over.
 pub fn over_record(status: JobStatus, done: u32, at: f64) -> TerminalRecord {
-    TerminalRecord { status, done, at }
+    TerminalRecord { status, done, submitted_wall_s: at }
 }
--- a/crates/controller/src/cancellation_lineage.rs
+++ b/crates/controller/src/cancellation_lineage.rs
@@ -13,17 +13,17 @@
 /// Questions that wait until more is known of the jobs before.
 #[derive(Default)]
 pub struct CancellationLineage {
-    parked: Vec<StatusQuery>,
+    parked_queries: Vec<StatusQuery>,
     /// Jobs that are being asked for on their behalf.
-    sought: BTreeSet<String>,
+    lookups: BTreeSet<String>,
     /// Something was learned since they were last looked at.
-    learned: bool,
+    has_news: bool,
 }
 
 impl CancellationLineage {
     /// The question after `id` on behalf of others has its answer, or gets none now.
-    pub fn answered(&mut self, id: &str) {
-        self.learned |= self.sought.remove(id);
+    pub fn on_lookup_done(&mut self, id: &str) {
+        self.has_news |= self.lookups.remove(id);
     }
 }
 
@@ -49,13 +49,13 @@
             if clear.contains(next) || !seen.insert(next) {
                 continue;
             }
-            match (self.finals.get(next), self.polls.rows.get(next)) {
+            match (self.terminal_states.get(next), self.status_queries.cached_jobs.get(next)) {
                 (Some((JobStatus::Cancelled, _)), _) => return LineageVerdict::Cancelled,
                 (Some(_), _) => {}
                 // Once it has waited for all of its own, none of them can be cancelled.
-                (None, Some(row)) if !row.waits() => {}
-                (None, Some(row)) if row.apart.is_some() => unknown.push(next.to_string()),
-                (None, Some(row)) => left.extend(row.awaits.iter().map(String::as_str)),
+                (None, Some(row)) if !row.waits_for_dependencies() => {}
+                (None, Some(row)) if row.external_spec.is_some() => unknown.push(next.to_string()),
+                (None, Some(row)) => left.extend(row.dependencies.iter().map(String::as_str)),
                 (None, None) => unknown.push(next.to_string()),
             }
         }
@@ -68,26 +68,30 @@
 
     /// Whether the job that `a` asks for is cancelled with one before it; None: that is
     /// looked up first, and the question answered then.
-    pub(crate) fn judge(
+    pub(crate) fn check_lineage(
         &mut self,
         a: StatusQuery,
         clear: &mut HashSet<String>,
     ) -> Option<(StatusQuery, bool)> {
-        if !self.guards.lineage {
+        if !self.checks.cancellation_lineage {
             return Some((a, false));
         }
         match self.lineage(&a.id, clear) {
             LineageVerdict::Clear => Some((a, false)),
             LineageVerdict::Cancelled => {
                 // The cause is stored, and so this is as final as if it were.
-                self.finals.put(&a.id, JobStatus::Cancelled, 0);
+                self.terminal_states.insert(&a.id, JobStatus::Cancelled, 0);
                 Some((a, true))
             }
             LineageVerdict::Unknown(ids) => {
-                self.polls.kin.parked.push(a);
+                self.status_queries.lineage.parked_queries.push(a);
                 for id in ids {
-                    if self.polls.kin.sought.insert(id.clone()) {
-                        self.polls.ask_for(StatusQuery { to: Requester::Kin, id, at: self.now });
+                    if self.status_queries.lineage.lookups.insert(id.clone()) {
+                        self.status_queries.enqueue(StatusQuery {
+                            requester: Requester::Lineage,
+                            id,
+                            asked_at: self.now,
+                        });
                     }
                 }
                 None
@@ -96,28 +100,28 @@
     }
 
     /// Looks again at what waits, once more is known.
-    pub(crate) fn tell_kin(&mut self) {
-        if !std::mem::take(&mut self.polls.kin.learned) {
+    pub(crate) fn retry_parked_queries(&mut self) {
+        if !std::mem::take(&mut self.status_queries.lineage.has_news) {
             return;
         }
         let mut clear = HashSet::new();
-        for a in std::mem::take(&mut self.polls.kin.parked) {
-            if let Some(a) = self.tell(a, &mut clear) {
-                self.polls.ask_for(a);
+        for a in std::mem::take(&mut self.status_queries.lineage.parked_queries) {
+            if let Some(a) = self.try_answer(a, &mut clear) {
+                self.status_queries.enqueue(a);
             }
         }
     }
 
     /// Questions that have waited for too long are given back.
-    pub(crate) fn drop_late_kin(&mut self) {
+    pub(crate) fn expire_parked_queries(&mut self) {
         let now = self.now;
-        let kin = &mut self.polls.kin;
-        if kin.parked.iter().all(|a| now - a.at <= PATIENCE_S) {
+        let kin = &mut self.status_queries.lineage;
+        if kin.parked_queries.iter().all(|a| now - a.asked_at <= PATIENCE_S) {
             return;
         }
         let (late, parked) =
-            std::mem::take(&mut kin.parked).into_iter().partition(|a| now - a.at > PATIENCE_S);
-        kin.parked = parked;
-        self.refuse_all(late, "jobs before it are being looked up");
+            std::mem::take(&mut kin.parked_queries).into_iter().partition(|a| now - a.asked_at > PATIENCE_S);
+        kin.parked_queries = parked;
+        self.fail_queries(late, "jobs before it are being looked up");
     }
 }
--- a/crates/controller/src/early_heartbeats.rs
+++ b/crates/controller/src/early_heartbeats.rs
@@ -7,7 +7,7 @@
 
 struct DeferredHeartbeat {
     request: RequestId,
-    report: Heartbeat,
+    heartbeat: Heartbeat,
     until: Time,
 }
 
@@ -16,28 +16,28 @@
 pub struct HeartbeatsBeforeRecovery {
     waiting: BTreeMap<String, DeferredHeartbeat>,
     /// No report's time is over before.
-    first_end: Time,
+    next_deadline: Time,
 }
 
 impl HeartbeatsBeforeRecovery {
     /// Keeps a report until `until`, of each machine the newest; returns the request of an older
     /// one. (A late copy once took the place of the report whose worker waited.)
-    pub fn hold(&mut self, request: RequestId, report: &Heartbeat, until: Time) -> Option<RequestId> {
-        let place = (report.session, report.seq);
-        let newer = |w: &DeferredHeartbeat| (w.report.session, w.report.seq) > place;
+    pub fn insert(&mut self, request: RequestId, report: &Heartbeat, until: Time) -> Option<RequestId> {
+        let place = (report.epoch, report.sequence);
+        let newer = |w: &DeferredHeartbeat| (w.heartbeat.epoch, w.heartbeat.sequence) > place;
         if self.waiting.get(&report.machine).is_some_and(newer) {
             return Some(request);
         }
-        if self.waiting.is_empty() || until < self.first_end {
-            self.first_end = until;
+        if self.waiting.is_empty() || until < self.next_deadline {
+            self.next_deadline = until;
         }
-        let waiting = DeferredHeartbeat { request, report: report.clone(), until };
+        let waiting = DeferredHeartbeat { request, heartbeat: report.clone(), until };
         Some(self.waiting.insert(report.machine.clone(), waiting)?.request)
     }
 
     /// Requests whose workers will not wait any longer.
-    pub fn late(&mut self, now: Time) -> Vec<RequestId> {
-        if self.waiting.is_empty() || now < self.first_end {
+    pub fn take_expired(&mut self, now: Time) -> Vec<RequestId> {
+        if self.waiting.is_empty() || now < self.next_deadline {
             return Vec::new();
         }
         let mut late = Vec::new();
@@ -48,12 +48,12 @@
             }
             keep
         });
-        self.first_end = self.waiting.values().map(|w| w.until).fold(Time::MAX, Time::min);
+        self.next_deadline = self.waiting.values().map(|w| w.until).fold(Time::MAX, Time::min);
         late
     }
 
     /// All that wait.
-    pub fn take(&mut self) -> Vec<(RequestId, Heartbeat)> {
-        std::mem::take(&mut self.waiting).into_values().map(|w| (w.request, w.report)).collect()
+    pub fn take_all(&mut self) -> Vec<(RequestId, Heartbeat)> {
+        std::mem::take(&mut self.waiting).into_values().map(|w| (w.request, w.heartbeat)).collect()
     }
 }
--- a/crates/controller/src/effective_priority.rs
+++ b/crates/controller/src/effective_priority.rs
@@ -15,11 +15,11 @@
 /// What the plan goes by.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct EffectivePriority {
-    pub band: u8,
+    pub priority: u8,
     pub deadline: f64,
-    pub last_chance: f64,
+    pub latest_useful_end: f64,
     /// Others need it, or usually need jobs of its class.
-    pub needed: bool,
+    pub has_dependents: bool,
 }
 
 /// What was asked of a class's jobs lately by those that needed them: some pipelines'
@@ -27,8 +27,8 @@
 #[derive(Debug, Clone, Default)]
 pub struct InheritedDemand {
     /// Part of the class's jobs that others needed.
-    share: f64,
-    band: u8,
+    dependent_share: f64,
+    priority: u8,
     /// From when such a job could start to when it had to be done, mean.
     within_s: f64,
 }
@@ -38,12 +38,12 @@
 
 impl InheritedDemand {
     /// A job of the class is done that was free at `since`.
-    fn learn(&mut self, since: f64, passed: Option<&InheritedPriority>) {
-        let first = self.share == 0.0;
+    fn record(&mut self, since: f64, passed: Option<&InheritedPriority>) {
+        let first = self.dependent_share == 0.0;
         let weight = if first { 1.0 } else { WEIGHT };
-        self.share += (f64::from(u8::from(passed.is_some())) - self.share) * weight;
+        self.dependent_share += (f64::from(u8::from(passed.is_some())) - self.dependent_share) * weight;
         if let Some(p) = passed.filter(|p| p.deadline < NEVER / 2.0) {
-            self.band = p.band;
+            self.priority = p.priority;
             let within_s = (p.deadline - since).max(0.0);
             self.within_s += (within_s - self.within_s) * if self.within_s == 0.0 { 1.0 } else { WEIGHT };
         }
@@ -51,123 +51,128 @@
 
     /// What will probably be asked of a job that was free at `since`.
     fn expect(&self, since: f64) -> Option<(u8, f64)> {
-        (self.share > 0.5 && self.within_s > 0.0).then_some((self.band, since + self.within_s))
+        (self.dependent_share > 0.5 && self.within_s > 0.0).then_some((self.priority, since + self.within_s))
     }
 }
 
 impl LeaderState {
     /// Job `id` is done: what was asked of it is what will be asked of its class.
-    pub(crate) fn learn_passed(&mut self, id: &str) {
+    pub(crate) fn learn_inherited_priority(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id) else { return };
         let known = self.classes.get(&job.spec.class);
         // Most classes have nothing to do with pipelines.
-        if job.passed.is_none() && known.is_none_or(|c| c.needed.share == 0.0) {
+        if job.inherited_priority.is_none() && known.is_none_or(|c| c.inherited_demand.dependent_share == 0.0)
+        {
             return;
         }
         let stats = self.classes.entry(job.spec.class.clone()).or_default();
-        stats.needed.learn(job.since, job.passed.as_ref());
+        stats.inherited_demand.record(job.ready_at, job.inherited_priority.as_ref());
     }
 }
 
 impl Controller {
     /// Up to how many times its deadline a job of a class still counts.
-    fn last_times(&self, class: &str) -> f64 {
-        let aims = &self.settings.params.objectives;
+    fn max_deadline_factor(&self, class: &str) -> f64 {
+        let aims = &self.settings.params.slos;
         let times = aims.iter().filter(|o| o.kind == "deadline" && o.class.as_deref() == Some(class));
-        times.filter_map(|o| o.times).fold(1.0, f64::max)
+        times.filter_map(|o| o.deadline_factor).fold(1.0, f64::max)
     }
 
     /// When its owner wants it done: by its deadline, else by the hardest of its class's
     /// aims at being finished, if there is one.
-    pub(crate) fn wanted_by(&self, job: &Job) -> f64 {
-        let aims = self.settings.params.objectives.iter();
+    pub(crate) fn due_by(&self, job: &Job) -> f64 {
+        let aims = self.settings.params.slos.iter();
         let mine = aims.filter(|o| o.kind == "finished" && o.class.as_deref() == Some(&job.spec.class));
-        let within = mine.filter_map(|o| o.within_s).fold(NEVER, f64::min);
-        job.spec.due_s.map_or(job.since + within, |due| job.submitted + due)
+        let within = mine.filter_map(|o| o.threshold_s).fold(NEVER, f64::min);
+        job.spec.deadline_s.map_or(job.ready_at + within, |due| job.submitted_at + due)
     }
 
     fn deadline(&self, job: &Job, times: f64) -> f64 {
         let s = &job.spec;
-        if let Some(d) = s.due_s {
-            return job.submitted + d * times;
+        if let Some(d) = s.deadline_s {
+            return job.submitted_at + d * times;
         }
         let within = |kind: &str| {
             self.settings
                 .params
-                .objectives
+                .slos
                 .iter()
                 .find(|o| o.kind == kind && o.class.as_deref() == Some(&s.class))
-                .and_then(|o| o.within_s)
+                .and_then(|o| o.threshold_s)
         };
         // Its class's aims stand in for a deadline: done by one aim, or
         // started by the other and then run.
         let done = within("finished");
-        let started = within("wait").map(|w| w + s.estimate_s);
+        let started = within("wait").map(|w| w + s.estimated_run_s);
         match (done, started) {
-            (Some(a), Some(b)) => job.since + a.min(b),
-            (Some(a), None) | (None, Some(a)) => job.since + a,
+            (Some(a), Some(b)) => job.ready_at + a.min(b),
+            (Some(a), None) | (None, Some(a)) => job.ready_at + a,
             (None, None) => NEVER,
         }
     }
 
     /// Work that nobody waits for: idle, without a deadline or an aim.
-    pub(crate) fn leftover(&self, s: &JobSpec) -> bool {
+    pub(crate) fn is_best_effort(&self, s: &JobSpec) -> bool {
         let aimed = |o: &settings::Slo| o.class.as_deref() == Some(&s.class);
-        let plain = s.priority == Priority::Low && s.due_s.is_none() && s.shape == Shape::Array;
-        plain && !self.settings.params.objectives.iter().any(aimed)
+        let plain = s.priority == Priority::Low && s.deadline_s.is_none() && s.shape == Shape::Array;
+        plain && !self.settings.params.slos.iter().any(aimed)
     }
 
     /// From the end of what a job awaits to its own end, as expected: a report's way, its
     /// image and its run.
-    fn takes_s(&self, job: &Job, ratio: f64) -> f64 {
-        let rates = self.types.iter().flatten().map(|t| t.fetch_gb_per_s).filter(|r| *r > 0.0);
+    fn expected_duration_s(&self, job: &Job, ratio: f64) -> f64 {
+        let rates = self.machine_types.iter().flatten().map(|t| t.fetch_gb_per_s).filter(|r| *r > 0.0);
         let fetch_s = job.spec.image_gb / rates.fold(f64::MAX, f64::min);
-        self.expected_run(job, ratio) + fetch_s + self.settings.params.workers.report_s / 2.0
+        self.expected_run(job, ratio) + fetch_s + self.settings.params.workers.heartbeat_interval_s / 2.0
     }
 
     /// What those that need them ask of the jobs before.
-    pub(crate) fn passed_back(&self) -> HashMap<String, InheritedPriority> {
+    pub(crate) fn inherited_priorities(&self) -> HashMap<String, InheritedPriority> {
         let Role::Leader(l) = &self.role else { return HashMap::new() };
-        let ratio = |class: &str| l.classes.get(class).map_or(1.0, ClassStats::ratio);
+        let ratio = |class: &str| l.classes.get(class).map_or(1.0, ClassStats::run_time_ratio);
         let own = |id: &str| {
             let job = l.jobs.get(id)?;
             let s = &job.spec;
             // An aim at its start or end counts from when it is free, which is its own
             // affair: what is passed back is the pipeline's deadline.
-            let due = |times: f64| s.due_s.map_or(NEVER, |d| job.submitted + d * times);
+            let due = |times: f64| s.deadline_s.map_or(NEVER, |d| job.submitted_at + d * times);
             Some(OwnPriority {
-                band: band(s),
+                priority: band(s),
                 deadline: due(1.0),
-                last_chance: due(self.last_times(&s.class)),
-                takes_s: self.takes_s(job, ratio(&s.class)),
+                latest_useful_end: due(self.max_deadline_factor(&s.class)),
+                expected_duration_s: self.expected_duration_s(job, ratio(&s.class)),
             })
         };
-        let passed = l.pipelines.graph.passed(own);
+        let passed = l.dependencies.graph.inherited_priorities(own);
         passed.into_iter().map(|(id, p)| (id.to_string(), p)).collect()
     }
 
     /// How urgent `job` is, given what is asked of it.
-    pub(crate) fn urgency(&self, job: &Job, passed: Option<&InheritedPriority>) -> EffectivePriority {
+    pub(crate) fn effective_priority(
+        &self,
+        job: &Job,
+        passed: Option<&InheritedPriority>,
+    ) -> EffectivePriority {
         let s = &job.spec;
         let mut u = EffectivePriority {
-            band: band(s),
+            priority: band(s),
             deadline: self.deadline(job, 1.0),
-            last_chance: self.deadline(job, self.last_times(&s.class)),
-            needed: passed.is_some(),
+            latest_useful_end: self.deadline(job, self.max_deadline_factor(&s.class)),
+            has_dependents: passed.is_some(),
         };
         if let Some(p) = passed {
-            u.band = u.band.max(p.band);
+            u.priority = u.priority.max(p.priority);
             u.deadline = u.deadline.min(p.deadline);
-            u.last_chance = u.last_chance.min(p.last_chance);
+            u.latest_useful_end = u.latest_useful_end.min(p.latest_useful_end);
         }
-        let open_ended = s.due_s.is_none() && passed.is_none_or(|p| p.deadline > NEVER / 2.0);
+        let open_ended = s.deadline_s.is_none() && passed.is_none_or(|p| p.deadline > NEVER / 2.0);
         if let (Role::Leader(l), true) = (&self.role, open_ended) {
-            let usual = l.classes.get(&s.class).and_then(|c| c.needed.expect(job.since));
+            let usual = l.classes.get(&s.class).and_then(|c| c.inherited_demand.expect(job.ready_at));
             if let Some((band, deadline)) = usual {
-                u.band = u.band.max(band);
+                u.priority = u.priority.max(band);
                 u.deadline = u.deadline.min(deadline);
-                u.last_chance = u.last_chance.min(deadline);
-                u.needed = true;
+                u.latest_useful_end = u.latest_useful_end.min(deadline);
+                u.has_dependents = true;
             }
         }
         u
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -14,56 +14,59 @@
 pub struct ElectionAttempt {
     pub lease: u64,
     /// When the lease was asked for: its time cannot have begun earlier.
-    pub asked: Time,
+    pub requested_at: Time,
 }
 
 impl Controller {
-    pub(crate) fn on_claim(&mut self, lease: u64, r: StoreReply) {
-        let Some(claim) = self.claim.filter(|c| c.lease == lease) else { return };
+    pub(crate) fn on_campaign_reply(&mut self, lease: u64, r: StoreReply) {
+        let Some(claim) = self.election_attempt.filter(|c| c.lease == lease) else { return };
         match r {
-            StoreReply::Committed(token) => self.begin_to_lead(claim, token),
+            StoreReply::Committed(token) => self.become_leader(claim, token),
             StoreReply::Unknown => {
-                self.state(CallContext::ClaimLook { lease }, StoreRequest::Get(LEADER_KEY.to_string()));
+                self.call_store(
+                    CallContext::CampaignRead { lease },
+                    StoreRequest::Get(LEADER_KEY.to_string()),
+                );
             }
-            _ => self.give_claim_up(claim),
+            _ => self.abandon_campaign(claim),
         }
     }
 
     /// The leader key, read back after a claim without an answer.
-    pub(crate) fn on_claim_look(&mut self, lease: u64, r: StoreReply) {
-        let Some(claim) = self.claim.filter(|c| c.lease == lease) else { return };
+    pub(crate) fn on_campaign_read(&mut self, lease: u64, r: StoreReply) {
+        let Some(claim) = self.election_attempt.filter(|c| c.lease == lease) else { return };
         match r {
             StoreReply::Item(Item { value: Value::Leader(l), version, .. }) if l.lease == lease => {
-                self.begin_to_lead(claim, version);
+                self.become_leader(claim, version);
             }
-            _ => self.give_claim_up(claim),
+            _ => self.abandon_campaign(claim),
         }
     }
 
     /// The leader key was seen as `leader` in that version.
-    pub(crate) fn see_own_claim(&mut self, leader: &LeaderRecord, token: u64) {
+    pub(crate) fn observe_own_campaign(&mut self, leader: &LeaderRecord, token: u64) {
         let own = |c: &ElectionAttempt| c.lease == leader.lease && leader.node == self.settings.node;
-        if let Some(claim) = self.claim.filter(own) {
-            self.begin_to_lead(claim, token);
+        if let Some(claim) = self.election_attempt.filter(own) {
+            self.become_leader(claim, token);
         }
     }
 
-    fn begin_to_lead(&mut self, claim: ElectionAttempt, token: u64) {
+    fn become_leader(&mut self, claim: ElectionAttempt, token: u64) {
         info!(token, "leading");
-        (self.claiming, self.claim) = (false, None);
+        (self.campaigning, self.election_attempt) = (false, None);
         self.known_leader = Some((self.settings.node.clone(), token));
-        let authority = LeaseAuthority::new(&self.d, claim.asked);
+        let authority = LeaseAuthority::new(&self.timing, claim.requested_at);
         self.role = Role::Leader(Box::new(LeaderState::new(token, claim.lease, self.now, authority)));
-        self.take_over_reports();
+        self.take_over_held_heartbeats();
     }
 
     /// It failed, or is not known to be carried out. Without its lease it never will be.
-    fn give_claim_up(&mut self, claim: ElectionAttempt) {
-        (self.claiming, self.claim) = (false, None);
-        self.state(CallContext::Revoke, StoreRequest::Revoke(claim.lease));
-        self.claim_at = self.now + self.d.renew_s / 4.0;
-        if !self.leader_watch.busy {
-            self.look_again(0.0);
+    fn abandon_campaign(&mut self, claim: ElectionAttempt) {
+        (self.campaigning, self.election_attempt) = (false, None);
+        self.call_store(CallContext::Revoke, StoreRequest::Revoke(claim.lease));
+        self.campaign_at = self.now + self.timing.renewal_interval_s / 4.0;
+        if !self.leader_watch.in_flight {
+            self.reread_leader(0.0);
         }
     }
 }
--- a/crates/controller/src/fleet.rs
+++ b/crates/controller/src/fleet.rs
@@ -16,106 +16,105 @@
 
 #[derive(Default)]
 pub struct Fleet {
-    budget: Option<RateLimiter>,
-    writes: Option<RateLimiter>,
-    pub listing: bool,
+    cloud_calls: Option<RateLimiter>,
+    leader_writes: Option<RateLimiter>,
+    pub list_in_flight: bool,
     pub list_at: Time,
     list_sent: Time,
-    list: Vec<ListedMachine>,
+    listed: Vec<ListedMachine>,
     /// The list goes on after that machine, and when its next page is due.
     list_after: Option<String>,
     page_at: Time,
     pub listed_once: bool,
-    types_busy: bool,
+    types_in_flight: bool,
     /// The rental whose outcome is not known yet.
-    rental: Option<PendingScaleOut>,
+    pending_scale_out: Option<PendingScaleOut>,
     /// The pool that the last rental was asked of.
-    rented: Option<MachinePool>,
+    last_scale_out_pool: Option<MachinePool>,
     /// No capacity there until then, with how often in a row.
-    blocked: BTreeMap<(String, String, bool), (Time, u32)>,
-    deleting: bool,
+    exhausted_pools: BTreeMap<(String, String, bool), (Time, u32)>,
+    delete_in_flight: bool,
     delete_at: Time,
     /// Next look for machines to be given back.
-    mark_at: Time,
+    scale_in_check_at: Time,
     /// Machines wanted beyond those there are, by pool.
     pub wanted: BTreeMap<MachinePool, u32>,
     /// Machines each pool keeps ready for what usually comes.
     pub reserve: BTreeMap<MachinePool, u32>,
     /// Machines wanted in one zone, for gangs that have to be together there.
-    pub zoned: BTreeMap<(MachinePool, String), u32>,
+    pub wanted_in_zone: BTreeMap<(MachinePool, String), u32>,
     /// Machines, by type and zone, that such gangs wait for the others of.
-    pub gathering: BTreeMap<(String, String), u32>,
+    pub assembling_gang_machines: BTreeMap<(String, String), u32>,
     /// Machines each pool should keep.
-    pub target: BTreeMap<MachinePool, u32>,
+    pub desired_capacity: BTreeMap<MachinePool, u32>,
     /// Machines of a pool beyond which no bad moment is likely to need one.
-    pub ample: BTreeMap<MachinePool, u32>,
+    pub generous_capacity: BTreeMap<MachinePool, u32>,
     /// Machines deleted, the oldest first: the list shows them for a while yet,
     /// and late reports may speak of them at any time.
-    buried: BTreeSet<String>,
-    buried_order: VecDeque<String>,
+    tombstones: BTreeSet<String>,
+    tombstone_order: VecDeque<String>,
     /// Zones out of reach: nothing is rented there.
-    pub reach: ZoneReachability,
+    pub zones: ZoneReachability,
 }
 
 struct PendingScaleOut {
-    rent: RentRequest,
-    asked: Time,
+    request: RentRequest,
+    requested_at: Time,
     in_flight: bool,
     retry_at: Time,
 }
 
 impl Fleet {
     pub fn write_budget(&mut self, rate: f64) -> &mut RateLimiter {
-        let budget = self.writes.get_or_insert_with(|| RateLimiter::new(rate));
+        let budget = self.leader_writes.get_or_insert_with(|| RateLimiter::new(rate));
         budget.set_rate(rate);
         budget
     }
 
     /// `machine` was deleted. Names of machines are never used again.
-    fn bury(&mut self, machine: &str) {
-        if self.buried.insert(machine.to_string()) {
-            self.buried_order.push_back(machine.to_string());
+    fn add_tombstone(&mut self, machine: &str) {
+        if self.tombstones.insert(machine.to_string()) {
+            self.tombstone_order.push_back(machine.to_string());
         }
-        if self.buried_order.len() > MOST_BURIED {
-            if let Some(oldest) = self.buried_order.pop_front() {
-                self.buried.remove(&oldest);
+        if self.tombstone_order.len() > MOST_BURIED {
+            if let Some(oldest) = self.tombstone_order.pop_front() {
+                self.tombstones.remove(&oldest);
             }
         }
     }
 
     /// Whether `machine` is known to be gone.
-    pub(crate) fn is_gone(&self, machine: &str) -> bool {
-        self.buried.contains(machine)
+    pub(crate) fn has_tombstone(&self, machine: &str) -> bool {
+        self.tombstones.contains(machine)
     }
 
     /// How many such machines may be had: none where they were refused just
     /// now, a few where they were refused lately, else any number. (All the
     /// work was once sent after a pool as soon as its pause was over, found a
     /// machine or none, and dearer machines were rented much too late.)
-    pub(crate) fn room(&self, now: Time, t: &MachineType, spot: bool) -> f64 {
+    pub(crate) fn available_machines(&self, now: Time, t: &MachineType, spot: bool) -> f64 {
         t.zones
             .iter()
-            .filter(|z| self.zone_open(now, &t.name, z, spot))
-            .map(
-                |z| {
-                    if self.refused_lately(now, &t.name, z, spot) {
-                        f64::from(PROBE)
-                    } else {
-                        f64::MAX / 1e6
-                    }
-                },
-            )
+            .filter(|z| self.is_zone_available(now, &t.name, z, spot))
+            .map(|z| {
+                if self.was_exhausted_lately(now, &t.name, z, spot) {
+                    f64::from(PROBE)
+                } else {
+                    f64::MAX / 1e6
+                }
+            })
             .sum()
     }
 
-    fn refused_lately(&self, now: Time, name: &str, zone: &str, spot: bool) -> bool {
+    fn was_exhausted_lately(&self, now: Time, name: &str, zone: &str, spot: bool) -> bool {
         let key = (name.to_string(), zone.to_string(), spot);
-        self.blocked.get(&key).is_some_and(|(until, _)| now - until < LEAST_CHARGE_S)
+        self.exhausted_pools.get(&key).is_some_and(|(until, _)| now - until < LEAST_CHARGE_S)
     }
 
-    pub(crate) fn zone_open(&self, now: Time, name: &str, zone: &str, spot: bool) -> bool {
+    pub(crate) fn is_zone_available(&self, now: Time, name: &str, zone: &str, spot: bool) -> bool {
         let key = (name.to_string(), zone.to_string(), spot);
-        !self.reach.is_dark(zone) && self.blocked.get(&key).is_none_or(|(until, _)| now >= *until)
+        !self.zones.is_unreachable(zone)
+            && self.exhausted_pools.get(&key).is_none_or(|(until, _)| now >= *until)
     }
 }
 
@@ -135,83 +134,83 @@
 /// rented until it can tell whether they are out of reach.
 fn unheard_zones(machines: &BTreeMap<String, Machine>, now: Time, d: &Timing) -> Vec<String> {
     let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-    for m in machines.values().filter(|m| m.life == MachinePhase::Up) {
+    for m in machines.values().filter(|m| m.phase == MachinePhase::Up) {
         let n = zones.entry(&m.zone).or_default();
-        *n = (n.0 + 1, n.1 + usize::from(m.heard_lately(now, d)));
+        *n = (n.0 + 1, n.1 + usize::from(m.is_heard(now, d)));
     }
     let unheard = zones.into_iter().filter(|(_, (up, heard))| heard * 3 < *up);
     unheard.map(|(zone, _)| zone.to_string()).collect()
 }
 
 impl Controller {
-    fn cloud_budget(&mut self) -> bool {
+    fn try_acquire_cloud_call(&mut self) -> bool {
         let (now, rate) = (self.now, self.settings.params.cloud.rps * 0.9);
         let Role::Leader(l) = &mut self.role else { return false };
-        l.fleet.budget.get_or_insert_with(|| RateLimiter::new(rate)).take(now, 1.0)
+        l.fleet.cloud_calls.get_or_insert_with(|| RateLimiter::new(rate)).try_acquire(now, 1.0)
     }
 
-    pub(crate) fn fleet_on_time(&mut self) {
+    pub(crate) fn tick_fleet(&mut self) {
         let now = self.now;
         let lag = self.settings.params.cloud.list_lag_s;
         let Role::Leader(l) = &self.role else { return };
-        let token = l.token;
-        let types_due = !l.fleet.types_busy && l.types_at.is_none_or(|t| now - t > 60.0);
-        if types_due && self.cloud_budget() {
-            self.cloud(CallContext::CloudTypes { token }, CloudRequest::Types);
+        let token = l.fencing_token;
+        let types_due = !l.fleet.types_in_flight && l.machine_types_read_at.is_none_or(|t| now - t > 60.0);
+        if types_due && self.try_acquire_cloud_call() {
+            self.call_cloud(CallContext::CloudTypes { token }, CloudRequest::Types);
             if let Role::Leader(l) = &mut self.role {
-                l.fleet.types_busy = true;
-                l.types_at = Some(now);
+                l.fleet.types_in_flight = true;
+                l.machine_types_read_at = Some(now);
             }
         }
         let Role::Leader(l) = &mut self.role else { return };
         // One that takes too long is begun anew: its first pages tell nothing any more.
-        if !l.fleet.listing && now - l.fleet.list_sent > self.settings.params.workers.lease_s {
+        if !l.fleet.list_in_flight && now - l.fleet.list_sent > self.settings.params.workers.lease_s {
             l.fleet.list_after = None;
         }
         let after = l.fleet.list_after.clone();
         let due = if after.is_some() { l.fleet.page_at } else { l.fleet.list_at };
-        if !l.fleet.listing && now >= due && self.cloud_budget() {
+        if !l.fleet.list_in_flight && now >= due && self.try_acquire_cloud_call() {
             // Every page is a call of its own. Half of the calls are left for the rest, but
             // nothing goes on before the first list is whole. (Pages beyond the first were once
             // asked for at once: with some thousand machines the cloud refused every list.)
             let pace = 2.0 / self.settings.params.cloud.rps;
             let Role::Leader(l) = &mut self.role else { return };
-            l.fleet.listing = true;
+            l.fleet.list_in_flight = true;
             l.fleet.page_at = if l.fleet.listed_once { now + pace } else { now };
             l.fleet.list_at = l.fleet.list_at.max(now + pace);
             if after.is_none() {
                 l.fleet.list_sent = now;
-                l.fleet.list.clear();
+                l.fleet.listed.clear();
                 l.fleet.list_at = now + (lag * 0.75).max(pace);
             }
-            self.cloud(CallContext::CloudList { token }, CloudRequest::List { after });
+            self.call_cloud(CallContext::CloudList { token }, CloudRequest::List { after });
         }
         let Role::Leader(l) = &mut self.role else { return };
         // It looks at every machine and place, and no return is that urgent.
-        if now >= l.fleet.mark_at {
-            l.fleet.mark_at = now + self.d.tick_s / 2.0;
-            self.mark_leaving();
+        if now >= l.fleet.scale_in_check_at {
+            l.fleet.scale_in_check_at = now + self.timing.planning_interval_s / 2.0;
+            self.tick_scale_in();
         }
-        self.delete_on_time();
-        self.rent_on_time();
+        self.tick_deletions();
+        self.tick_scale_out();
     }
 
-    pub(crate) fn on_cloud(&mut self, p: CallContext, r: CloudReply) {
+    pub(crate) fn on_cloud_reply(&mut self, p: CallContext, r: CloudReply) {
         match p {
-            CallContext::CloudTypes { token } => self.on_types(token, r),
-            CallContext::CloudList { token } => self.on_list(token, r),
-            CallContext::Rent { token } => self.on_rent(token, r),
-            CallContext::Delete { token, machines } => self.on_delete(token, &machines, r),
+            CallContext::CloudTypes { token } => self.on_machine_types(token, r),
+            CallContext::CloudList { token } => self.on_machine_list(token, r),
+            CallContext::ScaleOut { token } => self.on_scale_out(token, r),
+            CallContext::Delete { token, machines } => self.on_deleted(token, &machines, r),
             _ => {}
         }
     }
 
-    fn on_types(&mut self, token: u64, r: CloudReply) {
+    fn on_machine_types(&mut self, token: u64, r: CloudReply) {
         let now = self.now;
-        let Some(l) = self.lead(token) else { return };
-        l.fleet.types_busy = false;
+        let Some(l) = self.leader_state(token) else { return };
+        l.fleet.types_in_flight = false;
         let CloudReply::Types(t) = r else {
-            l.types_at = Some(now - 58.0);
+            l.machine_types_read_at = Some(now - 58.0);
             return;
         };
         let sane = |x: f64| x.is_finite() && x >= 0.0;
@@ -235,53 +234,56 @@
             warn!("catalogue of machine types makes no sense, ignored");
             return;
         }
-        l.plan_dirty = true;
-        let first = self.types.is_none();
-        self.types = Some(t.types.clone());
+        l.plan_needed = true;
+        let first = self.machine_types.is_none();
+        self.machine_types = Some(t.types.clone());
         if first {
             info!(types = t.types.len(), "machine types known");
-            self.store_types(token, t.types);
+            self.store_machine_types(token, t.types);
         }
     }
 
     /// Kept in the state service, so that a node can decide on submissions while the cloud
     /// does not answer: in one value, or, once every node reads that, in as many as it takes.
     /// (Too long for one transaction it is not kept: half of it would refuse what can run.)
-    fn store_types(&mut self, token: u64, types: Vec<MachineType>) {
-        let fit = self.limits.value_bytes();
+    fn store_machine_types(&mut self, token: u64, types: Vec<MachineType>) {
+        let fit = self.store_limits.value_bytes();
         let put = |(key, value)| Mutation::Put { key, value, lease: None };
         let whole = Value::Types(types.clone());
-        let changes: Vec<Mutation<Value>> = if json_size(&whole) > fit && self.newest_forms() {
+        let changes: Vec<Mutation<Value>> = if json_size(&whole) > fit && self.uses_current_format() {
             let gone = Mutation::Delete { key: TYPES_KEY.to_string() };
             catalogue(&types, fit).into_iter().map(put).chain([gone]).collect()
         } else {
             vec![put((TYPES_KEY.to_string(), whole))]
         };
-        if changes.len() <= self.limits.changes() {
+        if changes.len() <= self.store_limits.mutations() {
             let conditions = vec![Compare { key: LEADER_KEY.to_string(), version: token }];
-            self.state(CallContext::TypesWrite, StoreRequest::Commit(Transaction { conditions, changes }));
+            self.call_store(
+                CallContext::TypesWrite,
+                StoreRequest::Commit(Transaction { compares: conditions, mutations: changes }),
+            );
         }
     }
 
-    fn on_list(&mut self, token: u64, r: CloudReply) {
+    fn on_machine_list(&mut self, token: u64, r: CloudReply) {
         let now = self.now;
         let lag = self.settings.params.cloud.list_lag_s;
-        let Some(l) = self.lead(token) else { return };
-        l.fleet.listing = false;
+        let Some(l) = self.leader_state(token) else { return };
+        l.fleet.list_in_flight = false;
         // A page that failed is asked for again.
         let CloudReply::List(page) = r else { return };
         let after = page.machines.last().map(|m| m.id.clone());
-        l.fleet.list.extend(page.machines);
-        l.fleet.list_after = after.filter(|_| page.more && l.fleet.list.len() < MOST_MACHINES);
+        l.fleet.listed.extend(page.machines);
+        l.fleet.list_after = after.filter(|_| page.more && l.fleet.listed.len() < MOST_MACHINES);
         if l.fleet.list_after.is_some() {
             return;
         }
         let first = !l.fleet.listed_once;
         l.fleet.listed_once = true;
-        let list = std::mem::take(&mut l.fleet.list);
+        let list = std::mem::take(&mut l.fleet.listed);
         let mut failed = Vec::new();
         for item in &list {
-            if l.fleet.is_gone(&item.id) {
+            if l.fleet.has_tombstone(&item.id) {
                 continue;
             }
             let known = l.machines.contains_key(&item.id);
@@ -291,10 +293,10 @@
             if !known && !first {
                 info!(machine = %item.id, "unexpected machine in the list, adopted");
             }
-            (m.listed, m.doubted) = (true, None);
+            (m.listed, m.unconfirmed_since) = (true, None);
             // A machine that was heard first is older than that. (After a takeover
             // none was once old enough to be given back, for a minute.)
-            m.since = m.since.min(now - item.age_s);
+            m.known_since = m.known_since.min(now - item.age_s);
             if m.machine_type.is_empty() {
                 m.machine_type.clone_from(&item.machine_type);
                 m.zone.clone_from(&item.zone);
@@ -303,13 +305,13 @@
             if m.addr.is_empty() {
                 if let Some(a) = &item.addr {
                     m.addr.clone_from(a);
-                    l.stops.hurry(&item.id, now);
+                    l.pending_kills.retry_now(&item.id, now);
                 }
             }
             if item.state == MachineState::Running {
-                m.is_up(now);
+                m.mark_up(now);
             }
-            if item.state == MachineState::Failed && m.life != MachinePhase::Leaving {
+            if item.state == MachineState::Failed && m.phase != MachinePhase::Terminating {
                 failed.push(item.id.clone());
             }
         }
@@ -321,62 +323,63 @@
         let gone: Vec<String> = l
             .machines
             .values()
-            .filter(|m| !names.contains(m.id.as_str()) && m.listed && sent - m.since > settle)
+            .filter(|m| !names.contains(m.id.as_str()) && m.listed && sent - m.known_since > settle)
             .map(|m| m.id.clone())
             .collect();
         for id in &failed {
             if let Some(m) = l.machines.get_mut(id) {
-                m.life = MachinePhase::Leaving;
-                m.sick = true;
+                m.phase = MachinePhase::Terminating;
+                m.quarantined = true;
             }
         }
-        l.plan_dirty = true;
+        l.plan_needed = true;
         for id in gone {
             info!(machine = %id, "machine is gone");
             if let Role::Leader(l) = &mut self.role {
-                l.fleet.bury(&id);
+                l.fleet.add_tombstone(&id);
             }
-            self.lose_machine(&id, true);
+            self.remove_machine_work(&id, true);
         }
     }
 
     /// Classes whose work has to start at once: those with an aim at start, or
     /// all that run under a team's guarantee if that has one.
-    fn prompt_classes(&self) -> BTreeSet<String> {
+    fn latency_sensitive_classes(&self) -> BTreeSet<String> {
         let p = &self.settings.params;
-        let guaranteed = p.objectives.iter().any(|o| o.kind == "guarantee")
+        let guaranteed = p.slos.iter().any(|o| o.kind == "guarantee")
             && p.teams.iter().any(|t| t.cores > 0.0 || t.accelerators > 0.0);
         if guaranteed {
             if let Role::Leader(l) = &self.role {
                 return l.classes.keys().cloned().collect();
             }
         }
-        p.objectives.iter().filter(|o| o.kind == "wait").filter_map(|o| o.class.clone()).collect()
+        p.slos.iter().filter(|o| o.kind == "wait").filter_map(|o| o.class.clone()).collect()
     }
 
     /// Machines to be given back: faulty ones, boots that are stuck, idle
     /// ones beyond the target.
-    fn mark_leaving(&mut self) {
+    fn tick_scale_in(&mut self) {
         let now = self.now;
-        let types = self.types.clone().unwrap_or_default();
-        let entitled = self.entitled();
+        let types = self.machine_types.clone().unwrap_or_default();
+        let entitled = self.may_act();
         let own = self.operator.clone();
         let lease_s = self.settings.params.workers.lease_s;
-        let silent_s = self.d.silent_s / 2.0;
-        let prompt = self.prompt_classes();
-        let (asleep, bound, d) = (self.guards.asleep, self.guards.bound, self.d);
+        let silent_s = self.timing.failure_suspicion_s / 2.0;
+        let prompt = self.latency_sensitive_classes();
+        let (asleep, bound, d) =
+            (self.checks.retain_silent_machines, self.checks.zonal_scale_out, self.timing);
         let Role::Leader(l) = &mut self.role else { return };
-        let (since, reach) = (l.since, &l.fleet.reach);
+        let (since, reach) = (l.elected_at, &l.fleet.zones);
         // Nobody could give it work before. (After an outage whatever stood idle was once given
         // back in the moment before the users came again.)
-        let acts_since = if asleep { l.standing.acts_since() } else { 0.0 };
+        let acts_since = if asleep { l.tenure.entitled_since() } else { 0.0 };
         if !entitled {
             return;
         }
-        let places = l.jobs.values().flat_map(|j| j.places.values());
+        let places = l.jobs.values().flat_map(|j| j.placements.values());
         let used: HashSet<&str> = places.map(|p| p.machine.as_str()).collect();
         let mut count: BTreeMap<MachinePool, u32> = BTreeMap::new();
-        for m in l.machines.values().filter(|m| m.takes_work()) {
+        for m in l.machines.values().filter(|m| m.accepts_work()) {
             *count.entry((m.machine_type.clone(), m.spot)).or_insert(0) += 1;
         }
         let mut idle: Vec<(Time, String, bool)> = Vec::new();
@@ -386,36 +389,38 @@
             .classes
             .iter()
             .filter(|(name, _)| prompt.contains(name.as_str()))
-            .filter_map(|(_, c)| c.pool.as_ref().map(|u| u.pool.clone()))
+            .filter_map(|(_, c)| c.typical_demand.as_ref().map(|u| u.pool.clone()))
             .collect();
         for m in l.machines.values_mut() {
             let boot = types.iter().find(|t| t.name == m.machine_type).map_or(60.0, |t| t.boot_s);
             // Nor could it get work while it was not heard. (Of a zone that came back one machine was given
             // back in that moment, by a target of the time without it.)
-            let kept_busy = used.contains(m.id.as_str()) || asleep && m.quiet(now, &d);
+            let kept_busy = used.contains(m.id.as_str()) || asleep && m.missed_heartbeats(now, &d);
             m.idle_since = if kept_busy { now } else { m.idle_since.max(acts_since) };
-            match m.life {
+            match m.phase {
                 // After a take-over every worker has its lease's time to report: an
                 // idle machine that had been up for long was once taken for stuck.
                 MachinePhase::Booting
-                    if now - m.since > boot * own.boot_stuck
+                    if now - m.known_since > boot * own.boot_stuck
                         && now - since > lease_s
-                        && !reach.is_dark(&m.zone) =>
+                        && !reach.is_unreachable(&m.zone) =>
                 {
                     info!(machine = %m.id, "boot is stuck, giving it back");
-                    m.life = MachinePhase::Leaving;
+                    m.phase = MachinePhase::Terminating;
                 }
-                MachinePhase::Up if m.ears.hopeless() => {
+                MachinePhase::Up if m.reachability.is_lost() => {
                     info!(machine = %m.id, "hears nothing for too long, giving it back");
-                    m.life = MachinePhase::Leaving;
+                    m.phase = MachinePhase::Terminating;
+                }
+                MachinePhase::Up if m.quarantined && !used.contains(m.id.as_str()) => {
+                    m.phase = MachinePhase::Terminating
                 }
-                MachinePhase::Up if m.sick && !used.contains(m.id.as_str()) => m.life = MachinePhase::Leaving,
                 MachinePhase::Up
-                    if m.heard.is_some_and(|h| now - h < silent_s)
+                    if m.last_heard_at.is_some_and(|h| now - h < silent_s)
                         && m.tasks.is_empty()
-                        && m.notice_until.is_none()
+                        && m.spot_reclaim_at.is_none()
                         && now - m.idle_since > boot * own.idle_hold
-                        && now - m.since > LEAST_CHARGE_S =>
+                        && now - m.known_since > LEAST_CHARGE_S =>
                 {
                     let pool = (m.machine_type.clone(), m.spot);
                     let prompt = waited_for.contains(&pool) && now - m.idle_since <= boot;
@@ -426,14 +431,15 @@
         }
         idle.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         // Counted anew at each look, or it would hold for one only.
-        let mut gathering = l.fleet.gathering.clone();
+        let mut gathering = l.fleet.assembling_gang_machines.clone();
         for (_, id, prompt) in idle {
             let Some(m) = l.machines.get_mut(&id) else { continue };
             let waits = gathering.get_mut(&(m.machine_type.clone(), m.zone.clone()));
             // Not beyond the time in which the others would have come. (What could never be whole
             // once kept the last machines to be had from others for ever.)
             let boot = types.iter().find(|t| t.name == m.machine_type).map_or(60.0, |t| t.boot_s);
-            let in_time = !bound || now - m.idle_since < (boot * own.boot_stuck).max(d.dark_hold_s);
+            let in_time =
+                !bound || now - m.idle_since < (boot * own.boot_stuck).max(d.unreachable_zone_retention_s);
             if let Some(n) = waits.filter(|n| **n > 0 && in_time) {
                 *n -= 1;
                 continue;
@@ -441,62 +447,62 @@
             let pool = (m.machine_type.clone(), m.spot);
             let have = count.entry(pool.clone()).or_insert(0);
             // Far more idle ones than a bad moment takes are not worth it.
-            let keep = if prompt { &l.fleet.ample } else { &l.fleet.target };
+            let keep = if prompt { &l.fleet.generous_capacity } else { &l.fleet.desired_capacity };
             if *have > keep.get(&pool).copied().unwrap_or(0) {
                 *have -= 1;
                 info!(machine = %id, kind = %pool.0, spot = pool.1, "idle beyond the target, giving it back");
-                m.life = MachinePhase::Leaving;
+                m.phase = MachinePhase::Terminating;
             }
         }
     }
 
-    fn delete_on_time(&mut self) {
+    fn tick_deletions(&mut self) {
         let now = self.now;
-        let entitled = self.entitled();
+        let entitled = self.may_act();
         let Role::Leader(l) = &mut self.role else { return };
-        if l.fleet.deleting || now < l.fleet.delete_at || !entitled {
+        if l.fleet.delete_in_flight || now < l.fleet.delete_at || !entitled {
             return;
         }
         let names: Vec<String> = l
             .machines
             .values()
-            .filter(|m| m.life == MachinePhase::Leaving)
+            .filter(|m| m.phase == MachinePhase::Terminating)
             .map(|m| m.id.clone())
             .take(MOST_DELETED)
             .collect();
-        if names.is_empty() || !self.cloud_budget() {
+        if names.is_empty() || !self.try_acquire_cloud_call() {
             return;
         }
         let Role::Leader(l) = &mut self.role else { return };
-        l.fleet.deleting = true;
-        let token = l.token;
-        self.cloud(CallContext::Delete { token, machines: names.clone() }, CloudRequest::Delete(names));
+        l.fleet.delete_in_flight = true;
+        let token = l.fencing_token;
+        self.call_cloud(CallContext::Delete { token, machines: names.clone() }, CloudRequest::Delete(names));
     }
 
-    fn on_delete(&mut self, token: u64, machines: &[String], r: CloudReply) {
+    fn on_deleted(&mut self, token: u64, machines: &[String], r: CloudReply) {
         let now = self.now;
-        let Some(l) = self.lead(token) else { return };
-        l.fleet.deleting = false;
+        let Some(l) = self.leader_state(token) else { return };
+        l.fleet.delete_in_flight = false;
         if r == CloudReply::Done {
             for id in machines {
-                l.fleet.bury(id);
+                l.fleet.add_tombstone(id);
             }
             for id in machines {
-                self.lose_machine(id, true);
+                self.remove_machine_work(id, true);
             }
         } else {
             l.fleet.delete_at = now + 1.0;
         }
     }
 
-    fn rent_on_time(&mut self) {
+    fn tick_scale_out(&mut self) {
         let now = self.now;
-        let entitled = self.entitled();
-        let types = self.types.clone().unwrap_or_default();
-        let d = self.d;
+        let entitled = self.may_act();
+        let types = self.machine_types.clone().unwrap_or_default();
+        let d = self.timing;
         let Role::Leader(l) = &mut self.role else { return };
-        let token = l.token;
-        if let Some(r) = &l.fleet.rental {
+        let token = l.fencing_token;
+        if let Some(r) = &l.fleet.pending_scale_out {
             if r.in_flight || now < r.retry_at {
                 return;
             }
@@ -509,7 +515,7 @@
                 return;
             }
             // No machine that no node could take.
-            let room = self.room_left();
+            let room = self.machine_capacity_left();
             if room == 0 {
                 return;
             }
@@ -519,16 +525,20 @@
             // ordinary machines once kept hundreds of spot machines waiting for half
             // a minute, and the largest call first kept gangs waiting for theirs.
             let mut choice: Option<(String, bool, String, u32)> = None;
-            let unsure = if now - l.since < d.tour_s { unheard_zones(&l.machines, now, &d) } else { vec![] };
+            let unsure = if now - l.elected_at < d.worker_failover_s {
+                unheard_zones(&l.machines, now, &d)
+            } else {
+                vec![]
+            };
             let rents_in = |name: &str, zone: &String, spot: bool| {
-                l.fleet.zone_open(now, name, zone, spot) && !unsure.contains(zone)
+                l.fleet.is_zone_available(now, name, zone, spot) && !unsure.contains(zone)
             };
             for ((name, spot), n) in &l.fleet.wanted {
                 let Some(t) = types.iter().find(|t| t.name == *name) else { continue };
                 // What is wanted in one zone is of no use in another.
                 let shut = l
                     .fleet
-                    .zoned
+                    .wanted_in_zone
                     .iter()
                     .filter(|((p, z), _)| p.0 == *name && p.1 == *spot && !rents_in(name, z, *spot));
                 let n = n.saturating_sub(shut.map(|(_, n)| n).sum());
@@ -553,15 +563,16 @@
                     let mut part = n.div_ceil(zones.len() as u32).clamp(1, MOST_RENTED);
                     let mut zone = *zone;
                     let together = zones.iter().find_map(|(_, z)| {
-                        let n = l.fleet.zoned.get(&((name.clone(), *spot), (*z).clone()))?;
+                        let n = l.fleet.wanted_in_zone.get(&((name.clone(), *spot), (*z).clone()))?;
                         (*n > 0).then_some((*z, *n))
                     });
                     if let Some((z, n)) = together {
                         (zone, part) = (z, n.min(MOST_RENTED));
                     }
-                    let lately = l.fleet.refused_lately(now, name, zone, *spot);
+                    let lately = l.fleet.was_exhausted_lately(now, name, zone, *spot);
                     let part = if lately { part.min(PROBE) } else { part }.min(room);
-                    let again = l.fleet.rented.as_ref().is_some_and(|r| r.0 == *name && r.1 == *spot);
+                    let again =
+                        l.fleet.last_scale_out_pool.as_ref().is_some_and(|r| r.0 == *name && r.1 == *spot);
                     if choice.is_none() || !again {
                         choice = Some((name.clone(), *spot, zone.clone(), part));
                     }
@@ -571,32 +582,32 @@
                 }
             }
             let Some((machine_type, spot, zone, count)) = choice else { return };
-            l.fleet.rented = Some((machine_type.clone(), spot));
-            l.booking += 1;
-            let request = format!("r-{token}-{}", l.booking);
-            l.fleet.rental = Some(PendingScaleOut {
-                rent: RentRequest { request, machine_type, zone, spot, count },
-                asked: now,
+            l.fleet.last_scale_out_pool = Some((machine_type.clone(), spot));
+            l.scale_out_count += 1;
+            let request = format!("r-{token}-{}", l.scale_out_count);
+            l.fleet.pending_scale_out = Some(PendingScaleOut {
+                request: RentRequest { request, machine_type, zone, spot, count },
+                requested_at: now,
                 in_flight: false,
                 retry_at: now,
             });
         }
-        if !self.cloud_budget() {
+        if !self.try_acquire_cloud_call() {
             return;
         }
         let Role::Leader(l) = &mut self.role else { return };
-        if let Some(r) = &mut l.fleet.rental {
+        if let Some(r) = &mut l.fleet.pending_scale_out {
             r.in_flight = true;
-            let rent = r.rent.clone();
-            self.cloud(CallContext::Rent { token }, CloudRequest::Rent(rent));
+            let rent = r.request.clone();
+            self.call_cloud(CallContext::ScaleOut { token }, CloudRequest::Rent(rent));
         }
     }
 
-    fn on_rent(&mut self, token: u64, r: CloudReply) {
+    fn on_scale_out(&mut self, token: u64, r: CloudReply) {
         let now = self.now;
-        let Some(l) = self.lead(token) else { return };
-        let Some(mut rental) = l.fleet.rental.take() else { return };
-        let rent = rental.rent.clone();
+        let Some(l) = self.leader_state(token) else { return };
+        let Some(mut rental) = l.fleet.pending_scale_out.take() else { return };
+        let rent = rental.request.clone();
         let key = (rent.machine_type.clone(), rent.zone.clone(), rent.spot);
         match r {
             CloudReply::Machines(got) => {
@@ -604,29 +615,29 @@
                       asked = rent.count, got = got.machines.len(), "rented");
                 for id in &got.machines {
                     l.machines.entry(id.clone()).or_insert_with(|| {
-                        Machine::new(id, &rent.machine_type, &rent.zone, rent.spot, rental.asked)
+                        Machine::new(id, &rent.machine_type, &rent.zone, rent.spot, rental.requested_at)
                     });
                 }
                 let pool = (rent.machine_type.clone(), rent.spot);
                 if let Some(n) = l.fleet.wanted.get_mut(&pool) {
                     *n = n.saturating_sub(got.machines.len() as u32);
                 }
-                if let Some(n) = l.fleet.zoned.get_mut(&(pool, rent.zone.clone())) {
+                if let Some(n) = l.fleet.wanted_in_zone.get_mut(&(pool, rent.zone.clone())) {
                     *n = n.saturating_sub(got.machines.len() as u32);
                 }
                 if (got.machines.len() as u32) < rent.count {
-                    l.fleet.blocked.insert(key, (now + 10.0, 1));
+                    l.fleet.exhausted_pools.insert(key, (now + 10.0, 1));
                 } else {
-                    l.fleet.blocked.remove(&key);
+                    l.fleet.exhausted_pools.remove(&key);
                 }
-                l.plan_dirty = true;
+                l.plan_needed = true;
             }
             CloudReply::NoCapacity => {
-                let often = l.fleet.blocked.get(&key).map_or(0, |b| b.1) + 1;
+                let often = l.fleet.exhausted_pools.get(&key).map_or(0, |b| b.1) + 1;
                 let pause = 5.0 * f64::from(often.min(4));
                 info!(kind = %rent.machine_type, zone = %rent.zone, spot = rent.spot, "no capacity");
-                l.fleet.blocked.insert(key, (now + pause, often));
-                l.plan_dirty = true;
+                l.fleet.exhausted_pools.insert(key, (now + pause, often));
+                l.plan_needed = true;
             }
             CloudReply::Malformed => warn!("rental refused as malformed"),
             // Refused or unknown: the same request again, under its name,
@@ -634,7 +645,7 @@
             _ => {
                 rental.in_flight = false;
                 rental.retry_at = now + 1.0;
-                l.fleet.rental = Some(rental);
+                l.fleet.pending_scale_out = Some(rental);
             }
         }
     }
--- a/crates/controller/src/format_negotiation.rs
+++ b/crates/controller/src/format_negotiation.rs
@@ -10,8 +10,8 @@
 /// what was said once holds; a node that nothing was heard of counts as the oldest.
 #[derive(Debug, Default)]
 pub struct FormatNegotiation {
-    said: BTreeMap<String, u32>,
-    evident: bool,
+    reported_formats: BTreeMap<String, u32>,
+    confirmed: bool,
     pub gate: FormatGateProbe,
 }
 
@@ -19,51 +19,51 @@
 /// heard nobody; what it cannot know from that it reads there.
 #[derive(Debug, Default)]
 pub struct FormatGateProbe {
-    busy: bool,
-    next: Time,
-    seen: bool,
+    in_flight: bool,
+    probe_at: Time,
+    was_answered: bool,
 }
 
 impl FormatGateProbe {
     /// Whether the gate has been seen, open or not.
-    pub fn seen(&self) -> bool {
-        self.seen
+    pub fn was_answered(&self) -> bool {
+        self.was_answered
     }
 
     /// Whether to look `now`; again `every` seconds later.
     pub fn begin(&mut self, now: Time, every: Time) -> bool {
-        let due = !self.busy && now >= self.next;
+        let due = !self.in_flight && now >= self.probe_at;
         if due {
-            (self.busy, self.next) = (true, now + every);
+            (self.in_flight, self.probe_at) = (true, now + every);
         }
         due
     }
 
     /// A look has ended; whether it was answered.
     pub fn end(&mut self, answered: bool) {
-        (self.busy, self.seen) = (false, self.seen || answered);
+        (self.in_flight, self.was_answered) = (false, self.was_answered || answered);
     }
 }
 
 impl FormatNegotiation {
     /// Node `node` reads formats up to `format`.
-    pub fn heard(&mut self, node: &str, format: u32) {
-        let said = self.said.entry(node.to_string()).or_insert(0);
+    pub fn record(&mut self, node: &str, format: u32) {
+        let said = self.reported_formats.entry(node.to_string()).or_insert(0);
         *said = (*said).max(format);
     }
 
     /// Something was asked, or refused, that only comes after all nodes have this version.
     /// True the first time.
-    pub fn is_evident(&mut self) -> bool {
-        !std::mem::replace(&mut self.evident, true)
+    pub fn confirm(&mut self) -> bool {
+        !std::mem::replace(&mut self.confirmed, true)
     }
 
     /// The newest format that all of `peers` and this node read.
-    pub fn all_read(&self, peers: &[Peer]) -> u32 {
-        if self.evident {
+    pub fn common_format(&self, peers: &[Peer]) -> u32 {
+        if self.confirmed {
             return FORMAT;
         }
-        let said = |p: &Peer| self.said.get(&p.node).copied().unwrap_or(0);
+        let said = |p: &Peer| self.reported_formats.get(&p.node).copied().unwrap_or(0);
         peers.iter().map(said).min().unwrap_or(FORMAT).min(FORMAT)
     }
 }
--- a/crates/controller/src/heartbeat_proxying.rs
+++ b/crates/controller/src/heartbeat_proxying.rs
@@ -14,80 +14,80 @@
 
 /// Where a worker finds room.
 pub enum WorkerAdmission {
-    Here,
-    At(String),
-    Nowhere,
+    Accept,
+    Redirect(String),
+    Reject,
 }
 
 /// How a report came, and so how its answer goes.
 pub enum ReplyRoute {
     Direct(RequestId),
     /// By that node; the answer is for the report of that session and number.
-    Relayed(ProxyId, u64, u64),
+    Forwarded(ProxyId, u64, u64),
 }
 
 impl Controller {
     pub(crate) fn redirect(&mut self, req: RequestId, report_to: Option<String>) {
-        self.answer(req, 421, protocol::encode(&Redirect { report_to }));
+        self.respond(req, 421, protocol::encode(&Redirect { report_to }));
     }
 
     /// A report at a node that does not lead.
-    pub(crate) fn report_at_gateway(&mut self, req: RequestId, report: Heartbeat) {
-        let known = self.gateway.knows(&report.machine);
-        match self.find_room(known) {
-            WorkerAdmission::Here => {}
-            WorkerAdmission::At(node) => return self.redirect(req, Some(node)),
-            WorkerAdmission::Nowhere => return self.refuse(req, 503, "no room for more workers"),
+    pub(crate) fn on_proxied_heartbeat(&mut self, req: RequestId, report: Heartbeat) {
+        let known = self.proxy.knows(&report.machine);
+        match self.admit_worker(known) {
+            WorkerAdmission::Accept => {}
+            WorkerAdmission::Redirect(node) => return self.redirect(req, Some(node)),
+            WorkerAdmission::Reject => return self.respond_error(req, 503, "no room for more workers"),
         }
-        if self.gateway.may_go(self.now, &report) {
-            let (own, others) = self.members();
-            if let Some(node) = self.spread.better(self.now, &report.machine, &own, &others) {
-                self.gateway.sent_on(self.now, &report.machine);
-                self.workers_here = self.workers_here.saturating_sub(1);
+        if self.proxy.may_be_moved(self.now, &report) {
+            let (own, others) = self.shard_members();
+            if let Some(node) = self.balancer.pick_better_node(self.now, &report.machine, &own, &others) {
+                self.proxy.on_worker_moved(self.now, &report.machine);
+                self.worker_count = self.worker_count.saturating_sub(1);
                 return self.redirect(req, Some(node));
             }
         }
-        self.gateway.on_report(self.now, req, report);
-        self.carry_acts();
+        self.proxy.on_heartbeat(self.now, req, report);
+        self.perform_proxy_actions();
     }
 
     /// This node leads from now on: what waits in its gateway is its own.
-    pub(crate) fn take_over_reports(&mut self) {
+    pub(crate) fn take_over_held_heartbeats(&mut self) {
         // Counted anew as they report.
-        self.workers_here = 0;
-        for (request, report) in self.gateway.hand_over() {
-            self.on_own_report(request, &report);
+        self.worker_count = 0;
+        for (request, report) in self.proxy.take_held_heartbeats() {
+            self.on_leader_heartbeat(request, &report);
         }
     }
 
-    pub(crate) fn gateway_on_time(&mut self) {
+    pub(crate) fn tick_proxy(&mut self) {
         if self.is_leader() {
             return;
         }
         // The state service says who leads, but a node that misses it hears of a
         // newer leader from that one itself.
-        let fresh = |at: f64| self.now - at < self.d.leader_ttl_s;
+        let fresh = |at: f64| self.now - at < self.timing.leader_lease_s;
         let claims = self.peers.values().filter(|(v, at)| v.token > 0 && fresh(*at));
         let claimed = claims.map(|(v, _)| (v.node.clone(), v.token)).max_by_key(|(_, t)| *t);
         let known = self.known_leader.clone().filter(|(n, _)| *n != self.settings.node);
         let leader = match (known, claimed) {
             (Some(k), Some(c)) if c.1 > k.1 => Some(c),
-            (None, Some(c)) if c.1 > self.last_token => Some(c),
+            (None, Some(c)) if c.1 > self.last_stored_token => Some(c),
             (k, _) => k,
         };
-        self.last_token = self.last_token.max(self.known_leader.as_ref().map_or(0, |l| l.1));
-        self.gateway.follow(self.now, leader);
-        self.gateway.on_time(self.now);
-        self.carry_acts();
-        self.tell_leave();
+        self.last_stored_token = self.last_stored_token.max(self.known_leader.as_ref().map_or(0, |l| l.1));
+        self.proxy.set_leader(self.now, leader);
+        self.proxy.tick(self.now);
+        self.perform_proxy_actions();
+        self.log_delegated_lease();
     }
 
     /// A line when leave comes and goes.
-    fn tell_leave(&mut self) {
-        let serves = self.gateway.serves(self.now);
-        if serves != self.served {
-            self.served = serves;
-            let (leader, token) = self.gateway.leader().cloned().unwrap_or_default();
+    fn log_delegated_lease(&mut self) {
+        let serves = self.proxy.may_respond(self.now);
+        if serves != self.was_proxying {
+            self.was_proxying = serves;
+            let (leader, token) = self.proxy.leader().cloned().unwrap_or_default();
             if serves {
                 info!(leader, token, "answering reports on the leader's leave");
             } else {
@@ -96,115 +96,122 @@
         }
     }
 
-    fn carry_acts(&mut self) {
-        for act in self.gateway.take_acts() {
+    fn perform_proxy_actions(&mut self) {
+        for act in self.proxy.take_actions() {
             match act {
-                ProxyAction::Answer(req, answer) => self.answer(req, 200, protocol::encode(&answer)),
-                ProxyAction::Elsewhere(req, node) => self.redirect(req, node),
-                ProxyAction::Refuse(req, why) => self.refuse(req, 503, why),
-                ProxyAction::Call(node, request) => {
-                    let id = self.call_id(CallContext::Relay);
-                    self.out.push(Output::Relay(id, node, request));
+                ProxyAction::Respond(req, answer) => self.respond(req, 200, protocol::encode(&answer)),
+                ProxyAction::Redirect(req, node) => self.redirect(req, node),
+                ProxyAction::Reject(req, why) => self.respond_error(req, 503, why),
+                ProxyAction::Forward(node, request) => {
+                    let id = self.register_call(CallContext::Forward);
+                    self.outputs.push(Output::Forward(id, node, request));
                 }
             }
         }
     }
 
-    pub(crate) fn on_relay_reply(&mut self, reply: Option<ForwardReply>) {
-        self.gateway.on_reply(self.now, reply);
-        self.carry_acts();
+    pub(crate) fn on_forward_reply(&mut self, reply: Option<ForwardReply>) {
+        self.proxy.on_reply(self.now, reply);
+        self.perform_proxy_actions();
     }
 
     /// Another node passes reports on.
-    pub(crate) fn on_relay_request(&mut self, req: RequestId, r: ForwardRequest) {
+    pub(crate) fn on_forward_request(&mut self, req: RequestId, r: ForwardRequest) {
         let now = self.now;
         let known = self.settings.peers.iter().any(|p| p.node == r.node);
         if known {
-            self.presence.started(now, &r.node, r.incarnation);
+            self.peer_liveness.record_incarnation(now, &r.node, r.incarnation);
         }
         let Role::Leader(l) = &mut self.role else {
-            return self.out.push(Output::RelayReply(req, ForwardReply::default()));
+            return self.outputs.push(Output::ForwardReply(req, ForwardReply::default()));
         };
         // What was meant for an earlier leadership may be minutes old.
-        let ready = l.loaded && r.token == l.token;
-        if !known || !l.relays.on_request(now, req, &r, ready) {
-            return self.out.push(Output::RelayReply(req, ForwardReply::default()));
+        let ready = l.recovered && r.token == l.fencing_token;
+        if !known || !l.forwarding.on_request(now, req, &r, ready) {
+            return self.outputs.push(Output::ForwardReply(req, ForwardReply::default()));
         }
         if !ready {
             return;
         }
         let source: ProxyId = (r.node, r.incarnation);
         for entry in r.entries {
-            self.on_entry(&source, entry);
+            self.on_forwarded_heartbeat(&source, entry);
         }
     }
 
-    fn on_entry(&mut self, source: &ProxyId, entry: ForwardedHeartbeat) {
-        let (now, close, gap) = (self.now, self.d.heard_s, self.d.report_gap_s);
+    fn on_forwarded_heartbeat(&mut self, source: &ProxyId, entry: ForwardedHeartbeat) {
+        let (now, close, gap) = (self.now, self.timing.heartbeat_validity_s, self.timing.max_heartbeat_gap_s);
         let came = now - f64::from(entry.age_ms) / 1000.0;
         let Role::Leader(l) = &mut self.role else { return };
-        let (token, held, place) = (l.token, entry.held, (entry.session, entry.seq));
+        let (token, held, place) = (l.fencing_token, entry.held, (entry.session, entry.seq));
         let machine = entry.machine.clone();
         let mut known = l.machines.get_mut(&machine);
         if let Some(m) = &mut known {
             // Its node may have answered it, whatever is known of what it says.
-            m.beat(place, came, true);
+            m.record_heartbeat(place, came, true);
         }
         // The report of which this one says the same, if it does.
         let base = entry.content.is_none().then_some((entry.session, entry.same_as));
         let report = match (base, known) {
             (None, _) => entry.report(),
             // Most of all: its tasks go on as they did.
-            (Some(base), Some(m)) if m.content == base && !held && m.calm(now, close) => {
-                if place > m.newest {
-                    m.newest = place;
-                    m.reported_at(came);
-                    m.stays = false;
-                    l.relays.hearing.heard(came, &source.0, &m.zone, gap);
+            (Some(base), Some(m)) if m.content_position == base && !held && m.is_reconciled(now, close) => {
+                if place > m.newest_position {
+                    m.newest_position = place;
+                    m.record_unsolicited_heartbeat(came);
+                    m.reports_here = false;
+                    l.forwarding.observations.record(came, &source.0, &m.zone, gap);
                 }
                 return;
             }
-            (Some(base), Some(m)) if m.content == base => Some(m.repeated(place.1)),
-            (Some(_), Some(m)) if place <= m.newest => None,
+            (Some(base), Some(m)) if m.content_position == base => Some(m.repeated_heartbeat(place.1)),
+            (Some(_), Some(m)) if place <= m.newest_position => None,
             (Some(_), _) => {
-                l.relays.want(source, &machine);
+                l.forwarding.request_content(source, &machine);
                 None
             }
         };
-        let Some(report) = report.filter(|r| r.token <= token) else { return };
-        if !self.receive(&report, Some(source.clone()), came) {
+        let Some(report) = report.filter(|r| r.fencing_token <= token) else { return };
+        if !self.ingest_heartbeat(&report, Some(source.clone()), came) {
             return;
         }
         if let (Some(base), Role::Leader(l)) = (base, &mut self.role) {
             if let Some(m) = l.machines.get_mut(&machine) {
-                m.content = base;
+                m.content_position = base;
             }
         }
         if held {
-            self.hold_report(&report, ReplyRoute::Relayed(source.clone(), place.0, place.1));
+            self.defer_response(&report, ReplyRoute::Forwarded(source.clone(), place.0, place.1));
         } else {
-            self.attend_to(&machine);
+            self.update_leader_only(&machine);
         }
     }
 
     /// Answers a report that was held here.
-    pub(crate) fn answer_report(&mut self, machine: &str, held: PendingHeartbeat, answer: HeartbeatResponse) {
-        match held.way {
-            ReplyRoute::Direct(request) => self.answer(request, 200, protocol::encode(&answer)),
+    pub(crate) fn respond_to_heartbeat(
+        &mut self,
+        machine: &str,
+        held: PendingHeartbeat,
+        answer: HeartbeatResponse,
+    ) {
+        match held.reply_route {
+            ReplyRoute::Direct(request) => self.respond(request, 200, protocol::encode(&answer)),
             // Its node answers an idle machine by itself when its time is over.
-            ReplyRoute::Relayed(..) if held.idle && answer.commands.is_empty() => {}
-            ReplyRoute::Relayed(source, session, seq) => {
+            ReplyRoute::Forwarded(..) if held.idle && answer.commands.is_empty() => {}
+            ReplyRoute::Forwarded(source, session, seq) => {
                 let orders = answer.commands.iter().map(TaskCommand::from).collect();
                 let Role::Leader(l) = &mut self.role else { return };
-                l.relays
-                    .order(&source, MachineCommands { machine: machine.to_string(), session, seq, orders });
+                l.forwarding.add_commands(
+                    &source,
+                    MachineCommands { machine: machine.to_string(), session, seq, orders },
+                );
             }
         }
     }
 
     /// Sees to it that only the leader answers `machine` while it has something
     /// to tell there.
-    pub(crate) fn attend_to(&mut self, machine: &str) {
+    pub(crate) fn update_leader_only(&mut self, machine: &str) {
         let now = self.now;
         let Role::Leader(l) = &mut self.role else { return };
         let mut stops = None;
@@ -212,16 +219,16 @@
         let places = on.len();
         for (id, task) in on {
             let Some(job) = l.jobs.get(&id) else { continue };
-            let Some(p) = job.places.get(&task) else { continue };
+            let Some(p) = job.placements.get(&task) else { continue };
             if p.stopping.is_some() {
                 stops = Some(true);
-            } else if p.seen.is_none() && !p.inherited && stops.is_none() {
+            } else if p.observed_state.is_none() && !p.inherited && stops.is_none() {
                 stops = Some(false);
             }
         }
         if let Some(m) = l.machines.get(machine) {
             let placed = |id: &str, n: u32, attempt: u64| {
-                let place = l.jobs.get(id).and_then(|j| j.places.get(&n));
+                let place = l.jobs.get(id).and_then(|j| j.placements.get(&n));
                 place.is_some_and(|p| p.machine == machine && p.attempt == attempt)
             };
             let live = m.tasks.iter().filter(|t| t.state != TaskState::Exited);
@@ -232,172 +239,185 @@
                 stops = Some(true);
             }
         }
-        l.relays.attend(machine, stops);
-        let settled = |m: &Machine| m.content_token == l.token && places == m.tasks.len();
+        l.forwarding.set_leader_only(machine, stops);
+        let settled = |m: &Machine| m.content_token == l.fencing_token && places == m.tasks.len();
         if let Some(m) = l.machines.get_mut(machine) {
-            m.calm_at = (stops.is_none() && settled(m)).then_some(now);
+            m.reconciled_at = (stops.is_none() && settled(m)).then_some(now);
         }
     }
 
     /// Replies that are due to the gateways.
-    pub(crate) fn relays_on_time(&mut self) {
+    pub(crate) fn tick_forwarding(&mut self) {
         let now = self.now;
-        let (leave_s, hold) = (self.d.leave_s, self.d.relay_s);
+        let (leave_s, hold) = (self.timing.delegated_lease_s, self.timing.forward_interval_s);
         let Role::Leader(l) = &mut self.role else { return };
         // Their answers end with this leader's own, at the latest.
-        let own = if self.guards.grace { l.authority.renews_until() - now } else { leave_s };
-        let token = l.token;
-        for due in l.relays.due(now, token, leave_s.min(own), hold) {
-            self.out.push(Output::RelayReply(due.request, due.reply));
+        let own = if self.checks.response_grace { l.authority.may_respond_until() - now } else { leave_s };
+        let token = l.fencing_token;
+        for due in l.forwarding.take_due_replies(now, token, leave_s.min(own), hold) {
+            self.outputs.push(Output::ForwardReply(due.request, due.reply));
         }
     }
 
     /// Longest usual time between two views of a node.
     pub(crate) fn view_gap_s(&self) -> f64 {
-        2.0 * self.d.renew_s + self.d.relay_timeout_s
+        2.0 * self.timing.renewal_interval_s + self.timing.forward_timeout_s
     }
 
     /// A worker's report had come to `via`, or to this node, at `came`.
-    pub(crate) fn heard_by(&mut self, via: Option<&ProxyId>, zone: &str, came: Time) {
-        let gap = self.d.report_gap_s;
+    pub(crate) fn record_observation(&mut self, via: Option<&ProxyId>, zone: &str, came: Time) {
+        let gap = self.timing.max_heartbeat_gap_s;
         let Role::Leader(l) = &mut self.role else { return };
         let node = via.map_or(&self.settings.node, |(node, _)| node);
-        l.relays.hearing.heard(came, node, zone, gap);
+        l.forwarding.observations.record(came, node, zone, gap);
     }
 
     /// Silence after which machines are given up, by zone: longer while nodes are away
     /// from this one or from the zone's workers, which may have to try one after the
     /// other. (With two of three nodes cut off, machines that went on were once
     /// given up; with four of five cut off from the workers alone, a quarter of them.)
-    pub(crate) fn patience_s(&self) -> BTreeMap<String, f64> {
+    pub(crate) fn failure_timeouts_s(&self) -> BTreeMap<String, f64> {
         let Role::Leader(l) = &self.role else { return BTreeMap::new() };
-        let (now, d) = (self.now, &self.d);
+        let (now, d) = (self.now, &self.timing);
         let own = &self.settings.node;
         let peers = self.settings.peers.iter().map(|p| p.node.as_str());
         let nodes: Vec<&str> = peers.chain([own.as_str()]).collect();
         let gap = self.view_gap_s();
-        let here = |node: &str| node == own || self.presence.here(now, gap, d.silent_s, node);
-        let longest = self.tour_of_all_s();
-        let spans = ObservationWindows { gap: d.report_gap_s, within: d.silent_s, lately: longest };
+        let here =
+            |node: &str| node == own || self.peer_liveness.is_live(now, gap, d.failure_suspicion_s, node);
+        let longest = self.full_failover_s();
+        let spans = ObservationWindows {
+            max_gap_s: d.max_heartbeat_gap_s,
+            required_s: d.failure_suspicion_s,
+            relevance_s: longest,
+        };
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
-        for m in l.machines.values().filter(|m| m.life == MachinePhase::Up) {
+        for m in l.machines.values().filter(|m| m.phase == MachinePhase::Up) {
             *zones.entry(&m.zone).or_default() += 1;
         }
         let patience = |(zone, up): (&str, usize)| {
             let part = up / nodes.len();
-            let reached =
-                |node: &&&str| here(node) && l.relays.hearing.reached(now, node, zone, part, &spans);
+            let reached = |node: &&&str| {
+                here(node) && l.forwarding.observations.reached_continuously(now, node, zone, part, &spans)
+            };
             let away = nodes.len() - nodes.iter().filter(reached).count();
-            (zone.to_string(), d.silent_s.max(spans.gap + d.tour_s * (away + 1) as f64))
+            (
+                zone.to_string(),
+                d.failure_suspicion_s.max(spans.max_gap_s + d.worker_failover_s * (away + 1) as f64),
+            )
         };
         zones.into_iter().map(patience).collect()
     }
 
     /// A worker that goes on has come to a node that hears it by then, whichever that is.
-    pub(crate) fn tour_of_all_s(&self) -> Time {
-        self.d.report_gap_s + self.d.tour_s * (self.settings.peers.len() + 2) as f64
+    pub(crate) fn full_failover_s(&self) -> Time {
+        self.timing.max_heartbeat_gap_s
+            + self.timing.worker_failover_s * (self.settings.peers.len() + 2) as f64
     }
 
     /// This node and the others that answer reports, as far as workers go.
-    pub(crate) fn members(&self) -> (ShardMember, Vec<ShardMember>) {
+    pub(crate) fn shard_members(&self) -> (ShardMember, Vec<ShardMember>) {
         let fresh = self.view_gap_s();
         let others = self.peers.values().filter(|(v, at)| v.serves && self.now - at < fresh);
         let others = others.map(|(v, _)| ShardMember {
             node: v.node.clone(),
             workers: v.workers,
-            room: v.room,
+            capacity: v.room,
             weight: f64::from(v.weight) / 1000.0,
         });
         let own = ShardMember {
             node: self.settings.node.clone(),
-            workers: self.workers_here,
-            room: self.d.worker_room,
-            weight: self.lateness.weight(),
+            workers: self.worker_count,
+            capacity: self.timing.worker_capacity,
+            weight: self.event_loop_lag.weight(),
         };
         (own, others.collect())
     }
 
     /// Counts the workers that stay here.
     pub(crate) fn count_workers(&mut self) {
-        let since = self.now - self.d.heard_s;
-        self.newcomers = 0;
-        self.workers_here = match &self.role {
+        let since = self.now - self.timing.heartbeat_validity_s;
+        self.new_workers = 0;
+        self.worker_count = match &self.role {
             Role::Leader(l) => {
-                let here = l.machines.values().filter(|m| m.stays && m.reported.is_some_and(|t| t > since));
+                let here = l
+                    .machines
+                    .values()
+                    .filter(|m| m.reports_here && m.last_heartbeat_at.is_some_and(|t| t > since));
                 here.count() as u32
             }
-            Role::Follower => self.gateway.workers_since(since),
+            Role::Follower => self.proxy.count_workers_since(since),
         };
     }
 
     /// What `/up` tells of the room for workers.
     pub(crate) fn health(&self) -> Health {
-        let (own, others) = self.members();
+        let (own, others) = self.shard_members();
         let ceiling = match &self.role {
-            Role::Leader(_) => self.ceiling(),
-            Role::Follower => own.room + others.iter().map(|m| m.room).sum::<u32>(),
+            Role::Leader(_) => self.worker_capacity(),
+            Role::Follower => own.capacity + others.iter().map(|m| m.capacity).sum::<u32>(),
         };
-        Health { workers: own.workers, room: own.room, ceiling }
+        Health { workers: own.workers, capacity: own.capacity, ceiling }
     }
 
     /// Where a worker goes that finds no room here, if it does. Who is here stays,
     /// and where there is room nowhere it is answered all the same, up to the
     /// part that is the users'.
-    pub(crate) fn find_room(&mut self, known: bool) -> WorkerAdmission {
+    pub(crate) fn admit_worker(&mut self, known: bool) -> WorkerAdmission {
         if known {
-            return WorkerAdmission::Here;
+            return WorkerAdmission::Accept;
         }
-        if self.workers_here >= self.d.worker_room {
-            let (_, others) = self.members();
-            if let Some(m) = self.spread.roomiest(self.now, &others) {
-                return WorkerAdmission::At(m.node.clone());
+        if self.worker_count >= self.timing.worker_capacity {
+            let (_, others) = self.shard_members();
+            if let Some(m) = self.balancer.least_loaded(self.now, &others) {
+                return WorkerAdmission::Redirect(m.node.clone());
             }
         }
-        if self.workers_here + self.newcomers >= self.d.worker_most {
-            return WorkerAdmission::Nowhere;
+        if self.worker_count + self.new_workers >= self.timing.max_workers {
+            return WorkerAdmission::Reject;
         }
-        self.newcomers += 1;
-        WorkerAdmission::Here
+        self.new_workers += 1;
+        WorkerAdmission::Accept
     }
 
     /// The node that had better take a worker which has just reported here, and
     /// for which there is nothing to do.
-    pub(crate) fn better_for(&mut self, report: &Heartbeat) -> Option<String> {
+    pub(crate) fn pick_better_node(&mut self, report: &Heartbeat) -> Option<String> {
         let ended = report.tasks.iter().any(|t| t.state == TaskState::Exited);
         if ended || report.notice_s.is_some() {
             return None;
         }
-        let (own, others) = self.members();
-        let node = self.spread.better(self.now, &report.machine, &own, &others)?;
-        self.attend_to(&report.machine);
+        let (own, others) = self.shard_members();
+        let node = self.balancer.pick_better_node(self.now, &report.machine, &own, &others)?;
+        self.update_leader_only(&report.machine);
         let Role::Leader(l) = &mut self.role else { return None };
-        if l.relays.attends(&report.machine) {
+        if l.forwarding.is_leader_only(&report.machine) {
             return None;
         }
         if let Some(m) = l.machines.get_mut(&report.machine) {
-            m.stays = false;
+            m.reports_here = false;
         }
-        self.workers_here = self.workers_here.saturating_sub(1);
+        self.worker_count = self.worker_count.saturating_sub(1);
         Some(node)
     }
 
     /// Machines that the nodes can take: those that answer reports, or did
     /// lately, and this one.
-    pub(crate) fn ceiling(&self) -> u32 {
+    pub(crate) fn worker_capacity(&self) -> u32 {
         let Role::Leader(l) = &self.role else { return 0 };
         let lately = self.now - self.settings.params.workers.lease_s;
-        let serving: BTreeSet<&str> = l.relays.serving(lately).collect();
+        let serving: BTreeSet<&str> = l.forwarding.nodes_that_may_respond(lately).collect();
         let rooms = serving.iter().filter_map(|n| self.peers.get(*n)).map(|(v, _)| v.room);
-        self.d.worker_room + rooms.sum::<u32>()
+        self.timing.worker_capacity + rooms.sum::<u32>()
     }
 
     /// Machines that may be rented yet.
-    pub(crate) fn room_left(&mut self) -> u32 {
-        let ceiling = self.ceiling();
+    pub(crate) fn machine_capacity_left(&mut self) -> u32 {
+        let ceiling = self.worker_capacity();
         let Role::Leader(l) = &mut self.role else { return 0 };
-        let there = l.machines.values().filter(|m| m.life != MachinePhase::Leaving).count() as u32;
-        if ceiling != l.ceiling_told && there + 50 >= ceiling {
-            l.ceiling_told = ceiling;
+        let there = l.machines.values().filter(|m| m.phase != MachinePhase::Terminating).count() as u32;
+        if ceiling != l.logged_capacity && there + 50 >= ceiling {
+            l.logged_capacity = ceiling;
             info!(ceiling, machines = there, "the nodes can take no more machines than that");
         }
         ceiling.saturating_sub(there)
--- a/crates/controller/src/heartbeats.rs
+++ b/crates/controller/src/heartbeats.rs
@@ -14,7 +14,7 @@
 
 /// A report whose answer waits a moment for the commit that its launches need.
 pub struct PendingHeartbeat {
-    pub way: ReplyRoute,
+    pub reply_route: ReplyRoute,
     pub until: Time,
     /// Its machine has nothing to do: the answer waits for a launch.
     pub idle: bool,
@@ -26,159 +26,165 @@
 const FORGOTTEN_LEASES: Time = 10.0;
 
 impl Controller {
-    pub(crate) fn on_report(&mut self, req: RequestId, body: &[u8]) {
+    pub(crate) fn on_heartbeat(&mut self, req: RequestId, body: &[u8]) {
         let report: Heartbeat = match protocol::decode(body) {
             Ok(r) => r,
-            Err(e) => return self.refuse(req, 400, &e.to_string()),
+            Err(e) => return self.respond_error(req, 400, &e.to_string()),
         };
         let now = self.now;
         // A copy that comes late, or a report that was held for long, is no hearing.
-        let place = (report.session, report.seq);
-        if self.workers_heard.len() >= MOST_WORKERS && !self.workers_heard.contains_key(&report.machine) {
+        let place = (report.epoch, report.sequence);
+        if self.worker_contacts.len() >= MOST_WORKERS && !self.worker_contacts.contains_key(&report.machine) {
             // (Nobody ever left, and once so many had come no new worker was counted.)
             let since = now - self.settings.params.workers.lease_s * FORGOTTEN_LEASES;
-            self.workers_heard.retain(|_, (at, _)| *at > since);
+            self.worker_contacts.retain(|_, (at, _)| *at > since);
         }
-        let room = self.workers_heard.len() < MOST_WORKERS;
-        match self.workers_heard.get_mut(&report.machine) {
+        let room = self.worker_contacts.len() < MOST_WORKERS;
+        match self.worker_contacts.get_mut(&report.machine) {
             Some(last) if place > last.1 => {
                 *last = (now, place);
-                self.spread.came(now, &report.machine);
+                self.balancer.on_heartbeat(now, &report.machine);
             }
             Some(_) => {}
             None if room => {
-                self.workers_heard.insert(report.machine.clone(), (now, place));
-                self.spread.came(now, &report.machine);
+                self.worker_contacts.insert(report.machine.clone(), (now, place));
+                self.balancer.on_heartbeat(now, &report.machine);
             }
             None => {}
         }
         if self.is_leader() {
-            self.on_own_report(req, &report);
+            self.on_leader_heartbeat(req, &report);
         } else {
-            self.report_at_gateway(req, report);
+            self.on_proxied_heartbeat(req, report);
         }
     }
 
     /// A report that came straight to the leader.
-    pub(crate) fn on_own_report(&mut self, req: RequestId, report: &Heartbeat) {
+    pub(crate) fn on_leader_heartbeat(&mut self, req: RequestId, report: &Heartbeat) {
         let now = self.now;
         let Role::Leader(l) = &mut self.role else { return };
-        let token = l.token;
-        if report.token > token {
-            self.heard_of(report.token, &report.machine);
-            return self.refuse(req, 503, "a newer leader exists");
+        let token = l.fencing_token;
+        if report.fencing_token > token {
+            self.observe_token(report.fencing_token, &report.machine);
+            return self.respond_error(req, 503, "a newer leader exists");
         }
-        if !l.loaded && self.guards.grace {
-            let older = l.early.hold(req, report, now + self.d.early_s);
+        if !l.recovered && self.checks.response_grace {
+            let older = l.early_heartbeats.insert(req, report, now + self.timing.recovery_hold_s);
             if let Some(older) = older {
-                self.refuse(older, 503, "a newer report came");
+                self.respond_error(older, 503, "a newer report came");
             }
             return;
         }
         // Past the grace a cancellation may have been told that this node
         // cannot see: the workers' leases have to run out in time for it.
-        if !l.authority.renews(now) && self.guards.grace {
-            return self.refuse(req, 503, "state service not reached");
+        if !l.authority.may_respond(now) && self.checks.response_grace {
+            return self.respond_error(req, 503, "state service not reached");
         }
-        let known = l.machines.get(&report.machine).is_some_and(|m| m.stays);
-        match self.find_room(known) {
-            WorkerAdmission::Here => {}
-            WorkerAdmission::At(node) => return self.redirect(req, Some(node)),
-            WorkerAdmission::Nowhere => return self.refuse(req, 503, "no room for more workers"),
+        let known = l.machines.get(&report.machine).is_some_and(|m| m.reports_here);
+        match self.admit_worker(known) {
+            WorkerAdmission::Accept => {}
+            WorkerAdmission::Redirect(node) => return self.redirect(req, Some(node)),
+            WorkerAdmission::Reject => return self.respond_error(req, 503, "no room for more workers"),
         }
-        let Some(l) = self.lead(token) else { return };
-        if !l.loaded {
-            let answer = HeartbeatResponse { token, commands: Vec::new() };
-            return self.answer(req, 200, protocol::encode(&answer));
+        let Some(l) = self.leader_state(token) else { return };
+        if !l.recovered {
+            let answer = HeartbeatResponse { fencing_token: token, commands: Vec::new() };
+            return self.respond(req, 200, protocol::encode(&answer));
         }
-        if !self.receive(report, None, now) {
+        if !self.ingest_heartbeat(report, None, now) {
             // Late, or overtaken by a copy of it or by the answer to a direct command. Its worker
             // may wait yet, and the answer renews its lease: it says what there is to tell.
             // (A copy that came first once took the stops with it, with every report.)
             let answer = self.commands_for(&report.machine);
-            return self.answer(req, 200, protocol::encode(&answer));
+            return self.respond(req, 200, protocol::encode(&answer));
         }
-        if let Some(node) = self.better_for(report) {
+        if let Some(node) = self.pick_better_node(report) {
             return self.redirect(req, Some(node));
         }
-        self.hold_report(report, ReplyRoute::Direct(req));
+        self.defer_response(report, ReplyRoute::Direct(req));
     }
 
     /// The records are read: what came before is answered.
-    pub(crate) fn take_early(&mut self) {
+    pub(crate) fn process_early_heartbeats(&mut self) {
         let Role::Leader(l) = &mut self.role else { return };
-        for (request, report) in l.early.take() {
-            self.on_own_report(request, &report);
+        for (request, report) in l.early_heartbeats.take_all() {
+            self.on_leader_heartbeat(request, &report);
         }
     }
 
     /// Reports whose workers wait no longer for the records to be read.
-    pub(crate) fn send_early_on(&mut self) {
+    pub(crate) fn expire_early_heartbeats(&mut self) {
         let Role::Leader(l) = &mut self.role else { return };
-        for request in l.early.late(self.now) {
-            self.refuse(request, 503, "records are being read");
+        for request in l.early_heartbeats.take_expired(self.now) {
+            self.respond_error(request, 503, "records are being read");
         }
     }
 
     /// Takes in a report that came here or to another node at `came`; false if it
     /// is not newer than the last, or speaks of a machine that is gone.
-    pub(crate) fn receive(&mut self, report: &Heartbeat, via: Option<sharding::ProxyId>, came: Time) -> bool {
-        let (now, silent_s, order) = (self.now, self.d.silent_s, self.guards.order);
+    pub(crate) fn ingest_heartbeat(
+        &mut self,
+        report: &Heartbeat,
+        via: Option<sharding::ProxyId>,
+        came: Time,
+    ) -> bool {
+        let (now, silent_s, order) = (self.now, self.timing.failure_suspicion_s, self.checks.heartbeat_order);
         let Role::Leader(l) = &mut self.role else { return false };
         let id = &report.machine;
         // Gateways that come back pass on all that they knew: what was given
         // back meanwhile once took work again until it fell silent.
-        let gone = l.fleet.is_gone(id) || !l.machines.contains_key(id) && now - came > silent_s;
+        let gone = l.fleet.has_tombstone(id) || !l.machines.contains_key(id) && now - came > silent_s;
         if gone {
             return false;
         }
         let m = l.machines.entry(id.clone()).or_insert_with(|| {
             info!(machine = %report.machine, "machine heard that nobody listed yet");
             let mut m = Machine::new(&report.machine, &report.machine_type, &report.zone, report.spot, came);
-            m.doubted = Some(came);
+            m.unconfirmed_since = Some(came);
             m
         });
         // Whoever has taken an answer of this leader's is there. (Two copies that came one after
         // the other once passed for a worker that goes on.)
-        m.doubted.take_if(|_| report.token == l.token);
-        if m.heard.is_none() {
+        m.unconfirmed_since.take_if(|_| report.fencing_token == l.fencing_token);
+        if m.last_heard_at.is_none() {
             info!(machine = %id, kind = %report.machine_type, zone = %report.zone, spot = report.spot,
-                  took_s = now - m.since, "machine up");
-            l.plan_dirty = true;
-            for (image, at, gb) in l.cached.remove(id).unwrap_or_default() {
-                m.note_image(image, at, gb);
+                  took_s = now - m.known_since, "machine up");
+            l.plan_needed = true;
+            for (image, at, gb) in l.cached_images.remove(id).unwrap_or_default() {
+                m.record_image(image, at, gb);
             }
         }
         // Its lease runs from when it sent the report, which was earlier. (A copy of one
         // that was taken before says nothing of a later answer.)
-        m.beat((report.session, report.seq), came, order);
-        if !self.take_report(report, true, came) {
+        m.record_heartbeat((report.epoch, report.sequence), came, order);
+        if !self.apply_heartbeat(report, true, came) {
             return false;
         }
-        self.heard_by(via.as_ref(), &report.zone, came);
+        self.record_observation(via.as_ref(), &report.zone, came);
         if let Role::Leader(l) = &mut self.role {
             if let Some(m) = l.machines.get_mut(id) {
-                m.reported_at(came);
-                m.stays = via.is_none();
-                m.via = via;
+                m.record_unsolicited_heartbeat(came);
+                m.reports_here = via.is_none();
+                m.proxy = via;
             }
         }
         true
     }
 
     /// Keeps a report that was taken in until there is something to tell.
-    pub(crate) fn hold_report(&mut self, report: &Heartbeat, way: ReplyRoute) {
-        let (now, hold, idle_hold) = (self.now, self.d.hold_s, self.d.idle_hold_s);
+    pub(crate) fn defer_response(&mut self, report: &Heartbeat, way: ReplyRoute) {
+        let (now, hold, idle_hold) =
+            (self.now, self.timing.busy_heartbeat_hold_s, self.timing.idle_heartbeat_hold_s);
         let Role::Leader(l) = &mut self.role else { return };
         let id = report.machine.clone();
         let idle = report.tasks.iter().all(|t| t.state == TaskState::Exited)
-            && l.machines.get(&id).is_some_and(Machine::takes_work);
+            && l.machines.get(&id).is_some_and(Machine::accepts_work);
         let until = now + if idle { idle_hold } else { hold };
-        l.recheck.insert(id.clone());
-        let older = l.held.insert(id, PendingHeartbeat { way, until, idle });
+        l.heartbeats_to_check.insert(id.clone());
+        let older = l.pending_heartbeats.insert(id, PendingHeartbeat { reply_route: way, until, idle });
         // Its worker has given that one up.
-        if let Some(PendingHeartbeat { way: ReplyRoute::Direct(request), .. }) = older {
-            self.refuse(request, 503, "a newer report came");
+        if let Some(PendingHeartbeat { reply_route: ReplyRoute::Direct(request), .. }) = older {
+            self.respond_error(request, 503, "a newer report came");
         }
     }
 
@@ -186,94 +192,102 @@
     /// `beat` is false for the answer to a direct command: that one may have
     /// been made while the answer to a report, with a launch in it, was still
     /// on its way, so what it lacks may yet start. `came`: when a node got it.
-    pub(crate) fn take_report(&mut self, report: &Heartbeat, beat: bool, came: Time) -> bool {
-        let (now, d) = (self.now, self.d);
+    pub(crate) fn apply_heartbeat(&mut self, report: &Heartbeat, beat: bool, came: Time) -> bool {
+        let (now, d) = (self.now, self.timing);
         let Role::Leader(l) = &mut self.role else { return false };
-        let token = l.token;
+        let token = l.fencing_token;
         let Some(m) = l.machines.get_mut(&report.machine) else { return false };
-        let noticed = m.notice_until.is_some();
+        let noticed = m.spot_reclaim_at.is_some();
         let mut leaving = None;
-        if self.guards.order && (report.session, report.seq) <= m.newest {
+        if self.checks.heartbeat_order && (report.epoch, report.sequence) <= m.newest_position {
             return false;
         }
-        let before = m.newest.0;
+        let before = m.newest_position.0;
         // One gap of reports, and a try of another node in between.
-        let voice = if self.guards.asleep { l.voice.since(now) } else { 0.0 };
-        let pace = HeartbeatTiming { gap_s: d.report_gap_s + d.tour_s, lease_s: d.lease_over_s, voice };
-        let unheard = beat && m.ears.note(before, report.session, m.reported, came, &pace);
+        let voice = if self.checks.retain_silent_machines { l.responsiveness.since(now) } else { 0.0 };
+        let pace = HeartbeatTiming {
+            max_gap_s: d.max_heartbeat_gap_s + d.worker_failover_s,
+            lease_expiry_s: d.lease_expiry_s,
+            responding_since: voice,
+        };
+        let unheard = beat && m.reachability.record(before, report.epoch, m.last_heartbeat_at, came, &pace);
         if unheard {
             warn!(machine = %report.machine, "its reports come, but it hears no answer: no work for it");
-            l.plan_dirty = true;
+            l.plan_needed = true;
         }
         // Its tasks ended with the session before, and what was launched in answers to that
         // one's reports is never carried out.
-        let anew = beat && self.guards.ears && before > 0 && report.session > before;
+        let anew = beat && self.checks.one_way_partitions && before > 0 && report.epoch > before;
         if before == 0 {
             // What is to be stopped there could not be told for want of its session.
-            l.stops.hurry(&report.machine, now);
+            l.pending_kills.retry_now(&report.machine, now);
         }
-        m.update(report, now);
+        m.apply_heartbeat(report, now);
         if beat {
-            m.heard_at(came);
+            m.record_contact(came);
         }
-        if m.notice_until.is_some() && !noticed {
+        if m.spot_reclaim_at.is_some() && !noticed {
             info!(machine = %report.machine, notice_s = report.notice_s, "spot notice");
-            l.plan_dirty = true;
+            l.plan_needed = true;
             leaving = report.notice_s;
         }
         // Only a worker that has seen this leader's token is past every
         // earlier leader's commands: absence proves nothing before.
-        let settled = beat && (report.token == token || !self.guards.settled_only);
+        let settled = beat && (report.fencing_token == token || !self.checks.absence_needs_current_token);
         let mut touched: Vec<String> = Vec::new();
         let mut exits: Vec<(String, u32, TaskStatus)> = Vec::new();
         for t in &report.tasks {
             let Some((job_id, number)) = split_task(&t.task) else { continue };
             let Some(job) = l.jobs.get_mut(job_id) else { continue };
-            let mine =
-                job.places.get_mut(&number).filter(|p| p.machine == report.machine && p.attempt == t.attempt);
+            let mine = job
+                .placements
+                .get_mut(&number)
+                .filter(|p| p.machine == report.machine && p.attempt == t.attempt);
             match mine {
                 Some(p) => {
                     if t.state == TaskState::Exited {
                         // It may have been started again since, by an answer of an earlier
                         // leader's to this very report, or by one that is on its way.
-                        if t.cause == Some(ExitCause::Alone) && !settled {
+                        if t.exit_cause == Some(ExitCause::Alone) && !settled {
                             continue;
                         }
                         exits.push((job_id.to_string(), number, t.clone()));
                     } else {
-                        let first = p.seen.is_none();
-                        p.seen = Some(t.state);
+                        let first = p.observed_state.is_none();
+                        p.observed_state = Some(t.state);
                         p.inherited = false;
                         if t.state == TaskState::Running && p.running_since.is_none() {
                             p.running_since = Some(now);
-                            job.ran_on.insert(report.machine.clone());
+                            job.machines_with_image.insert(report.machine.clone());
                             if job.first_start.replace(job.first_start.unwrap_or(now)).is_none() {
-                                info!(job = %job_id, waited_s = now - job.since, "job started");
+                                info!(job = %job_id, waited_s = now - job.ready_at, "job started");
                             }
                         }
-                        if first && job.places.values().filter(|p| p.seen.is_some()).count() == 1 {
-                            job.touch_main();
+                        if first
+                            && job.placements.values().filter(|p| p.observed_state.is_some()).count() == 1
+                        {
+                            job.mark_main_dirty();
                         }
                     }
                 }
                 // The result of an attempt that was given up still counts.
                 None if t.state == TaskState::Exited
-                    && t.cause == Some(ExitCause::Done)
-                    && job.done.get(number as usize) == Some(&false) =>
+                    && t.exit_cause == Some(ExitCause::Done)
+                    && job.done_tasks.get(number as usize) == Some(&false) =>
                 {
                     job.finish_task(number);
-                    l.plan_dirty = true;
+                    l.plan_needed = true;
                 }
                 None => {}
             }
         }
         for (id, task) in l.tasks_on(&report.machine) {
             let Some(job) = l.jobs.get_mut(&id) else { continue };
-            let Some(p) = job.places.get(&task) else { continue };
-            let launched = p.seen.is_some() || p.inherited || p.stopping.is_some() && p.sent;
-            let proof = settled && launched || anew && !p.inherited && (p.sent || unheard);
-            if proof && !Self::reported(report, &id, task, p) {
-                if p.seen.is_some() {
+            let Some(p) = job.placements.get(&task) else { continue };
+            let launched = p.observed_state.is_some() || p.inherited || p.stopping.is_some() && p.launch_sent;
+            let proof = settled && launched || anew && !p.inherited && (p.launch_sent || unheard);
+            if proof && !Self::heartbeat_lists(report, &id, task, p) {
+                if p.observed_state.is_some() {
                     info!(job = %id, task, machine = %report.machine, "task is gone");
                 }
                 lose(job, task, now);
@@ -281,18 +295,18 @@
             }
         }
         if !touched.is_empty() || !exits.is_empty() {
-            l.plan_dirty = true;
+            l.plan_needed = true;
         }
         for (id, task, t) in exits {
-            self.on_exit(&report.machine, &id, task, &t);
+            self.on_task_exit(&report.machine, &id, task, &t);
             touched.push(id);
         }
         for id in touched {
-            self.settle_final(&id);
-            self.stop_now(&id);
+            self.settle_terminal(&id);
+            self.kill_now(&id);
         }
         if let Some(notice_s) = leaving {
-            self.save_before(&report.machine, notice_s);
+            self.checkpoint_gangs_before_reclaim(&report.machine, notice_s);
         }
         if let Role::Leader(l) = &mut self.role {
             if let Some(m) = l.machines.get_mut(&report.machine) {
@@ -306,51 +320,52 @@
 
     /// The cloud takes `machine` away: gangs that can save do so, all of their
     /// tasks at once, if there is time. Other work goes on as long as it can.
-    fn save_before(&mut self, machine: &str, notice_s: f64) {
+    fn checkpoint_gangs_before_reclaim(&mut self, machine: &str, notice_s: f64) {
         let now = self.now;
         let Role::Leader(l) = &mut self.role else { return };
         let mut stopped = Vec::new();
         for (id, task) in l.tasks_on(machine) {
             let Some(job) = l.jobs.get_mut(&id) else { continue };
             let grace = job.spec.save_s * 1.25;
-            let here = job.places.get(&task).is_some_and(|p| p.running_since.is_some());
-            let can = job.spec.checkpoint_s > 0.0 && job.spec.shape == Shape::Gang && !job.is_final();
-            if !here || !can || grace > notice_s || job.places.values().any(|p| p.stopping.is_some()) {
+            let here = job.placements.get(&task).is_some_and(|p| p.running_since.is_some());
+            let can =
+                job.spec.checkpoint_interval_s > 0.0 && job.spec.shape == Shape::Gang && !job.is_final();
+            if !here || !can || grace > notice_s || job.placements.values().any(|p| p.stopping.is_some()) {
                 continue;
             }
-            for p in job.places.values_mut() {
+            for p in job.placements.values_mut() {
                 p.stopping = Some((now, grace));
             }
             stopped.push(id);
         }
         for id in stopped {
-            self.stop_now(&id);
+            self.kill_now(&id);
         }
     }
 
-    fn reported(report: &Heartbeat, job: &str, task: u32, place: &Placement) -> bool {
+    fn heartbeat_lists(report: &Heartbeat, job: &str, task: u32, place: &Placement) -> bool {
         report.tasks.iter().any(|t| t.attempt == place.attempt && split_task(&t.task) == Some((job, task)))
     }
 
-    fn on_exit(&mut self, machine: &str, id: &str, task: u32, t: &TaskStatus) {
+    fn on_task_exit(&mut self, machine: &str, id: &str, task: u32, t: &TaskStatus) {
         let now = self.now;
-        let report_s = self.settings.params.workers.report_s;
-        if t.cause == Some(ExitCause::Alone) && self.waits_on(id, task) {
+        let report_s = self.settings.params.workers.heartbeat_interval_s;
+        if t.exit_cause == Some(ExitCause::Alone) && self.gang_still_assembling(id, task) {
             return;
         }
         let Role::Leader(l) = &mut self.role else { return };
         let Some(job) = l.jobs.get_mut(id) else { return };
-        let Some(place) = job.places.get(&task).cloned() else { return };
+        let Some(place) = job.placements.get(&task).cloned() else { return };
         let gang = job.spec.shape == Shape::Gang;
-        match t.cause {
+        match t.exit_cause {
             Some(ExitCause::Done) => {
                 if let Some(since) = place.running_since {
                     let stats = l.classes.entry(job.spec.class.clone()).or_default();
-                    if job.progress_s == 0.0 && job.spec.estimate_s > 0.0 {
-                        stats.learn((now - since).max(0.1) / job.spec.estimate_s);
+                    if job.progress_s == 0.0 && job.spec.estimated_run_s > 0.0 {
+                        stats.record_run((now - since).max(0.1) / job.spec.estimated_run_s);
                     }
                 }
-                job.release(task);
+                job.release_placement(task);
                 job.probes = 0;
                 let blamed = std::mem::take(&mut job.failed_on);
                 // A gang completes together.
@@ -359,18 +374,18 @@
                     job.finish_task(n);
                 }
                 if let Some(m) = l.machines.get_mut(machine) {
-                    m.failures.clear();
-                    m.accused = None;
+                    m.failed_jobs.clear();
+                    m.suspected_since = None;
                 }
                 // It is sound, so the machines it failed on were not.
                 for name in blamed {
-                    if let Some(m) = l.machines.get_mut(&name).filter(|m| m.failures.contains(id)) {
+                    if let Some(m) = l.machines.get_mut(&name).filter(|m| m.failed_jobs.contains(id)) {
                         m.quarantine();
                     }
                 }
             }
             Some(ExitCause::Stopped) => {
-                if t.saved == Some(true) {
+                if t.checkpointed == Some(true) {
                     if let Some(since) = place.running_since {
                         job.progress_s += (now - since).max(0.0) * 0.9;
                     }
@@ -380,16 +395,17 @@
             Some(ExitCause::Error) => {
                 warn!(job = %id, task, machine, "task failed");
                 lose(job, task, now);
-                self.weigh_failure(id, machine);
+                self.attribute_failure(id, machine);
             }
             Some(ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown) => {
                 job.not_before = now + report_s / 3.0;
                 lose(job, task, now);
             }
             Some(ExitCause::Peers | ExitCause::Alone) | None => {
-                if let Some(since) = place.running_since.filter(|_| job.spec.checkpoint_s > 0.0) {
+                if let Some(since) = place.running_since.filter(|_| job.spec.checkpoint_interval_s > 0.0) {
                     let ran = now - since;
-                    job.progress_s += (ran / job.spec.checkpoint_s).floor() * job.spec.checkpoint_s;
+                    job.progress_s +=
+                        (ran / job.spec.checkpoint_interval_s).floor() * job.spec.checkpoint_interval_s;
                 }
                 lose(job, task, now);
             }
@@ -401,24 +417,25 @@
     /// on gathering. (An image that takes longer than `gang_wait_s` kept gangs from
     /// ever starting: those that had it gave up, the attempt ended, and with it
     /// every fetch, seventeen times within a day.) False once that has taken too long.
-    fn waits_on(&mut self, id: &str, task: u32) -> bool {
-        let (now, d) = (self.now, self.d);
+    fn gang_still_assembling(&mut self, id: &str, task: u32) -> bool {
+        let (now, d) = (self.now, self.timing);
         let Role::Leader(l) = &mut self.role else { return false };
         let machines = &l.machines;
         let Some(job) = l.jobs.get_mut(id) else { return false };
-        let whole = job.places.len() == job.spec.tasks as usize && !job.aborting && !job.is_final();
+        let whole = job.placements.len() == job.spec.tasks as usize && !job.gang_aborting && !job.is_final();
         let gathers = |p: &Placement| {
-            let there = |m: &Machine| m.takes_work() && m.heard_lately(now, &d);
-            let fresh = p.stopping.is_none() && p.running_since.is_none() && now - p.placed_at < d.gather_s;
+            let there = |m: &Machine| m.accepts_work() && m.is_heard(now, &d);
+            let fresh =
+                p.stopping.is_none() && p.running_since.is_none() && now - p.placed_at < d.gang_assembly_s;
             fresh && machines.get(&p.machine).is_some_and(there)
         };
-        if !whole || !job.places.values().all(gathers) {
+        if !whole || !job.placements.values().all(gathers) {
             return false;
         }
-        if let Some(p) = job.places.get_mut(&task) {
+        if let Some(p) = job.placements.get_mut(&task) {
             // No answer with a launch is under way: the report is newer than any, and
             // made with this leader's token.
-            (p.seen, p.inherited) = (None, false);
+            (p.observed_state, p.inherited) = (None, false);
         }
         true
     }
@@ -427,31 +444,31 @@
     /// machine, a job failing on different machines against the job, and what
     /// succeeded before or elsewhere counts. (Quarantine at the first failure cost
     /// up to three sound machines for every job submitted with a mistake.)
-    fn weigh_failure(&mut self, id: &str, machine: &str) {
+    fn attribute_failure(&mut self, id: &str, machine: &str) {
         let now = self.now;
         let w = &self.settings.params.workers;
-        let (report_s, longest) = (w.report_s, w.lease_s * 2.0);
+        let (report_s, longest) = (w.heartbeat_interval_s, w.lease_s * 2.0);
         let Role::Leader(l) = &mut self.role else { return };
         let Some(job) = l.jobs.get_mut(id) else { return };
         let sound = job.done_count > 0;
-        if !job.suspect() {
+        if !job.is_suspected() {
             match l.machines.get_mut(machine) {
-                Some(m) if m.sick => {}
+                Some(m) if m.quarantined => {}
                 // Several tasks of one job on one machine are one failure.
                 Some(m) if sound => m.quarantine(),
                 Some(m) => {
-                    m.failures.insert(id.to_string());
+                    m.failed_jobs.insert(id.to_string());
                     job.failed_on.insert(machine.to_string());
                     // Broken jobs come together at times: those that fail
                     // elsewhere as well meanwhile count no more.
-                    if m.failures.len() > 1 {
-                        m.accused = Some(now);
+                    if m.failed_jobs.len() > 1 {
+                        m.suspected_since = Some(now);
                     }
                 }
                 None => {}
             }
         }
-        if !job.suspect() {
+        if !job.is_suspected() {
             return;
         }
         // Its failures say nothing of the machines. One task probes now and
@@ -465,51 +482,56 @@
         }
         for name in &job.failed_on {
             if let Some(m) = l.machines.get_mut(name) {
-                m.failures.remove(id);
+                m.failed_jobs.remove(id);
             }
         }
     }
 
     /// Answers held reports that have something to tell, or whose time is over.
-    pub(crate) fn release_held(&mut self) {
+    pub(crate) fn respond_to_pending_heartbeats(&mut self) {
         let now = self.now;
-        let scan_s = self.d.tick_s / 50.0;
+        let scan_s = self.timing.planning_interval_s / 50.0;
         let Role::Leader(l) = &mut self.role else { return };
-        let mut names = std::mem::take(&mut l.recheck);
-        if now >= l.held_scan {
-            l.held_scan = now + scan_s;
+        let mut names = std::mem::take(&mut l.heartbeats_to_check);
+        if now >= l.check_all_heartbeats_at {
+            l.check_all_heartbeats_at = now + scan_s;
             // Few wait for a plan or a commit at a time; the idle ones wait
             // for their time only, unless something was placed there.
-            names.extend(l.held.iter().filter(|(_, h)| !h.idle || now >= h.until).map(|(m, _)| m.clone()));
+            names.extend(
+                l.pending_heartbeats
+                    .iter()
+                    .filter(|(_, h)| !h.idle || now >= h.until)
+                    .map(|(m, _)| m.clone()),
+            );
         }
         for machine in names {
-            self.attend_to(&machine);
+            self.update_leader_only(&machine);
             let Role::Leader(l) = &mut self.role else { return };
-            let Some(h) = l.held.get(&machine) else { continue };
+            let Some(h) = l.pending_heartbeats.get(&machine) else { continue };
             let (over, idle) = (now >= h.until, h.idle);
-            if !over && self.waits(&machine, idle) {
+            if !over && self.should_keep_pending(&machine, idle) {
                 continue;
             }
             let Role::Leader(l) = &mut self.role else { return };
-            let Some(h) = l.held.remove(&machine) else { continue };
+            let Some(h) = l.pending_heartbeats.remove(&machine) else { continue };
             let answer = self.commands_for(&machine);
-            self.answer_report(&machine, h, answer);
+            self.respond_to_heartbeat(&machine, h, answer);
         }
     }
 
     /// Whether a held report has reason to wait on.
-    fn waits(&mut self, machine: &str, idle: bool) -> bool {
-        let entitled = self.entitled();
-        let write_ahead = self.guards.write_ahead;
+    fn should_keep_pending(&mut self, machine: &str, idle: bool) -> bool {
+        let entitled = self.may_act();
+        let write_ahead = self.checks.launch_after_commit;
         let Role::Leader(l) = &mut self.role else { return false };
         let mut launch = false;
         for (id, task) in l.tasks_on(machine) {
             let Some(job) = l.jobs.get(&id) else { continue };
-            let Some(p) = job.places.get(&task) else { continue };
+            let Some(p) = job.placements.get(&task) else { continue };
             if !p.committed && write_ahead {
                 return true;
             }
-            launch |= p.seen.is_none() && !job.is_final() && entitled;
+            launch |= p.observed_state.is_none() && !job.is_final() && entitled;
         }
         let Some(m) = l.machines.get(machine) else { return false };
         let mut forget = false;
@@ -518,13 +540,13 @@
             match job {
                 // Its end is about to be stored, and its place is then free
                 // for another attempt.
-                Some((j, n)) if j.pressing && !j.outcome_stored(n) => return true,
+                Some((j, n)) if j.urgent_write && !j.outcome_stored(n) => return true,
                 Some((j, n)) => forget |= j.outcome_stored(n),
                 None => forget = true,
             }
         }
         // A place that has just come free may be given anew by the next plan.
-        let planning = l.plan_dirty && m.takes_work();
+        let planning = l.plan_needed && m.accepts_work();
         if idle {
             !(launch || forget)
         } else {
@@ -533,23 +555,24 @@
     }
 
     fn commands_for(&mut self, machine: &str) -> HeartbeatResponse {
-        let entitled = self.entitled();
-        let write_ahead = self.guards.write_ahead;
+        let entitled = self.may_act();
+        let write_ahead = self.checks.launch_after_commit;
         let Role::Leader(l) = &mut self.role else {
-            return HeartbeatResponse { token: 0, commands: Vec::new() };
+            return HeartbeatResponse { fencing_token: 0, commands: Vec::new() };
         };
         let mut commands = Vec::new();
         let tasks = l.machines.get(machine).map(|m| m.tasks.clone()).unwrap_or_default();
         for t in &tasks {
             let Some((id, number)) = split_task(&t.task) else { continue };
-            if l.unread.has(id) && self.finals.get(id).is_none() {
+            if l.undecodable.contains_job(id) && self.terminal_states.get(id).is_none() {
                 continue;
             }
             let job = l.jobs.get(id);
             let place = job
-                .and_then(|j| j.places.get(&number))
+                .and_then(|j| j.placements.get(&number))
                 .filter(|p| p.machine == machine && p.attempt == t.attempt);
-            let command = |op, grace_s| Command { op, task: t.task.clone(), attempt: t.attempt, grace_s };
+            let command =
+                |op, grace_s| Command { kind: op, task: t.task.clone(), attempt: t.attempt, grace_s };
             match (t.state, place) {
                 // Cleared only once its outcome is stored and its placement
                 // gone from the record.
@@ -558,7 +581,7 @@
                 }
                 // It starts anew there: `waits_on`.
                 (TaskState::Exited, Some(p))
-                    if entitled && p.committed && p.seen.is_none() && p.stopping.is_none() =>
+                    if entitled && p.committed && p.observed_state.is_none() && p.stopping.is_none() =>
                 {
                     commands.push(command(CommandKind::Forget, None));
                 }
@@ -575,70 +598,74 @@
             for (id, task) in l.tasks_on(machine) {
                 let Some(job) = l.jobs.get_mut(&id).filter(|j| !j.is_final()) else { continue };
                 // Its end was told here, and the leader has yet to read it.
-                if self.finals.get(&id).is_some() {
+                if self.terminal_states.get(&id).is_some() {
                     continue;
                 }
-                let Some(p) = job.places.get_mut(&task) else { continue };
-                let due =
-                    (p.committed || !write_ahead) && !p.inherited && p.seen.is_none() && p.stopping.is_none();
+                let Some(p) = job.placements.get_mut(&task) else { continue };
+                let due = (p.committed || !write_ahead)
+                    && !p.inherited
+                    && p.observed_state.is_none()
+                    && p.stopping.is_none();
                 if due {
-                    p.sent = true;
+                    p.launch_sent = true;
                     let (op, task, grace_s) = (CommandKind::Start, task_name(&id, task), None);
-                    commands.push(Command { op, task, attempt: p.attempt, grace_s });
+                    commands.push(Command { kind: op, task, attempt: p.attempt, grace_s });
                 }
             }
         }
         // An answer is at most 64 KiB; what is left over goes with the next.
         commands.truncate(MOST_COMMANDS);
-        HeartbeatResponse { token: l.token, commands }
+        HeartbeatResponse { fencing_token: l.fencing_token, commands }
     }
 
     /// Answers of earlier leaders, and those on their leave, have come or never will by then.
-    fn old_end(&self) -> Time {
-        let old_answers = (self.d.grace_s - self.d.leader_ttl_s).max(self.d.leave_s);
-        self.now + old_answers + self.d.worker_timeout_s
+    fn previous_lease_expiry(&self) -> Time {
+        let old_answers =
+            (self.timing.response_grace_s - self.timing.leader_lease_s).max(self.timing.delegated_lease_s);
+        self.now + old_answers + self.timing.worker_timeout_s
     }
 
     /// Whatever is on a machine by now has been reported by then, or its lease has ended.
-    pub(crate) fn unseen_until(&self) -> Time {
-        self.old_end() + self.d.lease_over_s + self.d.worker_timeout_s
+    pub(crate) fn unreported_work_expiry(&self) -> Time {
+        self.previous_lease_expiry() + self.timing.lease_expiry_s + self.timing.worker_timeout_s
     }
 
     /// Machines that stored placements name, unheard by this leader: their
     /// leases may have been renewed until the end of the old leader's grace, or of the
     /// leave that an earlier start of this node gave just before it ended.
-    pub(crate) fn adopt_placed_machines(&mut self) {
-        let old_end = self.old_end();
+    pub(crate) fn register_machines_of_placements(&mut self) {
+        let old_end = self.previous_lease_expiry();
         let now = self.now;
         let Role::Leader(l) = &mut self.role else { return };
-        if !l.loaded {
+        if !l.recovered {
             return;
         }
         for id in l.jobs.keys().cloned().collect::<Vec<_>>() {
             l.index_job(&id);
         }
-        for p in l.jobs.values().flat_map(|j| j.places.values()) {
+        for p in l.jobs.values().flat_map(|j| j.placements.values()) {
             let m = l.machines.entry(p.machine.clone()).or_insert_with(|| {
                 let mut m = Machine::new(&p.machine, "", "", false, now);
-                m.life = MachinePhase::Up;
+                m.phase = MachinePhase::Up;
                 m
             });
-            m.answered = old_end;
+            m.last_possible_response_at = old_end;
         }
     }
 
     /// Whether the workers would be served better by another leader: nobody
     /// has reported here for long, or a peer hears more than twice as many.
-    pub(crate) fn resign_if_unheard(&mut self) {
+    pub(crate) fn step_down_if_unreachable(&mut self) {
         let now = self.now;
-        let heard_s = self.d.heard_s;
+        let heard_s = self.timing.heartbeat_validity_s;
         let Role::Leader(l) = &self.role else { return };
-        let known = l.machines.values().filter(|m| m.life == MachinePhase::Up).count();
-        let settled = now - l.since > heard_s + self.d.worker_timeout_s;
-        if known == 0 || !settled || !l.authority.leads(now) {
+        let known = l.machines.values().filter(|m| m.phase == MachinePhase::Up).count();
+        let settled = now - l.elected_at > heard_s + self.timing.worker_timeout_s;
+        if known == 0 || !settled || !l.authority.is_exclusive(now) {
             return;
         }
-        let here = l.machines.values().filter(|m| m.reported.is_some_and(|t| now - t < heard_s)).count();
+        let here =
+            l.machines.values().filter(|m| m.last_heartbeat_at.is_some_and(|t| now - t < heard_s)).count();
         let there = self
             .peers
             .values()
@@ -655,114 +682,125 @@
             return;
         }
         let lease = l.lease;
-        self.state(CallContext::Revoke, StoreRequest::Revoke(lease));
+        self.call_store(CallContext::Revoke, StoreRequest::Revoke(lease));
         self.step_down("workers do not reach this node");
         // The others get the first chance.
-        self.claim_at = now + 3.0 * self.d.leader_ttl_s;
+        self.campaign_at = now + 3.0 * self.timing.leader_lease_s;
     }
 
     /// Releases what certainly ended with its machine's lease, and looks
     /// after silent machines.
-    pub(crate) fn machines_on_time(&mut self) {
+    pub(crate) fn tick_failure_detection(&mut self) {
         let now = self.now;
-        let over = if self.guards.lease_wait { self.d.lease_over_s + self.d.worker_timeout_s } else { 0.0 };
-        let (silent_s, patience_s) = (self.d.silent_s, self.patience_s());
-        let alone = !self.guards.relay_wait;
+        let over = if self.checks.wait_for_lease_expiry {
+            self.timing.lease_expiry_s + self.timing.worker_timeout_s
+        } else {
+            0.0
+        };
+        let (silent_s, patience_s) = (self.timing.failure_suspicion_s, self.failure_timeouts_s());
+        let alone = !self.checks.wait_for_lost_proxies;
         let surely_over = |relays: &HeartbeatForwarding, answered: Time| {
             if alone {
                 return now > answered + over;
             }
-            relays.surely_over(answered, over, now)
+            relays.lease_surely_expired(answered, over, now)
         };
         let Role::Leader(l) = &mut self.role else { return };
         for m in l.machines.values_mut() {
-            if m.accused.is_some_and(|at| now - at > silent_s) {
-                m.accused = None;
-                if m.failures.len() > 1 {
+            if m.suspected_since.is_some_and(|at| now - at > silent_s) {
+                m.suspected_since = None;
+                if m.failed_jobs.len() > 1 {
                     m.quarantine();
                 }
-                l.plan_dirty = true;
+                l.plan_needed = true;
             }
         }
-        l.relays.sweep(now, over);
-        self.look_at_zones();
+        l.forwarding.forget_expired(now, over);
+        self.update_zone_reachability();
         // Every worker has tried all nodes by then, and reported to one that hears it.
-        let (dark_hold_s, back_s) = (self.d.dark_hold_s, self.tour_of_all_s());
+        let (dark_hold_s, back_s) = (self.timing.unreachable_zone_retention_s, self.full_failover_s());
         let Role::Leader(l) = &mut self.role else { return };
-        let reach = &l.fleet.reach;
+        let reach = &l.fleet.zones;
         // What is cut off with its zone may be back in seconds.
         let held = |m: &Machine| {
-            reach.dark_since(&m.zone).is_some_and(|since| now - since < dark_hold_s)
-                || reach.is_back(&m.zone, now, back_s)
+            reach.unreachable_since(&m.zone).is_some_and(|since| now - since < dark_hold_s)
+                || reach.recovered_within(&m.zone, now, back_s)
         };
-        let up = |m: &&Machine| m.life == MachinePhase::Up && !reach.is_dark(&m.zone);
+        let up = |m: &&Machine| m.phase == MachinePhase::Up && !reach.is_unreachable(&m.zone);
         // A new leader learns only now of silences: in its first moments it once gave
         // a zone's machines up by the age of their last reports, before it could
         // see that the whole zone was silent.
         let patience = |m: &Machine| patience_s.get(&m.zone).copied().unwrap_or(silent_s);
-        let silent = l.machines.values().filter(|m| m.silence(now).min(l.standing.held_s(now)) > patience(m));
+        let silent =
+            l.machines.values().filter(|m| m.silence_s(now).min(l.tenure.entitled_for_s(now)) > patience(m));
         let (dark, silent): (Vec<&Machine>, Vec<&Machine>) = silent.partition(|m| held(m));
-        let ended = dark.iter().filter(|m| surely_over(&l.relays, m.answered)).map(|m| m.id.clone());
+        let ended = dark
+            .iter()
+            .filter(|m| surely_over(&l.forwarding, m.last_possible_response_at))
+            .map(|m| m.id.clone());
         let ended: Vec<String> = ended.collect();
         let silent: Vec<String> = silent.iter().map(|m| m.id.clone()).collect();
         // When many fall silent at once it is rather the network: their
         // tasks go on, and only their leases' end is waited for. Judged on all
         // that missed a report, not on those silent for long: these come one
         // by one, and a cut leader once gave up its whole fleet that way.
-        let fresh = |m: &&Machine| m.heard.is_some_and(|h| now - h < silent_s / 2.0);
+        let fresh = |m: &&Machine| m.last_heard_at.is_some_and(|h| now - h < silent_s / 2.0);
         let fresh = l.machines.values().filter(up).filter(fresh).count();
-        let up = l.machines.values().filter(up).filter(|m| m.heard.is_some()).count();
+        let up = l.machines.values().filter(up).filter(|m| m.last_heard_at.is_some()).count();
         let many = up > 2 && fresh * 3 < up * 2;
         let mut leave = Vec::new();
         for id in &silent {
             let Some(m) = l.machines.get_mut(id) else { continue };
-            let lease_over = surely_over(&l.relays, m.answered);
-            if lease_over || (!many && m.heard.is_some()) {
+            let lease_over = surely_over(&l.forwarding, m.last_possible_response_at);
+            if lease_over || (!many && m.last_heard_at.is_some()) {
                 warn!(machine = %id, lease_over, "silent, giving it up");
-                m.life = MachinePhase::Leaving;
+                m.phase = MachinePhase::Terminating;
                 m.given_up = true;
-                l.plan_dirty = true;
+                l.plan_needed = true;
                 leave.push((id.clone(), lease_over));
             }
         }
         let lost = leave.into_iter().filter(|(_, lease_over)| *lease_over).map(|(id, _)| id);
         for id in ended.into_iter().chain(lost) {
-            self.lose_machine(&id, false);
+            self.remove_machine_work(&id, false);
         }
         // A machine given up earlier whose lease has ended since.
         let Role::Leader(l) = &mut self.role else { return };
         let ended: Vec<String> = l
             .machines
             .values()
-            .filter(|m| m.life == MachinePhase::Leaving && surely_over(&l.relays, m.answered))
-            .filter(|m| m.heard.is_none_or(|h| now - h > over))
+            .filter(|m| {
+                m.phase == MachinePhase::Terminating
+                    && surely_over(&l.forwarding, m.last_possible_response_at)
+            })
+            .filter(|m| m.last_heard_at.is_none_or(|h| now - h > over))
             .map(|m| m.id.clone())
             .collect();
         for id in ended {
-            self.lose_machine(&id, false);
+            self.remove_machine_work(&id, false);
         }
     }
 
     /// Which zones are out of reach.
-    fn look_at_zones(&mut self) {
-        let (now, d) = (self.now, self.d);
+    fn update_zone_reachability(&mut self) {
+        let (now, d) = (self.now, self.timing);
         let Role::Leader(l) = &mut self.role else { return };
         // At first a leader has not heard all nodes yet, and after an outage of the
         // state service the workers may have been sent on in vain.
-        if l.standing.held_s(now) < d.tour_s {
+        if l.tenure.entitled_for_s(now) < d.worker_failover_s {
             return;
         }
-        let machines = l.machines.values().filter(|m| m.life == MachinePhase::Up);
-        let heard = machines.map(|m| (m.zone.as_str(), m.heard_lately(now, &d)));
-        if l.fleet.reach.look(now, heard) {
-            let dark: Vec<&str> = l.fleet.reach.dark().collect();
+        let machines = l.machines.values().filter(|m| m.phase == MachinePhase::Up);
+        let heard = machines.map(|m| (m.zone.as_str(), m.is_heard(now, &d)));
+        if l.fleet.zones.update(now, heard) {
+            let dark: Vec<&str> = l.fleet.zones.unreachable().collect();
             warn!(?dark, "zones out of reach");
-            l.plan_dirty = true;
+            l.plan_needed = true;
         }
     }
 
     /// Every task of `machine` is surely gone.
-    pub(crate) fn lose_machine(&mut self, machine: &str, remove: bool) {
+    pub(crate) fn remove_machine_work(&mut self, machine: &str, remove: bool) {
         let now = self.now;
         let Role::Leader(l) = &mut self.role else { return };
         let mut touched = Vec::new();
@@ -774,33 +812,37 @@
         }
         if remove {
             l.machines.remove(machine);
-            l.relays.attend(machine, None);
+            l.forwarding.set_leader_only(machine, None);
         }
         if !touched.is_empty() {
-            l.plan_dirty = true;
+            l.plan_needed = true;
         }
         for id in touched {
-            self.settle_final(&id);
-            self.stop_now(&id);
+            self.settle_terminal(&id);
+            self.kill_now(&id);
         }
     }
 }
 
 /// Releases a task's place without a result. A gang's attempt ends with it.
 pub(crate) fn lose(job: &mut Job, task: u32, now: Time) {
-    job.release(task);
-    if job.spec.shape == Shape::Gang && !job.places.is_empty() && !job.is_final() {
-        job.aborting = true;
-        for p in job.places.values_mut() {
+    job.release_placement(task);
+    if job.spec.shape == Shape::Gang && !job.placements.is_empty() && !job.is_final() {
+        job.gang_aborting = true;
+        for p in job.placements.values_mut() {
             if p.stopping.is_none() {
                 p.stopping = Some((now, 0.0));
             }
         }
         // Members never launched need no proof.
-        let unlaunched: Vec<u32> =
-            job.places.iter().filter(|(_, p)| !p.sent && p.seen.is_none()).map(|(&t, _)| t).collect();
+        let unlaunched: Vec<u32> = job
+            .placements
+            .iter()
+            .filter(|(_, p)| !p.launch_sent && p.observed_state.is_none())
+            .map(|(&t, _)| t)
+            .collect();
         for t in unlaunched {
-            job.release(t);
+            job.release_placement(t);
         }
     }
 }
--- a/crates/controller/src/hedged_requests.rs
+++ b/crates/controller/src/hedged_requests.rs
@@ -21,21 +21,21 @@
 
 /// A transaction on its way.
 struct HedgedRequest {
-    purpose: CallContext,
-    txn: Transaction<Value>,
-    copies: u32,
+    context: CallContext,
+    transaction: Transaction<Value>,
+    copies_sent: u32,
     /// Copies that have not been answered.
-    open: u32,
+    copies_open: u32,
     /// It is being read back.
-    reading: bool,
+    read_back_in_flight: bool,
     /// When the last copy was sent, or it was last looked at.
-    at: Time,
+    last_attempt_at: Time,
 }
 
 /// All transactions of users that are on their way.
 pub struct HedgedRequests {
     open: BTreeMap<u64, HedgedRequest>,
-    next: u64,
+    next_id: u64,
     reads: RateLimiter,
     writes: RateLimiter,
     /// The service's last answer was a refusal: nothing is read back until it serves.
@@ -56,11 +56,11 @@
     /// Beside users' reads and changes at such rates.
     pub fn new(reads: f64, writes: f64) -> Self {
         let (reads, writes) = (RateLimiter::new(reads * SHARE), RateLimiter::new(writes * SHARE));
-        HedgedRequests { open: BTreeMap::new(), next: 0, reads, writes, refused: false }
+        HedgedRequests { open: BTreeMap::new(), next_id: 0, reads, writes, refused: false }
     }
 
     /// Notes how the service answered any call.
-    pub fn note(&mut self, r: &StoreReply) {
+    pub fn record_reply(&mut self, r: &StoreReply) {
         match r {
             StoreReply::Refused => self.refused = true,
             StoreReply::Unknown => {}
@@ -69,24 +69,24 @@
     }
 
     /// Whether one is waited for.
-    pub fn waits(&self) -> bool {
+    pub fn has_open(&self) -> bool {
         !self.open.is_empty()
     }
 }
 
 impl HedgedRequest {
     /// What it writes and how that key has to be before, if its outcome can be read there.
-    fn told_by(&self) -> Option<(&str, &Value, u64)> {
-        let (key, value) = self.txn.changes.iter().find_map(|c| match c {
+    fn outcome_key(&self) -> Option<(&str, &Value, u64)> {
+        let (key, value) = self.transaction.mutations.iter().find_map(|c| match c {
             Mutation::Put { key, value, .. } => Some((key, value)),
             Mutation::Delete { .. } => None,
         })?;
-        let condition = self.txn.conditions.iter().find(|c| c.key == *key)?;
+        let condition = self.transaction.compares.iter().find(|c| c.key == *key)?;
         Some((key, value, condition.version))
     }
 
-    fn found(&self, r: StoreReply) -> ReadBackOutcome {
-        let Some((key, value, before)) = self.told_by() else { return ReadBackOutcome::Unread };
+    fn read_back_outcome(&self, r: StoreReply) -> ReadBackOutcome {
+        let Some((key, value, before)) = self.outcome_key() else { return ReadBackOutcome::Unread };
         let overtaken =
             |revision| ReadBackOutcome::Overtaken(CasConflict { failed: vec![key.to_string()], revision });
         match r {
@@ -104,121 +104,132 @@
 impl Controller {
     /// Sends a transaction whose outcome users wait for. `purpose` gets one answer.
     pub(crate) fn commit_hedged(&mut self, purpose: CallContext, txn: Transaction<Value>) {
-        let n = self.hedges.next;
-        self.hedges.next += 1;
-        let hedge = HedgedRequest { purpose, txn, copies: 0, open: 0, reading: false, at: self.now };
-        self.hedges.open.insert(n, hedge);
+        let n = self.hedged_requests.next_id;
+        self.hedged_requests.next_id += 1;
+        let hedge = HedgedRequest {
+            context: purpose,
+            transaction: txn,
+            copies_sent: 0,
+            copies_open: 0,
+            read_back_in_flight: false,
+            last_attempt_at: self.now,
+        };
+        self.hedged_requests.open.insert(n, hedge);
         self.send_copy(n);
     }
 
     fn send_copy(&mut self, n: u64) {
         let now = self.now;
-        let Some(h) = self.hedges.open.get_mut(&n) else { return };
-        (h.copies, h.open, h.at) = (h.copies + 1, h.open + 1, now);
-        let op = StoreRequest::Commit(h.txn.clone());
-        self.state(CallContext::Hedged { n }, op);
+        let Some(h) = self.hedged_requests.open.get_mut(&n) else { return };
+        (h.copies_sent, h.copies_open, h.last_attempt_at) = (h.copies_sent + 1, h.copies_open + 1, now);
+        let op = StoreRequest::Commit(h.transaction.clone());
+        self.call_store(CallContext::Hedged { n }, op);
     }
 
-    fn end_hedge(&mut self, n: u64, r: StoreReply) {
-        if let Some(h) = self.hedges.open.remove(&n) {
-            self.on_state(h.purpose, r);
+    fn finish_hedged(&mut self, n: u64, r: StoreReply) {
+        if let Some(h) = self.hedged_requests.open.remove(&n) {
+            self.on_store_reply(h.context, r);
         }
     }
 
-    pub(crate) fn on_hedged(&mut self, n: u64, r: StoreReply) {
-        let Some(h) = self.hedges.open.get_mut(&n) else { return };
-        h.open -= 1;
+    pub(crate) fn on_hedged_reply(&mut self, n: u64, r: StoreReply) {
+        let Some(h) = self.hedged_requests.open.get_mut(&n) else { return };
+        h.copies_open -= 1;
         // Of a copy, a conflict may come from an earlier one that was carried out. Whoever gets it
         // reads what is there.
         let told = matches!(r, StoreReply::Committed(_) | StoreReply::Conflict(_));
-        let (only, last) = (h.copies == 1, h.open == 0 && !h.reading);
+        let (only, last) = (h.copies_sent == 1, h.copies_open == 0 && !h.read_back_in_flight);
         if told || only && last {
-            return self.end_hedge(n, r);
+            return self.finish_hedged(n, r);
         }
         if matches!(r, StoreReply::Limited) {
-            self.too_many_changes();
+            self.on_rate_limited();
         }
         if last {
-            self.end_hedge(n, StoreReply::Unknown);
+            self.finish_hedged(n, StoreReply::Unknown);
         }
     }
 
-    pub(crate) fn on_read_back(&mut self, n: u64, r: StoreReply) {
+    pub(crate) fn on_hedged_read_back(&mut self, n: u64, r: StoreReply) {
         let now = self.now;
-        let Some(h) = self.hedges.open.get_mut(&n) else { return };
-        (h.reading, h.at) = (false, now);
-        match h.found(r) {
-            ReadBackOutcome::Stored(version) => self.end_hedge(n, StoreReply::Committed(version)),
-            ReadBackOutcome::Overtaken(conflict) => self.end_hedge(n, StoreReply::Conflict(conflict)),
-            ReadBackOutcome::NotYet | ReadBackOutcome::Unread if h.open == 0 => {
-                self.end_hedge(n, StoreReply::Unknown)
+        let Some(h) = self.hedged_requests.open.get_mut(&n) else { return };
+        (h.read_back_in_flight, h.last_attempt_at) = (false, now);
+        match h.read_back_outcome(r) {
+            ReadBackOutcome::Stored(version) => self.finish_hedged(n, StoreReply::Committed(version)),
+            ReadBackOutcome::Overtaken(conflict) => self.finish_hedged(n, StoreReply::Conflict(conflict)),
+            ReadBackOutcome::NotYet | ReadBackOutcome::Unread if h.copies_open == 0 => {
+                self.finish_hedged(n, StoreReply::Unknown)
             }
-            ReadBackOutcome::NotYet => self.copy_again(n),
+            ReadBackOutcome::NotYet => self.resend_hedged(n),
             ReadBackOutcome::Unread => {}
         }
     }
 
     /// Sends another copy, as far as there is room.
-    fn copy_again(&mut self, n: u64) {
+    fn resend_hedged(&mut self, n: u64) {
         let now = self.now;
-        let Some(h) = self.hedges.open.get(&n) else { return };
-        let changes = h.txn.changes.len() as f64;
-        if h.copies >= MOST_COPIES {
+        let Some(h) = self.hedged_requests.open.get(&n) else { return };
+        let changes = h.transaction.mutations.len() as f64;
+        if h.copies_sent >= MOST_COPIES {
             return;
         }
         let room = if changes == 0.0 {
-            self.may_read_back()
+            self.try_acquire_read_back()
         } else {
-            self.writes.left(now) >= changes && self.hedges.writes.take(now, changes)
+            self.client_writes.available_at(now) >= changes
+                && self.hedged_requests.writes.try_acquire(now, changes)
         };
         if room {
-            self.writes.take(now, changes);
+            self.client_writes.try_acquire(now, changes);
             self.send_copy(n);
         }
     }
 
     /// Takes one more read for what is overdue, if there is room for it.
-    fn may_read_back(&mut self) -> bool {
+    fn try_acquire_read_back(&mut self) -> bool {
         let now = self.now;
-        let quarter = self.reads.rate() / 4.0;
-        let room = self.reads.left(now) >= quarter.max(1.0) && self.hedges.reads.take(now, 1.0);
-        room && self.reads.take(now, 1.0)
+        let quarter = self.client_reads.rate() / 4.0;
+        let room = self.client_reads.available_at(now) >= quarter.max(1.0)
+            && self.hedged_requests.reads.try_acquire(now, 1.0);
+        room && self.client_reads.try_acquire(now, 1.0)
     }
 
     /// Looks after what is overdue.
-    pub(crate) fn hedges_on_time(&mut self) {
-        if !self.hedges.waits() || self.hedges.refused {
+    pub(crate) fn tick_hedged_requests(&mut self) {
+        if !self.hedged_requests.has_open() || self.hedged_requests.refused {
             return;
         }
-        let Timing { state_timeout_s, overdue_s, .. } = self.d;
-        let patience_s = self.round_trip.patience_s(overdue_s);
+        let Timing { store_timeout_s: state_timeout_s, hedge_after_s: overdue_s, .. } = self.timing;
+        let patience_s = self.store_latency.timeout_s(overdue_s);
         // So slow that the answer comes no later than what is read back.
         if patience_s > state_timeout_s / 2.0 {
             return;
         }
         // Nothing was answered for long: one look at a time shows when that has changed.
-        let doubt = self.state_bad_since.is_some_and(|since| self.now - since > state_timeout_s);
-        let overdue = |h: &HedgedRequest| h.open > 0 && !h.reading && self.now - h.at >= patience_s;
-        let due = self.hedges.open.iter().filter(|(_, h)| overdue(h)).map(|(&n, _)| n);
+        let doubt = self.store_failing_since.is_some_and(|since| self.now - since > state_timeout_s);
+        let overdue = |h: &HedgedRequest| {
+            h.copies_open > 0 && !h.read_back_in_flight && self.now - h.last_attempt_at >= patience_s
+        };
+        let due = self.hedged_requests.open.iter().filter(|(_, h)| overdue(h)).map(|(&n, _)| n);
         let due: Vec<u64> = due.collect();
-        let reading = self.hedges.open.values().filter(|h| h.reading).count();
+        let reading = self.hedged_requests.open.values().filter(|h| h.read_back_in_flight).count();
         let most = if doubt { 1_usize.saturating_sub(reading) } else { due.len() };
         for n in due.into_iter().take(most) {
-            self.read_back(n);
+            self.read_back_hedged(n);
         }
     }
 
-    fn read_back(&mut self, n: u64) {
+    fn read_back_hedged(&mut self, n: u64) {
         let now = self.now;
-        let Some(h) = self.hedges.open.get_mut(&n) else { return };
-        h.at = now;
-        let Some(key) = h.told_by().map(|t| t.0.to_string()) else { return self.copy_again(n) };
-        if !self.may_read_back() {
+        let Some(h) = self.hedged_requests.open.get_mut(&n) else { return };
+        h.last_attempt_at = now;
+        let Some(key) = h.outcome_key().map(|t| t.0.to_string()) else { return self.resend_hedged(n) };
+        if !self.try_acquire_read_back() {
             return;
         }
-        if let Some(h) = self.hedges.open.get_mut(&n) {
-            h.reading = true;
+        if let Some(h) = self.hedged_requests.open.get_mut(&n) {
+            h.read_back_in_flight = true;
         }
-        self.state(CallContext::ReadBack { n }, StoreRequest::Get(key));
+        self.call_store(CallContext::HedgedReadBack { n }, StoreRequest::Get(key));
     }
 }
