--- a/crates/controller/src/job.rs
+++ b/crates/controller/src/job.rs
@@ -17,19 +17,19 @@
     pub machine: String,
     /// The job's mutation count when it was made: it is committed once a
     /// write of that count or a later one is.
-    pub born: u64,
+    pub created_at_mutation: u64,
     pub committed: bool,
     /// Made by an earlier leader, whose launch may or may not be on its way.
     pub inherited: bool,
     /// A launch went out in the answer to a report.
-    pub sent: bool,
-    pub seen: Option<TaskState>,
+    pub launch_sent: bool,
+    pub observed_state: Option<TaskState>,
     pub placed_at: Time,
     pub running_since: Option<Time>,
     /// Being stopped since then, with that grace.
     pub stopping: Option<(Time, f64)>,
     /// The stop was sent straight to the machine.
-    pub told: bool,
+    pub kill_sent: bool,
 }
 
 /// A job whose tasks failed on that many machines may be at fault itself.
@@ -38,66 +38,66 @@
 #[derive(Debug, Clone)]
 pub struct Job {
     pub spec: JobSpec,
-    pub at: f64,
+    pub submitted_wall_s: f64,
     /// Submission on this node's steady clock.
-    pub submitted: Time,
+    pub submitted_at: Time,
     /// When it could first start: its submission, or the end of the last job that it awaits.
-    pub since: Time,
+    pub ready_at: Time,
     /// Time of day of the latter, once it is known.
-    pub freed_at: Option<f64>,
+    pub ready_wall_s: Option<f64>,
     /// Where its specification is stored, if not in its record.
-    pub parts: Option<SpecChunks>,
+    pub spec_chunks: Option<SpecChunks>,
     /// What those that need it asked of it when it was last planned for.
-    pub passed: Option<dependencies::InheritedPriority>,
+    pub inherited_priority: Option<dependencies::InheritedPriority>,
     pub status: JobStatus,
-    pub done: Vec<bool>,
+    pub done_tasks: Vec<bool>,
     pub done_count: u32,
     pub attempt: u64,
     /// How its tasks are divided among stored values.
-    pub layout: PageLayout,
-    pub places: BTreeMap<u32, Placement>,
+    pub page_layout: PageLayout,
+    pub placements: BTreeMap<u32, Placement>,
     pub version: u64,
     /// Its stored record may be, or has been, too large to be written again as it is, so that
     /// whoever cancels it leaves a mark beside it.
-    pub marks: bool,
+    pub may_have_mark: bool,
     /// The version of that mark, once it is known.
-    pub mark: Option<u64>,
+    pub mark_version: Option<u64>,
     /// Counts changes; `stored` is the count that the stored record shows.
-    pub mutated: u64,
-    pub stored: u64,
+    pub mutation_count: u64,
+    pub stored_mutation: u64,
     /// Pages that have changed, with the count of the last change.
     dirty_pages: BTreeMap<usize, u64>,
     /// The count that each stored page shows.
-    page_stored: BTreeMap<usize, u64>,
+    stored_page_mutations: BTreeMap<usize, u64>,
     /// Its next write should not wait: it places tasks or completes the job.
-    pub pressing: bool,
+    pub urgent_write: bool,
     /// Pages with placements that are not stored yet.
-    placing: BTreeSet<usize>,
+    pages_with_new_placements: BTreeSet<usize>,
     /// The last page beyond the first that was written.
-    turn: usize,
+    round_robin_page: usize,
     /// Since when something is not stored yet.
     pub dirty_since: Option<Time>,
     /// Count at which each task last lost its place or ended: the worker may
     /// forget the attempt once that much is stored.
-    left_at: BTreeMap<u32, u64>,
+    released_at_mutation: BTreeMap<u32, u64>,
     /// The number of its image with this leader.
-    pub image: u32,
+    pub image_id: u32,
     /// Bytes that the specification takes in JSON, at most.
     spec_size: usize,
     pub not_before: Time,
     /// Its record is not written before then: the state service took it for invalid.
-    pub aside_until: Time,
+    pub write_suspended_until: Time,
     /// Machines that its tasks failed on, none of which is known to be faulty
     /// by itself, since one last succeeded.
     pub failed_on: BTreeSet<String>,
     /// Rounds of probing since it was suspected of a mistake of its own.
     pub probes: u32,
     /// A gang attempt that is being taken down.
-    pub aborting: bool,
+    pub gang_aborting: bool,
     /// Progress kept, in seconds of run time (planning only).
     pub progress_s: f64,
     pub first_start: Option<Time>,
-    pub ran_on: BTreeSet<String>,
+    pub machines_with_image: BTreeSet<String>,
 }
 
 impl Job {
@@ -106,60 +106,61 @@
         Job {
             spec_size: json_size(&spec),
             spec,
-            at,
-            submitted,
-            since: submitted,
-            freed_at: None,
-            parts: None,
-            passed: None,
+            submitted_wall_s: at,
+            submitted_at: submitted,
+            ready_at: submitted,
+            ready_wall_s: None,
+            spec_chunks: None,
+            inherited_priority: None,
             status: JobStatus::Pending,
-            done: vec![false; tasks],
+            done_tasks: vec![false; tasks],
             done_count: 0,
             attempt: 0,
-            layout,
-            places: BTreeMap::new(),
+            page_layout: layout,
+            placements: BTreeMap::new(),
             version: 0,
-            marks: false,
-            mark: None,
-            mutated: 0,
-            stored: 0,
+            may_have_mark: false,
+            mark_version: None,
+            mutation_count: 0,
+            stored_mutation: 0,
             dirty_pages: BTreeMap::new(),
-            page_stored: BTreeMap::new(),
-            pressing: false,
-            placing: BTreeSet::new(),
-            turn: 0,
+            stored_page_mutations: BTreeMap::new(),
+            urgent_write: false,
+            pages_with_new_placements: BTreeSet::new(),
+            round_robin_page: 0,
             dirty_since: None,
-            left_at: BTreeMap::new(),
-            image: 0,
+            released_at_mutation: BTreeMap::new(),
+            image_id: 0,
             not_before: 0.0,
-            aside_until: 0.0,
+            write_suspended_until: 0.0,
             failed_on: BTreeSet::new(),
             probes: 0,
-            aborting: false,
+            gang_aborting: false,
             progress_s: 0.0,
             first_start: None,
-            ran_on: BTreeSet::new(),
+            machines_with_image: BTreeSet::new(),
         }
     }
 
     /// A job as its record shows it.
-    pub fn load(record: &JobRecord, version: u64, submitted: Time, limits: &StoreLimits) -> Self {
-        let spec_size = match record.parts {
+    pub fn from_record(record: &JobRecord, version: u64, submitted: Time, limits: &StoreLimits) -> Self {
+        let spec_size = match record.spec_chunks {
             Some(_) => json_size(&stub(&record.spec)) + PARTS_BYTES,
             None => json_size(&record.spec),
         };
         let layout = PageLayout::stored(record.per_page, record.layout, record.spec.tasks, spec_size, limits);
-        let mut job = Job::new(record.spec.clone(), record.at, submitted, layout);
+        let mut job = Job::new(record.spec.clone(), record.submitted_wall_s, submitted, layout);
         job.spec_size = spec_size;
-        job.parts = record.parts.clone();
+        job.spec_chunks = record.spec_chunks.clone();
         job.version = version;
         job.status = record.status;
         job.attempt = record.attempt;
-        job.ran_on = record.ran_on.iter().cloned().collect();
-        job.freed_at = record.freed_at;
-        job.since = submitted + record.freed_at.map_or(0.0, |at| (at - record.at).max(0.0));
-        job.load_page(0, record.layout, &record.page, 0, submitted);
-        job.marks = job.may_be_marked();
+        job.machines_with_image = record.machines_with_image.iter().cloned().collect();
+        job.ready_wall_s = record.ready_wall_s;
+        job.ready_at =
+            submitted + record.ready_wall_s.map_or(0.0, |at| (at - record.submitted_wall_s).max(0.0));
+        job.load_page(0, record.layout, &record.first_page, 0, submitted);
+        job.may_have_mark = job.may_have_cancellation_mark();
         job
     }
 
@@ -173,25 +174,25 @@
         version: u64,
         now: Time,
     ) -> bool {
-        if !self.layout.take(page, layout, version) {
+        if !self.page_layout.accept_page(page, layout, version) {
             return false;
         }
         self.merge_done(page, &record.done);
-        for p in &record.places {
-            self.places.insert(
+        for p in &record.placements {
+            self.placements.insert(
                 p.task,
                 Placement {
                     attempt: p.attempt,
                     machine: p.machine.clone(),
-                    born: 0,
+                    created_at_mutation: 0,
                     committed: true,
                     inherited: true,
-                    sent: true,
-                    seen: None,
+                    launch_sent: true,
+                    observed_state: None,
                     placed_at: now,
                     running_since: None,
                     stopping: None,
-                    told: false,
+                    kill_sent: false,
                 },
             );
             self.attempt = self.attempt.max(p.attempt);
@@ -200,31 +201,31 @@
     }
 
     fn range(&self, page: usize) -> std::ops::Range<usize> {
-        self.layout.range(page, self.done.len())
+        self.page_layout.range(page, self.done_tasks.len())
     }
 
     fn merge_done(&mut self, page: usize, text: &str) {
         let range = self.range(page);
-        merge_bits(&mut self.done[range], text);
-        self.done_count = self.done.iter().filter(|&&d| d).count() as u32;
+        merge_bits(&mut self.done_tasks[range], text);
+        self.done_count = self.done_tasks.iter().filter(|&&d| d).count() as u32;
     }
 
     pub fn page_of(&self, task: u32) -> usize {
-        self.layout.page_of(task)
+        self.page_layout.page_of(task)
     }
 
     /// Notes a change of `task`'s state that has to be stored.
-    pub fn touch(&mut self, task: u32) {
-        self.touch_page(self.page_of(task));
+    pub fn mark_task_dirty(&mut self, task: u32) {
+        self.mark_page_dirty(self.page_of(task));
     }
 
-    pub fn touch_main(&mut self) {
-        self.touch_page(0);
+    pub fn mark_main_dirty(&mut self) {
+        self.mark_page_dirty(0);
     }
 
-    fn touch_page(&mut self, page: usize) {
-        self.mutated += 1;
-        self.dirty_pages.insert(page, self.mutated);
+    fn mark_page_dirty(&mut self, page: usize) {
+        self.mutation_count += 1;
+        self.dirty_pages.insert(page, self.mutation_count);
     }
 
     /// Whether page `page` has changed since it was stored.
@@ -233,95 +234,97 @@
     }
 
     /// Whether `pages` hold all that has changed.
-    pub fn covers(&self, pages: &BTreeSet<usize>) -> bool {
+    pub fn pages_cover_changes(&self, pages: &BTreeSet<usize>) -> bool {
         self.dirty_pages.keys().all(|p| pages.contains(p))
     }
 
     /// The last job that it awaited is done.
-    pub fn freed(&mut self, now: Time, wall: f64) {
-        if self.freed_at.is_none() {
-            (self.since, self.freed_at) = (now, Some(wall));
-            self.touch_main();
+    pub fn on_dependencies_done(&mut self, now: Time, wall: f64) {
+        if self.ready_wall_s.is_none() {
+            (self.ready_at, self.ready_wall_s) = (now, Some(wall));
+            self.mark_main_dirty();
         }
     }
 
     /// A job that it awaits, or that one of those awaits, was cancelled.
-    pub fn withdraw(&mut self) {
+    pub fn cancel(&mut self) {
         if !self.is_final() {
             self.status = JobStatus::Cancelled;
-            self.touch_main();
+            self.mark_main_dirty();
         }
     }
 
     /// What has to hold of a mark of cancellation for its record to be replaced.
-    pub fn mark_condition(&self) -> Option<Compare> {
+    pub fn mark_compare(&self) -> Option<Compare> {
         let key = || mark_key(&self.spec.id);
-        (self.marks || self.mark.is_some()).then(|| Compare { key: key(), version: self.mark.unwrap_or(0) })
+        (self.may_have_mark || self.mark_version.is_some())
+            .then(|| Compare { key: key(), version: self.mark_version.unwrap_or(0) })
     }
 
     /// Keys of its own beside its record.
-    pub fn other_keys(&self) -> Vec<String> {
+    pub fn keys_beside_record(&self) -> Vec<String> {
         let id = &self.spec.id;
-        let mark = self.mark.map(|_| mark_key(id));
-        let parts = self.parts.iter().flat_map(|p| p.keys(id));
-        self.layout.keys(id).into_iter().chain(mark).chain(parts).collect()
+        let mark = self.mark_version.map(|_| mark_key(id));
+        let parts = self.spec_chunks.iter().flat_map(|p| p.keys(id));
+        self.page_layout.keys(id).into_iter().chain(mark).chain(parts).collect()
     }
 
     /// A mark of its cancellation was found. Somebody was told of it, so it wins even over an
     /// end that this leader was about to store.
-    pub fn marked(&mut self, version: u64) {
-        self.mark = Some(version);
+    pub fn on_cancellation_mark(&mut self, version: u64) {
+        self.mark_version = Some(version);
         if self.status != JobStatus::Cancelled {
             self.status = JobStatus::Cancelled;
-            self.touch_main();
+            self.mark_main_dirty();
         }
     }
 
     /// Its record, about to be written as it is now.
     pub fn record_to_write(&mut self) -> JobRecord {
-        self.marks |= self.may_be_marked();
+        self.may_have_mark |= self.may_have_cancellation_mark();
         self.record()
     }
 
     /// Whether its record as it is now may be too large to be written again.
-    fn may_be_marked(&self) -> bool {
-        self.layout.wide() || self.page_size(0) > self.layout.tight()
+    fn may_have_cancellation_mark(&self) -> bool {
+        self.page_layout.exceeds_next_limit() || self.page_bytes(0) > self.page_layout.next_value_bytes()
     }
 
     /// Whether some value of it does not fit the coming limits as it is divided now.
-    pub fn needs_layout(&self) -> bool {
-        let pages = self.places.keys().map(|&t| self.page_of(t)).chain(self.dirty_pages.keys().copied());
+    pub fn needs_repagination(&self) -> bool {
+        let pages = self.placements.keys().map(|&t| self.page_of(t)).chain(self.dirty_pages.keys().copied());
         let pages: BTreeSet<usize> = pages.chain([0]).collect();
-        pages.into_iter().any(|p| self.page_size(p) > self.layout.tight())
+        pages.into_iter().any(|p| self.page_bytes(p) > self.page_layout.next_value_bytes())
     }
 
     /// Divides its tasks anew, so that each value fits. The stored record shows the old
     /// layout until it is written itself, which is after all other pages.
-    pub fn divide_anew(&mut self) {
-        let mut per_page = tasks_per_page(self.layout.tight(), self.spec_size).min(self.layout.per_page);
+    pub fn repaginate(&mut self) {
+        let mut per_page = tasks_per_page(self.page_layout.next_value_bytes(), self.spec_size)
+            .min(self.page_layout.per_page);
         loop {
-            self.layout.per_page = per_page;
-            if per_page <= 4 || !self.needs_layout() {
+            self.page_layout.per_page = per_page;
+            if per_page <= 4 || !self.needs_repagination() {
                 break;
             }
             per_page = (per_page / 2).max(4) / 4 * 4;
         }
-        self.layout.begin();
-        self.page_stored.clear();
-        self.placing.clear();
-        self.turn = 0;
+        self.page_layout.begin_layout();
+        self.stored_page_mutations.clear();
+        self.pages_with_new_placements.clear();
+        self.round_robin_page = 0;
         self.dirty_pages.clear();
-        let per = self.layout.per_page as usize;
-        let ended = self.done.iter().enumerate().filter(|d| *d.1).map(|(t, _)| t / per);
-        let placed = self.places.keys().map(|&t| t as usize / per);
+        let per = self.page_layout.per_page as usize;
+        let ended = self.done_tasks.iter().enumerate().filter(|d| *d.1).map(|(t, _)| t / per);
+        let placed = self.placements.keys().map(|&t| t as usize / per);
         let pages: BTreeSet<usize> = ended.chain(placed).chain([0]).collect();
-        self.mutated += 1;
-        self.dirty_pages = pages.into_iter().map(|p| (p, self.mutated)).collect();
-        self.pressing |= self.places.values().any(|p| !p.committed);
+        self.mutation_count += 1;
+        self.dirty_pages = pages.into_iter().map(|p| (p, self.mutation_count)).collect();
+        self.urgent_write |= self.placements.values().any(|p| !p.committed);
     }
 
-    pub fn clean(&self) -> bool {
-        self.mutated == self.stored
+    pub fn is_stored(&self) -> bool {
+        self.mutation_count == self.stored_mutation
     }
 
     pub fn is_final(&self) -> bool {
@@ -330,29 +333,30 @@
 
     /// Whether it was rather submitted with a mistake than unlucky: it failed on
     /// several machines, and on more than it runs on.
-    pub fn suspect(&self) -> bool {
+    pub fn is_suspected(&self) -> bool {
         self.probes > 0
             || self.failed_on.len() >= JOB_AT_FAULT
-                && self.places.values().filter(|p| p.running_since.is_some()).count() < self.failed_on.len()
+                && self.placements.values().filter(|p| p.running_since.is_some()).count()
+                    < self.failed_on.len()
     }
 
-    pub fn complete(&self) -> bool {
-        self.done_count as usize == self.done.len()
+    pub fn is_complete(&self) -> bool {
+        self.done_count as usize == self.done_tasks.len()
     }
 
     /// Whether it is over and nothing of it is left on any machine.
-    pub fn over(&self) -> bool {
-        self.places.is_empty() && (self.complete() || self.is_final())
+    pub fn is_over(&self) -> bool {
+        self.placements.is_empty() && (self.is_complete() || self.is_final())
     }
 
     pub fn finish_task(&mut self, task: u32) {
-        if let Some(d) = self.done.get_mut(task as usize) {
+        if let Some(d) = self.done_tasks.get_mut(task as usize) {
             if !*d {
                 *d = true;
                 self.done_count += 1;
-                self.touch(task);
-                self.left_at.insert(task, self.mutated);
-                self.pressing |= self.complete();
+                self.mark_task_dirty(task);
+                self.released_at_mutation.insert(task, self.mutation_count);
+                self.urgent_write |= self.is_complete();
             }
         }
     }
@@ -361,8 +365,8 @@
     /// forget an exited attempt. Asking for the whole job to be stored instead
     /// kept the exited tasks of busy arrays in the reports.
     pub fn outcome_stored(&self, task: u32) -> bool {
-        let page = self.page_stored.get(&self.page_of(task)).copied().unwrap_or(0);
-        self.left_at.get(&task).is_none_or(|&count| count <= self.stored.max(page))
+        let page = self.stored_page_mutations.get(&self.page_of(task)).copied().unwrap_or(0);
+        self.released_at_mutation.get(&task).is_none_or(|&count| count <= self.stored_mutation.max(page))
     }
 
     /// Changed pages beyond the first in the order in which they should be
@@ -371,13 +375,13 @@
     /// pages kept the placements in its last ones waiting for minutes.)
     pub fn pages_due(&self, all: bool) -> Vec<usize> {
         let beyond = |p: &&usize| **p > 0 && self.is_dirty(**p);
-        let mut due: Vec<usize> = self.placing.iter().filter(beyond).copied().collect();
+        let mut due: Vec<usize> = self.pages_with_new_placements.iter().filter(beyond).copied().collect();
         if all {
             let (before, after): (Vec<usize>, Vec<usize>) = self
                 .dirty_pages
                 .keys()
-                .filter(|&&p| p > 0 && !self.placing.contains(&p))
-                .partition(|&&p| p <= self.turn);
+                .filter(|&&p| p > 0 && !self.pages_with_new_placements.contains(&p))
+                .partition(|&&p| p <= self.round_robin_page);
             due.extend(after.into_iter().chain(before));
         }
         due
@@ -385,95 +389,95 @@
 
     /// Bytes that a page's record takes in JSON, at most; the first one's without machines
     /// that it ran on.
-    pub fn page_size(&self, page: usize) -> usize {
+    pub fn page_bytes(&self, page: usize) -> usize {
         let main = if page == 0 { self.spec_size + RECORD_BYTES } else { 60 };
-        self.places_size(page) + self.range(page).len().div_ceil(4) + main
+        self.placement_bytes(page) + self.range(page).len().div_ceil(4) + main
     }
 
     /// Bytes that a page's placements may take.
-    pub fn room_on(&self, page: usize) -> usize {
-        let fixed = self.page_size(page) - self.places_size(page);
-        self.layout.fit.saturating_sub(fixed)
+    pub fn placement_bytes_left(&self, page: usize) -> usize {
+        let fixed = self.page_bytes(page) - self.placement_bytes(page);
+        self.page_layout.max_value_bytes.saturating_sub(fixed)
     }
 
     /// Bytes that a page's placements take.
-    pub fn places_size(&self, page: usize) -> usize {
+    pub fn placement_bytes(&self, page: usize) -> usize {
         let range = self.range(page);
         let (from, to) = (range.start as u32, range.end as u32);
-        let places = self.places.range(from..to.max(from));
+        let places = self.placements.range(from..to.max(from));
         places.map(|(&t, p)| StoredPlacement::size(t, p.attempt, &p.machine)).sum()
     }
 
     /// Names of machines that it ran on, as far as the record has room for them.
     fn ran_on_names(&self) -> Vec<String> {
-        let mut left = self.layout.tight().saturating_sub(self.page_size(0));
+        let mut left = self.page_layout.next_value_bytes().saturating_sub(self.page_bytes(0));
         let fits = |m: &&String| {
             let size = m.len() + 4;
             let fits = size <= left;
             left -= if fits { size } else { 0 };
             fits
         };
-        self.ran_on.iter().take(MOST_RAN_ON).take_while(fits).cloned().collect()
+        self.machines_with_image.iter().take(MOST_RAN_ON).take_while(fits).cloned().collect()
     }
 
-    pub fn add_place(&mut self, task: u32, machine: &str, attempt: u64, now: Time) {
+    pub fn add_placement(&mut self, task: u32, machine: &str, attempt: u64, now: Time) {
         self.attempt = self.attempt.max(attempt);
-        self.touch(task);
-        self.pressing = true;
-        self.placing.insert(self.page_of(task));
-        self.places.insert(
+        self.mark_task_dirty(task);
+        self.urgent_write = true;
+        self.pages_with_new_placements.insert(self.page_of(task));
+        self.placements.insert(
             task,
             Placement {
                 attempt,
                 machine: machine.to_string(),
-                born: self.mutated,
+                created_at_mutation: self.mutation_count,
                 committed: false,
                 inherited: false,
-                sent: false,
-                seen: None,
+                launch_sent: false,
+                observed_state: None,
                 placed_at: now,
                 running_since: None,
                 stopping: None,
-                told: false,
+                kill_sent: false,
             },
         );
     }
 
     /// Removes a place. The caller has proof that the task is not on the
     /// machine and will not start there.
-    pub fn release(&mut self, task: u32) {
-        if self.places.remove(&task).is_some() {
-            self.touch(task);
-            self.left_at.insert(task, self.mutated);
+    pub fn release_placement(&mut self, task: u32) {
+        if self.placements.remove(&task).is_some() {
+            self.mark_task_dirty(task);
+            self.released_at_mutation.insert(task, self.mutation_count);
         }
-        if self.places.is_empty() {
-            self.aborting = false;
+        if self.placements.is_empty() {
+            self.gang_aborting = false;
         }
     }
 
     /// Whether no unfinished task is without a place, told without a list.
-    pub fn nothing_waits(&self) -> bool {
-        let gang = self.spec.shape == Shape::Gang && !self.places.is_empty();
-        let accounted = self.done_count as usize + self.places.len() >= self.done.len();
-        self.is_final() || gang || accounted && self.waiting(1).is_empty()
+    pub fn has_no_pending_tasks(&self) -> bool {
+        let gang = self.spec.shape == Shape::Gang && !self.placements.is_empty();
+        let accounted = self.done_count as usize + self.placements.len() >= self.done_tasks.len();
+        self.is_final() || gang || accounted && self.pending_tasks(1).is_empty()
     }
 
     /// Unfinished tasks without a place; a gang's only when nothing of its
     /// last attempt is left.
-    pub fn waiting(&self, most: usize) -> Vec<u32> {
-        if self.is_final() || (self.spec.shape == Shape::Gang && !self.places.is_empty()) {
+    pub fn pending_tasks(&self, most: usize) -> Vec<u32> {
+        if self.is_final() || (self.spec.shape == Shape::Gang && !self.placements.is_empty()) {
             return Vec::new();
         }
         (0..self.spec.tasks)
-            .filter(|t| !self.done[*t as usize] && !self.places.contains_key(t))
+            .filter(|t| !self.done_tasks[*t as usize] && !self.placements.contains_key(t))
             .take(most)
             .collect()
     }
 
-    fn shown_status(&self) -> JobStatus {
+    fn reported_status(&self) -> JobStatus {
         if self.is_final() {
             self.status
-        } else if self.places.values().any(|p| p.seen.is_some()) {
+        } else if self.placements.values().any(|p| p.observed_state.is_some()) {
             JobStatus::Running
         } else {
             JobStatus::Pending
@@ -484,9 +488,9 @@
         let range = self.range(page);
         let (from, to) = (range.start as u32, range.end as u32);
         PageRecord {
-            done: pack_bits(&self.done[range]),
-            places: self
-                .places
+            done: pack_bits(&self.done_tasks[range]),
+            placements: self
+                .placements
                 .range(from..to.max(from))
                 .map(|(&task, p)| StoredPlacement { task, attempt: p.attempt, machine: p.machine.clone() })
                 .collect(),
@@ -497,28 +501,28 @@
     /// task's bit is set.
     pub fn record(&self) -> JobRecord {
         JobRecord {
-            spec: if self.parts.is_some() { stub(&self.spec) } else { self.spec.clone() },
-            parts: self.parts.clone(),
-            at: self.at,
-            status: self.shown_status(),
+            spec: if self.spec_chunks.is_some() { stub(&self.spec) } else { self.spec.clone() },
+            spec_chunks: self.spec_chunks.clone(),
+            submitted_wall_s: self.submitted_wall_s,
+            status: self.reported_status(),
             done: self.done_count,
-            running: self.places.values().filter(|p| p.running_since.is_some()).count() as u32,
+            running: self.placements.values().filter(|p| p.running_since.is_some()).count() as u32,
             attempt: self.attempt,
-            per_page: self.layout.per_page,
-            page: self.page_record(0),
-            ran_on: self.ran_on_names(),
-            freed_at: self.freed_at,
-            layout: self.layout.number,
+            per_page: self.page_layout.per_page,
+            first_page: self.page_record(0),
+            machines_with_image: self.ran_on_names(),
+            ready_wall_s: self.ready_wall_s,
+            layout: self.page_layout.number,
         }
     }
 
     /// A write of mutation count `count`, holding `pages`, was applied;
     /// `whole` if these were all that had changed.
-    pub fn applied(&mut self, count: u64, pages: &BTreeSet<usize>, whole: bool, revision: u64) {
-        self.layout.stored_at(pages, revision);
-        self.turn = pages.last().copied().unwrap_or(0);
+    pub fn on_stored(&mut self, count: u64, pages: &BTreeSet<usize>, whole: bool, revision: u64) {
+        self.page_layout.record_stored(pages, revision);
+        self.round_robin_page = pages.last().copied().unwrap_or(0);
         for &p in pages {
-            let stored = self.page_stored.entry(p).or_insert(0);
+            let stored = self.stored_page_mutations.entry(p).or_insert(0);
             *stored = (*stored).max(count);
         }
         self.dirty_pages.retain(|p, at| !(pages.contains(p) && *at <= count));
@@ -529,28 +533,29 @@
         // A reread may have shown a later version already (a cancellation on
         // top of this write): versions never go back.
         self.version = self.version.max(revision);
-        self.mark = None;
-        let switched = self.layout.count_from_now();
-        self.placing.clear();
-        for (task, place) in self.places.iter_mut() {
-            let page = self.layout.page_of(*task);
+        self.mark_version = None;
+        let switched = self.page_layout.activate();
+        self.pages_with_new_placements.clear();
+        for (task, place) in self.placements.iter_mut() {
+            let page = self.page_layout.page_of(*task);
             // A new layout counts with all that was written of it before.
-            if place.born <= count && (switched || pages.contains(&page)) {
+            if place.created_at_mutation <= count && (switched || pages.contains(&page)) {
                 place.committed = true;
             }
             if !place.committed {
-                self.placing.insert(page);
+                self.pages_with_new_placements.insert(page);
             }
         }
         if whole {
-            self.stored = self.stored.max(count);
+            self.stored_mutation = self.stored_mutation.max(count);
         }
         if self.dirty_pages.is_empty() {
-            self.stored = self.mutated;
+            self.stored_mutation = self.mutation_count;
         }
-        self.pressing = !self.placing.is_empty() || self.complete() && !self.is_final();
+        self.urgent_write =
+            !self.pages_with_new_placements.is_empty() || self.is_complete() && !self.is_final();
         // What is left to store of these pages alone came just now.
-        if self.covers(pages) {
+        if self.pages_cover_changes(pages) {
             self.dirty_since = None;
         }
     }
@@ -569,40 +574,40 @@
             self.status = record.status;
         }
         self.attempt = self.attempt.max(record.attempt);
-        if record.layout == self.layout.number {
-            if self.layout.count_from_now() {
+        if record.layout == self.page_layout.number {
+            if self.page_layout.activate() {
                 self.commit_stored_pages();
             }
-            self.reconcile_page(0, &record.page);
+            self.reconcile_page(0, &record.first_page);
         }
         if self.record() != *record {
-            self.touch_main();
+            self.mark_main_dirty();
         }
     }
 
     /// Its layout counts, and with it what was written of it before. (Where the answer to the
     /// write that named it was lost, placements on other pages stayed unlaunched.)
     fn commit_stored_pages(&mut self) {
-        for (task, place) in self.places.iter_mut() {
-            let stored = self.page_stored.get(&self.layout.page_of(*task));
-            place.committed |= stored.is_some_and(|&count| place.born <= count);
+        for (task, place) in self.placements.iter_mut() {
+            let stored = self.stored_page_mutations.get(&self.page_layout.page_of(*task));
+            place.committed |= stored.is_some_and(|&count| place.created_at_mutation <= count);
         }
     }
 
     pub fn reconcile_page(&mut self, page: usize, record: &PageRecord) {
         let before = self.done_count;
         self.merge_done(page, &record.done);
-        let counts = !self.layout.changing();
-        for (task, place) in self.places.iter_mut() {
-            if counts && self.layout.page_of(*task) == page && !place.committed {
+        let counts = !self.page_layout.is_changing();
+        for (task, place) in self.placements.iter_mut() {
+            if counts && self.page_layout.page_of(*task) == page && !place.committed {
                 place.committed = record
-                    .places
+                    .placements
                     .iter()
                     .any(|s| s.task == *task && s.attempt == place.attempt && s.machine == place.machine);
             }
         }
         if before != self.done_count || page > 0 {
-            self.touch_page(page);
+            self.mark_page_dirty(page);
         }
     }
 }
--- a/crates/controller/src/lease_authority.rs
+++ b/crates/controller/src/lease_authority.rs
@@ -14,57 +14,63 @@
 #[derive(Debug, Clone)]
 pub struct LeaseAuthority {
     /// For how long after the older date workers' leases are renewed.
-    grace_s: Time,
+    response_grace_s: Time,
     /// For how long after the older date anything else is done.
-    ttl_s: Time,
+    leader_lease_s: Time,
     /// When the last renewal that was confirmed had been sent.
-    confirmed: Time,
+    renewal_confirmed_at: Time,
     /// As of when everything that was stored is known here and carried out; None: not yet.
-    known: Option<Time>,
+    state_known_at: Option<Time>,
     /// The same of what has been read, some of which may wait to be carried out.
-    read: Option<Time>,
+    state_read_at: Option<Time>,
 }
 
 impl LeaseAuthority {
     /// Of a leader whose lease was asked for at `claimed`.
     pub fn new(d: &Timing, claimed: Time) -> Self {
         // The service may end a lease as soon as its time is over.
-        let ttl_s = d.leader_ttl_s * 0.99;
-        LeaseAuthority { grace_s: d.grace_s, ttl_s, confirmed: claimed, known: None, read: None }
+        let ttl_s = d.leader_lease_s * 0.99;
+        LeaseAuthority {
+            response_grace_s: d.response_grace_s,
+            leader_lease_s: ttl_s,
+            renewal_confirmed_at: claimed,
+            state_known_at: None,
+            state_read_at: None,
+        }
     }
 
     /// A renewal sent at `sent` was confirmed.
-    pub fn renewed(&mut self, sent: Time) {
-        self.confirmed = self.confirmed.max(sent);
+    pub fn record_renewal(&mut self, sent: Time) {
+        self.renewal_confirmed_at = self.renewal_confirmed_at.max(sent);
     }
 
     /// A read sent at `sent` has shown all changes that there were.
-    pub fn has_read(&mut self, sent: Time) {
-        self.read = Some(self.read.map_or(sent, |r| r.max(sent)));
+    pub fn record_read(&mut self, sent: Time) {
+        self.state_read_at = Some(self.state_read_at.map_or(sent, |r| r.max(sent)));
     }
 
     /// All that has been read is carried out.
-    pub fn carried_out(&mut self) {
-        self.known = self.read;
+    pub fn record_applied(&mut self) {
+        self.state_known_at = self.state_read_at;
     }
 
     /// Until when workers' leases may be renewed, here or by a gateway.
-    pub fn renews_until(&self) -> Time {
-        self.known.map_or(Time::MIN, |k| k.min(self.confirmed) + self.grace_s)
+    pub fn may_respond_until(&self) -> Time {
+        self.state_known_at.map_or(Time::MIN, |k| k.min(self.renewal_confirmed_at) + self.response_grace_s)
     }
 
     /// Whether a worker's lease may be renewed `now`.
-    pub fn renews(&self, now: Time) -> bool {
-        now <= self.renews_until()
+    pub fn may_respond(&self, now: Time) -> bool {
+        now <= self.may_respond_until()
     }
 
     /// Whether plans, launches, writes and calls to the cloud may be made `now`.
-    pub fn acts(&self, now: Time) -> bool {
-        self.known.is_some_and(|k| now < k.min(self.confirmed) + self.ttl_s)
+    pub fn may_act(&self, now: Time) -> bool {
+        self.state_known_at.is_some_and(|k| now < k.min(self.renewal_confirmed_at) + self.leader_lease_s)
     }
 
     /// Whether nobody else can have taken over `now`, whatever is known.
-    pub fn leads(&self, now: Time) -> bool {
-        now < self.confirmed + self.ttl_s
+    pub fn is_exclusive(&self, now: Time) -> bool {
+        now < self.renewal_confirmed_at + self.leader_lease_s
     }
 }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -48,13 +48,13 @@
 #[derive(Debug, Clone)]
 pub(crate) struct RateLimiter {
     rate: f64,
-    level: f64,
-    at: Time,
+    available: f64,
+    refilled_at: Time,
 }
 
 impl RateLimiter {
     fn new(rate: f64) -> Self {
-        RateLimiter { rate, level: rate.max(1.0), at: 0.0 }
+        RateLimiter { rate, available: rate.max(1.0), refilled_at: 0.0 }
     }
     pub(crate) fn rate(&self) -> f64 {
         self.rate
@@ -62,31 +62,32 @@
     /// Another rate from now on.
     pub(crate) fn set_rate(&mut self, rate: f64) {
         self.rate = rate;
-        self.level = self.level.min(rate.max(1.0));
+        self.available = self.available.min(rate.max(1.0));
     }
     /// The service refused: half the rate, but not less than `least`.
-    pub(crate) fn slow_down(&mut self, now: Time, least: f64) {
+    pub(crate) fn halve(&mut self, now: Time, least: f64) {
         self.refill(now);
         self.rate = (self.rate / 2.0).max(least);
-        self.level = self.level.min(self.rate);
+        self.available = self.available.min(self.rate);
     }
     /// It served: a little more, up to `most`.
-    pub(crate) fn speed_up(&mut self, most: f64) {
+    pub(crate) fn recover(&mut self, most: f64) {
         self.rate = (self.rate + most / 100.0).min(most);
     }
     fn refill(&mut self, now: Time) {
-        self.level = (self.level + (now - self.at).max(0.0) * self.rate).min(self.rate.max(1.0));
-        self.at = now;
+        self.available =
+            (self.available + (now - self.refilled_at).max(0.0) * self.rate).min(self.rate.max(1.0));
+        self.refilled_at = now;
     }
-    pub(crate) fn left(&mut self, now: Time) -> f64 {
+    pub(crate) fn available_at(&mut self, now: Time) -> f64 {
         self.refill(now);
-        self.level
+        self.available
     }
-    pub(crate) fn take(&mut self, now: Time, n: f64) -> bool {
+    pub(crate) fn try_acquire(&mut self, now: Time, n: f64) -> bool {
         self.refill(now);
-        let enough = self.level >= n.min(self.rate.max(1.0));
+        let enough = self.available >= n.min(self.rate.max(1.0));
         if enough {
-            self.level -= n;
+            self.available -= n;
         }
         enough
     }
@@ -95,14 +96,14 @@
 /// What a call was for, so that its reply finds its way.
 #[derive(Debug, Clone)]
 pub(crate) enum CallContext {
-    LeaderLook,
+    LeaderRead,
     LeaderWatch,
-    TypesLook,
+    TypesRead,
     Grant,
-    Claim {
+    Campaign {
         lease: u64,
     },
-    ClaimLook {
+    CampaignRead {
         lease: u64,
     },
     Renew {
@@ -110,7 +111,7 @@
         sent: Time,
     },
     Revoke,
-    Load {
+    RecoveryPage {
         token: u64,
         sent: Time,
     },
@@ -122,11 +123,11 @@
         token: u64,
         serial: u64,
     },
-    Move {
+    ArchiveMove {
         token: u64,
     },
-    GateLook,
-    FormatLook {
+    FormatGateRead,
+    FormatRead {
         token: u64,
     },
     FormatWrite {
@@ -134,7 +135,7 @@
         format: u32,
     },
     /// An awaited job's record; `over`: where jobs lie that are over.
-    Awaited {
+    DependencyRead {
         token: u64,
         id: String,
         over: bool,
@@ -146,31 +147,31 @@
         token: u64,
         part: usize,
     },
-    Reread {
+    ReadBackRecord {
         token: u64,
         key: String,
     },
-    Look,
-    Compare,
-    Poll {
+    FreshnessRead,
+    CacheComparison,
+    JobRead {
         id: String,
         over: bool,
     },
     /// The mark beside a job's record, which is as it was read.
-    PollMark {
+    CancellationMarkCompare {
         id: String,
         record: Box<JobRecord>,
         version: u64,
     },
     /// The parts of a record's specification, as far as they were read, at the leader
     /// (with its token) or for polls.
-    Parts {
+    SpecChunks {
         token: Option<u64>,
         record: Box<JobRecord>,
         version: u64,
         pieces: Vec<String>,
     },
-    CreateParts {
+    CreateChunks {
         id: String,
     },
     Create {
@@ -190,7 +191,7 @@
     Hedged {
         n: u64,
     },
-    ReadBack {
+    HedgedReadBack {
         n: u64,
     },
     TypesWrite,
@@ -200,52 +201,52 @@
     CloudList {
         token: u64,
     },
-    Rent {
+    ScaleOut {
         token: u64,
     },
     Delete {
         token: u64,
         machines: Vec<String>,
     },
-    Direct {
+    WorkerCall {
         token: u64,
         machine: String,
         session: u64,
     },
-    Relay,
+    Forward,
 }
 
 /// A call on its way.
 pub(crate) struct PendingCall {
-    sent: Time,
-    purpose: CallContext,
+    sent_at: Time,
+    context: CallContext,
 }
 
 /// Final states may be served from memory: they never change.
 #[derive(Default)]
 pub(crate) struct TerminalStateCache {
-    map: BTreeMap<String, (JobStatus, u32)>,
-    order: VecDeque<String>,
+    states: BTreeMap<String, (JobStatus, u32)>,
+    insertion_order: VecDeque<String>,
 }
 
 const MOST_FINALS: usize = 20_000;
 
 impl TerminalStateCache {
-    pub(crate) fn put(&mut self, id: &str, status: JobStatus, done: u32) {
+    pub(crate) fn insert(&mut self, id: &str, status: JobStatus, done: u32) {
         if !status.is_final() {
             return;
         }
-        if self.map.insert(id.to_string(), (status, done)).is_none() {
-            self.order.push_back(id.to_string());
-            if self.order.len() > MOST_FINALS {
-                if let Some(old) = self.order.pop_front() {
-                    self.map.remove(&old);
+        if self.states.insert(id.to_string(), (status, done)).is_none() {
+            self.insertion_order.push_back(id.to_string());
+            if self.insertion_order.len() > MOST_FINALS {
+                if let Some(old) = self.insertion_order.pop_front() {
+                    self.states.remove(&old);
                 }
             }
         }
     }
     pub(crate) fn get(&self, id: &str) -> Option<(JobStatus, u32)> {
-        self.map.get(id).copied()
+        self.states.get(id).copied()
     }
 }
 
@@ -254,309 +255,309 @@
 #[derive(Debug, Clone, Copy)]
 pub struct SafetyChecks {
     /// Launch only what is committed.
-    pub write_ahead: bool,
+    pub launch_after_commit: bool,
     /// Absence proves something only in a report that has this leader's token.
-    pub settled_only: bool,
+    pub absence_needs_current_token: bool,
     /// Stop answering reports when the grace is over, counted from what is confirmed and from
     /// what is known.
-    pub grace: bool,
+    pub response_grace: bool,
     /// Wait for the lease of a silent machine before its work is placed anew.
-    pub lease_wait: bool,
+    pub wait_for_lease_expiry: bool,
     /// Count placements against the team's limit.
     pub quota: bool,
     /// A cancellation replaces only the version that it read, and the leader
     /// only the version that it knows.
-    pub versions: bool,
+    pub version_checks: bool,
     /// Reports are taken in their workers' order, by whichever way they come.
-    pub order: bool,
+    pub heartbeat_order: bool,
     /// Wait for what a lost gateway may have answered.
-    pub relay_wait: bool,
+    pub wait_for_lost_proxies: bool,
     /// A job starts after what it awaits.
-    pub awaits: bool,
+    pub dependency_order: bool,
     /// What is told of a job follows from those before it.
-    pub lineage: bool,
+    pub cancellation_lineage: bool,
     /// A machine that hears no answer gets no work.
-    pub ears: bool,
+    pub one_way_partitions: bool,
     /// What has waited long beside free places takes them.
-    pub beside: bool,
+    pub work_conservation: bool,
     /// Machines that are only not heard again yet, or that nobody answered for a while, are
     /// neither replaced nor given back.
-    pub asleep: bool,
+    pub retain_silent_machines: bool,
     /// Machines for work bound to zones are rented there.
-    pub bound: bool,
+    pub zonal_scale_out: bool,
     /// The gateway's own.
-    pub gateway: ProxySafetyChecks,
+    pub proxy: ProxySafetyChecks,
 }
 
 impl Default for SafetyChecks {
     fn default() -> Self {
         SafetyChecks {
-            write_ahead: true,
-            settled_only: true,
-            grace: true,
-            lease_wait: true,
+            launch_after_commit: true,
+            absence_needs_current_token: true,
+            response_grace: true,
+            wait_for_lease_expiry: true,
             quota: true,
-            versions: true,
-            order: true,
-            relay_wait: true,
-            awaits: true,
-            lineage: true,
-            ears: true,
-            beside: true,
-            asleep: true,
-            bound: true,
-            gateway: ProxySafetyChecks::default(),
+            version_checks: true,
+            heartbeat_order: true,
+            wait_for_lost_proxies: true,
+            dependency_order: true,
+            cancellation_lineage: true,
+            one_way_partitions: true,
+            work_conservation: true,
+            retain_silent_machines: true,
+            zonal_scale_out: true,
+            proxy: ProxySafetyChecks::default(),
         }
     }
 }
 
 pub struct Controller {
-    guards: SafetyChecks,
+    checks: SafetyChecks,
     pub(crate) settings: Settings,
-    pub(crate) d: Timing,
+    pub(crate) timing: Timing,
     pub(crate) rng: SmallRng,
     pub(crate) now: Time,
     /// Time of day, in seconds.
-    pub(crate) wall: f64,
+    pub(crate) time_of_day: f64,
     next_call: CallId,
     pub(crate) calls: BTreeMap<CallId, PendingCall>,
-    pub(crate) out: Vec<Output>,
+    pub(crate) outputs: Vec<Output>,
     pub(crate) role: Role,
     /// Leader as last read: node name and token.
     pub(crate) known_leader: Option<(String, u64)>,
-    pub(crate) predecessor: leader::PreviousIncarnation,
+    pub(crate) previous_incarnation: leader::PreviousIncarnation,
     pub(crate) leader_watch: leader::WatchCursor,
-    pub(crate) claiming: bool,
+    pub(crate) campaigning: bool,
     /// What is on its way.
-    pub(crate) claim: Option<election::ElectionAttempt>,
-    pub(crate) claim_at: Time,
-    pub(crate) types: Option<Vec<MachineType>>,
-    pub(crate) types_look_at: Time,
-    pub(crate) finals: TerminalStateCache,
-    pub(crate) users: client_requests::ClientRequests,
-    pub(crate) polls: status_queries::StatusQueries,
-    pub(crate) reads: RateLimiter,
-    pub(crate) writes: RateLimiter,
+    pub(crate) election_attempt: Option<election::ElectionAttempt>,
+    pub(crate) campaign_at: Time,
+    pub(crate) machine_types: Option<Vec<MachineType>>,
+    pub(crate) read_types_at: Time,
+    pub(crate) terminal_states: TerminalStateCache,
+    pub(crate) client_requests: client_requests::ClientRequests,
+    pub(crate) status_queries: status_queries::StatusQueries,
+    pub(crate) client_reads: RateLimiter,
+    pub(crate) client_writes: RateLimiter,
     /// How long the state service takes, and users' transactions on their way to it.
-    pub(crate) round_trip: round_trip::RoundTripEstimator,
-    pub(crate) hedges: hedged_requests::HedgedRequests,
+    pub(crate) store_latency: round_trip::RoundTripEstimator,
+    pub(crate) hedged_requests: hedged_requests::HedgedRequests,
     /// What the state service takes, and which version every node has.
-    pub(crate) limits: store_limits::StoreLimits,
-    pub(crate) versions: format_negotiation::FormatNegotiation,
+    pub(crate) store_limits: store_limits::StoreLimits,
+    pub(crate) formats: format_negotiation::FormatNegotiation,
     /// Records whose parts could not be read, with when that was tried.
-    pub(crate) parts_again: Vec<(Time, Box<JobRecord>, u64)>,
+    pub(crate) spec_chunk_retries: Vec<(Time, Box<JobRecord>, u64)>,
     /// Renewals and transactions confirmed by the service, for the logs.
-    pub(crate) state_ok_at: Time,
+    pub(crate) store_reached_at: Time,
     /// Since when the state service has refused or not answered every call.
-    pub(crate) state_bad_since: Option<Time>,
+    pub(crate) store_failing_since: Option<Time>,
     /// When each worker last reported here, whatever it was answered, and its session and
     /// number then.
-    pub(crate) workers_heard: BTreeMap<String, (Time, (u64, u64))>,
+    pub(crate) worker_contacts: BTreeMap<String, (Time, (u64, u64))>,
     /// The other controllers' views, with when they came.
     pub(crate) peers: BTreeMap<String, (protocol::peer::View, Time)>,
-    pub(crate) presence: PeerLiveness,
+    pub(crate) peer_liveness: PeerLiveness,
     pub(crate) operator: Operator,
-    pub(crate) gateway: HeartbeatProxy,
-    pub(crate) spread: ShardBalancer,
-    pub(crate) lateness: EventLoopLag,
+    pub(crate) proxy: HeartbeatProxy,
+    pub(crate) balancer: ShardBalancer,
+    pub(crate) event_loop_lag: EventLoopLag,
     /// Whether this node answered reports on a leave when last looked.
-    pub(crate) served: bool,
+    pub(crate) was_proxying: bool,
     /// Workers that stay here, as last counted.
-    pub(crate) workers_here: u32,
+    pub(crate) worker_count: u32,
     /// Those that have come since.
-    pub(crate) newcomers: u32,
+    pub(crate) new_workers: u32,
     pub(crate) counted_at: Time,
     /// The highest token that the state service has shown.
-    pub(crate) last_token: u64,
+    pub(crate) last_stored_token: u64,
     /// The highest token that another node or a worker has shown.
-    pub(crate) heard_token: u64,
+    pub(crate) last_reported_token: u64,
 }
 
 impl Controller {
     pub fn new(settings: Settings, operator: Operator, seed: u64) -> Self {
         let mut d = Timing::from(&settings);
-        d.tick_s = operator.tick_s.unwrap_or(d.tick_s);
+        d.planning_interval_s = operator.tick_s.unwrap_or(d.planning_interval_s);
         let nodes = f64::from(settings.params.nodes.max(1));
-        let reads = settings.params.state.rps * 0.8 / nodes;
-        let writes = settings.params.state.write_rps * client_requests::MOST_WRITES;
+        let reads = settings.params.store.rps * 0.8 / nodes;
+        let writes = settings.params.store.write_rps * client_requests::MOST_WRITES;
         let mut rng = SmallRng::seed_from_u64(seed);
         Controller {
-            guards: SafetyChecks::default(),
-            gateway: HeartbeatProxy::new(&settings.node, rng.gen(), d),
-            spread: ShardBalancer::new(settings.params.workers.lease_s),
-            lateness: EventLoopLag::default(),
-            served: false,
-            workers_here: 0,
-            newcomers: 0,
+            checks: SafetyChecks::default(),
+            proxy: HeartbeatProxy::new(&settings.node, rng.gen(), d),
+            balancer: ShardBalancer::new(settings.params.workers.lease_s),
+            event_loop_lag: EventLoopLag::default(),
+            was_proxying: false,
+            worker_count: 0,
+            new_workers: 0,
             counted_at: 0.0,
-            last_token: 0,
-            heard_token: 0,
+            last_stored_token: 0,
+            last_reported_token: 0,
             rng,
             now: 0.0,
-            wall: 0.0,
+            time_of_day: 0.0,
             next_call: 1,
             calls: BTreeMap::new(),
-            out: Vec::new(),
+            outputs: Vec::new(),
             role: Role::Follower,
             known_leader: None,
-            predecessor: leader::PreviousIncarnation::default(),
+            previous_incarnation: leader::PreviousIncarnation::default(),
             leader_watch: leader::WatchCursor::default(),
-            claiming: false,
-            claim: None,
-            claim_at: 0.0,
-            types: None,
-            types_look_at: 0.0,
-            finals: TerminalStateCache::default(),
-            users: client_requests::ClientRequests::default(),
-            polls: status_queries::StatusQueries::default(),
+            campaigning: false,
+            election_attempt: None,
+            campaign_at: 0.0,
+            machine_types: None,
+            read_types_at: 0.0,
+            terminal_states: TerminalStateCache::default(),
+            client_requests: client_requests::ClientRequests::default(),
+            status_queries: status_queries::StatusQueries::default(),
             // Users' reads and writes at one node may take their share of
             // four fifths; the rest is for renewals, watches and the leader.
-            reads: RateLimiter::new(reads),
-            writes: RateLimiter::new(writes),
-            round_trip: round_trip::RoundTripEstimator::default(),
-            hedges: hedged_requests::HedgedRequests::new(reads, writes),
-            limits: store_limits::StoreLimits::new(&settings.params.state),
-            versions: format_negotiation::FormatNegotiation::default(),
-            parts_again: Vec::new(),
-            state_ok_at: 0.0,
-            state_bad_since: None,
-            workers_heard: BTreeMap::new(),
+            client_reads: RateLimiter::new(reads),
+            client_writes: RateLimiter::new(writes),
+            store_latency: round_trip::RoundTripEstimator::default(),
+            hedged_requests: hedged_requests::HedgedRequests::new(reads, writes),
+            store_limits: store_limits::StoreLimits::new(&settings.params.store),
+            formats: format_negotiation::FormatNegotiation::default(),
+            spec_chunk_retries: Vec::new(),
+            store_reached_at: 0.0,
+            store_failing_since: None,
+            worker_contacts: BTreeMap::new(),
             peers: BTreeMap::new(),
-            presence: PeerLiveness::default(),
+            peer_liveness: PeerLiveness::default(),
             operator,
             settings,
-            d,
+            timing: d,
         }
     }
 
     /// Turns safety guards off, for tests.
-    pub fn set_guards(&mut self, guards: SafetyChecks) {
-        self.guards = guards;
-        self.gateway.guards = guards.gateway;
+    pub fn set_safety_checks(&mut self, guards: SafetyChecks) {
+        self.checks = guards;
+        self.proxy.checks = guards.proxy;
     }
 
     /// Feeds one input in; the returned outputs are to be carried out.
     pub fn handle(&mut self, now: Time, wall: f64, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
-        self.wall = wall;
+        self.time_of_day = wall;
         match input {
             Input::Tick => {}
             Input::Request(id, r) => self.on_request(id, r),
-            Input::State(call, reply) => {
+            Input::Store(call, reply) => {
                 if let Some(c) = self.calls.remove(&call) {
-                    self.note_answer(&c, &reply);
-                    self.on_state(c.purpose, reply);
+                    self.record_store_reply(&c, &reply);
+                    self.on_store_reply(c.context, reply);
                 }
             }
             Input::Cloud(call, reply) => {
                 if let Some(c) = self.calls.remove(&call) {
-                    self.on_cloud(c.purpose, reply);
+                    self.on_cloud_reply(c.context, reply);
                 }
             }
-            Input::Peer(view) => {
+            Input::PeerView(view) => {
                 if self.settings.peers.iter().any(|p| p.node == view.node) {
                     let gap = self.view_gap_s();
-                    self.presence.heard(self.now, &view.node, gap);
-                    self.versions.heard(&view.node, view.format);
-                    self.heard_of(view.token.max(view.newest), &view.node);
+                    self.peer_liveness.record_contact(self.now, &view.node, gap);
+                    self.formats.record(&view.node, view.format);
+                    self.observe_token(view.token.max(view.newest), &view.node);
                     self.peers.insert(view.node.clone(), (view, self.now));
                 }
             }
-            Input::RelayRequest(id, r) => self.on_relay_request(id, r),
-            Input::RelayReply(call, reply) => {
+            Input::ForwardRequest(id, r) => self.on_forward_request(id, r),
+            Input::ForwardReply(call, reply) => {
                 if self.calls.remove(&call).is_some() {
-                    self.on_relay_reply(reply);
+                    self.on_forward_reply(reply);
                 }
             }
             Input::Worker(call, reply) => {
-                let purpose = self.calls.remove(&call).map(|c| c.purpose);
-                if let Some(CallContext::Direct { token, machine, session }) = purpose {
-                    self.on_direct(token, &machine, session, reply);
+                let purpose = self.calls.remove(&call).map(|c| c.context);
+                if let Some(CallContext::WorkerCall { token, machine, session }) = purpose {
+                    self.on_worker_reply(token, &machine, session, reply);
                 }
             }
         }
-        self.on_time();
-        std::mem::take(&mut self.out)
+        self.tick();
+        std::mem::take(&mut self.outputs)
     }
 
     /// The state service answered a call, or did not.
-    fn note_answer(&mut self, c: &PendingCall, r: &StoreReply) {
-        self.hedges.note(r);
+    fn record_store_reply(&mut self, c: &PendingCall, r: &StoreReply) {
+        self.hedged_requests.record_reply(r);
         if matches!(r, StoreReply::Refused | StoreReply::Unknown) {
-            self.state_bad_since.get_or_insert(self.now);
+            self.store_failing_since.get_or_insert(self.now);
             return;
         }
-        (self.state_ok_at, self.state_bad_since) = (self.now, None);
+        (self.store_reached_at, self.store_failing_since) = (self.now, None);
         // Watches wait for changes.
         if !matches!(r, StoreReply::Events(_)) {
-            self.round_trip.note(self.now - c.sent);
+            self.store_latency.record(self.now - c.sent_at);
         }
     }
 
     /// A timer of this node fired `late` seconds after it was due.
-    pub fn note_lateness(&mut self, late: f64) {
-        self.lateness.note(late);
+    pub fn record_event_loop_lag(&mut self, late: f64) {
+        self.event_loop_lag.record(late);
     }
 
     /// What this node tells the others.
     pub fn view_for_peers(&self) -> protocol::peer::View {
-        let since = self.now - self.d.heard_s;
+        let since = self.now - self.timing.heartbeat_validity_s;
         let serves = match &self.role {
-            Role::Leader(l) => l.authority.renews(self.now),
-            Role::Follower => self.gateway.serves(self.now),
+            Role::Leader(l) => l.authority.may_respond(self.now),
+            Role::Follower => self.proxy.may_respond(self.now),
         };
         protocol::peer::View {
             node: self.settings.node.clone(),
-            token: if let Role::Leader(l) = &self.role { l.token } else { 0 },
-            state_reached: self.state_bad_since.is_none()
-                && self.now - self.state_ok_at < self.d.leader_ttl_s,
-            workers_heard: self.workers_heard.values().filter(|w| w.0 > since).count() as u32,
-            workers: self.workers_here,
+            token: if let Role::Leader(l) = &self.role { l.fencing_token } else { 0 },
+            state_reached: self.store_failing_since.is_none()
+                && self.now - self.store_reached_at < self.timing.leader_lease_s,
+            workers_heard: self.worker_contacts.values().filter(|w| w.0 > since).count() as u32,
+            workers: self.worker_count,
             format: records::FORMAT,
             newest: self.newest_token(),
-            room: self.d.worker_room,
+            room: self.timing.worker_capacity,
             serves,
-            weight: (self.lateness.weight() * 1000.0) as u32,
+            weight: (self.event_loop_lag.weight() * 1000.0) as u32,
         }
     }
 
     /// The highest token that this node has seen anywhere.
     fn newest_token(&self) -> u64 {
         let led = self.known_leader.as_ref().map_or(0, |l| l.1);
-        led.max(self.last_token).max(self.heard_token)
+        led.max(self.last_stored_token).max(self.last_reported_token)
     }
 
     /// Whether this node alone misses the state service, so that users are
     /// better off with the others: a peer has reached it since. In an outage
     /// all stay, or users would be kept away for longer than it lasts.
-    fn users_better_elsewhere(&self) -> bool {
-        let Some(since) = self.state_bad_since else { return false };
-        let judged = since + self.d.renew_s;
+    fn should_fail_health_check(&self) -> bool {
+        let Some(since) = self.store_failing_since else { return false };
+        let judged = since + self.timing.renewal_interval_s;
         // Nor does any other node reach this one: it is cut off, with its workers at most.
         let alone = !self.peers.is_empty() && self.peers.values().all(|(_, at)| *at < since);
-        if alone && self.now > since + self.d.leader_ttl_s {
+        if alone && self.now > since + self.timing.leader_lease_s {
             return true;
         }
         self.now > judged && self.peers.values().any(|(v, at)| v.state_reached && *at > judged)
     }
 
     /// When `Tick` is due next if nothing else happens.
-    pub fn wake_s(&self) -> f64 {
-        let usual = self.usual_wake_s();
+    pub fn wake_interval_s(&self) -> f64 {
+        let usual = self.default_wake_interval_s();
         // What is overdue is noticed soon after it is.
-        if self.hedges.waits() {
-            usual.min(self.d.overdue_s / 3.0)
+        if self.hedged_requests.has_open() {
+            usual.min(self.timing.hedge_after_s / 3.0)
         } else {
             usual
         }
     }
 
-    fn usual_wake_s(&self) -> f64 {
+    fn default_wake_interval_s(&self) -> f64 {
         match &self.role {
-            Role::Leader(l) if l.held.values().any(|h| !h.idle) => 0.02,
-            Role::Leader(l) if l.relays.open() => self.d.relay_s.min(0.1),
+            Role::Leader(l) if l.pending_heartbeats.values().any(|h| !h.idle) => 0.02,
+            Role::Leader(l) if l.forwarding.has_open_request() => self.timing.forward_interval_s.min(0.1),
             Role::Leader(_) => 0.1,
-            Role::Follower if self.gateway.waits() => self.d.relay_s.min(0.2),
+            Role::Follower if self.proxy.has_pending() => self.timing.forward_interval_s.min(0.2),
             Role::Follower => 0.2,
         }
     }
@@ -571,36 +572,36 @@
 
     /// Machines that this leader takes for faulty.
     pub fn quarantined(&self) -> impl Iterator<Item = &str> {
-        self.machines().filter(|m| m.sick).map(|m| m.id.as_str())
+        self.machines().filter(|m| m.quarantined).map(|m| m.id.as_str())
     }
 
     /// Machines that this leader would give work to now, their workers heard.
     pub fn usable_machines(&self) -> impl Iterator<Item = &str> {
-        let up = |m: &&machine::Machine| m.takes_work() && m.heard_lately(self.now, &self.d);
+        let up = |m: &&machine::Machine| m.accepts_work() && m.is_heard(self.now, &self.timing);
         self.machines().filter(up).map(|m| m.id.as_str())
     }
 
     /// Machines that this leader gives back or takes for faulty.
-    pub fn leaving(&self) -> impl Iterator<Item = &str> {
-        self.machines().filter(|m| !m.takes_work()).map(|m| m.id.as_str())
+    pub fn machines_leaving(&self) -> impl Iterator<Item = &str> {
+        self.machines().filter(|m| !m.accepts_work()).map(|m| m.id.as_str())
     }
 
     /// Machines that this leader has given up as silent and that may be there yet;
     /// whether it may still act upon that or not.
-    pub fn given_up(&self) -> impl Iterator<Item = &str> {
+    pub fn machines_given_up(&self) -> impl Iterator<Item = &str> {
         self.machines().filter(|m| m.given_up).map(|m| m.id.as_str())
     }
 
     /// Placements that this leader knows of.
-    pub fn places(&self) -> usize {
+    pub fn placement_count(&self) -> usize {
         match &self.role {
-            Role::Leader(l) => l.jobs.values().map(|j| j.places.len()).sum(),
+            Role::Leader(l) => l.jobs.values().map(|j| j.placements.len()).sum(),
             Role::Follower => 0,
         }
     }
 
     /// Tasks of live jobs that this leader knows to have ended.
-    pub fn tasks_done(&self) -> usize {
+    pub fn completed_task_count(&self) -> usize {
         match &self.role {
             Role::Leader(l) => l.jobs.values().map(|j| j.done_count as usize).sum(),
             Role::Follower => 0,
@@ -608,22 +609,22 @@
     }
 
     /// Jobs that wait for others, as far as this leader knows.
-    pub fn jobs_waiting(&self) -> usize {
+    pub fn waiting_job_count(&self) -> usize {
         match &self.role {
-            Role::Leader(l) => l.pipelines.graph.waiting(),
+            Role::Leader(l) => l.dependencies.graph.waiting_count(),
             Role::Follower => 0,
         }
     }
 
     /// Whether it leads and has read all records.
-    pub fn has_loaded(&self) -> bool {
-        matches!(&self.role, Role::Leader(l) if l.loaded)
+    pub fn has_recovered(&self) -> bool {
+        matches!(&self.role, Role::Leader(l) if l.recovered)
     }
 
     /// The token with which it leads.
     pub fn token(&self) -> Option<u64> {
         match &self.role {
-            Role::Leader(l) => Some(l.token),
+            Role::Leader(l) => Some(l.fencing_token),
             Role::Follower => None,
         }
     }
@@ -632,122 +633,124 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    pub(crate) fn call_id(&mut self, purpose: CallContext) -> CallId {
+    pub(crate) fn register_call(&mut self, purpose: CallContext) -> CallId {
         let id = self.next_call;
         self.next_call += 1;
-        self.calls.insert(id, PendingCall { sent: self.now, purpose });
+        self.calls.insert(id, PendingCall { sent_at: self.now, context: purpose });
         id
     }
 
-    pub(crate) fn state(&mut self, purpose: CallContext, op: StoreRequest) -> CallId {
-        let id = self.call_id(purpose);
-        self.out.push(Output::State(id, op));
+    pub(crate) fn call_store(&mut self, purpose: CallContext, op: StoreRequest) -> CallId {
+        let id = self.register_call(purpose);
+        self.outputs.push(Output::Store(id, op));
         id
     }
 
-    pub(crate) fn cloud(&mut self, purpose: CallContext, op: CloudRequest) -> CallId {
-        let id = self.call_id(purpose);
-        self.out.push(Output::Cloud(id, op));
+    pub(crate) fn call_cloud(&mut self, purpose: CallContext, op: CloudRequest) -> CallId {
+        let id = self.register_call(purpose);
+        self.outputs.push(Output::Cloud(id, op));
         id
     }
 
-    pub(crate) fn direct(
+    pub(crate) fn call_worker(
         &mut self,
         purpose: CallContext,
         addr: &str,
         body: protocol::worker::DirectCommands,
     ) {
-        let id = self.call_id(purpose);
-        self.out.push(Output::Worker(id, addr.to_string(), body));
+        let id = self.register_call(purpose);
+        self.outputs.push(Output::Worker(id, addr.to_string(), body));
     }
 
-    pub(crate) fn answer(&mut self, id: RequestId, status: u16, body: Vec<u8>) {
-        self.out.push(Output::Answer(id, HttpResponse { status, body, retry_after_s: None }));
+    pub(crate) fn respond(&mut self, id: RequestId, status: u16, body: Vec<u8>) {
+        self.outputs.push(Output::Response(id, HttpResponse { status, body, retry_after_s: None }));
     }
 
-    pub(crate) fn refuse(&mut self, id: RequestId, status: u16, why: &str) {
+    pub(crate) fn respond_error(&mut self, id: RequestId, status: u16, why: &str) {
         let body = protocol::encode(&protocol::job::ErrorResponse { error: why.to_string() });
         // Users wait a second at least anyway; nothing is won by asking more.
         let retry_after_s = (status == 503).then_some(1);
-        self.out.push(Output::Answer(id, HttpResponse { status, body, retry_after_s }));
+        self.outputs.push(Output::Response(id, HttpResponse { status, body, retry_after_s }));
     }
 
     fn on_request(&mut self, id: RequestId, r: Request) {
         match r {
             Request::Submit(body) => self.on_submit(id, &body),
-            Request::Poll(job) => self.on_poll(id, &job),
+            Request::QueryStatus(job) => self.on_status_query(id, &job),
             Request::Cancel(job) => self.on_cancel(id, &job),
-            Request::Report(body) => self.on_report(id, &body),
-            Request::Up => {
-                if self.users_better_elsewhere() {
-                    self.refuse(id, 503, "state service not reached from here");
-                } else if self.types.is_some() {
-                    self.answer(id, 200, protocol::encode(&self.health()));
+            Request::Heartbeat(body) => self.on_heartbeat(id, &body),
+            Request::HealthCheck => {
+                if self.should_fail_health_check() {
+                    self.respond_error(id, 503, "state service not reached from here");
+                } else if self.machine_types.is_some() {
+                    self.respond(id, 200, protocol::encode(&self.health()));
                 } else {
-                    self.refuse(id, 503, "machine types not known yet");
+                    self.respond_error(id, 503, "machine types not known yet");
                 }
             }
         }
     }
 
-    fn on_state(&mut self, p: CallContext, r: StoreReply) {
+    fn on_store_reply(&mut self, p: CallContext, r: StoreReply) {
         match p {
-            CallContext::LeaderLook => self.on_leader_look(r),
+            CallContext::LeaderRead => self.on_leader_read(r),
             CallContext::LeaderWatch => self.on_leader_watch(r),
-            CallContext::TypesLook => self.on_types_look(r),
-            CallContext::Grant => self.on_grant(r),
-            CallContext::Claim { lease } => self.on_claim(lease, r),
-            CallContext::ClaimLook { lease } => self.on_claim_look(lease, r),
-            CallContext::Renew { token, sent } => self.on_renew(token, sent, r),
+            CallContext::TypesRead => self.on_types_read(r),
+            CallContext::Grant => self.on_lease_granted(r),
+            CallContext::Campaign { lease } => self.on_campaign_reply(lease, r),
+            CallContext::CampaignRead { lease } => self.on_campaign_read(lease, r),
+            CallContext::Renew { token, sent } => self.on_lease_renewed(token, sent, r),
             CallContext::Revoke | CallContext::TypesWrite => {}
-            CallContext::Load { token, sent } => self.on_load(token, sent, r),
+            CallContext::RecoveryPage { token, sent } => self.on_recovery_page(token, sent, r),
             CallContext::JobWatch { token, sent } => self.on_job_watch(token, sent, r),
-            CallContext::Commit { token, serial } => self.on_commit(token, serial, r),
-            CallContext::Move { token } => self.on_move(token, r),
-            CallContext::GateLook => self.on_gate_look(r),
-            CallContext::FormatLook { token } => self.on_format_look(token, r),
+            CallContext::Commit { token, serial } => self.on_committed(token, serial, r),
+            CallContext::ArchiveMove { token } => self.on_archive_moved(token, r),
+            CallContext::FormatGateRead => self.on_format_gate_read(r),
+            CallContext::FormatRead { token } => self.on_format_read(token, r),
             CallContext::FormatWrite { token, format } => self.on_format_write(token, format, r),
-            CallContext::Awaited { token, id, over } => self.on_awaited(token, &id, over, r),
+            CallContext::DependencyRead { token, id, over } => self.on_dependency_read(token, &id, over, r),
             CallContext::ImagesWrite { token } => self.on_images_write(token, r),
             CallContext::ImagesRead { token, part } => self.on_images_read(token, part, r),
-            CallContext::Reread { token, key } => self.on_reread(token, &key, r),
-            CallContext::Look => self.on_look(r),
-            CallContext::Compare => self.on_compare(r),
-            CallContext::Poll { id, over } => self.on_poll_read(&id, over, r),
-            CallContext::PollMark { id, record, version } => self.on_poll_mark(&id, &record, version, r),
-            CallContext::Parts { token, record, version, pieces } => {
-                self.on_parts(token, record, version, pieces, r);
+            CallContext::ReadBackRecord { token, key } => self.on_read_back_record(token, &key, r),
+            CallContext::FreshnessRead => self.on_freshness_read(r),
+            CallContext::CacheComparison => self.on_comparison(r),
+            CallContext::JobRead { id, over } => self.on_job_read(&id, over, r),
+            CallContext::CancellationMarkCompare { id, record, version } => {
+                self.on_cancellation_mark_compared(&id, &record, version, r)
             }
-            CallContext::CreateParts { id } => self.on_create_parts(&id, r),
-            CallContext::Create { id } => self.on_create(&id, r),
+            CallContext::SpecChunks { token, record, version, pieces } => {
+                self.on_spec_chunks(token, record, version, pieces, r);
+            }
+            CallContext::CreateChunks { id } => self.on_chunks_stored(&id, r),
+            CallContext::Create { id } => self.on_job_created(&id, r),
             CallContext::CancelRead { id, tries, over } => self.on_cancel_read(&id, tries, over, r),
             CallContext::CancelWrite { id, tries } => self.on_cancel_write(&id, tries, r),
-            CallContext::Hedged { n } => self.on_hedged(n, r),
-            CallContext::ReadBack { n } => self.on_read_back(n, r),
+            CallContext::Hedged { n } => self.on_hedged_reply(n, r),
+            CallContext::HedgedReadBack { n } => self.on_hedged_read_back(n, r),
             _ => {}
         }
     }
 
-    fn on_time(&mut self) {
-        self.follow_leader();
-        self.look_at_gate();
-        self.users_on_time();
-        self.hedges_on_time();
-        self.polls_on_time();
-        self.parts_on_time();
-        if self.now - self.counted_at >= self.d.renew_s {
+    fn tick(&mut self) {
+        self.tick_election();
+        self.tick_format_gate();
+        self.tick_client_requests();
+        self.tick_hedged_requests();
+        self.tick_status_queries();
+        self.tick_spec_chunks();
+        if self.now - self.counted_at >= self.timing.renewal_interval_s {
             self.counted_at = self.now;
             self.count_workers();
             // A twelfth of a report's interval late is late for workers, too.
-            self.lateness.adjust(self.settings.params.workers.report_s / 12.0);
+            self.event_loop_lag.update_weight(self.settings.params.workers.heartbeat_interval_s / 12.0);
         }
-        self.gateway_on_time();
-        self.lead_on_time();
+        self.tick_proxy();
+        self.tick_leader();
     }
 
-    pub(crate) fn lead(&mut self, token: u64) -> Option<&mut LeaderState> {
+    pub(crate) fn leader_state(&mut self, token: u64) -> Option<&mut LeaderState> {
         match &mut self.role {
-            Role::Leader(l) if l.token == token => Some(l),
+            Role::Leader(l) if l.fencing_token == token => Some(l),
             _ => None,
         }
     }
--- a/crates/controller/src/messages.rs
+++ b/crates/controller/src/messages.rs
@@ -14,10 +14,10 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Request {
     Submit(Vec<u8>),
-    Poll(String),
+    QueryStatus(String),
     Cancel(String),
-    Report(Vec<u8>),
-    Up,
+    Heartbeat(Vec<u8>),
+    HealthCheck,
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -84,7 +84,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum WorkerReply {
     /// 200 or 409, with the worker's report.
-    Report {
+    Heartbeat {
         executed: bool,
         report: Box<Heartbeat>,
     },
@@ -95,25 +95,25 @@
 pub enum Input {
     Tick,
     Request(RequestId, Request),
-    State(CallId, StoreReply),
+    Store(CallId, StoreReply),
     Cloud(CallId, CloudReply),
     Worker(CallId, WorkerReply),
     /// What another controller sees.
-    Peer(View),
+    PeerView(View),
     /// Workers' reports that another controller passes on.
-    RelayRequest(RequestId, ForwardRequest),
+    ForwardRequest(RequestId, ForwardRequest),
     /// None: no reply came, or too late.
-    RelayReply(CallId, Option<ForwardReply>),
+    ForwardReply(CallId, Option<ForwardReply>),
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
-    Answer(RequestId, HttpResponse),
-    State(CallId, StoreRequest),
+    Response(RequestId, HttpResponse),
+    Store(CallId, StoreRequest),
     Cloud(CallId, CloudRequest),
     Worker(CallId, String, DirectCommands),
     /// Passes reports to the controller of that name.
-    Relay(CallId, String, ForwardRequest),
+    Forward(CallId, String, ForwardRequest),
     /// Answers another controller's relay.
-    RelayReply(RequestId, ForwardReply),
+    ForwardReply(RequestId, ForwardReply),
 }
--- a/crates/controller/src/page_layout.rs
+++ b/crates/controller/src/page_layout.rs
@@ -17,15 +17,15 @@
     /// Tasks of a page.
     pub per_page: u32,
     /// Bytes that a value may take.
-    pub fit: usize,
+    pub max_value_bytes: usize,
     /// Bytes that a value may take which fits the coming limits too.
-    tight: usize,
+    next_value_bytes: usize,
     /// Pages beyond the first that are stored, with their versions.
     versions: BTreeMap<usize, u64>,
     /// The stored record names an earlier one yet.
-    changing: bool,
+    is_changing: bool,
     /// Numbers and pages of others that are still stored.
-    left: BTreeSet<(u32, usize)>,
+    obsolete_pages: BTreeSet<(u32, usize)>,
 }
 
 impl PageLayout {
@@ -37,33 +37,33 @@
         PageLayout {
             number,
             per_page,
-            fit: if wide { limits.present_bytes().max(tight) } else { tight },
-            tight,
+            max_value_bytes: if wide { limits.current_value_bytes().max(tight) } else { tight },
+            next_value_bytes: tight,
             versions: BTreeMap::new(),
-            changing: false,
-            left: BTreeSet::new(),
+            is_changing: false,
+            obsolete_pages: BTreeSet::new(),
         }
     }
 
     /// Whether its values may be larger than the coming limits allow.
-    pub fn wide(&self) -> bool {
-        self.fit > self.tight
+    pub fn exceeds_next_limit(&self) -> bool {
+        self.max_value_bytes > self.next_value_bytes
     }
 
     /// Bytes that a value may take under the coming limits.
-    pub fn tight(&self) -> usize {
-        self.tight
+    pub fn next_value_bytes(&self) -> usize {
+        self.next_value_bytes
     }
 
     /// From now on its values have to fit the coming limits, as it is or divided anew.
-    pub fn narrow(&mut self) {
-        self.fit = self.tight;
+    pub fn shrink(&mut self) {
+        self.max_value_bytes = self.next_value_bytes;
     }
 
     /// Its values are written as they are, though they do not fit the coming limits: versions
     /// that know no other layout may have to read them.
-    pub fn widen(&mut self, present: usize) {
-        self.fit = self.fit.max(present);
+    pub fn grow(&mut self, present: usize) {
+        self.max_value_bytes = self.max_value_bytes.max(present);
     }
 
     pub fn page_of(&self, task: u32) -> usize {
@@ -78,9 +78,9 @@
     }
 
     /// A page was read. False if it is of another layout.
-    pub fn take(&mut self, page: usize, number: u32, version: u64) -> bool {
+    pub fn accept_page(&mut self, page: usize, number: u32, version: u64) -> bool {
         if number != self.number {
-            self.left.insert((number, page));
+            self.obsolete_pages.insert((number, page));
             return false;
         }
         if page > 0 {
@@ -90,23 +90,23 @@
     }
 
     /// Another layout, with `per_page` as it is now.
-    pub fn begin(&mut self) {
-        self.left.extend(self.versions.keys().map(|&p| (self.number, p)));
-        let last = self.left.last().map_or(0, |l| l.0);
+    pub fn begin_layout(&mut self) {
+        self.obsolete_pages.extend(self.versions.keys().map(|&p| (self.number, p)));
+        let last = self.obsolete_pages.last().map_or(0, |l| l.0);
         self.number = self.number.max(last) + 1;
         self.versions.clear();
-        self.changing = true;
-        self.fit = self.tight;
+        self.is_changing = true;
+        self.max_value_bytes = self.next_value_bytes;
     }
 
     /// Whether the stored record does not name this layout yet.
-    pub fn changing(&self) -> bool {
-        self.changing
+    pub fn is_changing(&self) -> bool {
+        self.is_changing
     }
 
     /// The stored record names it. True if it did not before.
-    pub fn count_from_now(&mut self) -> bool {
-        std::mem::replace(&mut self.changing, false)
+    pub fn activate(&mut self) -> bool {
+        std::mem::replace(&mut self.is_changing, false)
     }
 
     /// The version that a page has to have to be replaced.
@@ -115,7 +115,7 @@
     }
 
     /// Pages were written or read at that revision: versions never go back.
-    pub fn stored_at(&mut self, pages: &BTreeSet<usize>, revision: u64) {
+    pub fn record_stored(&mut self, pages: &BTreeSet<usize>, revision: u64) {
         for &p in pages.iter().filter(|&&p| p > 0) {
             let v = self.versions.entry(p).or_insert(0);
             *v = (*v).max(revision);
@@ -125,14 +125,14 @@
     /// The keys of all pages that are stored, of whichever layout.
     pub fn keys(&self, id: &str) -> Vec<String> {
         let own = self.versions.keys().map(|&p| page_key(id, p, self.number));
-        own.chain(self.left.iter().map(|&(n, p)| page_key(id, p, n))).collect()
+        own.chain(self.obsolete_pages.iter().map(|&(n, p)| page_key(id, p, n))).collect()
     }
 
     /// Keys of layouts that count no more, which are then no longer known here.
-    pub fn take_left(&mut self, id: &str) -> Vec<String> {
-        if self.changing {
+    pub fn take_obsolete_keys(&mut self, id: &str) -> Vec<String> {
+        if self.is_changing {
             return Vec::new();
         }
-        std::mem::take(&mut self.left).into_iter().map(|(n, p)| page_key(id, p, n)).collect()
+        std::mem::take(&mut self.obsolete_pages).into_iter().map(|(n, p)| page_key(id, p, n)).collect()
     }
 }
--- a/crates/controller/src/pending_kills.rs
+++ b/crates/controller/src/pending_kills.rs
@@ -25,16 +25,16 @@
     /// Machines with such tasks, which only the leader may answer.
     machines: BTreeSet<String>,
     /// Machines that are told again, unless there is proof by then.
-    again: BTreeMap<String, RetryBackoff>,
+    retries: BTreeMap<String, RetryBackoff>,
     /// Nothing of that is due before.
-    next: Time,
+    next_retry_at: Time,
     /// Calls on their way.
     calls: usize,
 }
 
 impl PendingKills {
     /// Tasks of job `id` may be newly under a stop.
-    pub fn look_at(&mut self, id: &str) {
+    pub fn add_job(&mut self, id: &str) {
         self.jobs.insert(id.to_string());
     }
 
@@ -44,129 +44,132 @@
     }
 
     /// Machines that are to be told again now, `most` of them.
-    fn due(&mut self, now: Time, most: usize) -> Vec<String> {
-        if now < self.next {
+    fn take_due(&mut self, now: Time, most: usize) -> Vec<String> {
+        if now < self.next_retry_at {
             return Vec::new();
         }
         let due: Vec<String> =
-            self.again.iter().filter(|(_, a)| now >= a.at).map(|(m, _)| m.clone()).take(most).collect();
-        let left = self.again.iter().filter(|(m, _)| !due.contains(m));
-        self.next = left.map(|(_, a)| a.at).fold(Time::MAX, Time::min);
+            self.retries.iter().filter(|(_, a)| now >= a.at).map(|(m, _)| m.clone()).take(most).collect();
+        let left = self.retries.iter().filter(|(m, _)| !due.contains(m));
+        self.next_retry_at = left.map(|(_, a)| a.at).fold(Time::MAX, Time::min);
         due
     }
 
     /// `machine` was told, or could not be: it is told again after `first`, then after
     /// twice as long each time, up to `longest`.
-    fn told(&mut self, machine: &str, now: Time, first: Time, longest: Time) {
-        let before = self.again.get(machine).map(|a| a.pause);
+    fn schedule_retry(&mut self, machine: &str, now: Time, first: Time, longest: Time) {
+        let before = self.retries.get(machine).map(|a| a.pause);
         let pause = before.map_or(first, |p| (p * 2.0).min(longest));
-        self.again.insert(machine.to_string(), RetryBackoff { at: now + pause, pause });
-        self.next = self.next.min(now + pause);
+        self.retries.insert(machine.to_string(), RetryBackoff { at: now + pause, pause });
+        self.next_retry_at = self.next_retry_at.min(now + pause);
     }
 
     /// Nothing is to be stopped on `machine` any more.
-    fn done(&mut self, machine: &str) {
-        self.again.remove(machine);
+    fn remove(&mut self, machine: &str) {
+        self.retries.remove(machine);
     }
 
     /// `machine` is told again at once, if there is something.
-    pub fn hurry(&mut self, machine: &str, now: Time) {
-        if let Some(a) = self.again.get_mut(machine) {
-            (a.at, self.next) = (now, now);
+    pub fn retry_now(&mut self, machine: &str, now: Time) {
+        if let Some(a) = self.retries.get_mut(machine) {
+            (a.at, self.next_retry_at) = (now, now);
         }
     }
 }
 
 impl Controller {
     /// Tasks of job `id` may be newly under a stop: `send_stops` looks there.
-    pub(crate) fn stop_now(&mut self, id: &str) {
+    pub(crate) fn kill_now(&mut self, id: &str) {
         if let Role::Leader(l) = &mut self.role {
-            l.stops.look_at(id);
+            l.pending_kills.add_job(id);
         }
     }
 
     /// Sends stops straight to the machines, each machine's in one call; the answers to
     /// reports repeat them. (One call a task, and all of a job's again for every task,
     /// once opened thousands of connections within seconds.)
-    pub(crate) fn send_stops(&mut self) {
-        let (now, d) = (self.now, self.d);
+    pub(crate) fn tick_pending_kills(&mut self) {
+        let (now, d) = (self.now, self.timing);
         let longest = self.settings.params.workers.lease_s;
         let Role::Leader(l) = &mut self.role else { return };
         let mut new: BTreeSet<String> = BTreeSet::new();
-        for id in std::mem::take(&mut l.stops.jobs) {
+        for id in std::mem::take(&mut l.pending_kills.jobs) {
             let Some(job) = l.jobs.get_mut(&id) else { continue };
-            for p in job.places.values_mut().filter(|p| p.stopping.is_some()) {
-                l.stops.machines.insert(p.machine.clone());
+            for p in job.placements.values_mut().filter(|p| p.stopping.is_some()) {
+                l.pending_kills.machines.insert(p.machine.clone());
                 // What was launched and not seen may be on its way there: it was once
                 // told nothing before a report showed it.
-                if !p.told && (p.seen.is_some() || p.sent) {
-                    p.told = true;
+                if !p.kill_sent && (p.observed_state.is_some() || p.launch_sent) {
+                    p.kill_sent = true;
                     new.insert(p.machine.clone());
                 }
             }
         }
         // Half of the calls are for what is new.
-        let again = l.stops.due(now, (d.worker_calls / 2).saturating_sub(l.stops.calls));
+        let again =
+            l.pending_kills.take_due(now, (d.max_worker_calls / 2).saturating_sub(l.pending_kills.calls));
         for machine in new.iter().chain(again.iter().filter(|m| !new.contains(*m))) {
             let first = new.contains(machine);
-            self.stop_on(machine, first, (d.tour_s, longest));
+            self.send_kills(machine, first, (d.worker_failover_s, longest));
         }
     }
 
     /// Tells `machine` directly what is to be stopped there; `first`: something of it is new.
-    fn stop_on(&mut self, machine: &str, first: bool, (pause, longest): (Time, Time)) {
+    fn send_kills(&mut self, machine: &str, first: bool, (pause, longest): (Time, Time)) {
         let now = self.now;
         let Role::Leader(l) = &mut self.role else { return };
-        let token = l.token;
+        let token = l.fencing_token;
         let mut commands = Vec::new();
         for (id, task) in l.tasks_on(machine) {
-            let Some(p) = l.jobs.get(&id).and_then(|j| j.places.get(&task)) else { continue };
-            let Some((_, grace)) = p.stopping.filter(|_| p.seen.is_some() || p.sent) else { continue };
+            let Some(p) = l.jobs.get(&id).and_then(|j| j.placements.get(&task)) else { continue };
+            let Some((_, grace)) = p.stopping.filter(|_| p.observed_state.is_some() || p.launch_sent) else {
+                continue;
+            };
             let (task, grace_s) = (task_name(&id, task), Some(grace));
-            commands.push(Command { op: CommandKind::Stop, task, attempt: p.attempt, grace_s });
+            commands.push(Command { kind: CommandKind::Stop, task, attempt: p.attempt, grace_s });
         }
         commands.truncate(MOST_COMMANDS);
         if commands.is_empty() {
-            return l.stops.done(machine);
+            return l.pending_kills.remove(machine);
         }
-        l.stops.told(machine, now, pause, longest);
+        l.pending_kills.schedule_retry(machine, now, pause, longest);
         let Some(m) = l.machines.get(machine) else { return };
         // Its worker may have reported here before this node led.
-        let before = self.workers_heard.get(machine).map_or(0, |(_, place)| place.0);
-        let (addr, session) = (m.addr.clone(), m.newest.0.max(before));
+        let before = self.worker_contacts.get(machine).map_or(0, |(_, place)| place.0);
+        let (addr, session) = (m.addr.clone(), m.newest_position.0.max(before));
         // A new leader hears most machines soon. One that it does not is asked: it refuses what
         // names no session of its own, and reports.
         if addr.is_empty() || session == 0 && first {
             return;
         }
-        l.stops.calls += 1;
+        l.pending_kills.calls += 1;
         let machine = machine.to_string();
-        let body = DirectCommands { token, session, commands };
-        self.direct(CallContext::Direct { token, machine, session }, &addr, body);
+        let body = DirectCommands { fencing_token: token, epoch: session, commands };
+        self.call_worker(CallContext::WorkerCall { token, machine, session }, &addr, body);
     }
 
     /// The answer to a direct command that named `session`.
-    pub(crate) fn on_direct(&mut self, token: u64, machine: &str, session: u64, r: WorkerReply) {
+    pub(crate) fn on_worker_reply(&mut self, token: u64, machine: &str, session: u64, r: WorkerReply) {
         let now = self.now;
-        let Some(l) = self.lead(token) else { return };
-        l.stops.calls = l.stops.calls.saturating_sub(1);
-        let WorkerReply::Report { executed, report } = r else { return };
-        if report.token > token {
-            return self.heard_of(report.token, machine);
+        let Some(l) = self.leader_state(token) else { return };
+        l.pending_kills.calls = l.pending_kills.calls.saturating_sub(1);
+        let WorkerReply::Heartbeat { executed, report } = r else { return };
+        if report.fencing_token > token {
+            return self.observe_token(report.fencing_token, machine);
         }
-        self.take_report(&report, false, now);
-        let Some(l) = self.lead(token) else { return };
-        let known = l.machines.get(machine).map_or(session, |m| m.newest.0);
+        self.apply_heartbeat(&report, false, now);
+        let Some(l) = self.leader_state(token) else { return };
+        let known = l.machines.get(machine).map_or(session, |m| m.newest_position.0);
         if !executed && known != session {
-            l.stops.hurry(machine, now);
+            l.pending_kills.retry_now(machine, now);
         }
     }
 
     /// Looks again at machines where something is to be stopped.
-    pub(crate) fn attend_to_stops(&mut self) {
+    pub(crate) fn mark_kills_leader_only(&mut self) {
         let Role::Leader(l) = &mut self.role else { return };
-        for machine in l.stops.take_machines() {
-            self.attend_to(&machine);
+        for machine in l.pending_kills.take_machines() {
+            self.update_leader_only(&machine);
         }
     }
 }
--- a/crates/controller/src/records.rs
+++ b/crates/controller/src/records.rs
@@ -111,14 +111,16 @@
     Types(Vec<MachineType>),
     Job(Box<JobRecord>),
     Page(PageRecord),
-    Over(TerminalRecord),
+    #[serde(rename = "Over")]
+    Terminal(TerminalRecord),
     Images(ImagesRecord),
     Format(u32),
     /// A piece of a specification's text.
-    Part(String),
+    #[serde(rename = "Part")]
+    SpecChunk(String),
     /// What this version cannot read; never written.
     #[serde(skip)]
-    Unread,
+    Undecodable,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -126,11 +128,13 @@
     pub node: String,
     /// When it claimed, by its time of day in seconds; 0 from nodes that do not tell.
     #[serde(default)]
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub elected_wall_s: f64,
     /// How often in a row this node took over from an earlier start of its own that had
     /// not led for long.
     #[serde(default)]
-    pub again: u32,
+    #[serde(rename = "again")]
+    pub quick_restarts: u32,
     /// The lease that it claimed with; 0 from nodes that do not tell.
     #[serde(default)]
     pub lease: u64,
@@ -142,7 +146,8 @@
     pub status: JobStatus,
     pub done: u32,
     /// Time of day of the submission, in seconds.
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub submitted_wall_s: f64,
 }
 
 /// The images that some machines hold, the latest first.
@@ -187,7 +192,8 @@
 pub struct PageRecord {
     /// Finished tasks, four to a hexadecimal digit, lowest number first.
     pub done: String,
-    pub places: Vec<StoredPlacement>,
+    #[serde(rename = "places")]
+    pub placements: Vec<StoredPlacement>,
 }
 
 /// A job's record. Its first page of tasks is inlined, so that a job of
@@ -196,7 +202,8 @@
 pub struct JobRecord {
     pub spec: JobSpec,
     /// Time of day of the submission, in seconds.
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub submitted_wall_s: f64,
     pub status: JobStatus,
     pub done: u32,
     pub running: u32,
@@ -204,19 +211,23 @@
     pub attempt: u64,
     /// Tasks per page; kept so that other settings cannot reinterpret it.
     pub per_page: u32,
-    pub page: PageRecord,
+    #[serde(rename = "page")]
+    pub first_page: PageRecord,
     /// Machines that have its image, as far as it ran there; a new leader
     /// learns from it what idle machines hold.
     #[serde(default)]
-    pub ran_on: Vec<String>,
+    #[serde(rename = "ran_on")]
+    pub machines_with_image: Vec<String>,
     /// Time of day when the last job that it awaits was known to be done, in seconds. None:
     /// it awaits none, or still waits.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub freed_at: Option<f64>,
+    #[serde(rename = "freed_at")]
+    pub ready_wall_s: Option<f64>,
     /// Where its specification is, if that is too large for a record: `spec` has no lists
     /// and no image then.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub parts: Option<SpecChunks>,
+    #[serde(rename = "parts")]
+    pub spec_chunks: Option<SpecChunks>,
     /// Number of the layout of its pages: only those of this one count.
     #[serde(default, skip_serializing_if = "is_first")]
     pub layout: u32,
@@ -241,7 +252,7 @@
 /// reads these.
 pub fn catalogue(types: &[MachineType], fit: usize) -> Vec<(String, Value)> {
     let pieces = pieces(&types, fit).into_iter().enumerate();
-    pieces.map(|(n, text)| (format!("{CATALOGUE_PREFIX}{n:05}"), Value::Part(text))).collect()
+    pieces.map(|(n, text)| (format!("{CATALOGUE_PREFIX}{n:05}"), Value::SpecChunk(text))).collect()
 }
 
 /// The catalogue of such pieces; None: they are not all of one text.
@@ -283,9 +294,9 @@
         class: String::new(),
         team: String::new(),
         image: String::new(),
-        types: None,
+        machine_types: None,
         zone: None,
-        awaits: Vec::new(),
+        dependencies: Vec::new(),
         ..spec.clone()
     }
 }
@@ -299,15 +310,15 @@
     pub fn new(spec: JobSpec, at: f64, fit: usize) -> Self {
         JobRecord {
             per_page: tasks_per_page(fit, json_size(&spec)),
-            at,
+            submitted_wall_s: at,
             status: JobStatus::Pending,
             done: 0,
             running: 0,
             attempt: 0,
-            page: PageRecord::default(),
-            ran_on: Vec::new(),
-            freed_at: None,
-            parts: None,
+            first_page: PageRecord::default(),
+            machines_with_image: Vec::new(),
+            ready_wall_s: None,
+            spec_chunks: None,
             layout: 0,
             spec,
         }
@@ -315,19 +326,19 @@
 
     /// The same with its specification in parts, and these: for one whose record would not
     /// fit. Nothing of theirs counts before the record is written that names them.
-    pub fn split(self, nonce: String, fit: usize) -> (Self, Vec<(String, Value)>) {
+    pub fn split_spec(self, nonce: String, fit: usize) -> (Self, Vec<(String, Value)>) {
         let pieces = pieces(&self.spec, fit);
         let parts = SpecChunks { nonce, count: pieces.len() as u32 };
         let keys = parts.keys(&self.spec.id);
-        let values = keys.into_iter().zip(pieces.into_iter().map(Value::Part)).collect();
+        let values = keys.into_iter().zip(pieces.into_iter().map(Value::SpecChunk)).collect();
         let spec = stub(&self.spec);
         let per_page = tasks_per_page(fit, json_size(&spec) + PARTS_BYTES);
-        (JobRecord { spec, per_page, parts: Some(parts), ..self }, values)
+        (JobRecord { spec, per_page, spec_chunks: Some(parts), ..self }, values)
     }
 
     /// Puts the specification back that was split; false if these are not its parts.
-    pub fn join(&mut self, pieces: &[String]) -> bool {
-        let Some(parts) = &self.parts else { return true };
+    pub fn join_spec(&mut self, pieces: &[String]) -> bool {
+        let Some(parts) = &self.spec_chunks else { return true };
         if pieces.len() != parts.count as usize {
             return false;
         }
@@ -342,22 +353,22 @@
 
     /// The same without what can be done without.
     pub fn trimmed(mut self) -> Self {
-        self.ran_on.clear();
+        self.machines_with_image.clear();
         self
     }
 
     /// Whether its cancellation may be a mark beside it, where a value may take `fit` bytes:
     /// another status may take more room than its own.
-    pub fn may_be_marked(&self, fit: usize) -> bool {
+    pub fn may_have_cancellation_mark(&self, fit: usize) -> bool {
         json_size(self) + STATUS_BYTES > fit
     }
 
     /// The jobs that it still waits for, as far as the record tells.
-    pub fn awaits(&self) -> &[String] {
-        if self.freed_at.is_some() || self.status.is_final() {
+    pub fn dependencies(&self) -> &[String] {
+        if self.ready_wall_s.is_some() || self.status.is_final() {
             return &[];
         }
-        &self.spec.awaits
+        &self.spec.dependencies
     }
 }
 
--- a/crates/controller/src/round_trip.rs
+++ b/crates/controller/src/round_trip.rs
@@ -6,24 +6,24 @@
 /// What is never answered counts nothing: it says nothing of how long an answer takes.
 #[derive(Debug, Default)]
 pub struct RoundTripEstimator {
-    mean: Option<Time>,
-    deviation: Time,
+    mean_s: Option<Time>,
+    deviation_s: Time,
 }
 
 impl RoundTripEstimator {
     /// A call was answered after `took` seconds.
-    pub fn note(&mut self, took: Time) {
-        match self.mean {
-            None => (self.mean, self.deviation) = (Some(took), took / 2.0),
+    pub fn record(&mut self, took: Time) {
+        match self.mean_s {
+            None => (self.mean_s, self.deviation_s) = (Some(took), took / 2.0),
             Some(mean) => {
-                self.deviation += ((mean - took).abs() - self.deviation) / 4.0;
-                self.mean = Some(mean + (took - mean) / 8.0);
+                self.deviation_s += ((mean - took).abs() - self.deviation_s) / 4.0;
+                self.mean_s = Some(mean + (took - mean) / 8.0);
             }
         }
     }
 
     /// For how long an answer is waited for before it counts as overdue, `least` at least.
-    pub fn patience_s(&self, least: Time) -> Time {
-        self.mean.map_or(least, |mean| (mean + 4.0 * self.deviation).max(least))
+    pub fn timeout_s(&self, least: Time) -> Time {
+        self.mean_s.map_or(least, |mean| (mean + 4.0 * self.deviation_s).max(least))
     }
 }
--- a/crates/controller/src/scheduling.rs
+++ b/crates/controller/src/scheduling.rs
@@ -24,19 +24,19 @@
     log_ratio: f64,
     samples: u32,
     /// What was asked of its jobs by those that needed them.
-    pub needed: crate::effective_priority::InheritedDemand,
+    pub inherited_demand: crate::effective_priority::InheritedDemand,
     /// Times of the last arrivals.
     arrivals: VecDeque<f64>,
     /// Where its jobs run cheapest: pool, machines per job (running means of
     /// the number and of its square), and the pool's boot time.
-    pub pool: Option<TypicalDemand>,
+    pub typical_demand: Option<TypicalDemand>,
 }
 
 #[derive(Debug, Clone)]
 pub struct TypicalDemand {
     pub pool: MachinePool,
     pub machines: f64,
-    pub squared: f64,
+    pub mean_square: f64,
     pub boot_s: f64,
 }
 
@@ -44,36 +44,40 @@
 const ARRIVALS: usize = 8;
 
 impl ClassStats {
-    pub fn learn(&mut self, ratio: f64) {
+    pub fn record_run(&mut self, ratio: f64) {
         self.samples += 1;
         let weight = 1.0 / f64::from(self.samples.min(20) + 2);
         self.log_ratio += (ratio.clamp(0.1, 10.0).ln() - self.log_ratio) * weight;
     }
-    pub fn arrived(&mut self, at: f64, pool: Option<(MachinePool, f64, f64)>) {
+    pub fn record_arrival(&mut self, at: f64, pool: Option<(MachinePool, f64, f64)>) {
         self.arrivals.push_back(at);
         if self.arrivals.len() > ARRIVALS {
             self.arrivals.pop_front();
         }
         if let Some((pool, machines, boot_s)) = pool {
             let squared = machines * machines;
-            let usual =
-                self.pool.get_or_insert(TypicalDemand { pool: pool.clone(), machines, squared, boot_s });
+            let usual = self.typical_demand.get_or_insert(TypicalDemand {
+                pool: pool.clone(),
+                machines,
+                mean_square: squared,
+                boot_s,
+            });
             usual.machines += (machines - usual.machines) / 4.0;
-            usual.squared += (squared - usual.squared) / 8.0;
+            usual.mean_square += (squared - usual.mean_square) / 8.0;
             (usual.pool, usual.boot_s) = (pool, boot_s);
         }
     }
 
     /// Jobs a second, lately. A silence well beyond the usual gap takes it
     /// down, so that no reserve outlives the demand.
-    pub fn rate(&self, now: f64) -> f64 {
+    pub fn arrival_rate(&self, now: f64) -> f64 {
         let (Some(first), Some(last)) = (self.arrivals.front(), self.arrivals.back()) else { return 0.0 };
         let n = self.arrivals.len() as f64;
         let mean = n / (now - first).max(60.0);
         mean.min(1.5 / (now - last).max(1e-3))
     }
 
-    pub fn ratio(&self) -> f64 {
+    pub fn run_time_ratio(&self) -> f64 {
         self.log_ratio.exp()
     }
 }
@@ -88,14 +92,14 @@
 
 /// What a second of such a task costs on a machine that is full of them.
 fn task_price(t: &MachineType, need: &Resources, spot: bool) -> Option<f64> {
-    let side = size_of(t).count(need);
+    let side = size_of(t).instances_that_fit(need);
     let price = if spot { t.spot_price } else { t.price };
     (side > 0 && price > 0.0).then(|| price / f64::from(side))
 }
 
 /// The same where it is cheapest.
 fn lowest_price(types: &[MachineType], s: &JobSpec) -> Option<f64> {
-    let allowed = types.iter().filter(|t| s.types.as_ref().is_none_or(|l| l.contains(&t.name)));
+    let allowed = types.iter().filter(|t| s.machine_types.as_ref().is_none_or(|l| l.contains(&t.name)));
     allowed.filter_map(|t| task_price(t, &needs(s), s.spot)).min_by(f64::total_cmp)
 }
 
@@ -118,7 +122,7 @@
 /// if it is not to be stopped for others. A gang of several tasks is left
 /// alone: its orderly stop costs all of its machines.
 fn victim(job: &Job, p: &Placement, now: f64) -> Option<(f64, f64)> {
-    let stoppable = p.seen.is_some()
+    let stoppable = p.observed_state.is_some()
         && p.stopping.is_none()
         && !job.is_final()
         && (job.spec.shape != Shape::Gang || job.spec.tasks == 1);
@@ -126,7 +130,7 @@
         return None;
     }
     let ran = p.running_since.map_or(0.0, |s| now - s);
-    if job.spec.checkpoint_s > 0.0 {
+    if job.spec.checkpoint_interval_s > 0.0 {
         Some((job.spec.save_s, job.spec.save_s + STOP_S))
     } else {
         Some((ran, STOP_S))
@@ -158,29 +162,29 @@
     /// Whether a job that went first because it was overdue has only just begun: until it has run for a
     /// lease it is not stopped. (The one task that an array got after minutes was once stopped for more
     /// urgent work before it had its image, again and again.)
-    fn begins_late(&self, job: &Job) -> bool {
+    fn is_late_starter(&self, job: &Job) -> bool {
         let (now, lease_s) = (self.now, self.settings.params.workers.lease_s);
-        let first = job.spec.shape == Shape::Gang || job.places.len() == 1;
+        let first = job.spec.shape == Shape::Gang || job.placements.len() == 1;
         let begun = job.done_count > 0 || job.first_start.is_some_and(|at| now - at > lease_s);
-        first && !begun && now - job.since > self.d.starving_s
+        first && !begun && now - job.ready_at > self.timing.starvation_wait_s
     }
 
     pub(crate) fn expected_run(&self, job: &Job, ratio: f64) -> f64 {
-        let full = if job.spec.shape == Shape::Service { 3600.0 } else { job.spec.estimate_s * ratio };
+        let full = if job.spec.shape == Shape::Service { 3600.0 } else { job.spec.estimated_run_s * ratio };
         (full - job.progress_s).max(full * 0.1).max(1.0)
     }
 
     /// Notes a job's arrival for its class's reserve.
-    pub(crate) fn note_arrival(&mut self, spec: &JobSpec, at: f64) {
+    pub(crate) fn record_arrival(&mut self, spec: &JobSpec, at: f64) {
         // No machine is kept ready for what nobody waits for.
-        if self.leftover(spec) {
+        if self.is_best_effort(spec) {
             return;
         }
         let need = needs(spec);
         let mut best: Option<(f64, MachinePool, f64, f64)> = None;
-        for t in self.types.iter().flatten() {
-            let allowed = spec.types.as_ref().is_none_or(|l| l.contains(&t.name));
-            let side = size_of(t).count(&need);
+        for t in self.machine_types.iter().flatten() {
+            let allowed = spec.machine_types.as_ref().is_none_or(|l| l.contains(&t.name));
+            let side = size_of(t).instances_that_fit(&need);
             if !allowed || side == 0 {
                 continue;
             }
@@ -193,54 +197,57 @@
         }
         let Role::Leader(l) = &mut self.role else { return };
         let stats = l.classes.entry(spec.class.clone()).or_default();
-        stats.arrived(at, best.map(|(_, pool, machines, boot)| (pool, machines, boot)));
+        stats.record_arrival(at, best.map(|(_, pool, machines, boot)| (pool, machines, boot)));
     }
 
-    pub(crate) fn plan_on_time(&mut self) {
+    pub(crate) fn tick_planning(&mut self) {
         let now = self.now;
-        let tick = self.d.tick_s;
-        let entitled = self.entitled();
-        let Some(types) = self.types.clone() else { return };
+        let tick = self.timing.planning_interval_s;
+        let entitled = self.may_act();
+        let Some(types) = self.machine_types.clone() else { return };
         let Role::Leader(l) = &mut self.role else { return };
-        let due = l.plan_dirty || now - l.planned_at >= tick;
+        let due = l.plan_needed || now - l.planned_at >= tick;
         if !due || now < l.plan_after || !entitled || !l.fleet.listed_once {
             return;
         }
         let zones = zones_of(&types);
         let Role::Leader(l) = &self.role else { return };
-        let ratio = |class: &str| l.classes.get(class).map_or(1.0, ClassStats::ratio);
+        let ratio = |class: &str| l.classes.get(class).map_or(1.0, ClassStats::run_time_ratio);
         // Machines: what their places take, and until when.
         let mut names: Vec<String> = Vec::new();
         let mut machines: Vec<planner::Machine> = Vec::new();
         let mut index: HashMap<&str, usize> = HashMap::new();
-        for m in l.machines.values().filter(|m| m.takes_work()) {
+        for m in l.machines.values().filter(|m| m.accepts_work()) {
             let Some(kind) = types.iter().position(|t| t.name == m.machine_type) else { continue };
             let Some(zone) = zones.iter().position(|z| *z == m.zone) else { continue };
-            if m.quiet(now, &self.d) || m.heard.is_none() && l.fleet.reach.is_dark(&m.zone) {
+            if m.missed_heartbeats(now, &self.timing)
+                || m.last_heard_at.is_none() && l.fleet.zones.is_unreachable(&m.zone)
+            {
                 continue;
             }
             // What runs there takes nobody knows how much.
             let unread = |t: &TaskStatus| {
-                t.state != TaskState::Exited && split_task(&t.task).is_some_and(|(id, _)| l.unread.has(id))
+                t.state != TaskState::Exited
+                    && split_task(&t.task).is_some_and(|(id, _)| l.undecodable.contains_job(id))
             };
-            if !l.unread.is_empty() && m.tasks.iter().any(unread) {
+            if !l.undecodable.is_empty() && m.tasks.iter().any(unread) {
                 continue;
             }
             let t = &types[kind];
-            let ready = match m.heard {
+            let ready = match m.last_heard_at {
                 Some(_) => now,
-                None => (m.since + t.boot_s * 1.1).max(now + 2.0),
+                None => (m.known_since + t.boot_s * 1.1).max(now + 2.0),
             };
             index.insert(&m.id, machines.len());
             names.push(m.id.clone());
             machines.push(planner::Machine {
-                kind,
+                instance_type: kind,
                 zone,
                 spot: m.spot,
-                ready,
+                ready_at: ready,
                 free: size_of(t),
-                busy: Vec::new(),
-                images: m.cached(t.cache_gb),
+                running: Vec::new(),
+                images: m.cached_images(t.cache_gb),
                 slowness: m.slowness,
             });
         }
@@ -253,8 +260,8 @@
             });
         }
         let team_of = |name: &str| self.settings.params.teams.iter().position(|t| t.name == name);
-        for (team, takes) in l.unread_use(now) {
-            let Some(t) = team_of(team).filter(|_| self.guards.quota).map(|t| &mut teams[t]) else {
+        for (team, takes) in l.undecodable_usage(now) {
+            let Some(t) = team_of(team).filter(|_| self.checks.quota).map(|t| &mut teams[t]) else {
                 continue;
             };
             t.cores_left = t.cores_left.map(|x| x - takes.cores);
@@ -262,13 +269,13 @@
         }
         // Guarantees cover a team's unfinished jobs in the order they came.
         // What waits for others holds no part of them.
-        let graph = &l.pipelines.graph;
-        let awaits = self.guards.awaits;
-        let free = |(id, j): &(&String, &Job)| !(j.is_final() || awaits && graph.waits(id));
+        let graph = &l.dependencies.graph;
+        let awaits = self.checks.dependency_order;
+        let free = |(id, j): &(&String, &Job)| !(j.is_final() || awaits && graph.is_waiting(id));
         let mut by_age: Vec<(&String, &Job)> = l.jobs.iter().filter(free).collect();
-        by_age.sort_by(|a, b| a.1.since.total_cmp(&b.1.since).then(a.0.cmp(b.0)));
-        let passed = self.passed_back();
-        let urgency = |id: &str, job: &Job| self.urgency(job, passed.get(id));
+        by_age.sort_by(|a, b| a.1.ready_at.total_cmp(&b.1.ready_at).then(a.0.cmp(b.0)));
+        let passed = self.inherited_priorities();
+        let urgency = |id: &str, job: &Job| self.effective_priority(job, passed.get(id));
         let mut guaranteed: HashSet<&str> = HashSet::new();
         let mut covered: Vec<(f64, f64)> = vec![(0.0, 0.0); teams.len()];
         for (id, job) in &by_age {
@@ -285,26 +292,31 @@
             }
             covered[team] = c;
         }
-        let floor = StarvationPolicy { share: FLOOR, patience_s: self.d.starving_s, keeps_s: self.d.keeps_s };
-        let mut floors = StarvationGuard::new(floor, machines.iter().map(|m| size_of(&types[m.kind])));
+        let floor = StarvationPolicy {
+            guaranteed_share: FLOOR,
+            max_wait_s: self.timing.starvation_wait_s,
+            reservation_s: self.timing.gang_reservation_s,
+        };
+        let mut floors =
+            StarvationGuard::new(floor, machines.iter().map(|m| size_of(&types[m.instance_type])));
         let mut owners: Vec<(String, u32)> = Vec::new();
         let mut steps = STEPS_A_MACHINE * machines.len() as u64;
         // Machines by what is on them: work that somebody waits for, or not.
         let mut serious: HashSet<&str> = HashSet::new();
         let mut spare: HashSet<&str> = HashSet::new();
         for (id, job) in &l.jobs {
-            floors.hold(&job.spec, job.places.len());
+            floors.add_usage(&job.spec, job.placements.len());
             let need = needs(&job.spec);
             let team = team_of(&job.spec.team);
             let run = self.expected_run(job, ratio(&job.spec.class));
-            steps += STEPS_A_PLACE * job.places.len() as u64 + 1;
+            steps += STEPS_A_PLACE * job.placements.len() as u64 + 1;
             let is_guaranteed = guaranteed.contains(id.as_str());
             let urgent = urgency(id, job);
-            let leftover = self.leftover(&job.spec) && !is_guaranteed && !urgent.needed;
-            let spared = self.begins_late(job);
-            for (task, p) in &job.places {
+            let leftover = self.is_best_effort(&job.spec) && !is_guaranteed && !urgent.has_dependents;
+            let spared = self.is_late_starter(job);
+            for (task, p) in &job.placements {
                 if leftover { &mut spare } else { &mut serious }.insert(&p.machine);
-                if let Some(t) = team.filter(|_| self.guards.quota).map(|t| &mut teams[t]) {
+                if let Some(t) = team.filter(|_| self.checks.quota).map(|t| &mut teams[t]) {
                     if let Some(x) = &mut t.cores_left {
                         *x -= need.cores;
                     }
@@ -313,7 +325,7 @@
                     }
                 }
                 if let Some(&m) = index.get(p.machine.as_str()) {
-                    machines[m].free.take(&need);
+                    machines[m].free.subtract(&need);
                     let end = match (p.stopping, p.running_since) {
                         (Some((since, grace)), _) => since + grace + STOP_S,
                         (None, Some(s)) => (s + run).max(now + run * 0.1),
@@ -321,19 +333,19 @@
                     };
                     let victim = victim(job, p, now).filter(|_| !spared).map(|(lost_s, stop_s)| {
                         owners.push((id.clone(), *task));
-                        PreemptionCandidate { owner: owners.len() - 1, lost_s, stop_s }
+                        PreemptionCandidate { owner: owners.len() - 1, lost_work_s: lost_s, stop_s }
                     });
-                    machines[m].busy.push(RunningTask {
-                        end: end.max(now + 0.5),
+                    machines[m].running.push(RunningTask {
+                        ends_at: end.max(now + 0.5),
                         endless: job.spec.shape == Shape::Service && p.stopping.is_none(),
-                        takes: need,
-                        band: urgent.band,
+                        resources: need,
+                        priority: urgent.priority,
                         team: team.unwrap_or(usize::MAX),
-                        covered: is_guaranteed,
-                        victim,
+                        within_guarantee: is_guaranteed,
+                        preemption: victim,
                     });
-                    if !machines[m].images.contains(&job.image) {
-                        machines[m].images.push(job.image);
+                    if !machines[m].images.contains(&job.image_id) {
+                        machines[m].images.push(job.image_id);
                     }
                 }
             }
@@ -346,7 +358,9 @@
                 .iter()
                 .enumerate()
                 .filter(|(i, m)| {
-                    m.spot == *spot && types[m.kind].name == *name && !spare.contains(names[*i].as_str())
+                    m.spot == *spot
+                        && types[m.instance_type].name == *name
+                        && !spare.contains(names[*i].as_str())
                 })
                 .map(|(i, m)| (m.free.accelerators + m.free.cores / 1e3, i))
                 .filter(|f| f.0 > 0.0)
@@ -359,14 +373,15 @@
         let mut jobs: Vec<planner::Job> = Vec::new();
         for (id, job) in by_age {
             let Some(team) = team_of(&job.spec.team) else { continue };
-            if !job.nothing_waits() && !job.layout.changing() {
+            if !job.has_no_pending_tasks() && !job.page_layout.is_changing() {
                 open_jobs.push((urgency(id, job), team, id, job));
             }
         }
         // What nobody waits for takes half as many machines as other work has
         // had, unless there is no other work.
-        let others = serious.len().max(l.others_most);
-        let alone = serious.is_empty() && open_jobs.iter().all(|j| self.leftover(&j.3.spec) && !j.0.needed);
+        let others = serious.len().max(l.peak_demanded_machines);
+        let alone = serious.is_empty()
+            && open_jobs.iter().all(|j| self.is_best_effort(&j.3.spec) && !j.0.has_dependents);
         let mut spare_left = if alone { usize::MAX } else { others.saturating_sub(spare.len()) };
         // Of a flood, the most urgent and then the oldest are looked at, first those whose team
         // is under its limit. (Taking the oldest alone once left urgent newcomers out.)
@@ -375,26 +390,26 @@
             let t: &planner::Team = &teams[team];
             fits(t.cores_left, s.cores) && fits(t.accelerators_left, s.accelerators)
         };
-        open_jobs.sort_by_key(|j| std::cmp::Reverse((under_limit(j.1, &j.3.spec), j.0.band)));
+        open_jobs.sort_by_key(|j| std::cmp::Reverse((under_limit(j.1, &j.3.spec), j.0.priority)));
         let free_for = |s: &JobSpec, m: &planner::Machine| {
-            let kind = s.types.as_ref().is_none_or(|l| l.contains(&types[m.kind].name));
+            let kind = s.machine_types.as_ref().is_none_or(|l| l.contains(&types[m.instance_type].name));
             let there = s.zone.as_ref().is_none_or(|z| *z == zones[m.zone]) && (s.spot || !m.spot);
-            kind && there && m.ready <= now && m.free.holds(&needs(s))
+            kind && there && m.ready_at <= now && m.free.fits(&needs(s))
         };
         let alike = |a: &JobSpec, b: &JobSpec| {
-            (needs(a), &a.types, &a.zone, a.spot) == (needs(b), &b.types, &b.zone, b.spot)
+            (needs(a), &a.machine_types, &a.zone, a.spot) == (needs(b), &b.machine_types, &b.zone, b.spot)
         };
         let mut fruitless: Vec<&JobSpec> = Vec::new();
         for (urgent, team, id, job) in open_jobs.into_iter().take(MOST_JOBS) {
             let s = &job.spec;
             let is_guaranteed = guaranteed.contains(id.as_str());
-            let leftover = self.leftover(s) && !is_guaranteed && !urgent.needed;
-            let suspect = job.suspect();
+            let leftover = self.is_best_effort(s) && !is_guaranteed && !urgent.has_dependents;
+            let suspect = job.is_suspected();
             // What nobody waits for gets one place that is free anyway in the end, if there is one.
             let left_over_long = leftover
-                && self.guards.beside
-                && job.places.is_empty()
-                && now - job.since > self.d.lying_s / 2.0
+                && self.checks.work_conservation
+                && job.placements.is_empty()
+                && now - job.ready_at > self.timing.max_idle_capacity_wait_s / 2.0
                 && !fruitless.iter().any(|f| alike(f, s))
                 && fruitless.len() < MOST_FRUITLESS
                 && {
@@ -406,15 +421,15 @@
                 };
             let (leftover, probe) = (leftover && !left_over_long, suspect || left_over_long);
             let waiting = match (probe, s.shape) {
-                (true, Shape::Array | Shape::Service) if !job.places.is_empty() => continue,
-                (true, Shape::Array | Shape::Service) => job.waiting(1),
+                (true, Shape::Array | Shape::Service) if !job.placements.is_empty() => continue,
+                (true, Shape::Array | Shape::Service) => job.pending_tasks(1),
                 // A gang is placed as a whole or not at all.
-                (_, Shape::Gang) => job.waiting(usize::MAX),
-                _ => job.waiting(MOST_TASKS),
+                (_, Shape::Gang) => job.pending_tasks(usize::MAX),
+                _ => job.pending_tasks(MOST_TASKS),
             };
             let mut waiting = waiting;
             let mut kinds: Vec<usize> = (0..types.len())
-                .filter(|&k| s.types.as_ref().is_none_or(|l| l.contains(&types[k].name)))
+                .filter(|&k| s.machine_types.as_ref().is_none_or(|l| l.contains(&types[k].name)))
                 .collect();
             let mut spot_only = false;
             if leftover {
@@ -431,7 +446,7 @@
                 kinds = if spot_only { fit(true) } else { ordinary };
                 let side = |k: usize| {
                     let t = &types[k];
-                    size_of(t).count(&needs(s)) as usize
+                    size_of(t).instances_that_fit(&needs(s)) as usize
                 };
                 let side = kinds.iter().map(|&k| side(k)).max().unwrap_or(1).max(1);
                 waiting.truncate(spare_left.saturating_mul(side));
@@ -442,52 +457,52 @@
             }
             let mut zone_load = vec![0u32; zones.len()];
             let zoned = s.one_zone || s.spread;
-            for p in job.places.values().filter(|_| zoned) {
+            for p in job.placements.values().filter(|_| zoned) {
                 let at = l.machines.get(&p.machine).and_then(|m| zones.iter().position(|z| *z == m.zone));
                 if let Some(z) = at {
                     zone_load[z] += 1;
                 }
             }
             // Its zones cannot be told while one of its machines is unknown.
-            let unknown = zone_load.iter().sum::<u32>() < job.places.len() as u32;
+            let unknown = zone_load.iter().sum::<u32>() < job.placements.len() as u32;
             if unknown && zoned {
                 continue;
             }
             ids.push(id.clone());
             jobs.push(planner::Job {
-                band: urgent.band,
+                priority: urgent.priority,
                 shape: match s.shape {
                     Shape::Array => planner::Shape::Array,
                     Shape::Gang => planner::Shape::Gang,
                     Shape::Service => planner::Shape::Service,
                 },
-                waiting,
-                needs: needs(s),
+                pending_tasks: waiting,
+                resources: needs(s),
                 run_s: self.expected_run(job, ratio(&s.class)),
-                image: job.image,
+                image: job.image_id,
                 image_gb: s.image_gb,
-                kinds,
+                instance_types: kinds,
                 zone: s.zone.as_ref().map(|z| zones.iter().position(|y| y == z).unwrap_or(usize::MAX)),
                 one_zone: s.one_zone,
-                zone_cap: s.spread.then_some(s.tasks.div_ceil(2)),
-                zone_load,
+                max_per_zone: s.spread.then_some(s.tasks.div_ceil(2)),
+                placed_per_zone: zone_load,
                 spot: s.spot,
-                submitted: job.since,
+                submitted_at: job.ready_at,
                 deadline: urgent.deadline,
-                last_chance: urgent.last_chance,
+                latest_useful_end: urgent.latest_useful_end,
                 team,
                 guaranteed: is_guaranteed,
                 not_before: job.not_before,
-                probe,
-                leftover,
-                floor: false,
-                keeps_until: 0.0,
-                gathers_in: l.gathers.zone_of(id),
-                passed_over: self.guards.beside
-                    && job.places.is_empty()
-                    && l.beside.passed_over(id, now, self.d.lying_s),
+                probing: probe,
+                best_effort: leftover,
+                starvation_relief: false,
+                reserves_until: 0.0,
+                assembly_zone: l.gang_reservation.zone_of(id),
+                waits_beside_capacity: self.checks.work_conservation
+                    && job.placements.is_empty()
+                    && l.waiting_beside_capacity.has_waited(id, now, self.timing.max_idle_capacity_wait_s),
                 spot_only,
-                avoid: job
+                excluded_machines: job
                     .failed_on
                     .iter()
                     .filter(|_| !suspect)
@@ -496,14 +511,14 @@
                     .collect(),
             });
             // What nobody waits for has no floor, and what fails everywhere none either.
-            if let Some(planned) = jobs.last().filter(|j| !j.leftover && !j.probe) {
-                let begun = !job.places.is_empty() || job.first_start.is_some() || job.done_count > 0;
-                floors.claim(jobs.len() - 1, s, planned, begun);
+            if let Some(planned) = jobs.last().filter(|j| !j.best_effort && !j.probing) {
+                let begun = !job.placements.is_empty() || job.first_start.is_some() || job.done_count > 0;
+                floors.add_demand(jobs.len() - 1, s, planned, begun);
             }
         }
         let starving = floors.apply(now, &mut ids, &mut jobs);
         let spec = |owner: usize| l.jobs.get(&owners[owner].0).map(|j| &j.spec);
-        starving.spare(machines.iter_mut().flat_map(|m| &mut m.busy), spec);
+        starving.protect_from_preemption(machines.iter_mut().flat_map(|m| &mut m.running), spec);
         // What is paid in proportion to what the running work would cost where it
         // is cheapest, over the last leases.
         let bill: f64 = l
@@ -518,7 +533,7 @@
             .jobs
             .values()
             .map(|j| {
-                let running = j.places.values().filter(|p| p.running_since.is_some()).count();
+                let running = j.placements.values().filter(|p| p.running_since.is_some()).count();
                 running as f64 * lowest_price(&types, &j.spec).unwrap_or(0.0)
             })
             .sum();
@@ -527,7 +542,7 @@
         let price_paid = l.price_paid + (paid - l.price_paid) * weight;
         let problem = Problem {
             now,
-            types: types
+            instance_types: types
                 .iter()
                 .map(|t| planner::InstanceType {
                     size: size_of(t),
@@ -540,38 +555,43 @@
             machines,
             jobs,
             teams,
-            bound_s: self.settings.params.workers.lease_s * 10.0,
-            patience_s: if self.operator.preempt { self.settings.params.workers.report_s } else { f64::MAX },
+            max_window_s: self.settings.params.workers.lease_s * 10.0,
+            preemption_wait_s: if self.operator.preempt {
+                self.settings.params.workers.heartbeat_interval_s
+            } else {
+                f64::MAX
+            },
         };
         let made = planner::plan(&problem);
         let passed: Vec<(String, dependencies::InheritedPriority)> = passed.into_iter().collect();
         let effort = (made.steps + steps) as f64 / (PLAN_STEPS * self.settings.params.resources.cpu_share);
         if let Role::Leader(l) = &mut self.role {
-            l.gathers = GangReservation(made.gathers.map(|(i, zone)| (ids[i].clone(), zone)));
-            l.beside.look(now, &made.beside.iter().map(|&i| ids[i].as_str()).collect());
-            if l.starving != starving {
+            l.gang_reservation = GangReservation(made.gang_assembly.map(|(i, zone)| (ids[i].clone(), zone)));
+            l.waiting_beside_capacity
+                .update(now, &made.waiting_beside_capacity.iter().map(|&i| ids[i].as_str()).collect());
+            if l.starving_groups != starving {
                 info!(?starving, "classes and teams under their floors");
-                l.starving = starving;
+                l.starving_groups = starving;
             }
             l.plan_after = now + effort.clamp(tick / 50.0, tick);
-            l.others_most = others;
+            l.peak_demanded_machines = others;
             for (id, p) in passed {
                 if let Some(job) = l.jobs.get_mut(&id) {
-                    job.passed = Some(p);
+                    job.inherited_priority = Some(p);
                 }
             }
             l.price_paid = price_paid;
         }
-        self.carry_out(&problem, &made, &names, &ids);
-        self.stop_for_others(&made.stops, &owners);
-        self.set_targets(&problem, &made, &types);
+        self.apply_starts(&problem, &made, &names, &ids);
+        self.apply_preemptions(&made.preemptions, &owners);
+        self.set_desired_capacity(&problem, &made, &types);
     }
 
-    fn carry_out(&mut self, p: &Problem, made: &planner::Plan, names: &[String], ids: &[String]) {
+    fn apply_starts(&mut self, p: &Problem, made: &planner::Plan, names: &[String], ids: &[String]) {
         let now = self.now;
-        let too_early = !self.guards.awaits;
+        let too_early = !self.checks.dependency_order;
         let Role::Leader(l) = &mut self.role else { return };
-        l.plan_dirty = false;
+        l.plan_needed = false;
         l.planned_at = now;
         if !made.starts.is_empty() {
             debug!(starts = made.starts.len(), reserved = made.reservations.len(), "planned");
@@ -581,7 +601,7 @@
         for s in &made.starts {
             // The one place where placements are made: none before all that the job awaits
             // is stored as done.
-            if l.pipelines.graph.waits(&ids[s.job]) && !too_early {
+            if l.dependencies.graph.is_waiting(&ids[s.job]) && !too_early {
                 continue;
             }
             let Some(job) = l.jobs.get(&ids[s.job]) else { continue };
@@ -592,33 +612,33 @@
             };
             // A page holds what fits into one stored value; the rest waits.
             let page = job.page_of(s.task);
-            let fill = filled.entry((s.job, page)).or_insert_with(|| job.places_size(page));
+            let fill = filled.entry((s.job, page)).or_insert_with(|| job.placement_bytes(page));
             let more = StoredPlacement::size(s.task, attempt, &names[s.machine]);
-            if *fill + more > job.room_on(page) && job.spec.shape != Shape::Gang {
+            if *fill + more > job.placement_bytes_left(page) && job.spec.shape != Shape::Gang {
                 continue;
             }
             *fill += more;
-            l.add_place(&ids[s.job], s.task, &names[s.machine], attempt, now);
-            l.recheck.insert(names[s.machine].clone());
-            l.writes.due_now = true;
+            l.add_placement(&ids[s.job], s.task, &names[s.machine], attempt, now);
+            l.heartbeats_to_check.insert(names[s.machine].clone());
+            l.write_queue.write_now = true;
             if let Some(m) = l.machines.get_mut(&names[s.machine]) {
-                m.note_image(p.jobs[s.job].image, now, p.jobs[s.job].image_gb);
+                m.record_image(p.jobs[s.job].image, now, p.jobs[s.job].image_gb);
                 m.idle_since = now;
             }
         }
     }
 
-    fn stop_for_others(&mut self, stops: &[usize], owners: &[(String, u32)]) {
+    fn apply_preemptions(&mut self, stops: &[usize], owners: &[(String, u32)]) {
         let now = self.now;
         let Role::Leader(l) = &mut self.role else { return };
         let mut told: BTreeMap<&String, u32> = BTreeMap::new();
         for (id, task) in stops.iter().filter_map(|&s| owners.get(s)) {
             let Some(job) = l.jobs.get_mut(id) else { continue };
-            let grace = if job.spec.checkpoint_s > 0.0 { job.spec.save_s * 1.25 } else { 0.0 };
-            let Some(p) = job.places.get_mut(task) else { continue };
+            let grace = if job.spec.checkpoint_interval_s > 0.0 { job.spec.save_s * 1.25 } else { 0.0 };
+            let Some(p) = job.placements.get_mut(task) else { continue };
             p.stopping = Some((now, grace));
             *told.entry(id).or_insert(0) += 1;
-            l.stops.look_at(id);
+            l.pending_kills.add_job(id);
         }
         for (job, tasks) in told {
             info!(%job, tasks, "stopped for more urgent work");
@@ -627,21 +647,26 @@
 
     /// How many machines each pool should have: what is used and waited for,
     /// and a reserve for what usually comes.
-    fn set_targets(&mut self, p: &Problem, made: &planner::Plan, types: &[protocol::cloud::MachineType]) {
+    fn set_desired_capacity(
+        &mut self,
+        p: &Problem,
+        made: &planner::Plan,
+        types: &[protocol::cloud::MachineType],
+    ) {
         let now = self.now;
-        let (reserve_share, d, guards) = (self.operator.reserve, self.d, self.guards);
+        let (reserve_share, d, guards) = (self.operator.reserve, self.timing, self.checks);
         let Role::Leader(l) = &mut self.role else { return };
         let mut rooms: BTreeMap<MachinePool, f64> = BTreeMap::new();
         // Machines without work, booting ones included, by type and zone.
         let placed: HashSet<&str> =
-            l.jobs.values().flat_map(|j| j.places.values()).map(|p| p.machine.as_str()).collect();
+            l.jobs.values().flat_map(|j| j.placements.values()).map(|p| p.machine.as_str()).collect();
         let (mut at_hand, mut idle) = (AvailableCapacity::default(), AvailableCapacity::default());
         // What is out of reach is not there.
-        let reach = &l.fleet.reach;
-        let there = |m: &&Machine| m.takes_work() && !reach.is_dark(&m.zone);
+        let reach = &l.fleet.zones;
+        let there = |m: &&Machine| m.accepts_work() && !reach.is_unreachable(&m.zone);
         for m in l.machines.values().filter(there).filter(|m| !placed.contains(m.id.as_str())) {
             at_hand.add(&m.machine_type, &m.zone, m.spot, 1);
-            idle.add(&m.machine_type, &m.zone, m.spot, u32::from(m.heard.is_some()));
+            idle.add(&m.machine_type, &m.zone, m.spot, u32::from(m.last_heard_at.is_some()));
         }
         let zones = zones_of(types);
         let mut bound = ZonalDemand {
@@ -649,12 +674,12 @@
             types,
             zones: &zones,
             fleet: &l.fleet,
-            at_hand,
+            available: at_hand,
             idle,
-            zoned: BTreeMap::new(),
-            gathering: BTreeMap::new(),
+            wanted_in_zone: BTreeMap::new(),
+            assembling: BTreeMap::new(),
             need: BTreeMap::new(),
-            more: BTreeMap::new(),
+            additional: BTreeMap::new(),
         };
         let mut need: BTreeMap<MachinePool, f64> = BTreeMap::new();
         for u in &made.unmet {
@@ -662,15 +687,15 @@
             // more, unless its guarantee asks for a start now.
             let i = u.job;
             // What gathers for an overdue gang is kept, and what it lacks is rented.
-            let gathers = made.gathers.is_some_and(|(job, _)| job == i);
-            let tasks = if p.jobs[i].guaranteed || gathers { u.tasks } else { u.late };
+            let gathers = made.gang_assembly.is_some_and(|(job, _)| job == i);
+            let tasks = if p.jobs[i].guaranteed || gathers { u.tasks } else { u.late_tasks };
             if tasks == 0 {
                 continue;
             }
             let job = &p.jobs[i];
             let mut pools: Vec<(f64, MachinePool, f64)> = Vec::new();
-            for &k in &job.kinds {
-                let side = p.types[k].size.count(&job.needs);
+            for &k in &job.instance_types {
+                let side = p.instance_types[k].size.instances_that_fit(&job.resources);
                 if side == 0 {
                     continue;
                 }
@@ -679,22 +704,24 @@
                     if spot && !job.spot || !spot && job.spot_only {
                         continue;
                     }
-                    let price = if spot { p.types[k].spot_price } else { p.types[k].price };
+                    let price = if spot { p.instance_types[k].spot_price } else { p.instance_types[k].price };
                     let pool = (types[k].name.clone(), spot);
-                    rooms.entry(pool.clone()).or_insert_with(|| l.fleet.room(now, &types[k], spot));
+                    rooms
+                        .entry(pool.clone())
+                        .or_insert_with(|| l.fleet.available_machines(now, &types[k], spot));
                     pools.push((price / n, pool, n));
                 }
             }
             pools.sort_by(|a, b| a.0.total_cmp(&b.0));
             let mut left = f64::from(tasks);
             let ask = CapacityRequest { job, tasks: left, pools: &pools };
-            if guards.bound && bound.want(&ask) {
+            if guards.zonal_scale_out && bound.add_demand(&ask) {
                 continue;
             }
             // (What it failed on may stand idle there, and is no machine of its own.)
-            if job.one_zone && job.zone.is_none() && job.avoid.is_empty() {
-                left = bound.gather(&ask).unwrap_or(left);
-            } else if guards.bound && job.shape == planner::Shape::Gang {
+            if job.one_zone && job.zone.is_none() && job.excluded_machines.is_empty() {
+                left = bound.assemble_gang(&ask).unwrap_or(left);
+            } else if guards.zonal_scale_out && job.shape == planner::Shape::Gang {
                 bound.keep_idle(&ask);
             }
             // The cheapest first, and what it has not got from the next.
@@ -708,12 +735,14 @@
                 }
             }
         }
-        let ZonalDemand { zoned, gathering, need: bound, more, .. } = bound;
+        let ZonalDemand {
+            wanted_in_zone: zoned, assembling: gathering, need: bound, additional: more, ..
+        } = bound;
         for (pool, n) in bound {
             *need.entry(pool).or_insert(0.0) += n;
         }
         // A leader that acts again has not heard yet what was there before.
-        let back = l.standing.held_s(now) < d.back_s;
+        let back = l.tenure.entitled_for_s(now) < d.reappearance_wait_s;
         let mut used: BTreeMap<MachinePool, f64> = BTreeMap::new();
         // Machines that will take work without being rented: they boot, or are not heard again yet.
         let mut booting: BTreeMap<MachinePool, u32> = BTreeMap::new();
@@ -721,9 +750,10 @@
         for m in l.machines.values().filter(there) {
             let pool = (m.machine_type.clone(), m.spot);
             *have.entry(pool.clone()).or_insert(0) += 1;
-            let unsure = guards.asleep && m.heard.is_some() && m.quiet(now, &d);
-            let coming =
-                m.heard.is_none() && !m.quiet(now, &d) || unsure && (back || m.silence(now) < d.silent_s);
+            let unsure =
+                guards.retain_silent_machines && m.last_heard_at.is_some() && m.missed_heartbeats(now, &d);
+            let coming = m.last_heard_at.is_none() && !m.missed_heartbeats(now, &d)
+                || unsure && (back || m.silence_s(now) < d.failure_suspicion_s);
             if coming && !placed.contains(m.id.as_str()) {
                 *booting.entry(pool).or_insert(0) += 1;
             } else if placed.contains(m.id.as_str()) {
@@ -735,11 +765,11 @@
         // machines' worth come less how many end.
         let mut usual: BTreeMap<MachinePool, (f64, f64)> = BTreeMap::new();
         for class in l.classes.values() {
-            if let Some(u) = &class.pool {
-                let jobs = class.rate(now) * u.boot_s;
+            if let Some(u) = &class.typical_demand {
+                let jobs = class.arrival_rate(now) * u.boot_s;
                 let sums = usual.entry(u.pool.clone()).or_insert((0.0, 0.0));
                 sums.0 += jobs * u.machines;
-                sums.1 += 2.0 * jobs * u.squared;
+                sums.1 += 2.0 * jobs * u.mean_square;
             }
         }
         // Work that ends gives its machines to what comes, so with many jobs
@@ -779,8 +809,8 @@
             let more = more.get(pool).copied().unwrap_or(0);
             *w = (*w).max(n - more) + more;
         }
-        l.fleet.zoned = zoned;
-        l.fleet.gathering = gathering;
+        l.fleet.wanted_in_zone = zoned;
+        l.fleet.assembling_gang_machines = gathering;
         if wanted != l.fleet.wanted && !wanted.is_empty() {
             info!(?wanted, waiting = made.unmet.len(), "fleet wanted");
         }
@@ -790,7 +820,7 @@
             .map(|pool| (pool.clone(), reserve(&pool).round() as u32))
             .collect();
         l.fleet.wanted = wanted;
-        l.fleet.target = target;
-        l.fleet.ample = ample;
+        l.fleet.desired_capacity = target;
+        l.fleet.generous_capacity = ample;
     }
 }
--- a/crates/controller/src/spec_chunks.rs
+++ b/crates/controller/src/spec_chunks.rs
@@ -9,31 +9,31 @@
 /// What a leader has read of parts, before the records that name them.
 #[derive(Default)]
 pub struct ChunkReader {
-    pieces: BTreeMap<(String, String), Vec<(String, String)>>,
+    chunks: BTreeMap<(String, String), Vec<(String, String)>>,
 }
 
 impl ChunkReader {
     /// A part was listed; parts come in the order of their keys.
-    pub fn take(&mut self, key: &str, text: String) {
+    pub fn add(&mut self, key: &str, text: String) {
         if let Some((id, nonce)) = SpecChunks::of_key(key) {
-            let of = self.pieces.entry((id.to_string(), nonce.to_string())).or_default();
+            let of = self.chunks.entry((id.to_string(), nonce.to_string())).or_default();
             of.push((key.to_string(), text));
         }
     }
 
     /// Completes a record; false if its parts are not there.
     pub fn complete(&mut self, record: &mut JobRecord) -> bool {
-        let Some(parts) = record.parts.clone() else { return true };
-        let pieces = self.pieces.remove(&(record.spec.id.clone(), parts.nonce)).unwrap_or_default();
+        let Some(parts) = record.spec_chunks.clone() else { return true };
+        let pieces = self.chunks.remove(&(record.spec.id.clone(), parts.nonce)).unwrap_or_default();
         let pieces: Vec<String> = pieces.into_iter().map(|p| p.1).collect();
-        record.join(&pieces)
+        record.join_spec(&pieces)
     }
 
     /// Keys of parts that no record names, and that were begun before `wall`: of
     /// submissions that were given up. (Others' records may be about to be written.)
-    pub fn abandoned(self, wall: Time) -> Vec<String> {
+    pub fn abandoned_keys(self, wall: Time) -> Vec<String> {
         let old = |nonce: &str| begun(nonce).is_some_and(|at| at < wall);
-        let all = self.pieces.into_iter().filter(|((_, nonce), _)| old(nonce));
+        let all = self.chunks.into_iter().filter(|((_, nonce), _)| old(nonce));
         all.flat_map(|(_, keys)| keys.into_iter().map(|k| k.0)).collect()
     }
 }
@@ -55,10 +55,10 @@
 
 impl Controller {
     /// Stores the next parts of a submission, or at last its record.
-    pub(crate) fn create_parts(&mut self, id: &str) {
-        let most = self.limits.changes();
+    pub(crate) fn store_next_chunks(&mut self, id: &str) {
+        let most = self.store_limits.mutations();
         let (mut room, mut changes) = (protocol::state::TXN_LIMIT * 7 / 8, Vec::new());
-        let left = self.users.parts_of(id);
+        let left = self.client_requests.pending_chunks(id);
         while let Some((key, value)) = left.pop() {
             let size = json_size(&value) + key.len() + 40;
             if changes.len() >= most || size > room && !changes.is_empty() {
@@ -69,30 +69,31 @@
             changes.push(Mutation::Put { key, value, lease: None });
         }
         if changes.is_empty() {
-            return self.create_record(id);
+            return self.store_job_record(id);
         }
-        self.writes.take(self.now, changes.len() as f64);
+        self.client_writes.try_acquire(self.now, changes.len() as f64);
         // (Repetitions of a known submission once left parts that nobody named.)
-        let txn = Transaction { conditions: new_job(id), changes };
-        self.commit_hedged(CallContext::CreateParts { id: id.to_string() }, txn);
+        let txn = Transaction { compares: new_job(id), mutations: changes };
+        self.commit_hedged(CallContext::CreateChunks { id: id.to_string() }, txn);
     }
 
-    pub(crate) fn on_create_parts(&mut self, id: &str, r: StoreReply) {
+    pub(crate) fn on_chunks_stored(&mut self, id: &str, r: StoreReply) {
         match r {
-            StoreReply::Committed(_) => self.create_parts(id),
+            StoreReply::Committed(_) => self.store_next_chunks(id),
             // Nothing counts yet: the submission comes again, with another name for its parts.
-            r => self.on_create(id, r),
+            r => self.on_job_created(id, r),
         }
     }
 
     /// Reads the parts of a record's specification.
-    pub(crate) fn read_parts(&mut self, token: Option<u64>, record: JobRecord, version: u64) {
-        let Some(prefix) = record.parts.as_ref().map(|p| p.prefix(&record.spec.id)) else { return };
-        let purpose = CallContext::Parts { token, record: Box::new(record), version, pieces: Vec::new() };
-        self.state(purpose, StoreRequest::List { prefix, after: None });
+    pub(crate) fn read_spec_chunks(&mut self, token: Option<u64>, record: JobRecord, version: u64) {
+        let Some(prefix) = record.spec_chunks.as_ref().map(|p| p.prefix(&record.spec.id)) else { return };
+        let purpose =
+            CallContext::SpecChunks { token, record: Box::new(record), version, pieces: Vec::new() };
+        self.call_store(purpose, StoreRequest::List { prefix, after: None });
     }
 
-    pub(crate) fn on_parts(
+    pub(crate) fn on_spec_chunks(
         &mut self,
         token: Option<u64>,
         mut record: Box<JobRecord>,
@@ -102,51 +103,53 @@
     ) {
         let page = match r {
             StoreReply::Page(page) => page,
-            _ => return self.parts_failed(token, record, version),
+            _ => return self.on_spec_chunks_failed(token, record, version),
         };
         let last = page.items.last().map(|i| i.key.clone());
         pieces.extend(page.items.into_iter().filter_map(|i| match i.value {
-            Value::Part(text) => Some(text),
+            Value::SpecChunk(text) => Some(text),
             _ => None,
         }));
         if let (true, Some(after)) = (page.more, last) {
-            let Some(prefix) = record.parts.as_ref().map(|p| p.prefix(&record.spec.id)) else { return };
-            let purpose = CallContext::Parts { token, record, version, pieces };
-            self.state(purpose, StoreRequest::List { prefix, after: Some(after) });
+            let Some(prefix) = record.spec_chunks.as_ref().map(|p| p.prefix(&record.spec.id)) else { return };
+            let purpose = CallContext::SpecChunks { token, record, version, pieces };
+            self.call_store(purpose, StoreRequest::List { prefix, after: Some(after) });
             return;
         }
-        if !record.join(&pieces) {
-            return self.parts_failed(token, record, version);
+        if !record.join_spec(&pieces) {
+            return self.on_spec_chunks_failed(token, record, version);
         }
         match token {
-            Some(token) if self.lead(token).is_some() => {
+            Some(token) if self.leader_state(token).is_some() => {
                 let key = job_key(&record.spec.id);
-                self.saw_record(&key, Value::Job(record), version);
+                self.observe_record(&key, Value::Job(record), version);
             }
             Some(_) => {}
-            None => self.tell_joined(&record, version),
+            None => self.answer_from_joined_record(&record, version),
         }
     }
 
     /// They are there, since the record is, but cannot be read now.
-    fn parts_failed(&mut self, token: Option<u64>, record: Box<JobRecord>, version: u64) {
+    fn on_spec_chunks_failed(&mut self, token: Option<u64>, record: Box<JobRecord>, version: u64) {
         match token {
             // The leader cannot go on without: the watch would not show it again.
-            Some(token) if self.lead(token).is_some() => self.parts_again.push((self.now, record, version)),
+            Some(token) if self.leader_state(token).is_some() => {
+                self.spec_chunk_retries.push((self.now, record, version))
+            }
             Some(_) => {}
-            None => self.refuse_read(&record.spec.id),
+            None => self.on_job_read_failed(&record.spec.id),
         }
     }
 
     /// Parts that could not be read are asked for again.
-    pub(crate) fn parts_on_time(&mut self) {
-        let (now, retry) = (self.now, self.d.renew_s / 2.0);
-        let Some(token) = self.token() else { return self.parts_again.clear() };
-        let again = std::mem::take(&mut self.parts_again);
+    pub(crate) fn tick_spec_chunks(&mut self) {
+        let (now, retry) = (self.now, self.timing.renewal_interval_s / 2.0);
+        let Some(token) = self.token() else { return self.spec_chunk_retries.clear() };
+        let again = std::mem::take(&mut self.spec_chunk_retries);
         let (due, later) = again.into_iter().partition(|(at, ..)| now - at >= retry);
-        self.parts_again = later;
+        self.spec_chunk_retries = later;
         for (_, record, version) in due {
-            self.read_parts(Some(token), *record, version);
+            self.read_spec_chunks(Some(token), *record, version);
         }
     }
 }
--- a/crates/controller/src/starvation.rs
+++ b/crates/controller/src/starvation.rs
@@ -8,36 +8,43 @@
 
 /// What each class and team holds and asks for.
 pub struct StarvationGuard {
-    floor: StarvationPolicy,
+    policy: StarvationPolicy,
     /// Size of all machines together.
     total: Resources,
     /// Classes and teams by name; the flag keeps the two apart.
-    groups: BTreeMap<(bool, String), usize>,
-    held: Vec<f64>,
-    claims: Vec<WaitingDemand>,
+    group_indices: BTreeMap<(bool, String), usize>,
+    held_shares: Vec<f64>,
+    demands: Vec<WaitingDemand>,
     /// The plan's job that each claim is of.
-    of: Vec<usize>,
+    job_indices: Vec<usize>,
 }
 
 impl StarvationGuard {
     pub fn new(floor: StarvationPolicy, sizes: impl Iterator<Item = Resources>) -> Self {
         let mut total = Resources::new(0.0, 0.0, 0.0);
-        sizes.for_each(|s| total.give(&s));
+        sizes.for_each(|s| total.add(&s));
         let groups = BTreeMap::new();
-        StarvationGuard { floor, total, groups, held: Vec::new(), claims: Vec::new(), of: Vec::new() }
+        StarvationGuard {
+            policy: floor,
+            total,
+            group_indices: groups,
+            held_shares: Vec::new(),
+            demands: Vec::new(),
+            job_indices: Vec::new(),
+        }
     }
 
-    fn groups(&mut self, s: &JobSpec) -> [usize; 2] {
+    fn group_indices(&mut self, s: &JobSpec) -> [usize; 2] {
         [(false, &s.class), (true, &s.team)].map(|(team, name)| {
-            let next = self.groups.len();
-            let g = *self.groups.entry((team, name.clone())).or_insert(next);
-            self.held.resize(self.groups.len(), 0.0);
+            let next = self.group_indices.len();
+            let g = *self.group_indices.entry((team, name.clone())).or_insert(next);
+            self.held_shares.resize(self.group_indices.len(), 0.0);
             g
         })
     }
 
     /// The part of all machines that one task takes.
-    fn each(&self, s: &JobSpec) -> f64 {
+    fn share_per_task(&self, s: &JobSpec) -> f64 {
         let (need, all) = (needs(s), &self.total);
         let part = |x: f64, of: f64| if of > 0.0 { x / of } else { 0.0 };
         part(need.cores, all.cores)
@@ -46,52 +53,60 @@
     }
 
     /// `tasks` tasks of such a job have their places.
-    pub fn hold(&mut self, s: &JobSpec, tasks: usize) {
-        let part = self.each(s) * tasks as f64;
-        for g in self.groups(s) {
-            self.held[g] += part;
+    pub fn add_usage(&mut self, s: &JobSpec, tasks: usize) {
+        let part = self.share_per_task(s) * tasks as f64;
+        for g in self.group_indices(s) {
+            self.held_shares[g] += part;
         }
     }
 
     /// Job `at` of the plan waits with what it needs.
-    pub fn claim(&mut self, at: usize, s: &JobSpec, job: &Job, begun: bool) {
-        let (groups, each) = (self.groups(s), self.each(s));
+    pub fn add_demand(&mut self, at: usize, s: &JobSpec, job: &Job, begun: bool) {
+        let (groups, each) = (self.group_indices(s), self.share_per_task(s));
         // A job bound to zones is not divided either: each part would choose its
         // own. (Two parts of an array once ran in two zones.)
-        let whole = job.shape == Shape::Gang || job.one_zone || job.zone_cap.is_some();
-        let tasks = job.waiting.len();
-        self.claims.push(WaitingDemand { groups, submitted: job.submitted, tasks, each, whole, begun });
-        self.of.push(at);
+        let whole = job.shape == Shape::Gang || job.one_zone || job.max_per_zone.is_some();
+        let tasks = job.pending_tasks.len();
+        self.demands.push(WaitingDemand {
+            groups,
+            submitted_at: job.submitted_at,
+            tasks,
+            share_per_task: each,
+            indivisible: whole,
+            has_started: begun,
+        });
+        self.job_indices.push(at);
     }
 
     /// Lets what is under its floor go first. Part of a job's tasks becomes a job of
     /// its own, which the plan has under the same name.
     pub fn apply(&mut self, now: f64, ids: &mut Vec<String>, jobs: &mut Vec<Job>) -> StarvingGroups {
-        let starving = under(now, &self.floor, &self.held, &self.claims);
-        let mut granted = overdue(now, &self.floor, &self.claims);
-        for ((c, &i), _) in self.claims.iter().zip(&self.of).zip(&granted).filter(|(_, n)| **n > 0) {
-            jobs[i].keeps_until = keeps_until(&self.floor, c.submitted);
+        let starving = under(now, &self.policy, &self.held_shares, &self.demands);
+        let mut granted = overdue(now, &self.policy, &self.demands);
+        for ((c, &i), _) in self.demands.iter().zip(&self.job_indices).zip(&granted).filter(|(_, n)| **n > 0)
+        {
+            jobs[i].reserves_until = keeps_until(&self.policy, c.submitted_at);
         }
         if starving.contains(&true) {
-            let groups = grants(&self.floor, &starving, &self.held, &self.claims);
+            let groups = grants(&self.policy, &starving, &self.held_shares, &self.demands);
             granted.iter_mut().zip(groups).for_each(|(g, n)| *g = (*g).max(n));
         }
         if granted.iter().any(|n| *n > 0) {
-            for (&i, n) in self.of.iter().zip(granted).filter(|(_, n)| *n > 0) {
-                let rest = jobs[i].waiting.split_off(n);
+            for (&i, n) in self.job_indices.iter().zip(granted).filter(|(_, n)| *n > 0) {
+                let rest = jobs[i].pending_tasks.split_off(n);
                 if rest.is_empty() {
-                    jobs[i].floor = true;
+                    jobs[i].starvation_relief = true;
                     continue;
                 }
-                let first = std::mem::replace(&mut jobs[i].waiting, rest);
-                let part = Job { waiting: first, floor: true, ..jobs[i].clone() };
-                jobs[i].keeps_until = 0.0;
+                let first = std::mem::replace(&mut jobs[i].pending_tasks, rest);
+                let part = Job { pending_tasks: first, starvation_relief: true, ..jobs[i].clone() };
+                jobs[i].reserves_until = 0.0;
                 jobs.push(part);
                 ids.push(ids[i].clone());
             }
         }
-        let names = self.groups.iter().filter(|(_, &g)| starving[g]);
-        StarvingGroups { names: names.map(|(name, _)| name.clone()).collect() }
+        let names = self.group_indices.iter().filter(|(_, &g)| starving[g]);
+        StarvingGroups { groups: names.map(|(name, _)| name.clone()).collect() }
     }
 }
 
@@ -109,25 +124,25 @@
 /// Classes and teams under their floors, by whether it is a team, and name.
 #[derive(Debug, Default, PartialEq)]
 pub struct StarvingGroups {
-    names: Vec<(bool, String)>,
+    groups: Vec<(bool, String)>,
 }
 
 impl StarvingGroups {
-    fn has(&self, s: &JobSpec) -> bool {
-        self.names.iter().any(|(team, name)| *name == if *team { &s.team } else { &s.class }[..])
+    fn contains(&self, s: &JobSpec) -> bool {
+        self.groups.iter().any(|(team, name)| *name == if *team { &s.team } else { &s.class }[..])
     }
 
     /// What they run is not stopped for others. `spec`: of the task's job.
-    pub fn spare<'a>(
+    pub fn protect_from_preemption<'a>(
         &self,
         busy: impl Iterator<Item = &'a mut RunningTask>,
         spec: impl Fn(usize) -> Option<&'a JobSpec>,
     ) {
-        if self.names.is_empty() {
+        if self.groups.is_empty() {
             return;
         }
         for b in busy {
-            b.victim = b.victim.filter(|v| !spec(v.owner).is_some_and(|s| self.has(s)));
+            b.preemption = b.preemption.filter(|v| !spec(v.owner).is_some_and(|s| self.contains(s)));
         }
     }
 }
--- a/crates/controller/src/undecodable.rs
+++ b/crates/controller/src/undecodable.rs
@@ -13,11 +13,11 @@
 /// What such a job may take of its team's limit, if its own record could be read.
 struct UndecodableJob {
     team: String,
-    each: Resources,
+    resources_per_task: Resources,
     /// Tasks that have not ended.
-    open: u32,
+    open_tasks: u32,
     /// By then whatever was launched of it is reported by its machine, or has ended.
-    unseen_until: Time,
+    unreported_until: Time,
 }
 
 /// Jobs of which some stored value cannot be read: nothing is placed or written of theirs, and
@@ -30,7 +30,7 @@
 
 impl UndecodableRecords {
     /// The value of `key` cannot be read. Returns the job that it is of, if it is one's.
-    pub fn note(&mut self, key: &str) -> Option<String> {
+    pub fn record(&mut self, key: &str) -> Option<String> {
         let id = id_of(key).or_else(|| page_of_key(key).map(|p| p.0));
         warn!(key, "cannot be read by this version, left alone");
         let id = id?.to_string();
@@ -38,7 +38,7 @@
         Some(id)
     }
 
-    pub fn has(&self, job: &str) -> bool {
+    pub fn contains_job(&self, job: &str) -> bool {
         !self.jobs.is_empty() && self.jobs.contains_key(job)
     }
 
@@ -49,34 +49,34 @@
 
 impl LeaderState {
     /// The value of `key` cannot be read. Returns its job, as far as that was known.
-    pub fn set_aside(&mut self, key: &str, unseen_until: Time) -> Option<Job> {
-        let id = self.unread.note(key)?;
+    pub fn quarantine_undecodable(&mut self, key: &str, unseen_until: Time) -> Option<Job> {
+        let id = self.undecodable.record(key)?;
         let job = self.jobs.remove(&id)?;
         let s = &job.spec;
         let claim = UndecodableJob {
             team: s.team.clone(),
-            each: Resources::new(s.cores, s.accelerators, s.memory_gb),
-            open: s.tasks - job.done_count,
-            unseen_until,
+            resources_per_task: Resources::new(s.cores, s.accelerators, s.memory_gb),
+            open_tasks: s.tasks - job.done_count,
+            unreported_until: unseen_until,
         };
-        self.unread.jobs.insert(id, Some(claim));
+        self.undecodable.jobs.insert(id, Some(claim));
         Some(job)
     }
 
     /// What the teams' tasks take that no record tells of: all that may run, and once all of it
     /// has been heard what machines report. (It was once not counted, and limits were
     /// overshot.)
-    pub fn unread_use(&self, now: Time) -> Vec<(&str, Resources)> {
+    pub fn undecodable_usage(&self, now: Time) -> Vec<(&str, Resources)> {
         let live = |id: &str| {
             let tasks = self.machines.values().flat_map(|m| &m.tasks);
             let live = tasks.filter(|t| t.state != TaskState::Exited);
             live.filter(|t| split_task(&t.task).is_some_and(|(of, _)| of == id)).count() as u32
         };
-        let claims = self.unread.jobs.iter().filter_map(|(id, c)| Some((id, c.as_ref()?)));
+        let claims = self.undecodable.jobs.iter().filter_map(|(id, c)| Some((id, c.as_ref()?)));
         claims
             .map(|(id, c)| {
-                let tasks = f64::from(if now < c.unseen_until { c.open } else { live(id) });
-                let Resources { cores, accelerators, memory_gb } = c.each;
+                let tasks = f64::from(if now < c.unreported_until { c.open_tasks } else { live(id) });
+                let Resources { cores, accelerators, memory_gb } = c.resources_per_task;
                 (c.team.as_str(), Resources::new(cores * tasks, accelerators * tasks, memory_gb * tasks))
             })
             .collect()
--- a/crates/controller/src/work_conservation.rs
+++ b/crates/controller/src/work_conservation.rs
@@ -13,7 +13,7 @@
 
 impl WaitingBesideCapacity {
     /// A plan has found that just these do so.
-    pub fn look(&mut self, now: Time, ids: &BTreeSet<&str>) {
+    pub fn update(&mut self, now: Time, ids: &BTreeSet<&str>) {
         self.since.retain(|id, _| ids.contains(id.as_str()));
         for id in ids.iter().filter(|id| !self.since.contains_key(**id)).collect::<Vec<_>>() {
             self.since.insert((*id).to_string(), now);
@@ -21,7 +21,7 @@
     }
 
     /// Whether job `id` has done so for longer than `patience`.
-    pub fn passed_over(&self, id: &str, now: Time, patience: Time) -> bool {
+    pub fn has_waited(&self, id: &str, now: Time, patience: Time) -> bool {
         self.since.get(id).is_some_and(|since| now - since > patience)
     }
 }
--- a/crates/controller/src/zonal_demand.rs
+++ b/crates/controller/src/zonal_demand.rs
@@ -61,38 +61,38 @@
     pub zones: &'a [String],
     pub fleet: &'a Fleet,
     /// Machines without work, booting ones included, and those of them that stand idle.
-    pub at_hand: AvailableCapacity<'a>,
+    pub available: AvailableCapacity<'a>,
     pub idle: AvailableCapacity<'a>,
     /// Machines wanted, by pool and zone.
-    pub zoned: BTreeMap<(MachinePool, String), u32>,
+    pub wanted_in_zone: BTreeMap<(MachinePool, String), u32>,
     /// Machines, by type and zone, that gangs wait for the others of.
-    pub gathering: BTreeMap<(String, String), u32>,
+    pub assembling: BTreeMap<(String, String), u32>,
     /// Machines that are coming for bound work, and those that it wants more, by pool. (What it wants
     /// in one zone is no reason to keep what stands idle in another.)
     pub need: BTreeMap<MachinePool, f64>,
-    pub more: BTreeMap<MachinePool, u32>,
+    pub additional: BTreeMap<MachinePool, u32>,
 }
 
 impl<'a> ZonalDemand<'a> {
     /// Zones that `job` is bound to, with how many of its tasks each may have; None: it may run
     /// in any, or has yet to choose its only one.
-    fn bound_to(&self, job: &planner::Job) -> Option<Vec<(usize, f64)>> {
+    fn allowed_zones(&self, job: &planner::Job) -> Option<Vec<(usize, f64)>> {
         let any = f64::MAX;
         if let Some(z) = job.zone {
             return Some(vec![(z, any)]);
         }
         if job.one_zone {
-            let held = job.zone_load.iter().position(|&n| n > 0)?;
+            let held = job.placed_per_zone.iter().position(|&n| n > 0)?;
             return Some(vec![(held, any)]);
         }
-        let cap = job.zone_cap?;
-        let left = job.zone_load.iter().map(|&n| f64::from(cap.saturating_sub(n)));
+        let cap = job.max_per_zone?;
+        let left = job.placed_per_zone.iter().map(|&n| f64::from(cap.saturating_sub(n)));
         Some(left.enumerate().collect())
     }
 
     /// Notes what bound work wants. False if it is not bound.
-    pub fn want(&mut self, ask: &CapacityRequest) -> bool {
-        let Some(mut zones) = self.bound_to(ask.job) else { return false };
+    pub fn add_demand(&mut self, ask: &CapacityRequest) -> bool {
+        let Some(mut zones) = self.allowed_zones(ask.job) else { return false };
         let mut left = ask.tasks;
         for (_, pool, n) in ask.pools {
             self.take_at_hand(ask.job, pool, *n, &mut zones, &mut left);
@@ -103,12 +103,12 @@
             zones.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
             for (z, most) in &mut zones {
                 let name = self.zones.get(*z).filter(|z| kind.is_some_and(|t| t.zones.contains(z)));
-                let open = |z: &&String| self.fleet.zone_open(self.now, &pool.0, z, pool.1);
+                let open = |z: &&String| self.fleet.is_zone_available(self.now, &pool.0, z, pool.1);
                 let Some(zone) = name.filter(open) else { continue };
                 let machines = (left.min(*most) / n).ceil();
                 if machines > 0.0 {
-                    *self.zoned.entry((pool.clone(), zone.clone())).or_insert(0) += machines as u32;
-                    *self.more.entry(pool.clone()).or_insert(0) += machines as u32;
+                    *self.wanted_in_zone.entry((pool.clone(), zone.clone())).or_insert(0) += machines as u32;
+                    *self.additional.entry(pool.clone()).or_insert(0) += machines as u32;
                     let tasks = (machines * n).min(left).min(*most);
                     (left, *most) = (left - tasks, *most - tasks);
                 }
@@ -132,13 +132,13 @@
             let machines = (left.min(*most) / n).ceil() as u32;
             // What it failed on may stand idle there, and is no machine of its own.
             let idle = self.idle.count(&kind.name, zone, job.spot);
-            let shunned = if job.avoid.is_empty() { 0 } else { idle };
-            let room = self.at_hand.count(&kind.name, zone, job.spot).saturating_sub(shunned);
-            let taken = self.at_hand.take(&kind.name, zone, job.spot, machines.min(room));
+            let shunned = if job.excluded_machines.is_empty() { 0 } else { idle };
+            let room = self.available.count(&kind.name, zone, job.spot).saturating_sub(shunned);
+            let taken = self.available.take(&kind.name, zone, job.spot, machines.min(room));
             let ready = self.idle.take(&kind.name, zone, job.spot, taken.min(idle - shunned));
             *self.need.entry(pool.clone()).or_insert(0.0) += f64::from(taken - ready);
             if job.shape == planner::Shape::Gang {
-                *self.gathering.entry((pool.0.clone(), zone.clone())).or_insert(0) += taken;
+                *self.assembling.entry((pool.0.clone(), zone.clone())).or_insert(0) += taken;
             }
             let tasks = (f64::from(taken) * n).min(*left).min(*most);
             (*left, *most) = (*left - tasks, *most - tasks);
@@ -154,7 +154,7 @@
             for zone in &t.zones {
                 let machines = (left / n).ceil() as u32;
                 let kept = self.idle.take(&t.name, zone, ask.job.spot, machines);
-                *self.gathering.entry((t.name.clone(), zone.clone())).or_insert(0) += kept;
+                *self.assembling.entry((t.name.clone(), zone.clone())).or_insert(0) += kept;
                 left = (left - f64::from(kept) * n).max(0.0);
             }
         }
@@ -163,25 +163,25 @@
     /// The machines of a job that has yet to choose its only zone come together in one: where
     /// most are at hand or can be had. (Rented in all zones alike, those of a large gang went back
     /// idle and were rented anew for ever.) Returns the tasks for which others have to come.
-    pub fn gather(&mut self, ask: &CapacityRequest) -> Option<f64> {
+    pub fn assemble_gang(&mut self, ask: &CapacityRequest) -> Option<f64> {
         let job = ask.job;
         let (_, pool, n) = ask.pools.first()?;
         let machines = (ask.tasks / n).ceil() as u32;
         let t = self.types.iter().find(|t| t.name == pool.0)?;
         let kind = &t.name;
         let best = t.zones.iter().max_by_key(|z| {
-            let at_hand = self.at_hand.count(kind, z, job.spot);
-            let can = job.spot && self.fleet.zone_open(self.now, kind, z, true)
-                || self.fleet.zone_open(self.now, kind, z, false);
+            let at_hand = self.available.count(kind, z, job.spot);
+            let can = job.spot && self.fleet.is_zone_available(self.now, kind, z, true)
+                || self.fleet.is_zone_available(self.now, kind, z, false);
             // Not from one zone to the other with each machine that comes.
-            let before = self.fleet.gathering.contains_key(&(kind.clone(), (*z).clone()));
+            let before = self.fleet.assembling_gang_machines.contains_key(&(kind.clone(), (*z).clone()));
             (at_hand >= machines || can, at_hand + if before { 2 } else { 0 }, std::cmp::Reverse(*z))
         });
         let zone = best?;
-        let taken = self.at_hand.take(kind, zone, job.spot, machines);
-        *self.gathering.entry((kind.clone(), zone.clone())).or_insert(0) += machines;
-        let spot = job.spot && self.fleet.zone_open(self.now, kind, zone, true);
-        *self.zoned.entry(((kind.clone(), spot), zone.clone())).or_insert(0) += machines - taken;
+        let taken = self.available.take(kind, zone, job.spot, machines);
+        *self.assembling.entry((kind.clone(), zone.clone())).or_insert(0) += machines;
+        let spot = job.spot && self.fleet.is_zone_available(self.now, kind, zone, true);
+        *self.wanted_in_zone.entry(((kind.clone(), spot), zone.clone())).or_insert(0) += machines - taken;
         // Only what stands idle is had; what boots is counted with all that comes. (Counted
         // twice, too few were rented.)
         let ready = self.idle.take(kind, zone, job.spot, machines);
--- a/crates/controller/tests/records.rs
+++ b/crates/controller/tests/records.rs
@@ -24,7 +24,7 @@
         places: vec![OldPlacement { task: 3, attempt: 2, machine: "vm-000012".into() }],
     };
     let page: PageRecord = protocol::decode(&protocol::encode(&old)).unwrap();
-    assert_eq!(page.places, [StoredPlacement { task: 3, attempt: 2, machine: "vm-000012".into() }]);
+    assert_eq!(page.placements, [StoredPlacement { task: 3, attempt: 2, machine: "vm-000012".into() }]);
     assert_eq!(protocol::decode::<PageRecord>(&protocol::encode(&page)).unwrap(), page);
 }
 
--- a/crates/dependencies/tests/graph.rs
+++ b/crates/dependencies/tests/graph.rs
@@ -75,16 +75,16 @@
                 let fate = if m.free(n) && rng.gen_bool(0.8) { JobOutcome::Done } else { JobOutcome::Cancelled };
                 m.fates.insert(n, fate);
                 if rng.gen_bool(0.5) || fate == JobOutcome::Done {
-                    g.stored_free(&id(n));
+                    g.on_ready_stored(&id(n));
                 }
-                g.settle(&id(n), fate)
+                g.record_outcome(&id(n), fate)
             };
-            for n in &effects.withdrawn {
+            for n in &effects.cancelled {
                 let n: usize = n[4..].parse().unwrap();
                 prop_assert!(m.withdrawn.insert(n), "withdrawn twice");
                 prop_assert!(m.cancelled(n) && !freed.contains(&n));
             }
-            for n in &effects.freed {
+            for n in &effects.ready {
                 let n: usize = n[4..].parse().unwrap();
                 prop_assert!(freed.insert(n), "freed twice");
                 prop_assert!(m.free(n));
@@ -92,16 +92,16 @@
             for n in 0..added {
                 let over = m.fates.contains_key(&n) || m.withdrawn.contains(&n);
                 prop_assert_eq!(m.cancelled(n), m.withdrawn.contains(&n) || m.fates.get(&n) == Some(&JobOutcome::Cancelled));
-                prop_assert_eq!(g.waits(&id(n)), !over && !m.free(n));
+                prop_assert_eq!(g.is_waiting(&id(n)), !over && !m.free(n));
                 prop_assert!(!m.free(n) || m.awaits[n].is_empty() || over || freed.contains(&n));
             }
         }
         // All end: nothing is left that a record would be kept for.
         for n in 0..added {
-            g.stored_free(&id(n));
-            g.settle(&id(n), JobOutcome::Cancelled);
+            g.on_ready_stored(&id(n));
+            g.record_outcome(&id(n), JobOutcome::Cancelled);
         }
-        prop_assert!((0..jobs).all(|n| !g.named(&id(n)) && !g.waits(&id(n))));
+        prop_assert!((0..jobs).all(|n| !g.has_dependents(&id(n)) && !g.is_waiting(&id(n))));
         prop_assert_eq!(g.unknown().count(), 0);
     }
 
@@ -112,30 +112,30 @@
         let awaits = dag(&mut rng, jobs);
         let own: Vec<OwnPriority> = (0..jobs)
             .map(|_| OwnPriority {
-                band: rng.gen_range(0..4),
+                priority: rng.gen_range(0..4),
                 deadline: if rng.gen_bool(0.3) { rng.gen_range(10.0..500.0) } else { 1e9 },
-                last_chance: 2e9,
-                takes_s: rng.gen_range(1.0..50.0),
+                latest_useful_end: 2e9,
+                expected_duration_s: rng.gen_range(1.0..50.0),
             })
             .collect();
         let mut g = DependencyGraph::default();
         for (n, a) in awaits.iter().enumerate() {
             g.add(&id(n), &a.iter().map(|&a| id(a)).collect::<Vec<_>>(), |_| None, |_| true);
         }
-        let passed = g.passed(|n| Some(own[n[4..].parse::<usize>().unwrap()]));
+        let passed = g.inherited_priorities(|n| Some(own[n[4..].parse::<usize>().unwrap()]));
         fn ways(n: usize, awaits: &[Vec<usize>], own: &[OwnPriority]) -> Option<InheritedPriority> {
             let needing = (0..awaits.len()).filter(|&m| awaits[m].contains(&n));
             needing.map(|m| {
                 let (o, asked) = (own[m], ways(m, awaits, own));
                 InheritedPriority {
-                    band: o.band.max(asked.map_or(0, |p| p.band)),
-                    deadline: o.deadline.min(asked.map_or(f64::MAX, |p| p.deadline)) - o.takes_s,
-                    last_chance: o.last_chance.min(asked.map_or(f64::MAX, |p| p.last_chance)) - o.takes_s,
+                    priority: o.priority.max(asked.map_or(0, |p| p.priority)),
+                    deadline: o.deadline.min(asked.map_or(f64::MAX, |p| p.deadline)) - o.expected_duration_s,
+                    latest_useful_end: o.latest_useful_end.min(asked.map_or(f64::MAX, |p| p.latest_useful_end)) - o.expected_duration_s,
                 }
             }).reduce(|a, b| InheritedPriority {
-                band: a.band.max(b.band),
+                priority: a.priority.max(b.priority),
                 deadline: a.deadline.min(b.deadline),
-                last_chance: a.last_chance.min(b.last_chance),
+                latest_useful_end: a.latest_useful_end.min(b.latest_useful_end),
             })
         }
         for n in 0..jobs {
@@ -152,14 +152,14 @@
     for n in 1..5_000 {
         g.add(&id(n), &[id(n - 1)], |_| None, |_| true);
     }
-    let own = OwnPriority { band: 1, deadline: 1e6, last_chance: 1e6, takes_s: 1.0 };
-    let passed = g.passed(|_| Some(own));
+    let own = OwnPriority { priority: 1, deadline: 1e6, latest_useful_end: 1e6, expected_duration_s: 1.0 };
+    let passed = g.inherited_priorities(|_| Some(own));
     assert_eq!(passed["req-0"].deadline, 1e6 - 4_999.0);
-    assert_eq!(g.settle("req-0", JobOutcome::Cancelled).withdrawn.len(), 4_999);
+    assert_eq!(g.record_outcome("req-0", JobOutcome::Cancelled).cancelled.len(), 4_999);
     for n in 1..10_000 {
         g.add(&id(n), &[id(0)], |_| None, |_| true);
     }
-    assert_eq!(g.settle("req-0", JobOutcome::Done).freed.len(), 9_999);
+    assert_eq!(g.record_outcome("req-0", JobOutcome::Done).ready.len(), 9_999);
 }
 
 /// What is awaited and unknown is asked for until it is known; what nobody awaits any
@@ -170,11 +170,11 @@
     let awaits = [id(7), id(8)];
     assert_eq!(g.add("req-1", &awaits, |_| None, |a| a == "req-7"), Default::default());
     assert_eq!(g.unknown().collect::<Vec<_>>(), ["req-8"]);
-    g.settle("req-8", JobOutcome::Done);
-    assert_eq!((g.unknown().count(), g.waits("req-1")), (0, true));
-    assert_eq!(g.settle("req-7", JobOutcome::Done).freed, ["req-1"]);
+    g.record_outcome("req-8", JobOutcome::Done);
+    assert_eq!((g.unknown().count(), g.is_waiting("req-1")), (0, true));
+    assert_eq!(g.record_outcome("req-7", JobOutcome::Done).ready, ["req-1"]);
     // Its record still names both: they stay where the next leader reads them.
-    assert!(g.named("req-7") && g.named("req-8"));
-    assert_eq!(g.stored_free("req-1"), ["req-7", "req-8"]);
-    assert!(!g.named("req-7"));
+    assert!(g.has_dependents("req-7") && g.has_dependents("req-8"));
+    assert_eq!(g.on_ready_stored("req-1"), ["req-7", "req-8"]);
+    assert!(!g.has_dependents("req-7"));
 }
