--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -21,26 +21,26 @@
     pub fn new(cores: f64, accelerators: f64, memory_gb: f64) -> Self {
         Resources { cores, accelerators, memory_gb }
     }
-    pub fn holds(&self, need: &Resources) -> bool {
+    pub fn fits(&self, need: &Resources) -> bool {
         need.cores <= self.cores + SLACK
             && need.accelerators <= self.accelerators + SLACK
             && need.memory_gb <= self.memory_gb + SLACK
     }
-    pub fn take(&mut self, x: &Resources) {
+    pub fn subtract(&mut self, x: &Resources) {
         self.cores -= x.cores;
         self.accelerators -= x.accelerators;
         self.memory_gb -= x.memory_gb;
     }
-    pub fn give(&mut self, x: &Resources) {
+    pub fn add(&mut self, x: &Resources) {
         self.cores += x.cores;
         self.accelerators += x.accelerators;
         self.memory_gb += x.memory_gb;
     }
-    pub fn times(&self, n: f64) -> Resources {
+    pub fn scaled(&self, n: f64) -> Resources {
         Resources::new(self.cores * n, self.accelerators * n, self.memory_gb * n)
     }
     /// How many such tasks fit side by side.
-    pub fn count(&self, need: &Resources) -> u32 {
+    pub fn instances_that_fit(&self, need: &Resources) -> u32 {
         let part = |have: f64, want: f64| if want > 0.0 { (have + SLACK) / want } else { f64::MAX };
         part(self.cores, need.cores)
             .min(part(self.accelerators, need.accelerators))
@@ -61,16 +61,16 @@
 /// Work that a machine holds until `end`.
 #[derive(Debug, Clone, Copy)]
 pub struct RunningTask {
-    pub end: f64,
+    pub ends_at: f64,
     /// It ends only when it is cancelled or stopped: nothing is reserved behind it.
     pub endless: bool,
-    pub takes: Resources,
-    pub band: u8,
+    pub resources: Resources,
+    pub priority: u8,
     pub team: usize,
     /// Its team's guarantee covers it.
-    pub covered: bool,
+    pub within_guarantee: bool,
     /// What stopping it would cost, if it may be stopped for more urgent work.
-    pub victim: Option<PreemptionCandidate>,
+    pub preemption: Option<PreemptionCandidate>,
 }
 
 /// Running work that a more urgent job may have stopped.
@@ -79,20 +79,20 @@
     /// The caller's own number of it.
     pub owner: usize,
     /// Run time that would be lost.
-    pub lost_s: f64,
+    pub lost_work_s: f64,
     /// Time until its place is free.
     pub stop_s: f64,
 }
 
 #[derive(Debug, Clone)]
 pub struct Machine {
-    pub kind: usize,
+    pub instance_type: usize,
     pub zone: usize,
     pub spot: bool,
     /// When it can take work: now, or when its boot is expected to end.
-    pub ready: f64,
+    pub ready_at: f64,
     pub free: Resources,
-    pub busy: Vec<RunningTask>,
+    pub running: Vec<RunningTask>,
     /// Images it is known to hold or to be fetching.
     pub images: Vec<u32>,
     /// Learned run time ratio of this machine, 1 when nothing is known.
@@ -109,31 +109,31 @@
 #[derive(Debug, Clone)]
 pub struct Job {
     /// Urgency; a larger band always goes first (a stated exception).
-    pub band: u8,
+    pub priority: u8,
     pub shape: Shape,
     /// Unfinished tasks without a machine.
-    pub waiting: Vec<u32>,
-    pub needs: Resources,
+    pub pending_tasks: Vec<u32>,
+    pub resources: Resources,
     /// Run time expected of a task.
     pub run_s: f64,
     /// The caller's own number of its image.
     pub image: u32,
     pub image_gb: f64,
     /// Allowed machine types, by index.
-    pub kinds: Vec<usize>,
+    pub instance_types: Vec<usize>,
     /// The only allowed zone.
     pub zone: Option<usize>,
     pub one_zone: bool,
     /// Most tasks per zone, and how many each zone has already.
-    pub zone_cap: Option<u32>,
-    pub zone_load: Vec<u32>,
+    pub max_per_zone: Option<u32>,
+    pub placed_per_zone: Vec<u32>,
     pub spot: bool,
-    pub submitted: f64,
+    pub submitted_at: f64,
     /// When it has to be complete.
     pub deadline: f64,
     /// The latest end that still counts for something (the deadline itself
     /// where nothing later does).
-    pub last_chance: f64,
+    pub latest_useful_end: f64,
     pub team: usize,
     /// Whether its team's guarantee covers it.
     pub guaranteed: bool,
@@ -141,23 +141,23 @@
     pub not_before: f64,
     /// It fails wherever it runs: it may use a place that is free now, and that
     /// is all; no reservation, nobody stopped and nothing rented for it.
-    pub probe: bool,
+    pub probing: bool,
     /// Nobody waits for it: it follows all else of its band.
-    pub leftover: bool,
+    pub best_effort: bool,
     /// Only spot machines.
     pub spot_only: bool,
     /// It is under its floor: it goes before all others (see [`floor`]).
-    pub floor: bool,
+    pub starvation_relief: bool,
     /// Until then, in seconds of the plan's clock, its team's room is kept for it where the limit
     /// has none for it yet (see [`starvation::keeps_until`]).
-    pub keeps_until: f64,
+    pub reserves_until: f64,
     /// The zone in which the last plan gathered machines for it.
-    pub gathers_in: Option<usize>,
+    pub assembly_zone: Option<usize>,
     /// It has waited beside free places for too long (see [`room`]): it takes them whatever is
     /// reserved there for later.
-    pub passed_over: bool,
+    pub waits_beside_capacity: bool,
     /// Machines that it failed on.
-    pub avoid: Vec<usize>,
+    pub excluded_machines: Vec<usize>,
 }
 
 /// What a team may still add, or None where it has no limit.
@@ -170,15 +170,15 @@
 #[derive(Debug, Clone)]
 pub struct Problem {
     pub now: f64,
-    pub types: Vec<InstanceType>,
+    pub instance_types: Vec<InstanceType>,
     pub zones: usize,
     pub machines: Vec<Machine>,
     pub jobs: Vec<Job>,
     pub teams: Vec<Team>,
     /// No reservation window reaches further than this.
-    pub bound_s: f64,
+    pub max_window_s: f64,
     /// A more urgent job waits that long rather than having work stopped.
-    pub patience_s: f64,
+    pub preemption_wait_s: f64,
 }
 
 /// One task that starts now.
@@ -193,18 +193,18 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reservation {
     pub job: usize,
-    pub kind: usize,
-    pub start: f64,
-    pub end: f64,
+    pub instance_type: usize,
+    pub starts_at: f64,
+    pub ends_at: f64,
     /// It fixed its type's window.
-    pub decides: bool,
+    pub sets_window: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnmetDemand {
     pub job: usize,
     pub tasks: u32,
-    pub late: u32,
+    pub late_tasks: u32,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -217,20 +217,20 @@
     pub unmet: Vec<UnmetDemand>,
     /// Tasks reserved for later that meet their deadline (of the job that is
     /// being planned).
-    timely: u32,
+    on_time: u32,
     /// Running work to be stopped for more urgent jobs.
-    pub stops: Vec<usize>,
+    pub preemptions: Vec<usize>,
     /// Jobs that go on waiting although a place that may be theirs is free.
-    pub beside: Vec<usize>,
+    pub waiting_beside_capacity: Vec<usize>,
     /// The overdue gang that has to be in one zone, and the zone in which its machines gather.
-    pub gathers: Option<(usize, usize)>,
+    pub gang_assembly: Option<(usize, usize)>,
     /// What the plan took: looks at a machine or at a job.
     pub steps: u64,
 }
 
 /// A configuration of a job on a type: machine price per task and second.
 fn task_price(t: &InstanceType, job: &Job) -> Option<f64> {
-    let side_by_side = t.size.count(&job.needs);
+    let side_by_side = t.size.instances_that_fit(&job.resources);
     if side_by_side == 0 {
         return None;
     }
@@ -242,10 +242,15 @@
 /// hold more of it, which takes the fewest machines.
 pub fn configurations(types: &[InstanceType], job: &Job) -> Vec<(usize, f64)> {
     let mut list: Vec<(usize, f64)> =
-        job.kinds.iter().filter_map(|&k| task_price(&types[k], job).map(|p| (k, p))).collect();
+        job.instance_types.iter().filter_map(|&k| task_price(&types[k], job).map(|p| (k, p))).collect();
     list.sort_by(|a, b| {
         a.1.total_cmp(&b.1)
-            .then_with(|| types[b.0].size.count(&job.needs).cmp(&types[a.0].size.count(&job.needs)))
+            .then_with(|| {
+                types[b.0]
+                    .size
+                    .instances_that_fit(&job.resources)
+                    .cmp(&types[a.0].size.instances_that_fit(&job.resources))
+            })
             .then(a.0.cmp(&b.0))
     });
     list
@@ -273,7 +278,7 @@
 
 impl CostCurve {
     fn of(types: &[InstanceType], job: &Job) -> CostCurve {
-        let tasks = job.waiting.len() as f64;
+        let tasks = job.pending_tasks.len() as f64;
         let mut steps: Vec<(f64, f64, f64)> = Vec::new();
         let mut late = (f64::MAX, 0.0);
         for (k, price) in configurations(types, job) {
@@ -361,14 +366,14 @@
 /// far goes.
 fn tiers(p: &Problem, by_deadline: &[usize]) -> Vec<u8> {
     let mut tier = vec![2u8; p.jobs.len()];
-    let up: Vec<&Machine> = p.machines.iter().filter(|m| m.ready <= p.now + p.bound_s).collect();
+    let up: Vec<&Machine> = p.machines.iter().filter(|m| m.ready_at <= p.now + p.max_window_s).collect();
     // Running work holds the machines for a while yet.
     let held: f64 = up
         .iter()
         .map(|m| {
-            let size = &p.types[m.kind].size;
-            m.busy.iter().map(|b| (b.end - p.now).max(0.0) * share(&b.takes, size)).sum::<f64>()
-                + (m.ready - p.now).max(0.0)
+            let size = &p.instance_types[m.instance_type].size;
+            m.running.iter().map(|b| (b.ends_at - p.now).max(0.0) * share(&b.resources, size)).sum::<f64>()
+                + (m.ready_at - p.now).max(0.0)
         })
         .sum::<f64>()
         / (up.len().max(1) as f64);
@@ -376,23 +381,30 @@
     // Time that the job's waiting tasks take of all its machines together.
     let mut work = |i: usize| {
         let job = &p.jobs[i];
-        let seen = CapacityView { band: job.band, kinds: job.kinds.clone(), spot: job.spot, zone: job.zone };
+        let seen = CapacityView {
+            priority: job.priority,
+            instance_types: job.instance_types.clone(),
+            spot: job.spot,
+            zone: job.zone,
+        };
         let at = rooms.iter().position(|r| r.0 == seen).unwrap_or_else(|| {
             let alike = room_of(p, &up, &seen);
             rooms.push((seen, alike));
             rooms.len() - 1
         });
-        let slots: f64 = rooms[at].1.iter().map(|(room, n)| f64::from(room.count(&job.needs)) * n).sum();
-        job.waiting.len() as f64 * job.run_s / slots.max(0.5)
+        let slots: f64 =
+            rooms[at].1.iter().map(|(room, n)| f64::from(room.instances_that_fit(&job.resources)) * n).sum();
+        job.pending_tasks.len() as f64 * job.run_s / slots.max(0.5)
     };
-    let mut bands: Vec<u8> = p.jobs.iter().map(|j| j.band).collect();
+    let mut bands: Vec<u8> = p.jobs.iter().map(|j| j.priority).collect();
     bands.sort_unstable();
     bands.dedup();
     for band in bands.into_iter().rev() {
-        let mut left: Vec<usize> = by_deadline.iter().copied().filter(|&i| p.jobs[i].band == band).collect();
+        let mut left: Vec<usize> =
+            by_deadline.iter().copied().filter(|&i| p.jobs[i].priority == band).collect();
         let mut ahead = held;
         for level in 0..2u8 {
-            let due = |i: usize| if level == 0 { p.jobs[i].deadline } else { p.jobs[i].last_chance };
+            let due = |i: usize| if level == 0 { p.jobs[i].deadline } else { p.jobs[i].latest_useful_end };
             left.sort_by(|&a, &b| due(a).total_cmp(&due(b)).then(a.cmp(&b)));
             let (mut kept, mut dropped): (BinaryHeap<MachineLoad>, Vec<usize>) =
                 (BinaryHeap::new(), Vec::new());
@@ -424,8 +436,8 @@
 /// Which machines a job can have, as far as its room in time depends on it.
 #[derive(PartialEq)]
 struct CapacityView {
-    band: u8,
-    kinds: Vec<usize>,
+    priority: u8,
+    instance_types: Vec<usize>,
     spot: bool,
     zone: Option<usize>,
 }
@@ -435,13 +447,13 @@
 fn room_of(p: &Problem, up: &[&Machine], seen: &CapacityView) -> Vec<(Resources, f64)> {
     let mut alike: Vec<(Resources, f64)> = Vec::new();
     for m in up {
-        let out = !seen.kinds.contains(&m.kind) || (m.spot && !seen.spot);
+        let out = !seen.instance_types.contains(&m.instance_type) || (m.spot && !seen.spot);
         if out || seen.zone.is_some_and(|z| z != m.zone) {
             continue;
         }
-        let mut size = p.types[m.kind].size;
-        for b in m.busy.iter().filter(|b| b.band > seen.band) {
-            size.take(&b.takes);
+        let mut size = p.instance_types[m.instance_type].size;
+        for b in m.running.iter().filter(|b| b.priority > seen.priority) {
+            size.subtract(&b.resources);
         }
         match alike.iter_mut().find(|a| a.0 == size) {
             Some(a) => a.1 += 1.0,
@@ -484,24 +496,24 @@
 pub fn order(p: &Problem) -> Vec<usize> {
     let mut all: Vec<usize> = (0..p.jobs.len()).collect();
     all.sort_by(|&a, &b| p.jobs[a].deadline.total_cmp(&p.jobs[b].deadline).then(a.cmp(&b)));
-    let cost = deferrals(p.now, &p.types, &p.jobs);
+    let cost = deferrals(p.now, &p.instance_types, &p.jobs);
     let tier = tiers(p, &all);
     // In a band that cannot do everything in time, those that can are served
     // in the order that this was judged by.
     let mut crowded = [false; 1 + u8::MAX as usize];
     for (job, tier) in p.jobs.iter().zip(&tier) {
-        crowded[job.band as usize] |= *tier > 0;
+        crowded[job.priority as usize] |= *tier > 0;
     }
     all.sort_by(|&a, &b| {
         let (x, y) = (&p.jobs[a], &p.jobs[b]);
-        y.floor
-            .cmp(&x.floor)
-            .then(y.band.cmp(&x.band))
-            .then(x.probe.cmp(&y.probe))
-            .then(x.leftover.cmp(&y.leftover))
+        y.starvation_relief
+            .cmp(&x.starvation_relief)
+            .then(y.priority.cmp(&x.priority))
+            .then(x.probing.cmp(&y.probing))
+            .then(x.best_effort.cmp(&y.best_effort))
             .then(y.guaranteed.cmp(&x.guaranteed))
             .then(tier[a].cmp(&tier[b]))
-            .then(if crowded[x.band as usize] {
+            .then(if crowded[x.priority as usize] {
                 x.deadline.total_cmp(&y.deadline)
             } else {
                 cost[b].partial_cmp(&cost[a]).unwrap_or(Ordering::Equal)
@@ -516,50 +528,52 @@
 struct MachineTimeline {
     free: Resources,
     /// Ends of running work, soonest first.
-    busy: Vec<RunningTask>,
+    running: Vec<RunningTask>,
     /// Reserved for a job of higher priority from `start` on.
     reserved: Vec<(f64, Resources)>,
     /// What is left of the machine for good once running work has ended or was stopped.
-    rest: Resources,
+    unreserved: Resources,
     /// The latest start of a reservation.
-    last: f64,
+    last_end: f64,
 }
 
 impl MachineTimeline {
     /// Nothing that needs `least` or more and runs `run` or longer fits here
     /// any more, now or later.
-    fn closed(&self, now: f64, least: &Resources, run: f64) -> bool {
-        !self.rest.holds(least) && (self.reserved.is_empty() || now + run > self.last)
+    fn is_full(&self, now: f64, least: &Resources, run: f64) -> bool {
+        !self.unreserved.fits(least) && (self.reserved.is_empty() || now + run > self.last_end)
     }
 
     /// Earliest time at which `need` fits, for a run of `run` seconds.
-    fn earliest(&self, now: f64, ready: f64, need: &Resources, run: f64) -> Option<f64> {
+    fn earliest_start(&self, now: f64, ready: f64, need: &Resources, run: f64) -> Option<f64> {
         let mut at = now.max(ready);
-        if self.closed(at, need, run) {
+        if self.is_full(at, need, run) {
             return None;
         }
         let mut free = self.free;
         let mut next = 0;
         loop {
-            while next < self.busy.len() && (self.busy[next].end <= at || self.busy[next].endless) {
-                if !self.busy[next].endless {
-                    free.give(&self.busy[next].takes);
+            while next < self.running.len()
+                && (self.running[next].ends_at <= at || self.running[next].endless)
+            {
+                if !self.running[next].endless {
+                    free.add(&self.running[next].resources);
                 }
                 next += 1;
             }
             let mut left = free;
             for (start, takes) in &self.reserved {
                 if at + run > *start {
-                    left.take(takes);
+                    left.subtract(takes);
                 }
             }
-            if left.holds(need) {
+            if left.fits(need) {
                 return Some(at);
             }
-            if next >= self.busy.len() {
+            if next >= self.running.len() {
                 return None;
             }
-            at = self.busy[next].end;
+            at = self.running[next].ends_at;
         }
     }
 }
@@ -572,22 +586,23 @@
 /// guarantee what another team runs beyond its own, unless that is more urgent.
 /// (Allowed as well, but reports that stopped urgent rebooking kept it waiting.)
 fn may_stop(job: &Job, b: &RunningTask) -> bool {
-    b.band < job.band || job.guaranteed && !b.covered && b.team != job.team && b.band == job.band
+    b.priority < job.priority
+        || job.guaranteed && !b.within_guarantee && b.team != job.team && b.priority == job.priority
 }
 
 /// Where one task could go.
 #[derive(Clone, Copy)]
 struct PlacementOption {
     machine: usize,
-    at: f64,
+    starts_at: f64,
     rank: (f64, f64),
 }
 
 /// The better option is the smaller one: earlier, then by rank.
 impl Ord for PlacementOption {
     fn cmp(&self, o: &Self) -> Ordering {
-        self.at
-            .total_cmp(&o.at)
+        self.starts_at
+            .total_cmp(&o.starts_at)
             .then(self.rank.0.total_cmp(&o.rank.0))
             .then(self.rank.1.total_cmp(&o.rank.1))
             .then(self.machine.cmp(&o.machine))
@@ -608,10 +623,10 @@
 /// A gang's best configuration so far; the smaller key is the better one.
 struct GangChoice {
     key: (bool, bool, bool, f64, f64),
-    kind: usize,
+    instance_type: usize,
     machines: Vec<usize>,
-    start: f64,
-    end: f64,
+    starts_at: f64,
+    ends_at: f64,
 }
 
 /// A job that found no place. Places only become fewer while a plan is made,
@@ -619,12 +634,12 @@
 /// most jobs are passed over without a look at the machines.
 struct KnownMisfit {
     shape: Shape,
-    band: u8,
-    needs: Resources,
+    priority: u8,
+    resources: Resources,
     tasks: usize,
     /// At least what its run takes on any machine, fetch included.
     run_s: f64,
-    kinds: Vec<usize>,
+    instance_types: Vec<usize>,
     spot: bool,
     spot_only: bool,
     zone: Option<usize>,
@@ -636,11 +651,11 @@
     fn of(job: &Job, run_s: f64) -> Self {
         KnownMisfit {
             shape: job.shape,
-            band: job.band,
-            needs: job.needs,
-            tasks: job.waiting.len(),
+            priority: job.priority,
+            resources: job.resources,
+            tasks: job.pending_tasks.len(),
             run_s,
-            kinds: job.kinds.clone(),
+            instance_types: job.instance_types.clone(),
             spot: job.spot,
             spot_only: job.spot_only,
             zone: job.zone,
@@ -648,35 +663,35 @@
         }
     }
 
-    fn stops(&self, job: &Job) -> bool {
+    fn covers(&self, job: &Job) -> bool {
         let gang = job.shape == Shape::Gang;
         gang == (self.shape == Shape::Gang)
-            && job.band <= self.band
+            && job.priority <= self.priority
             && (!self.spot_only || job.spot_only)
-            && job.needs.holds(&self.needs)
-            && (!gang || job.waiting.len() >= self.tasks)
+            && job.resources.fits(&self.resources)
+            && (!gang || job.pending_tasks.len() >= self.tasks)
             && job.run_s >= self.run_s
             && (self.spot || !job.spot)
             && self.zone.is_none_or(|z| job.zone == Some(z))
             && (!self.one_zone || job.one_zone)
-            && job.kinds.iter().all(|k| self.kinds.contains(k))
+            && job.instance_types.iter().all(|k| self.instance_types.contains(k))
     }
 }
 
 struct Planner<'a> {
-    p: &'a Problem,
-    slots: Vec<MachineTimeline>,
+    problem: &'a Problem,
+    timelines: Vec<MachineTimeline>,
     teams: Vec<Team>,
     images: Vec<Vec<u32>>,
     /// Machines where some job may still find a place.
-    open: Vec<usize>,
+    open_machines: Vec<usize>,
     /// The least that any job needs and how long the shortest runs.
-    least: (Resources, f64),
-    barriers: Vec<KnownMisfit>,
+    smallest_need: (Resources, f64),
+    misfits: Vec<KnownMisfit>,
     /// One of each sort of work that may be stopped.
-    preys: Vec<RunningTask>,
+    preemptible: Vec<RunningTask>,
     /// Jobs for which their teams' room is kept.
-    kept: Vec<usize>,
+    reserved_machines: Vec<usize>,
     /// Looks at a machine for a job, as a measure of the effort.
     steps: u64,
 }
@@ -691,58 +706,67 @@
             .machines
             .iter()
             .map(|m| {
-                let mut busy = m.busy.clone();
-                busy.sort_by(|a, b| a.end.total_cmp(&b.end));
+                let mut busy = m.running.clone();
+                busy.sort_by(|a, b| a.ends_at.total_cmp(&b.ends_at));
                 let mut rest = m.free;
-                busy.iter().for_each(|b| rest.give(&b.takes));
-                MachineTimeline { free: m.free, busy, reserved: Vec::new(), rest, last: 0.0 }
+                busy.iter().for_each(|b| rest.add(&b.resources));
+                MachineTimeline {
+                    free: m.free,
+                    running: busy,
+                    reserved: Vec::new(),
+                    unreserved: rest,
+                    last_end: 0.0,
+                }
             })
             .collect();
         let mut least = (Resources::new(f64::MAX, f64::MAX, f64::MAX), f64::MAX);
         for j in &p.jobs {
-            least.0.cores = least.0.cores.min(j.needs.cores);
-            least.0.accelerators = least.0.accelerators.min(j.needs.accelerators);
-            least.0.memory_gb = least.0.memory_gb.min(j.needs.memory_gb);
+            least.0.cores = least.0.cores.min(j.resources.cores);
+            least.0.accelerators = least.0.accelerators.min(j.resources.accelerators);
+            least.0.memory_gb = least.0.memory_gb.min(j.resources.memory_gb);
             least.1 = least.1.min(j.run_s);
         }
         let mut preys: Vec<RunningTask> = Vec::new();
-        for b in p.machines.iter().flat_map(|m| &m.busy).filter(|b| b.victim.is_some()) {
-            if !preys.iter().any(|x| (x.band, x.team, x.covered) == (b.band, b.team, b.covered)) {
+        for b in p.machines.iter().flat_map(|m| &m.running).filter(|b| b.preemption.is_some()) {
+            if !preys
+                .iter()
+                .any(|x| (x.priority, x.team, x.within_guarantee) == (b.priority, b.team, b.within_guarantee))
+            {
                 preys.push(*b);
             }
         }
         least.1 *= p.machines.iter().map(|m| m.slowness).fold(1.0, f64::min);
         Planner {
-            p,
-            slots,
+            problem: p,
+            timelines: slots,
             teams: p.teams.clone(),
             images: p.machines.iter().map(|m| m.images.clone()).collect(),
-            open: (0..p.machines.len()).collect(),
-            least,
-            barriers: Vec::new(),
-            preys,
-            kept: Vec::new(),
+            open_machines: (0..p.machines.len()).collect(),
+            smallest_need: least,
+            misfits: Vec::new(),
+            preemptible: preys,
+            reserved_machines: Vec::new(),
             steps: 0,
         }
     }
 
     /// Forgets the machines that nobody can get any more.
-    fn prune(&mut self) {
-        let (now, slots, (least, run)) = (self.p.now, &self.slots, &self.least);
-        self.open.retain(|&m| !slots[m].closed(now, least, *run));
+    fn drop_full_machines(&mut self) {
+        let (now, slots, (least, run)) = (self.problem.now, &self.timelines, &self.smallest_need);
+        self.open_machines.retain(|&m| !slots[m].is_full(now, least, *run));
     }
 
-    fn bar(&mut self, job: &Job) {
+    fn record_misfit(&mut self, job: &Job) {
         // What one job avoids another may use.
-        if !job.avoid.is_empty() {
+        if !job.excluded_machines.is_empty() {
             return;
         }
         // An array bound to a zone looks into the one where it runs already.
         let bound = job.one_zone && job.shape != Shape::Gang;
-        if self.barriers.len() < MOST_BARRIERS && job.zone_cap.is_none() && !bound {
-            let slowest = self.p.types.iter().map(|t| t.fetch_gb_per_s).filter(|r| *r > 0.0);
+        if self.misfits.len() < MOST_BARRIERS && job.max_per_zone.is_none() && !bound {
+            let slowest = self.problem.instance_types.iter().map(|t| t.fetch_gb_per_s).filter(|r| *r > 0.0);
             let fetch = job.image_gb / slowest.fold(f64::MAX, f64::min);
-            self.barriers.push(KnownMisfit::of(job, job.run_s + fetch));
+            self.misfits.push(KnownMisfit::of(job, job.run_s + fetch));
         }
     }
 
@@ -750,7 +774,7 @@
         if self.images[m].contains(&job.image) {
             return 0.0;
         }
-        let rate = self.p.types[self.p.machines[m].kind].fetch_gb_per_s;
+        let rate = self.problem.instance_types[self.problem.machines[m].instance_type].fetch_gb_per_s;
         if rate > 0.0 {
             job.image_gb / rate
         } else {
@@ -759,13 +783,13 @@
     }
 
     fn allowed(&self, job: &Job, m: usize) -> bool {
-        self.suits(job, m) && !job.avoid.contains(&m)
+        self.can_host(job, m) && !job.excluded_machines.contains(&m)
     }
 
     /// Whether the job may run on machine `m` at all.
-    fn suits(&self, job: &Job, m: usize) -> bool {
-        let machine = &self.p.machines[m];
-        job.kinds.contains(&machine.kind)
+    fn can_host(&self, job: &Job, m: usize) -> bool {
+        let machine = &self.problem.machines[m];
+        job.instance_types.contains(&machine.instance_type)
             && (!machine.spot || job.spot)
             && (machine.spot || !job.spot_only)
             && job.zone.is_none_or(|z| z == machine.zone)
@@ -777,21 +801,21 @@
         if !self.allowed(job, m) {
             return None;
         }
-        let machine = &self.p.machines[m];
+        let machine = &self.problem.machines[m];
         let run = (self.fetch_s(job, m) + job.run_s) * machine.slowness;
-        let at = self.slots[m].earliest(self.p.now, machine.ready, &job.needs, run)?;
-        Some(PlacementOption { machine: m, at, rank: self.rank(job, m) })
+        let at = self.timelines[m].earliest_start(self.problem.now, machine.ready_at, &job.resources, run)?;
+        Some(PlacementOption { machine: m, starts_at: at, rank: self.rank(job, m) })
     }
 
     /// How well a task fits machine `m`, the smaller the better.
     fn rank(&self, job: &Job, m: usize) -> (f64, f64) {
-        let machine = &self.p.machines[m];
+        let machine = &self.problem.machines[m];
         let fetch = self.fetch_s(job, m);
-        let t = &self.p.types[machine.kind];
-        let side = f64::from(t.size.count(&job.needs).max(1));
+        let t = &self.problem.instance_types[machine.instance_type];
+        let side = f64::from(t.size.instances_that_fit(&job.resources).max(1));
         let price = if machine.spot { t.spot_price } else { t.price };
-        let mut left = self.slots[m].free;
-        left.take(&job.needs);
+        let mut left = self.timelines[m].free;
+        left.subtract(&job.resources);
         // Dear machines are kept for those that need them: an ordinary one
         // ranks behind any spot machine for a job that may use either.
         let cost = price / side * (job.run_s * machine.slowness + fetch);
@@ -799,9 +823,9 @@
         (cost * (1.0 + OPENING * empty), empty)
     }
 
-    fn team_allows(&self, job: &Job, tasks: u32) -> bool {
+    fn fits_team_quota(&self, job: &Job, tasks: u32) -> bool {
         let t = &self.teams[job.team];
-        let need = job.needs.times(f64::from(tasks));
+        let need = job.resources.scaled(f64::from(tasks));
         t.cores_left.is_none_or(|x| need.cores <= x + SLACK)
             && t.accelerators_left.is_none_or(|x| need.accelerators <= x + SLACK)
     }
@@ -809,24 +833,24 @@
     /// Keeps what is left of its team's limit for a job that the limit has no room for yet, if enough
     /// of the team's work is expected to end in time. (What came free under a full limit once went to
     /// the team's small jobs, and its largest gang never began.)
-    fn keep_limit(&mut self, i: usize) -> bool {
-        let job = &self.p.jobs[i];
-        let n = if job.shape == Shape::Gang { job.waiting.len() as u32 } else { 1 };
-        if self.p.now >= job.keeps_until || self.team_allows(job, n) {
+    fn reserve_team_quota(&mut self, i: usize) -> bool {
+        let job = &self.problem.jobs[i];
+        let n = if job.shape == Shape::Gang { job.pending_tasks.len() as u32 } else { 1 };
+        if self.problem.now >= job.reserves_until || self.fits_team_quota(job, n) {
             return false;
         }
-        let ending = self.slots.iter().flat_map(|s| &s.busy);
-        let ending = ending.filter(|b| b.team == job.team && !b.endless && b.end <= job.keeps_until);
+        let ending = self.timelines.iter().flat_map(|s| &s.running);
+        let ending = ending.filter(|b| b.team == job.team && !b.endless && b.ends_at <= job.reserves_until);
         let mut freed = Resources::new(0.0, 0.0, 0.0);
-        ending.for_each(|b| freed.give(&b.takes));
-        let need = job.needs.times(f64::from(n));
+        ending.for_each(|b| freed.add(&b.resources));
+        let need = job.resources.scaled(f64::from(n));
         let t = &mut self.teams[job.team];
         let enough =
             |left: Option<f64>, freed: f64, need: f64| left.is_none_or(|x| need <= x + freed + SLACK);
         let in_time = enough(t.cores_left, freed.cores, need.cores)
             && enough(t.accelerators_left, freed.accelerators, need.accelerators);
         if in_time {
-            self.kept.push(i);
+            self.reserved_machines.push(i);
             t.cores_left = t.cores_left.map(|x| x - need.cores);
             t.accelerators_left = t.accelerators_left.map(|x| x - need.accelerators);
         }
@@ -834,38 +858,49 @@
     }
 
     fn occupy(&mut self, job: &Job, m: usize, at: f64, end: f64) {
-        if at <= self.p.now {
-            self.slots[m].free.take(&job.needs);
-            let busy = &mut self.slots[m].busy;
-            let place = busy.partition_point(|b| b.end <= end);
-            let (takes, band, team, covered) = (job.needs, job.band, job.team, job.guaranteed);
+        if at <= self.problem.now {
+            self.timelines[m].free.subtract(&job.resources);
+            let busy = &mut self.timelines[m].running;
+            let place = busy.partition_point(|b| b.ends_at <= end);
+            let (takes, band, team, covered) = (job.resources, job.priority, job.team, job.guaranteed);
             let endless = job.shape == Shape::Service;
-            busy.insert(place, RunningTask { end, endless, takes, band, team, covered, victim: None });
+            busy.insert(
+                place,
+                RunningTask {
+                    ends_at: end,
+                    endless,
+                    resources: takes,
+                    priority: band,
+                    team,
+                    within_guarantee: covered,
+                    preemption: None,
+                },
+            );
             if !self.images[m].contains(&job.image) {
                 self.images[m].push(job.image);
             }
             let t = &mut self.teams[job.team];
             if let Some(x) = &mut t.cores_left {
-                *x -= job.needs.cores;
+                *x -= job.resources.cores;
             }
             if let Some(x) = &mut t.accelerators_left {
-                *x -= job.needs.accelerators;
+                *x -= job.resources.accelerators;
             }
         } else {
-            let slot = &mut self.slots[m];
-            slot.reserved.push((at, job.needs));
-            slot.rest.take(&job.needs);
-            slot.last = slot.last.max(at);
+            let slot = &mut self.timelines[m];
+            slot.reserved.push((at, job.resources));
+            slot.unreserved.subtract(&job.resources);
+            slot.last_end = slot.last_end.max(at);
         }
     }
 
     /// Options on every machine of `kind` and `zone`, in no order.
     fn options(&mut self, job: &Job, kind: Option<usize>, zone: Option<usize>) -> Vec<PlacementOption> {
-        self.steps += self.open.len() as u64;
-        self.open
+        self.steps += self.open_machines.len() as u64;
+        self.open_machines
             .iter()
-            .filter(|&&m| kind.is_none_or(|k| self.p.machines[m].kind == k))
-            .filter(|&&m| zone.is_none_or(|z| self.p.machines[m].zone == z))
+            .filter(|&&m| kind.is_none_or(|k| self.problem.machines[m].instance_type == k))
+            .filter(|&&m| zone.is_none_or(|z| self.problem.machines[m].zone == z))
             .filter_map(|&m| self.option(job, m))
             .collect()
     }
@@ -881,24 +916,24 @@
     ) -> Option<(Vec<usize>, f64)> {
         let mut options = self.options(job, kind, zone);
         options.sort_unstable();
-        let mut load = job.zone_load.clone();
-        load.resize(self.p.zones, 0);
+        let mut load = job.placed_per_zone.clone();
+        load.resize(self.problem.zones, 0);
         let mut chosen = Vec::with_capacity(n);
-        let mut start = self.p.now;
+        let mut start = self.problem.now;
         for o in &options {
-            let machine = &self.p.machines[o.machine];
-            let room = self.slots[o.machine].free.count(&job.needs).max(1);
-            let room = if o.at > self.p.now { 1 } else { room };
+            let machine = &self.problem.machines[o.machine];
+            let room = self.timelines[o.machine].free.instances_that_fit(&job.resources).max(1);
+            let room = if o.starts_at > self.problem.now { 1 } else { room };
             for _ in 0..room {
                 if chosen.len() == n {
                     break;
                 }
-                if job.zone_cap.is_some_and(|c| load[machine.zone] >= c) {
+                if job.max_per_zone.is_some_and(|c| load[machine.zone] >= c) {
                     break;
                 }
                 load[machine.zone] += 1;
                 chosen.push(o.machine);
-                start = start.max(o.at);
+                start = start.max(o.starts_at);
             }
         }
         (chosen.len() == n).then_some((chosen, start))
@@ -907,16 +942,16 @@
     /// Plans one job. Returns its reservation, if it gets one, having
     /// occupied what it takes; starts of now are pushed to `plan`.
     fn reserve(&mut self, i: usize, windows: &[Option<f64>], plan: &mut Plan) -> Option<Reservation> {
-        let job = &self.p.jobs[i];
-        if job.not_before > self.p.now || job.waiting.is_empty() {
+        let job = &self.problem.jobs[i];
+        if job.not_before > self.problem.now || job.pending_tasks.is_empty() {
             return None;
         }
         self.steps += 1;
-        let taken = if job.passed_over { self.take_free(i, plan) } else { 0 };
-        if taken == job.waiting.len() || self.barriers.iter().any(|b| b.stops(job)) {
+        let taken = if job.waits_beside_capacity { self.start_on_free_capacity(i, plan) } else { 0 };
+        if taken == job.pending_tasks.len() || self.misfits.iter().any(|b| b.covers(job)) {
             return None;
         }
-        if self.keep_limit(i) {
+        if self.reserve_team_quota(i) {
             return None;
         }
         match job.shape {
@@ -927,19 +962,19 @@
 
     /// Whether a start at `soonest` lies inside the window of any type that
     /// the job may use.
-    fn reachable(&self, windows: &[Option<f64>], job: &Job, soonest: f64) -> bool {
-        soonest < f64::MAX && job.kinds.iter().any(|&k| self.inside(windows, k, soonest))
+    fn window_is_reachable(&self, windows: &[Option<f64>], job: &Job, soonest: f64) -> bool {
+        soonest < f64::MAX && job.instance_types.iter().any(|&k| self.is_inside_window(windows, k, soonest))
     }
 
-    fn inside(&self, windows: &[Option<f64>], kind: usize, start: f64) -> bool {
-        start <= self.p.now || windows[kind].is_none_or(|w| start <= w)
+    fn is_inside_window(&self, windows: &[Option<f64>], kind: usize, start: f64) -> bool {
+        start <= self.problem.now || windows[kind].is_none_or(|w| start <= w)
     }
 
     fn reserve_gang(&mut self, i: usize, windows: &[Option<f64>], plan: &mut Plan) -> Option<Reservation> {
-        let p = self.p;
+        let p = self.problem;
         let job = &p.jobs[i];
-        let n = job.waiting.len();
-        if !self.team_allows(job, n as u32) {
+        let n = job.pending_tasks.len();
+        if !self.fits_team_quota(job, n as u32) {
             return None;
         }
         let mut soonest = f64::MAX;
@@ -947,110 +982,122 @@
         // those that do, a start now beats a later one and then the cheapest
         // wins; if none does, the one that ends first.
         let mut best: Option<GangChoice> = None;
-        for (kind, price) in configurations(&p.types, job) {
+        for (kind, price) in configurations(&p.instance_types, job) {
             let zones: Vec<Option<usize>> =
-                if job.one_zone { (0..self.p.zones).map(Some).collect() } else { vec![None] };
+                if job.one_zone { (0..self.problem.zones).map(Some).collect() } else { vec![None] };
             for zone in zones {
                 let Some((machines, start)) = self.gang_places(job, n, Some(kind), zone) else { continue };
                 soonest = soonest.min(start);
                 let fetch = machines.iter().map(|&m| self.fetch_s(job, m)).fold(0.0, f64::max);
-                let slow = machines.iter().map(|&m| self.p.machines[m].slowness).fold(1.0, f64::max);
+                let slow = machines.iter().map(|&m| self.problem.machines[m].slowness).fold(1.0, f64::max);
                 let end = start + fetch + job.run_s * slow;
                 let late = end > job.deadline;
-                let ordinary = machines.iter().filter(|&&m| !self.p.machines[m].spot).count();
-                let t = &self.p.types[kind];
+                let ordinary = machines.iter().filter(|&&m| !self.problem.machines[m].spot).count();
+                let t = &self.problem.instance_types[kind];
                 let dearer = if job.spot && t.spot_price > 0.0 { t.price / t.spot_price } else { 1.0 };
                 let share = ordinary as f64 / n as f64;
                 let cost = price * (1.0 + share * (dearer - 1.0)) * (fetch + job.run_s * slow);
                 // Machines gather in one zone, unless another has them all: where they were half
                 // gathered others took them.
-                let elsewhere = start > p.now && job.gathers_in.is_some_and(|z| zone != Some(z));
-                let key =
-                    if late { (true, false, end, cost) } else { (false, start > self.p.now, cost, end) };
+                let elsewhere = start > p.now && job.assembly_zone.is_some_and(|z| zone != Some(z));
+                let key = if late {
+                    (true, false, end, cost)
+                } else {
+                    (false, start > self.problem.now, cost, end)
+                };
                 let key = (elsewhere, key.0, key.1, key.2, key.3);
                 if best.as_ref().is_none_or(|b| key.partial_cmp(&b.key) == Some(Ordering::Less)) {
-                    best = Some(GangChoice { key, kind, machines, start, end });
+                    best = Some(GangChoice {
+                        key,
+                        instance_type: kind,
+                        machines,
+                        starts_at: start,
+                        ends_at: end,
+                    });
                 }
             }
         }
-        let patience = self.p.now + self.p.patience_s;
-        if !job.probe && best.as_ref().is_none_or(|b| b.start > patience) {
-            if let Some(r) = self.reserve_by_stopping(i, plan) {
+        let patience = self.problem.now + self.problem.preemption_wait_s;
+        if !job.probing && best.as_ref().is_none_or(|b| b.starts_at > patience) {
+            if let Some(r) = self.reserve_by_preemption(i, plan) {
                 return Some(r);
             }
         }
-        if soonest > patience && !self.reachable(windows, job, soonest) {
-            self.bar(job);
+        if soonest > patience && !self.window_is_reachable(windows, job, soonest) {
+            self.record_misfit(job);
         }
-        let GangChoice { kind, machines, start, end, .. } = best?;
-        if !self.inside(windows, kind, start) || job.probe && start > p.now {
+        let GangChoice { instance_type: kind, machines, starts_at: start, ends_at: end, .. } = best?;
+        if !self.is_inside_window(windows, kind, start) || job.probing && start > p.now {
             return None;
         }
-        if let (true, true, Some(&m)) = (job.floor && job.one_zone, start > p.now, machines.first()) {
-            plan.gathers = Some((i, p.machines[m].zone));
+        if let (true, true, Some(&m)) =
+            (job.starvation_relief && job.one_zone, start > p.now, machines.first())
+        {
+            plan.gang_assembly = Some((i, p.machines[m].zone));
         }
         // What has gathered for an overdue gang stands ready: short work that was let in before the
         // last of its places came free ended later than it should, again and again.
-        let ready = start > p.now && start <= job.keeps_until;
+        let ready = start > p.now && start <= job.reserves_until;
         let from = if ready { p.now + SLACK } else { start };
         for (slot, &m) in machines.iter().enumerate() {
-            if start <= self.p.now {
-                plan.starts.push(Start { job: i, task: job.waiting[slot], machine: m });
+            if start <= self.problem.now {
+                plan.starts.push(Start { job: i, task: job.pending_tasks[slot], machine: m });
             }
             self.occupy(job, m, from, end);
         }
-        self.prune();
-        Some(Reservation { job: i, kind, start, end, decides: false })
+        self.drop_full_machines();
+        Some(Reservation { job: i, instance_type: kind, starts_at: start, ends_at: end, sets_window: false })
     }
 
     /// Has less urgent work stopped where that costs least, and reserves the
     /// places that come free for gang `i` (an exception: Cura stops nothing).
-    fn reserve_by_stopping(&mut self, i: usize, plan: &mut Plan) -> Option<Reservation> {
-        let p = self.p;
+    fn reserve_by_preemption(&mut self, i: usize, plan: &mut Plan) -> Option<Reservation> {
+        let p = self.problem;
         let job = &p.jobs[i];
-        let n = job.waiting.len();
+        let n = job.pending_tasks.len();
         let mut options: Vec<(f64, usize, f64, Vec<usize>)> = Vec::new();
-        self.steps += self.open.len() as u64;
-        for &m in &self.open {
+        self.steps += self.open_machines.len() as u64;
+        for &m in &self.open_machines {
             let machine = &p.machines[m];
-            if !self.allowed(job, m) || machine.ready > p.now || !self.slots[m].reserved.is_empty() {
+            if !self.allowed(job, m) || machine.ready_at > p.now || !self.timelines[m].reserved.is_empty() {
                 continue;
             }
-            let mut victims: Vec<(usize, PreemptionCandidate, Resources)> = self.slots[m]
-                .busy
+            let mut victims: Vec<(usize, PreemptionCandidate, Resources)> = self.timelines[m]
+                .running
                 .iter()
                 .enumerate()
-                .filter_map(|(at, b)| b.victim.filter(|_| may_stop(job, b)).map(|v| (at, v, b.takes)))
+                .filter_map(|(at, b)| b.preemption.filter(|_| may_stop(job, b)).map(|v| (at, v, b.resources)))
                 .collect();
-            victims.sort_by(|a, b| a.1.lost_s.total_cmp(&b.1.lost_s));
-            let mut free = self.slots[m].free;
+            victims.sort_by(|a, b| a.1.lost_work_s.total_cmp(&b.1.lost_work_s));
+            let mut free = self.timelines[m].free;
             let (mut lost, mut stop, mut chosen) = (0.0, 0.0f64, Vec::new());
             for (at, v, takes) in victims {
-                if free.holds(&job.needs) {
+                if free.fits(&job.resources) {
                     break;
                 }
-                free.give(&takes);
+                free.add(&takes);
                 // Lost work counts by the share of the machine that it held.
-                lost += v.lost_s * share(&takes, &self.p.types[machine.kind].size);
+                lost +=
+                    v.lost_work_s * share(&takes, &self.problem.instance_types[machine.instance_type].size);
                 stop = stop.max(v.stop_s);
                 chosen.push(at);
             }
-            if free.holds(&job.needs) {
+            if free.fits(&job.resources) {
                 // An image at hand is worth its fetch on the whole machine.
                 options.push((lost + stop + 2.0 * self.fetch_s(job, m), m, stop, chosen));
             }
         }
         options.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let zones: Vec<Option<usize>> =
-            if job.one_zone { (0..self.p.zones).map(Some).collect() } else { vec![None] };
+            if job.one_zone { (0..self.problem.zones).map(Some).collect() } else { vec![None] };
         let mut best: Option<(f64, Vec<usize>)> = None;
         for zone in zones {
-            let mut load = job.zone_load.clone();
-            load.resize(self.p.zones, 0);
+            let mut load = job.placed_per_zone.clone();
+            load.resize(self.problem.zones, 0);
             let (mut cost, mut picked) = (0.0, Vec::new());
             for (at, (c, m, ..)) in options.iter().enumerate() {
-                let z = self.p.machines[*m].zone;
-                let full = job.zone_cap.is_some_and(|cap| load[z] >= cap);
+                let z = self.problem.machines[*m].zone;
+                let full = job.max_per_zone.is_some_and(|cap| load[z] >= cap);
                 if picked.len() < n && !full && zone.is_none_or(|only| only == z) {
                     load[z] += 1;
                     cost += c;
@@ -1062,29 +1109,29 @@
             }
         }
         let (_, picked) = best?;
-        let (mut start, mut end) = (self.p.now, self.p.now);
-        let kind = picked.first().map_or(0, |&at| p.machines[options[at].1].kind);
+        let (mut start, mut end) = (self.problem.now, self.problem.now);
+        let kind = picked.first().map_or(0, |&at| p.machines[options[at].1].instance_type);
         for at in picked {
             let (_, m, stop, chosen) = options[at].clone();
-            let begin = self.p.now + stop.max(SLACK);
+            let begin = self.problem.now + stop.max(SLACK);
             // Changed in place and sorted again afterwards: taking entries out
             // and putting them in front once moved the numbers of the others,
             // and the wrong work was stopped.
             for b in chosen {
-                let taken = &mut self.slots[m].busy[b];
-                if let Some(v) = taken.victim.take() {
-                    plan.stops.push(v.owner);
+                let taken = &mut self.timelines[m].running[b];
+                if let Some(v) = taken.preemption.take() {
+                    plan.preemptions.push(v.owner);
                 }
-                (taken.end, taken.endless) = (begin, false);
+                (taken.ends_at, taken.endless) = (begin, false);
             }
-            self.slots[m].busy.sort_by(|a, b| a.end.total_cmp(&b.end));
+            self.timelines[m].running.sort_by(|a, b| a.ends_at.total_cmp(&b.ends_at));
             let fetch = self.fetch_s(job, m);
             start = start.max(begin);
             end = end.max(begin + fetch + job.run_s);
             self.occupy(job, m, begin, begin + fetch + job.run_s);
         }
-        self.prune();
-        Some(Reservation { job: i, kind, start, end, decides: false })
+        self.drop_full_machines();
+        Some(Reservation { job: i, instance_type: kind, starts_at: start, ends_at: end, sets_window: false })
     }
 
     /// Of an array or a service; its first `taken` tasks have their places.
@@ -1095,12 +1142,12 @@
         windows: &[Option<f64>],
         plan: &mut Plan,
     ) -> Option<Reservation> {
-        let p = self.p;
+        let p = self.problem;
         let job = &p.jobs[i];
-        if !self.team_allows(job, 1) {
+        if !self.fits_team_quota(job, 1) {
             return None;
         }
-        let mut load = job.zone_load.clone();
+        let mut load = job.placed_per_zone.clone();
         load.resize(p.zones, 0);
         plan.starts.iter().rev().take(taken).for_each(|s| load[p.machines[s.machine].zone] += 1);
         let mut zone = if job.one_zone {
@@ -1115,29 +1162,29 @@
         let mut heap: BinaryHeap<Reverse<PlacementOption>> =
             self.options(job, None, zone).into_iter().map(Reverse).collect();
         // Zones are kept by the plain search only.
-        let mut stoppable = !job.probe && !job.leftover && !job.one_zone && job.zone_cap.is_none();
-        stoppable &= self.preys.iter().any(|b| may_stop(job, b));
+        let mut stoppable = !job.probing && !job.best_effort && !job.one_zone && job.max_per_zone.is_none();
+        stoppable &= self.preemptible.iter().any(|b| may_stop(job, b));
         // What is not guaranteed waits as long as it would still be in time.
-        let mut until = p.now + p.patience_s;
+        let mut until = p.now + p.preemption_wait_s;
         if !job.guaranteed {
             until = until.max(job.deadline - job.run_s);
         }
-        let mut tasks = job.waiting[taken..].iter();
+        let mut tasks = job.pending_tasks[taken..].iter();
         while let Some(&task) = tasks.as_slice().first() {
-            if !self.team_allows(job, 1) {
+            if !self.fits_team_quota(job, 1) {
                 break;
             }
             let found = loop {
                 let Some(Reverse(o)) = heap.pop() else { break None };
                 let z = p.machines[o.machine].zone;
-                if zone.is_none_or(|only| only == z) && job.zone_cap.is_none_or(|c| load[z] < c) {
+                if zone.is_none_or(|only| only == z) && job.max_per_zone.is_none_or(|c| load[z] < c) {
                     break Some(o);
                 }
             };
-            if stoppable && found.is_none_or(|o| o.at > until) {
+            if stoppable && found.is_none_or(|o| o.starts_at > until) {
                 stoppable = false;
                 let most = tasks.as_slice().len();
-                if let Some((got, r)) = self.stop_for_tasks(i, most, plan) {
+                if let Some((got, r)) = self.preempt_for_tasks(i, most, plan) {
                     tasks.nth(got - 1);
                     span.get_or_insert(r);
                     heap = self.options(job, None, zone).into_iter().map(Reverse).collect();
@@ -1147,69 +1194,77 @@
                 continue;
             }
             if span.is_none() {
-                let soonest = found.map_or(f64::MAX, |o| o.at);
-                if !self.reachable(windows, job, soonest) {
-                    self.bar(job);
+                let soonest = found.map_or(f64::MAX, |o| o.starts_at);
+                if !self.window_is_reachable(windows, job, soonest) {
+                    self.record_misfit(job);
                 }
             }
             let Some(o) = found else { break };
             let machine = &p.machines[o.machine];
-            if !self.inside(windows, machine.kind, o.at) || job.probe && o.at > p.now {
+            if !self.is_inside_window(windows, machine.instance_type, o.starts_at)
+                || job.probing && o.starts_at > p.now
+            {
                 break;
             }
             tasks.next();
-            let end = o.at + self.fetch_s(job, o.machine) + job.run_s * machine.slowness;
-            if o.at <= p.now {
+            let end = o.starts_at + self.fetch_s(job, o.machine) + job.run_s * machine.slowness;
+            if o.starts_at <= p.now {
                 plan.starts.push(Start { job: i, task, machine: o.machine });
             }
             load[machine.zone] += 1;
             if job.one_zone {
                 zone = Some(machine.zone);
             }
-            let kind = machine.kind;
-            self.occupy(job, o.machine, o.at, end);
+            let kind = machine.instance_type;
+            self.occupy(job, o.machine, o.starts_at, end);
             self.steps += 1;
             heap.extend(self.option(job, o.machine).map(Reverse));
-            let r = span.get_or_insert(Reservation { job: i, kind, start: o.at, end, decides: false });
-            r.start = r.start.min(o.at);
-            r.end = r.end.max(end);
-            if o.at > p.now && end <= job.deadline {
-                plan.timely += 1;
+            let r = span.get_or_insert(Reservation {
+                job: i,
+                instance_type: kind,
+                starts_at: o.starts_at,
+                ends_at: end,
+                sets_window: false,
+            });
+            r.starts_at = r.starts_at.min(o.starts_at);
+            r.ends_at = r.ends_at.max(end);
+            if o.starts_at > p.now && end <= job.deadline {
+                plan.on_time += 1;
             }
         }
         if span.is_some() {
-            self.prune();
+            self.drop_full_machines();
         }
         span
     }
 
     /// Has work stopped that `may_stop` allows, where it costs least for each of
     /// up to `left` tasks of array `i` that get its place.
-    fn stop_for_tasks(&mut self, i: usize, left: usize, plan: &mut Plan) -> Option<(usize, Reservation)> {
-        let p = self.p;
+    fn preempt_for_tasks(&mut self, i: usize, left: usize, plan: &mut Plan) -> Option<(usize, Reservation)> {
+        let p = self.problem;
         let job = &p.jobs[i];
-        self.steps += self.open.len() as u64;
+        self.steps += self.open_machines.len() as u64;
         // Cost for each task, machine, how many tasks, victims, until when.
         let mut options: Vec<(f64, usize, u32, Vec<usize>, f64)> = Vec::new();
-        for &m in &self.open {
+        for &m in &self.open_machines {
             let machine = &p.machines[m];
-            if !self.allowed(job, m) || machine.ready > p.now || !self.slots[m].reserved.is_empty() {
+            if !self.allowed(job, m) || machine.ready_at > p.now || !self.timelines[m].reserved.is_empty() {
                 continue;
             }
-            let size = &p.types[machine.kind].size;
-            let mut free = self.slots[m].free;
+            let size = &p.instance_types[machine.instance_type].size;
+            let mut free = self.timelines[m].free;
             let (mut lost, mut stop, mut chosen) = (0.0, 0.0f64, Vec::new());
-            for (at, b) in self.slots[m].busy.iter().enumerate() {
-                let Some(v) = b.victim.filter(|_| may_stop(job, b)) else { continue };
-                if free.count(&job.needs) as usize >= left {
+            for (at, b) in self.timelines[m].running.iter().enumerate() {
+                let Some(v) = b.preemption.filter(|_| may_stop(job, b)) else { continue };
+                if free.instances_that_fit(&job.resources) as usize >= left {
                     break;
                 }
-                free.give(&b.takes);
-                lost += v.lost_s * share(&b.takes, size);
+                free.add(&b.resources);
+                lost += v.lost_work_s * share(&b.resources, size);
                 stop = stop.max(v.stop_s);
                 chosen.push(at);
             }
-            let tasks = free.count(&job.needs);
+            let tasks = free.instances_that_fit(&job.resources);
             if tasks > 0 && !chosen.is_empty() {
                 let each = (lost + stop + self.fetch_s(job, m)) / f64::from(tasks);
                 options.push((each, m, tasks, chosen, stop));
@@ -1218,42 +1273,48 @@
         options.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let (mut got, mut span) = (0, None);
         for (_, m, tasks, chosen, stop) in options {
-            if got == left || !self.team_allows(job, 1) {
+            if got == left || !self.fits_team_quota(job, 1) {
                 break;
             }
             let begin = p.now + stop.max(SLACK);
             for at in chosen {
-                let b = &mut self.slots[m].busy[at];
-                if let Some(v) = b.victim.take() {
-                    plan.stops.push(v.owner);
+                let b = &mut self.timelines[m].running[at];
+                if let Some(v) = b.preemption.take() {
+                    plan.preemptions.push(v.owner);
                 }
-                (b.end, b.endless) = (begin, false);
+                (b.ends_at, b.endless) = (begin, false);
             }
-            self.slots[m].busy.sort_by(|a, b| a.end.total_cmp(&b.end));
+            self.timelines[m].running.sort_by(|a, b| a.ends_at.total_cmp(&b.ends_at));
             let end = begin + self.fetch_s(job, m) + job.run_s;
             for _ in 0..(tasks as usize).min(left - got) {
-                if self.team_allows(job, 1) {
+                if self.fits_team_quota(job, 1) {
                     self.occupy(job, m, begin, end);
                     got += 1;
-                    plan.timely += u32::from(end <= job.deadline);
+                    plan.on_time += u32::from(end <= job.deadline);
                 }
             }
-            let kind = p.machines[m].kind;
-            span.get_or_insert(Reservation { job: i, kind, start: begin, end, decides: false });
+            let kind = p.machines[m].instance_type;
+            span.get_or_insert(Reservation {
+                job: i,
+                instance_type: kind,
+                starts_at: begin,
+                ends_at: end,
+                sets_window: false,
+            });
         }
         Some((got, span?)).filter(|(got, _)| *got > 0)
     }
 
     /// The zone that can take most of an array bound to one zone now.
     fn best_zone(&self, job: &Job) -> Option<usize> {
-        let mut room = vec![0u32; self.p.zones];
-        for &m in &self.open {
-            let machine = &self.p.machines[m];
-            if self.allowed(job, m) && machine.ready <= self.p.now {
-                room[machine.zone] += self.slots[m].free.count(&job.needs);
+        let mut room = vec![0u32; self.problem.zones];
+        for &m in &self.open_machines {
+            let machine = &self.problem.machines[m];
+            if self.allowed(job, m) && machine.ready_at <= self.problem.now {
+                room[machine.zone] += self.timelines[m].free.instances_that_fit(&job.resources);
             }
         }
-        let best = (0..self.p.zones).max_by_key(|&z| (room[z], usize::MAX - z))?;
+        let best = (0..self.problem.zones).max_by_key(|&z| (room[z], usize::MAX - z))?;
         (room[best] > 0).then_some(best)
     }
 }
@@ -1264,33 +1325,37 @@
 pub fn plan(p: &Problem) -> Plan {
     let mut plan = Plan { order: order(p), ..Plan::default() };
     let mut planner = Planner::new(p);
-    let mut windows: Vec<Option<f64>> = vec![None; p.types.len()];
+    let mut windows: Vec<Option<f64>> = vec![None; p.instance_types.len()];
     let mut open: Vec<usize> = Vec::new();
     for i in plan.order.clone() {
         let before = plan.starts.len();
-        plan.timely = 0;
+        plan.on_time = 0;
         if let Some(mut r) = planner.reserve(i, &windows, &mut plan) {
             // What is under its floor decides nothing for others.
-            if windows[r.kind].is_none() && !p.jobs[i].floor {
-                windows[r.kind] = Some(r.end.min(p.now + p.bound_s));
-                r.decides = true;
+            if windows[r.instance_type].is_none() && !p.jobs[i].starvation_relief {
+                windows[r.instance_type] = Some(r.ends_at.min(p.now + p.max_window_s));
+                r.sets_window = true;
             }
-            if p.jobs[i].shape == Shape::Gang && r.end <= p.jobs[i].deadline {
-                plan.timely = p.jobs[i].waiting.len() as u32;
+            if p.jobs[i].shape == Shape::Gang && r.ends_at <= p.jobs[i].deadline {
+                plan.on_time = p.jobs[i].pending_tasks.len() as u32;
             }
             plan.reservations.push(r);
         }
         let started = (plan.starts.len() - before) as u32;
-        let left = p.jobs[i].waiting.len() as u32 - started;
+        let left = p.jobs[i].pending_tasks.len() as u32 - started;
         if left > 0 && p.jobs[i].not_before <= p.now {
             open.push(i);
         }
-        if left > 0 && p.jobs[i].not_before <= p.now && !p.jobs[i].probe {
-            plan.unmet.push(UnmetDemand { job: i, tasks: left, late: left.saturating_sub(plan.timely) });
+        if left > 0 && p.jobs[i].not_before <= p.now && !p.jobs[i].probing {
+            plan.unmet.push(UnmetDemand {
+                job: i,
+                tasks: left,
+                late_tasks: left.saturating_sub(plan.on_time),
+            });
         }
     }
-    plan.beside = planner.beside(&open);
-    planner.within_limits(&mut plan.unmet);
+    plan.waiting_beside_capacity = planner.jobs_waiting_beside_capacity(&open);
+    planner.drop_demand_over_quota(&mut plan.unmet);
     plan.steps = planner.steps + p.machines.len() as u64 + p.jobs.len() as u64;
     plan
 }
--- a/crates/planner/src/work_conservation.rs
+++ b/crates/planner/src/work_conservation.rs
@@ -8,33 +8,37 @@
 impl Planner<'_> {
     /// Machines with free places for `job`'s tasks, one for each: of a gang all or none, of others
     /// as many as there are, up to `most`.
-    fn free_places(&mut self, job: &Job, roomy: &[usize], most: usize) -> Vec<usize> {
-        let mut load = job.zone_load.clone();
-        load.resize(self.p.zones, 0);
+    fn free_machines_for(&mut self, job: &Job, roomy: &[usize], most: usize) -> Vec<usize> {
+        let mut load = job.placed_per_zone.clone();
+        load.resize(self.problem.zones, 0);
         let held = load.iter().position(|&n| n > 0);
         let zones: Vec<Option<usize>> = match (job.one_zone, held) {
             (true, Some(zone)) => vec![Some(zone)],
-            (true, None) => (0..self.p.zones).map(Some).collect(),
+            (true, None) => (0..self.problem.zones).map(Some).collect(),
             (false, _) => vec![None],
         };
         self.steps += (roomy.len() * zones.len()) as u64;
         let mut options: Vec<PlacementOption> = roomy
             .iter()
-            .filter(|&&m| self.suits(job, m) && self.p.machines[m].ready <= self.p.now)
-            .filter(|&&m| self.slots[m].free.holds(&job.needs))
-            .map(|&machine| PlacementOption { machine, at: self.p.now, rank: self.rank(job, machine) })
+            .filter(|&&m| self.can_host(job, m) && self.problem.machines[m].ready_at <= self.problem.now)
+            .filter(|&&m| self.timelines[m].free.fits(&job.resources))
+            .map(|&machine| PlacementOption {
+                machine,
+                starts_at: self.problem.now,
+                rank: self.rank(job, machine),
+            })
             .collect();
         options.sort_unstable();
         let mut best = Vec::new();
         for zone in zones {
             let (mut load, mut picked) = (load.clone(), Vec::new());
             for o in &options {
-                let z = self.p.machines[o.machine].zone;
+                let z = self.problem.machines[o.machine].zone;
                 if zone.is_some_and(|only| only != z) {
                     continue;
                 }
-                let room = self.slots[o.machine].free.count(&job.needs) as usize;
-                let cap = job.zone_cap.map_or(usize::MAX, |c| c.saturating_sub(load[z]) as usize);
+                let room = self.timelines[o.machine].free.instances_that_fit(&job.resources) as usize;
+                let cap = job.max_per_zone.map_or(usize::MAX, |c| c.saturating_sub(load[z]) as usize);
                 let n = room.min(cap).min(most - picked.len());
                 load[z] += n as u32;
                 picked.extend(std::iter::repeat_n(o.machine, n));
@@ -43,65 +47,66 @@
                 best = picked;
             }
         }
-        if job.shape == Shape::Gang && best.len() < job.waiting.len() {
+        if job.shape == Shape::Gang && best.len() < job.pending_tasks.len() {
             best.clear();
         }
         best
     }
 
     /// How many of the job's waiting tasks its team may have now; a gang's only all together.
-    fn within_limit(&self, job: &Job) -> usize {
-        let n = job.waiting.len();
+    fn tasks_within_quota(&self, job: &Job) -> usize {
+        let n = job.pending_tasks.len();
         if job.shape == Shape::Gang {
-            return if self.team_allows(job, n as u32) { n } else { 0 };
+            return if self.fits_team_quota(job, n as u32) { n } else { 0 };
         }
         let t = &self.teams[job.team];
         let part = |left: Option<f64>, need: f64| match left {
             Some(x) if need > 0.0 => ((x + SLACK) / need).max(0.0) as usize,
             _ => n,
         };
-        n.min(part(t.cores_left, job.needs.cores)).min(part(t.accelerators_left, job.needs.accelerators))
+        n.min(part(t.cores_left, job.resources.cores))
+            .min(part(t.accelerators_left, job.resources.accelerators))
     }
 
     /// Gives job `i` the places that are free now, whatever is reserved there. Returns how many
     /// of its tasks got one.
-    pub(crate) fn take_free(&mut self, i: usize, plan: &mut Plan) -> usize {
-        let p = self.p;
+    pub(crate) fn start_on_free_capacity(&mut self, i: usize, plan: &mut Plan) -> usize {
+        let p = self.problem;
         let job = &p.jobs[i];
-        let most = self.within_limit(job);
+        let most = self.tasks_within_quota(job);
         let all: Vec<usize> = (0..p.machines.len()).collect();
-        let places = if most > 0 { self.free_places(job, &all, most) } else { Vec::new() };
-        for (&task, &machine) in job.waiting.iter().zip(&places) {
+        let places = if most > 0 { self.free_machines_for(job, &all, most) } else { Vec::new() };
+        for (&task, &machine) in job.pending_tasks.iter().zip(&places) {
             plan.starts.push(Start { job: i, task, machine });
             let run = self.fetch_s(job, machine) + job.run_s;
             self.occupy(job, machine, p.now, p.now + run * p.machines[machine].slowness);
         }
         if !places.is_empty() {
-            self.prune();
+            self.drop_full_machines();
         }
         places.len()
     }
 
     /// Those of `open`, jobs that go on waiting, that do so beside a free place of theirs.
-    pub(crate) fn beside(&mut self, open: &[usize]) -> Vec<usize> {
-        let p = self.p;
-        let least = self.least.0;
+    pub(crate) fn jobs_waiting_beside_capacity(&mut self, open: &[usize]) -> Vec<usize> {
+        let p = self.problem;
+        let least = self.smallest_need.0;
         let roomy: Vec<usize> = (0..p.machines.len())
-            .filter(|&m| p.machines[m].ready <= p.now && self.slots[m].free.holds(&least))
+            .filter(|&m| p.machines[m].ready_at <= p.now && self.timelines[m].free.fits(&least))
             .collect();
         // What found nothing speaks for all that ask for as much.
         let (mut beside, mut fruitless): (Vec<usize>, Vec<KnownMisfit>) = Default::default();
         for &i in open.iter().filter(|_| !roomy.is_empty()) {
             let job = &p.jobs[i];
             self.steps += 1;
-            if self.within_limit(job) == 0 || fruitless.iter().any(|b| b.stops(job)) {
+            if self.tasks_within_quota(job) == 0 || fruitless.iter().any(|b| b.covers(job)) {
                 continue;
             }
-            let alike = job.zone_cap.is_none() && (!job.one_zone || job.shape == Shape::Gang);
-            if !self.free_places(job, &roomy, job.waiting.len()).is_empty() {
+            let alike = job.max_per_zone.is_none() && (!job.one_zone || job.shape == Shape::Gang);
+            if !self.free_machines_for(job, &roomy, job.pending_tasks.len()).is_empty() {
                 beside.push(i);
             } else if alike {
-                fruitless.push(KnownMisfit { band: u8::MAX, ..KnownMisfit::of(job, 0.0) });
+                fruitless.push(KnownMisfit { priority: u8::MAX, ..KnownMisfit::of(job, 0.0) });
             }
         }
         beside
@@ -109,17 +114,17 @@
 
     /// Takes off `unmet` what the teams' limits let nobody run now: a machine more would be of no
     /// use to it. (A team at its limit of two machines once had sixty rented, again and again.)
-    pub(crate) fn within_limits(&mut self, unmet: &mut Vec<UnmetDemand>) {
+    pub(crate) fn drop_demand_over_quota(&mut self, unmet: &mut Vec<UnmetDemand>) {
         let kept = self.teams.clone();
         // What is kept for a job comes free while its machines boot.
-        for u in unmet.iter_mut().filter(|u| !self.kept.contains(&u.job)) {
-            let job = &self.p.jobs[u.job];
-            u.tasks = u.tasks.min(self.within_limit(job) as u32);
-            u.late = u.late.min(u.tasks);
+        for u in unmet.iter_mut().filter(|u| !self.reserved_machines.contains(&u.job)) {
+            let job = &self.problem.jobs[u.job];
+            u.tasks = u.tasks.min(self.tasks_within_quota(job) as u32);
+            u.late_tasks = u.late_tasks.min(u.tasks);
             let t = &mut self.teams[job.team];
             let n = f64::from(u.tasks);
-            t.cores_left = t.cores_left.map(|x| x - n * job.needs.cores);
-            t.accelerators_left = t.accelerators_left.map(|x| x - n * job.needs.accelerators);
+            t.cores_left = t.cores_left.map(|x| x - n * job.resources.cores);
+            t.accelerators_left = t.accelerators_left.map(|x| x - n * job.resources.accelerators);
         }
         unmet.retain(|u| u.tasks > 0);
         self.teams = kept;
--- a/crates/planner/tests/common/mod.rs
+++ b/crates/planner/tests/common/mod.rs
@@ -15,12 +15,12 @@
 
 pub fn machine(kind: usize, zone: usize) -> Machine {
     Machine {
-        kind,
+        instance_type: kind,
         zone,
         spot: false,
-        ready: 0.0,
+        ready_at: 0.0,
         free: types()[kind].size,
-        busy: vec![],
+        running: vec![],
         images: vec![1],
         slowness: 1.0,
     }
@@ -28,45 +28,45 @@
 
 pub fn job(shape: Shape, tasks: u32, accelerators: f64, run_s: f64, deadline: f64) -> Job {
     Job {
-        band: 1,
+        priority: 1,
         shape,
-        waiting: (0..tasks).collect(),
-        needs: Resources::new(1.0, accelerators, 1.0),
+        pending_tasks: (0..tasks).collect(),
+        resources: Resources::new(1.0, accelerators, 1.0),
         run_s,
         image: 1,
         image_gb: 0.0,
-        kinds: vec![0, 1],
+        instance_types: vec![0, 1],
         zone: None,
         one_zone: false,
-        zone_cap: None,
-        zone_load: vec![],
+        max_per_zone: None,
+        placed_per_zone: vec![],
         spot: false,
-        submitted: 0.0,
+        submitted_at: 0.0,
         deadline,
-        last_chance: deadline,
+        latest_useful_end: deadline,
         team: 0,
         guaranteed: false,
         not_before: 0.0,
-        probe: false,
-        leftover: false,
-        floor: false,
-        keeps_until: 0.0,
-        gathers_in: None,
-        passed_over: false,
+        probing: false,
+        best_effort: false,
+        starvation_relief: false,
+        reserves_until: 0.0,
+        assembly_zone: None,
+        waits_beside_capacity: false,
         spot_only: false,
-        avoid: Vec::new(),
+        excluded_machines: Vec::new(),
     }
 }
 
 pub fn problem(machines: Vec<Machine>, jobs: Vec<Job>) -> Problem {
     Problem {
         now: 0.0,
-        types: types(),
+        instance_types: types(),
         zones: 2,
         machines,
         jobs,
         teams: vec![Team::default()],
-        bound_s: 1000.0,
-        patience_s: 5.0,
+        max_window_s: 1000.0,
+        preemption_wait_s: 5.0,
     }
 }
--- a/crates/planner/tests/cura.rs
+++ b/crates/planner/tests/cura.rs
@@ -24,7 +24,7 @@
 
 #[test]
 fn urgency_goes_before_any_cost() {
-    let urgent = Job { band: 2, ..job(Shape::Array, 1, 1.0, 10.0, 1e6) };
+    let urgent = Job { priority: 2, ..job(Shape::Array, 1, 1.0, 10.0, 1e6) };
     let pressing = job(Shape::Array, 4, 1.0, 100.0, 101.0);
     assert_eq!(order(&problem(vec![machine(0, 0)], vec![pressing, urgent])), vec![1, 0]);
 }
@@ -38,14 +38,14 @@
     assert_eq!(made.starts.iter().map(|s| s.machine).collect::<Vec<_>>(), vec![1, 1]);
     let mut busy = machine(0, 0);
     busy.free = Resources::new(100.0, 0.0, 100.0);
-    busy.busy = vec![RunningTask {
-        end: 60.0,
+    busy.running = vec![RunningTask {
+        ends_at: 60.0,
         endless: false,
-        takes: Resources::new(0.0, 4.0, 0.0),
-        band: 1,
+        resources: Resources::new(0.0, 4.0, 0.0),
+        priority: 1,
         team: 0,
-        covered: false,
-        victim: None,
+        within_guarantee: false,
+        preemption: None,
     }];
     let made = plan(&problem(vec![machine(1, 0), busy], vec![gang]));
     assert_eq!(made.starts.iter().map(|s| s.machine).collect::<Vec<_>>(), vec![0, 0]);
@@ -55,10 +55,11 @@
 /// the window at 30. The second could start at 30, inside; a third only at 50.
 #[test]
 fn the_window_keeps_later_jobs_out() {
-    let gang = |run: f64, due: f64| Job { kinds: vec![0], ..job(Shape::Gang, 4, 1.0, run, due) };
+    let gang = |run: f64, due: f64| Job { instance_types: vec![0], ..job(Shape::Gang, 4, 1.0, run, due) };
     let made =
         plan(&problem(vec![machine(0, 0)], vec![gang(30.0, 31.0), gang(20.0, 500.0), gang(10.0, 1000.0)]));
-    let reserved: Vec<_> = made.reservations.iter().map(|r| (r.job, r.start, r.end, r.decides)).collect();
+    let reserved: Vec<_> =
+        made.reservations.iter().map(|r| (r.job, r.starts_at, r.ends_at, r.sets_window)).collect();
     assert_eq!(reserved[0], (0, 0.0, 30.0, true));
     assert!(reserved.iter().all(|r| r.1 <= 30.0), "{reserved:?}");
     assert_eq!(made.starts.len(), 4);
@@ -71,26 +72,26 @@
     let mut m = machine(0, 0);
     m.free = Resources::new(50.0, 0.0, 50.0);
     let takes = Resources::new(1.0, 1.0, 1.0);
-    m.busy = [40.0, 5.0, 60.0, 3.0]
+    m.running = [40.0, 5.0, 60.0, 3.0]
         .iter()
         .enumerate()
         .map(|(owner, &lost_s)| RunningTask {
-            end: 100.0 - lost_s,
+            ends_at: 100.0 - lost_s,
             endless: false,
-            takes,
-            band: 1,
+            resources: takes,
+            priority: 1,
             team: 0,
-            covered: false,
-            victim: Some(PreemptionCandidate { owner, lost_s, stop_s: 1.0 }),
+            within_guarantee: false,
+            preemption: Some(PreemptionCandidate { owner, lost_work_s: lost_s, stop_s: 1.0 }),
         })
         .collect();
-    let urgent = Job { band: 2, ..job(Shape::Gang, 1, 2.0, 30.0, 60.0) };
-    let mut stops = plan(&problem(vec![m.clone()], vec![urgent])).stops;
+    let urgent = Job { priority: 2, ..job(Shape::Gang, 1, 2.0, 30.0, 60.0) };
+    let mut stops = plan(&problem(vec![m.clone()], vec![urgent])).preemptions;
     stops.sort_unstable();
     assert_eq!(stops, vec![1, 3]);
     // Work of its own band is left alone.
     let equal = job(Shape::Gang, 1, 2.0, 30.0, 60.0);
-    assert!(plan(&problem(vec![m], vec![equal])).stops.is_empty());
+    assert!(plan(&problem(vec![m], vec![equal])).preemptions.is_empty());
 }
 
 /// Work that another team runs beyond its guarantee gives way to guaranteed work
@@ -100,25 +101,25 @@
     let mut m = machine(0, 0);
     m.free = Resources::new(50.0, 0.0, 50.0);
     let held = |owner: usize, team: usize, covered: bool| RunningTask {
-        end: 400.0,
+        ends_at: 400.0,
         endless: false,
-        takes: Resources::new(1.0, 1.0, 1.0),
-        band: 1,
+        resources: Resources::new(1.0, 1.0, 1.0),
+        priority: 1,
         team,
-        covered,
-        victim: Some(PreemptionCandidate { owner, lost_s: 10.0, stop_s: 1.0 }),
+        within_guarantee: covered,
+        preemption: Some(PreemptionCandidate { owner, lost_work_s: 10.0, stop_s: 1.0 }),
     };
-    m.busy = vec![held(0, 1, true), held(1, 1, false), held(2, 0, false), held(3, 1, false)];
+    m.running = vec![held(0, 1, true), held(1, 1, false), held(2, 0, false), held(3, 1, false)];
     let mut p = problem(vec![m], vec![job(Shape::Array, 3, 1.0, 30.0, 900.0)]);
     p.teams.push(Team::default());
-    assert!(plan(&p).stops.is_empty());
+    assert!(plan(&p).preemptions.is_empty());
     p.jobs[0].guaranteed = true;
-    let mut stops = plan(&p).stops;
+    let mut stops = plan(&p).preemptions;
     stops.sort_unstable();
     assert_eq!(stops, vec![1, 3]);
     // But not what is more urgent.
-    p.jobs[0].band = 0;
-    assert!(plan(&p).stops.is_empty());
+    p.jobs[0].priority = 0;
+    assert!(plan(&p).preemptions.is_empty());
 }
 
 /// An array has less urgent work stopped only if it would be late otherwise.
@@ -126,10 +127,19 @@
 fn an_array_waits_as_long_as_it_can() {
     let mut m = machine(0, 0);
     m.free = Resources::new(50.0, 0.0, 50.0);
-    let victim = Some(PreemptionCandidate { owner: 7, lost_s: 10.0, stop_s: 1.0 });
+    let victim = Some(PreemptionCandidate { owner: 7, lost_work_s: 10.0, stop_s: 1.0 });
     let takes = Resources::new(4.0, 4.0, 4.0);
-    m.busy = vec![RunningTask { end: 60.0, endless: false, takes, band: 0, team: 0, covered: false, victim }];
-    let due = |due: f64| plan(&problem(vec![m.clone()], vec![job(Shape::Array, 2, 1.0, 30.0, due)])).stops;
+    m.running = vec![RunningTask {
+        ends_at: 60.0,
+        endless: false,
+        resources: takes,
+        priority: 0,
+        team: 0,
+        within_guarantee: false,
+        preemption: victim,
+    }];
+    let due =
+        |due: f64| plan(&problem(vec![m.clone()], vec![job(Shape::Array, 2, 1.0, 30.0, due)])).preemptions;
     assert_eq!(due(200.0), Vec::<usize>::new());
     assert_eq!(due(80.0), vec![7]);
 }
@@ -137,17 +147,25 @@
 /// A suspected job takes a place that is free, and nothing else for its sake.
 #[test]
 fn a_probe_asks_for_nothing() {
-    let probe = Job { probe: true, band: 2, ..job(Shape::Array, 1, 1.0, 30.0, 60.0) };
+    let probe = Job { probing: true, priority: 2, ..job(Shape::Array, 1, 1.0, 30.0, 60.0) };
     let made = plan(&problem(vec![machine(0, 0)], vec![probe.clone()]));
     assert_eq!(made.starts.len(), 1);
     let mut m = machine(0, 0);
     m.free = Resources::new(50.0, 0.0, 50.0);
-    let victim = Some(PreemptionCandidate { owner: 7, lost_s: 10.0, stop_s: 1.0 });
+    let victim = Some(PreemptionCandidate { owner: 7, lost_work_s: 10.0, stop_s: 1.0 });
     let takes = Resources::new(4.0, 4.0, 4.0);
-    m.busy = vec![RunningTask { end: 60.0, endless: false, takes, band: 0, team: 0, covered: false, victim }];
+    m.running = vec![RunningTask {
+        ends_at: 60.0,
+        endless: false,
+        resources: takes,
+        priority: 0,
+        team: 0,
+        within_guarantee: false,
+        preemption: victim,
+    }];
     for shape in [Shape::Array, Shape::Gang] {
         let made = plan(&problem(vec![m.clone()], vec![Job { shape, ..probe.clone() }]));
-        assert!(made.starts.is_empty() && made.stops.is_empty() && made.unmet.is_empty());
+        assert!(made.starts.is_empty() && made.preemptions.is_empty() && made.unmet.is_empty());
         assert!(made.reservations.is_empty());
     }
 }
@@ -156,7 +174,7 @@
 /// at a time: not all fit, so the largest is given up and goes last.
 #[test]
 fn a_crowded_band_gives_up_the_largest() {
-    let one = |run: f64| Job { kinds: vec![1], ..job(Shape::Array, 1, 2.0, run, 210.0) };
+    let one = |run: f64| Job { instance_types: vec![1], ..job(Shape::Array, 1, 2.0, run, 210.0) };
     let jobs = vec![one(150.0), one(40.0), one(50.0)];
     assert_eq!(order(&problem(vec![machine(1, 0)], jobs))[2], 0);
 }
@@ -172,14 +190,14 @@
                 let mut m = machine(0, i % 2);
                 m.free = Resources::new(96.0, 0.0, 96.0);
                 let takes = Resources::new(4.0, 4.0, 4.0);
-                m.busy = vec![RunningTask {
-                    end: 50.0 + i as f64 / 100.0,
+                m.running = vec![RunningTask {
+                    ends_at: 50.0 + i as f64 / 100.0,
                     endless: false,
-                    takes,
-                    band: 1,
+                    resources: takes,
+                    priority: 1,
                     team: 0,
-                    covered: false,
-                    victim: None,
+                    within_guarantee: false,
+                    preemption: None,
                 }];
                 m
             })
@@ -198,13 +216,25 @@
 /// for which they are kept. Its small jobs wait meanwhile, another team's do not.
 #[test]
 fn room_under_a_limit_is_kept_for_an_overdue_gang() {
-    let gang = |keeps_until: f64| Job { floor: true, keeps_until, ..job(Shape::Gang, 4, 1.0, 50.0, 100.0) };
+    let gang = |keeps_until: f64| Job {
+        starvation_relief: true,
+        reserves_until: keeps_until,
+        ..job(Shape::Gang, 4, 1.0, 50.0, 100.0)
+    };
     let other = Job { team: 1, ..job(Shape::Array, 1, 1.0, 50.0, 100.0) };
     let starts = |keeps_until: f64, ends: f64| {
         let takes = Resources::new(0.0, 2.0, 0.0);
-        let busy =
-            RunningTask { end: ends, endless: false, takes, band: 1, team: 0, covered: false, victim: None };
-        let running = Machine { free: Resources::new(100.0, 2.0, 100.0), busy: vec![busy], ..machine(0, 0) };
+        let busy = RunningTask {
+            ends_at: ends,
+            endless: false,
+            resources: takes,
+            priority: 1,
+            team: 0,
+            within_guarantee: false,
+            preemption: None,
+        };
+        let running =
+            Machine { free: Resources::new(100.0, 2.0, 100.0), running: vec![busy], ..machine(0, 0) };
         let small = job(Shape::Array, 2, 1.0, 50.0, 100.0);
         let machines = vec![running, machine(0, 0), machine(0, 0)];
         let limited = Team { cores_left: None, accelerators_left: Some(2.0) };
@@ -225,20 +255,28 @@
 fn what_gathers_for_an_overdue_gang_stands_ready() {
     let busy = |end: f64, zone: usize| {
         let takes = Resources::new(0.0, 4.0, 0.0);
-        let b = RunningTask { end, endless: false, takes, band: 1, team: 0, covered: false, victim: None };
-        Machine { free: Resources::new(100.0, 0.0, 100.0), busy: vec![b], ..machine(0, zone) }
+        let b = RunningTask {
+            ends_at: end,
+            endless: false,
+            resources: takes,
+            priority: 1,
+            team: 0,
+            within_guarantee: false,
+            preemption: None,
+        };
+        Machine { free: Resources::new(100.0, 0.0, 100.0), running: vec![b], ..machine(0, zone) }
     };
-    let gang = Job { floor: true, one_zone: true, ..job(Shape::Gang, 2, 4.0, 50.0, 1000.0) };
+    let gang = Job { starvation_relief: true, one_zone: true, ..job(Shape::Gang, 2, 4.0, 50.0, 1000.0) };
     let short = job(Shape::Array, 1, 1.0, 10.0, 1000.0);
     let made = |gang: Job| {
         let machines = vec![machine(0, 0), busy(30.0, 0), busy(20.0, 1), busy(25.0, 1)];
         plan(&problem(machines, vec![gang, short.clone()]))
     };
-    let kept = Job { keeps_until: 60.0, gathers_in: Some(0), ..gang.clone() };
-    assert_eq!((made(kept.clone()).starts, made(kept).gathers), (vec![], Some((0, 0))));
-    let later = Job { keeps_until: 0.0, gathers_in: Some(0), ..gang.clone() };
+    let kept = Job { reserves_until: 60.0, assembly_zone: Some(0), ..gang.clone() };
+    assert_eq!((made(kept.clone()).starts, made(kept).gang_assembly), (vec![], Some((0, 0))));
+    let later = Job { reserves_until: 0.0, assembly_zone: Some(0), ..gang.clone() };
     assert_eq!(made(later).starts, [Start { job: 1, task: 0, machine: 0 }]);
-    assert_eq!(made(Job { gathers_in: None, ..gang }).gathers, Some((0, 1)), "the sooner zone");
+    assert_eq!(made(Job { assembly_zone: None, ..gang }).gang_assembly, Some((0, 1)), "the sooner zone");
 }
 
 proptest! {
@@ -255,13 +293,13 @@
         let machines: Vec<Machine> = machines.into_iter().map(|(kind, zone, spot, used)| {
             let mut m = Machine { spot, ..machine(kind, zone) };
             let takes = Resources::new(0.0, used.min(m.free.accelerators), 0.0);
-            m.free.take(&takes);
-            m.busy.push(RunningTask { end: 50.0, endless: false, takes, band: 0, team: 0, covered: false, victim: None });
+            m.free.subtract(&takes);
+            m.running.push(RunningTask { ends_at: 50.0, endless: false, resources: takes, priority: 0, team: 0, within_guarantee: false, preemption: None });
             m
         }).collect();
         let jobs: Vec<Job> = jobs.into_iter().map(|(shape, tasks, acc, run, due, one_zone, spot, band)| Job {
-            one_zone, spot, band,
-            zone_cap: (!one_zone).then(|| tasks.div_ceil(2)),
+            one_zone, spot, priority: band,
+            max_per_zone: (!one_zone).then(|| tasks.div_ceil(2)),
             ..job([Shape::Array, Shape::Gang, Shape::Service][shape], tasks, f64::from(acc), run, due)
         }).collect();
         let mut p = problem(machines, jobs);
@@ -271,18 +309,18 @@
         let mut total = 0.0;
         for s in &made.starts {
             let j = &p.jobs[s.job];
-            free[s.machine] -= j.needs.accelerators;
-            total += j.needs.accelerators;
+            free[s.machine] -= j.resources.accelerators;
+            total += j.resources.accelerators;
             prop_assert!(free[s.machine] > -1e-6);
             prop_assert!(j.spot || !p.machines[s.machine].spot);
-            prop_assert!(j.waiting.contains(&s.task));
+            prop_assert!(j.pending_tasks.contains(&s.task));
         }
         prop_assert!(total <= limit + 1e-6);
         for (i, j) in p.jobs.iter().enumerate() {
             let zones: Vec<usize> = made.starts.iter().filter(|s| s.job == i).map(|s| p.machines[s.machine].zone).collect();
-            prop_assert!(j.shape != Shape::Gang || zones.is_empty() || zones.len() == j.waiting.len());
+            prop_assert!(j.shape != Shape::Gang || zones.is_empty() || zones.len() == j.pending_tasks.len());
             prop_assert!(!j.one_zone || zones.windows(2).all(|w| w[0] == w[1]));
-            let cap = j.zone_cap.unwrap_or(u32::MAX) as usize;
+            let cap = j.max_per_zone.unwrap_or(u32::MAX) as usize;
             prop_assert!((0..2).all(|z| zones.iter().filter(|&&y| y == z).count() <= cap));
         }
         let mut tasks: Vec<_> = made.starts.iter().map(|s| (s.job, s.task)).collect();
@@ -319,8 +357,8 @@
         let machines: Vec<Machine> = free.iter().map(|&(kind, room, spot, image)| {
             let mut m = Machine { spot, ..machine(kind, 0) };
             let used = Resources::new(0.0, (m.free.accelerators - f64::from(room)).max(0.0), 0.0);
-            m.free.take(&used);
-            m.busy.push(RunningTask { end: 1e5, endless: false, takes: used, band: 1, team: 0, covered: false, victim: None });
+            m.free.subtract(&used);
+            m.running.push(RunningTask { ends_at: 1e5, endless: false, resources: used, priority: 1, team: 0, within_guarantee: false, preemption: None });
             if !image { m.images.clear(); }
             m
         }).collect();
@@ -329,10 +367,10 @@
         // One task at a time, each seeing what the last one left.
         let (mut left, mut one_by_one) = (machines, Vec::new());
         for task in 0..tasks {
-            let p = problem(left.clone(), vec![Job { waiting: vec![task], ..j.clone() }]);
+            let p = problem(left.clone(), vec![Job { pending_tasks: vec![task], ..j.clone() }]);
             let Some(&s) = plan(&p).starts.first() else { break };
-            left[s.machine].free.take(&j.needs);
-            left[s.machine].busy.push(RunningTask { end: 1e4, endless: false, takes: j.needs, band: 1, team: 0, covered: false, victim: None });
+            left[s.machine].free.subtract(&j.resources);
+            left[s.machine].running.push(RunningTask { ends_at: 1e4, endless: false, resources: j.resources, priority: 1, team: 0, within_guarantee: false, preemption: None });
             if !left[s.machine].images.contains(&1) { left[s.machine].images.push(1); }
             one_by_one.push((s.task, s.machine));
         }
--- a/crates/planner/tests/floor.rs
+++ b/crates/planner/tests/floor.rs
@@ -3,17 +3,18 @@
 use anisecroft_planner::starvation::{grants, overdue, under, StarvationPolicy, WaitingDemand};
 use proptest::prelude::*;
 
-const FLOOR: StarvationPolicy = StarvationPolicy { share: 0.1, patience_s: 60.0, keeps_s: 40.0 };
+const FLOOR: StarvationPolicy =
+    StarvationPolicy { guaranteed_share: 0.1, max_wait_s: 60.0, reservation_s: 40.0 };
 
 fn claim() -> impl Strategy<Value = WaitingDemand> {
     let numbers = (0usize..3, 3usize..6, 0.0..200.0f64, 1usize..40, 0.0..0.2f64, any::<(bool, bool)>());
     numbers.prop_map(|(class, team, submitted, tasks, each, (whole, begun))| WaitingDemand {
         groups: [class, team],
-        submitted,
+        submitted_at: submitted,
         tasks,
-        each,
-        whole,
-        begun,
+        share_per_task: each,
+        indivisible: whole,
+        has_started: begun,
     })
 }
 
@@ -29,15 +30,15 @@
     ) {
         let starving = under(200.0, &FLOOR, &held, &claims);
         let granted = grants(&FLOOR, &starving, &held, &claims);
-        let part: f64 = claims.iter().zip(&granted).map(|(c, n)| c.each * *n as f64).sum();
-        prop_assert!(part <= FLOOR.share + 1e-6, "{part} granted");
+        let part: f64 = claims.iter().zip(&granted).map(|(c, n)| c.share_per_task * *n as f64).sum();
+        prop_assert!(part <= FLOOR.guaranteed_share + 1e-6, "{part} granted");
         for (c, n) in claims.iter().zip(&granted) {
-            prop_assert!(*n <= c.tasks && (!c.whole || *n == 0 || *n == c.tasks));
+            prop_assert!(*n <= c.tasks && (!c.indivisible || *n == 0 || *n == c.tasks));
             prop_assert!(*n == 0 || c.groups.iter().any(|&g| starving[g]));
         }
         for g in 0..held.len() {
-            let waited = claims.iter().any(|c| c.groups.contains(&g) && c.submitted < 140.0);
-            prop_assert!(!starving[g] || waited && held[g] < FLOOR.share);
+            let waited = claims.iter().any(|c| c.groups.contains(&g) && c.submitted_at < 140.0);
+            prop_assert!(!starving[g] || waited && held[g] < FLOOR.guaranteed_share);
         }
     }
 
@@ -46,17 +47,17 @@
     #[test]
     fn the_overdue_begin(claims in prop::collection::vec(claim(), 0..30)) {
         let granted = overdue(200.0, &FLOOR, &claims);
-        let due = |c: &WaitingDemand| !c.begun && c.submitted < 200.0 - FLOOR.patience_s;
+        let due = |c: &WaitingDemand| !c.has_started && c.submitted_at < 200.0 - FLOOR.max_wait_s;
         let mut arrays = 0.0;
         for (c, n) in claims.iter().zip(&granted).filter(|(_, n)| **n > 0) {
-            let all = if c.whole { c.tasks } else { 1 };
+            let all = if c.indivisible { c.tasks } else { 1 };
             prop_assert!(due(c) && *n == all);
-            arrays += if c.whole { 0.0 } else { c.each };
+            arrays += if c.indivisible { 0.0 } else { c.share_per_task };
         }
-        prop_assert!(arrays <= FLOOR.share + 1e-9);
-        let gangs = || claims.iter().zip(&granted).filter(|(c, _)| c.whole && due(c));
-        let oldest = gangs().map(|(c, _)| c.submitted).fold(f64::MAX, f64::min);
+        prop_assert!(arrays <= FLOOR.guaranteed_share + 1e-9);
+        let gangs = || claims.iter().zip(&granted).filter(|(c, _)| c.indivisible && due(c));
+        let oldest = gangs().map(|(c, _)| c.submitted_at).fold(f64::MAX, f64::min);
         prop_assert_eq!(gangs().filter(|(_, n)| **n > 0).count(), usize::from(oldest < f64::MAX));
-        prop_assert!(gangs().all(|(c, n)| *n == 0 || c.submitted == oldest));
+        prop_assert!(gangs().all(|(c, n)| *n == 0 || c.submitted_at == oldest));
     }
 }
--- a/crates/protocol/src/forwarding.rs
+++ b/crates/protocol/src/forwarding.rs
@@ -63,15 +63,15 @@
             task: t.task.clone(),
             attempt: t.attempt,
             phase: Phase::from(t.state).into(),
-            cause: t.cause.map_or(Cause::None, Cause::from).into(),
-            saved: t.saved,
+            cause: t.exit_cause.map_or(Cause::None, Cause::from).into(),
+            saved: t.checkpointed,
         });
         HeartbeatContent {
             addr: r.addr.clone(),
             machine_type: r.machine_type.clone(),
             zone: r.zone.clone(),
             spot: r.spot,
-            token: r.token,
+            token: r.fencing_token,
             notice_s: r.notice_s,
             tasks: tasks.collect(),
         }
@@ -89,8 +89,8 @@
                 task: t.task,
                 attempt: t.attempt,
                 state: state(phase)?,
-                cause: cause(exit),
-                saved: t.saved,
+                exit_cause: cause(exit),
+                checkpointed: t.saved,
             })
         });
         Some(Heartbeat {
@@ -99,9 +99,9 @@
             machine_type: c.machine_type,
             zone: c.zone,
             spot: c.spot,
-            session: self.session,
-            seq: self.seq,
-            token: c.token,
+            epoch: self.session,
+            sequence: self.seq,
+            fencing_token: c.token,
             notice_s: c.notice_s,
             tasks: tasks.collect::<Option<_>>()?,
         })
@@ -110,7 +110,7 @@
 
 impl From<&Command> for TaskCommand {
     fn from(c: &Command) -> Self {
-        let op = match c.op {
+        let op = match c.kind {
             CommandKind::Start => Op::Start,
             CommandKind::Stop => Op::Stop,
             CommandKind::Forget => Op::Forget,
@@ -130,8 +130,8 @@
                 Op::Stop => CommandKind::Stop,
                 Op::Forget => CommandKind::Forget,
             };
-            Some(Command { op, task: o.task, attempt: o.attempt, grace_s: o.grace_s })
+            Some(Command { kind: op, task: o.task, attempt: o.attempt, grace_s: o.grace_s })
         });
-        HeartbeatResponse { token, commands: commands.collect() }
+        HeartbeatResponse { fencing_token: token, commands: commands.collect() }
     }
 }
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -53,7 +53,7 @@
     #[serde(rename = "sizeGb")]
     pub image_gb: f64,
     #[serde(rename = "breeds", default, skip_serializing_if = "Option::is_none")]
-    pub types: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     #[serde(rename = "together")]
@@ -62,17 +62,18 @@
     #[serde(rename = "loaners")]
     pub spot: bool,
     #[serde(rename = "etaS")]
-    pub estimate_s: f64,
+    pub estimated_run_s: f64,
     #[serde(rename = "waypointS")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     #[serde(rename = "stashS")]
     pub save_s: f64,
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
-    pub due_s: Option<f64>,
+    pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts, each named once.
     /// Nodes without pipelines neither send nor keep this field.
     #[serde(default, deserialize_with = "distinct", skip_serializing_if = "Vec::is_empty")]
-    pub awaits: Vec<String>,
+    #[serde(rename = "awaits")]
+    pub dependencies: Vec<String>,
 }
 
 /// One of the words that stand for `T`. (By itself serde takes a word's number as well: jobs
@@ -114,10 +115,10 @@
             ("accelerators", self.accelerators),
             ("memGb", self.memory_gb),
             ("sizeGb", self.image_gb),
-            ("etaS", self.estimate_s),
-            ("waypointS", self.checkpoint_s),
+            ("etaS", self.estimated_run_s),
+            ("waypointS", self.checkpoint_interval_s),
             ("stashS", self.save_s),
-            ("dueS", self.due_s.unwrap_or(0.0)),
+            ("dueS", self.deadline_s.unwrap_or(0.0)),
         ] {
             if !amount(x) {
                 return bad(name);
@@ -128,14 +129,14 @@
                 return bad(name);
             }
         }
-        let listed = self.types.iter().flatten().chain(self.zone.iter());
+        let listed = self.machine_types.iter().flatten().chain(self.zone.iter());
         if listed.clone().any(|t| t.is_empty() || t.len() > LONGEST_NAME) {
             return bad("breeds or yard");
         }
-        if self.types.as_ref().is_some_and(|t| t.len() > 64) {
+        if self.machine_types.as_ref().is_some_and(|t| t.len() > 64) {
             return bad("breeds");
         }
-        if self.awaits.iter().any(|id| !valid_id(id)) {
+        if self.dependencies.iter().any(|id| !valid_id(id)) {
             return bad("awaits");
         }
         Ok(())
@@ -174,7 +175,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Health {
     pub workers: u32,
-    pub room: u32,
+    #[serde(rename = "room")]
+    pub capacity: u32,
     pub ceiling: u32,
 }
 
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -72,9 +72,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Transaction<V> {
     #[serde(rename = "when")]
-    pub conditions: Vec<Compare>,
+    pub compares: Vec<Compare>,
     #[serde(rename = "writes")]
-    pub changes: Vec<Mutation<V>>,
+    pub mutations: Vec<Mutation<V>>,
 }
 
 /// Largest transaction, in bytes of its JSON form.
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -48,9 +48,9 @@
     #[serde(rename = "status")]
     pub state: TaskState,
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<ExitCause>,
+    pub exit_cause: Option<ExitCause>,
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
-    pub saved: Option<bool>,
+    pub checkpointed: Option<bool>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -66,11 +66,11 @@
     #[serde(rename = "loaners", default)]
     pub spot: bool,
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub epoch: u64,
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     #[serde(rename = "baton", default)]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "recallS", default, skip_serializing_if = "Option::is_none")]
     pub notice_s: Option<f64>,
     #[serde(rename = "legs", default)]
@@ -90,7 +90,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Command {
     #[serde(rename = "verb")]
-    pub op: CommandKind,
+    pub kind: CommandKind,
     #[serde(rename = "leg")]
     pub task: String,
     #[serde(rename = "try")]
@@ -103,7 +103,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
@@ -119,9 +119,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommands {
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub epoch: u64,
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
--- a/crates/protocol/tests/formats.rs
+++ b/crates/protocol/tests/formats.rs
@@ -18,16 +18,16 @@
         memory_gb: 64.0,
         image: "img-07".into(),
         image_gb: 6.2,
-        types: Some(vec!["g8".into()]),
+        machine_types: Some(vec!["g8".into()]),
         zone: None,
         one_zone: true,
         spread: false,
         spot: true,
-        estimate_s: 240.0,
-        checkpoint_s: 30.0,
+        estimated_run_s: 240.0,
+        checkpoint_interval_s: 30.0,
         save_s: 4.0,
-        due_s: Some(900.0),
-        awaits: Vec::new(),
+        deadline_s: Some(900.0),
+        dependencies: Vec::new(),
     }
 }
 
@@ -45,19 +45,19 @@
 
     #[test]
     fn specs_survive_the_wire(tasks in 1u32..=MOST_TASKS, cores in 0.0f64..1e6, due in proptest::option::of(0.0f64..1e6), id in "req-[0-9]{1,20}") {
-        let s = JobSpec { id, tasks, cores, due_s: due, ..spec() };
+        let s = JobSpec { id, tasks, cores, deadline_s: due, ..spec() };
         prop_assert!(s.check().is_ok());
         prop_assert_eq!(decode::<JobSpec>(&encode(&s)).unwrap(), s);
     }
 
     #[test]
     fn awaited_jobs_are_distinct_ids_or_malformed(ids in proptest::collection::vec("req-[0-9]{1,3}", 0..40)) {
-        let given = JobSpec { awaits: ids.clone(), ..spec() };
+        let given = JobSpec { dependencies: ids.clone(), ..spec() };
         let read = decode::<JobSpec>(&encode(&given)).unwrap();
         prop_assert!(read.check().is_ok());
         let distinct: std::collections::BTreeSet<_> = ids.iter().collect();
-        prop_assert_eq!(read.awaits.len(), distinct.len());
-        let bad = JobSpec { awaits: ids.into_iter().chain(["job-1".into()]).collect(), ..spec() };
+        prop_assert_eq!(read.dependencies.len(), distinct.len());
+        let bad = JobSpec { dependencies: ids.into_iter().chain(["job-1".into()]).collect(), ..spec() };
         prop_assert!(bad.check().is_err());
     }
 
@@ -78,8 +78,8 @@
     fn reports_survive_the_wire(session in 1u64.., seq in any::<u64>(), token in any::<u64>(), n in 0u32..MOST_TASKS) {
         let r = Heartbeat {
             machine: "vm-000231".into(), addr: "10.1.0.232:9000".into(), machine_type: "g8".into(), zone: "a".into(),
-            spot: true, session, seq, token, notice_s: None,
-            tasks: vec![TaskStatus { task: task_name("req-1", n), attempt: seq, state: TaskState::Exited, cause: Some(ExitCause::Busy), saved: None }],
+            spot: true, epoch: session, sequence: seq, fencing_token: token, notice_s: None,
+            tasks: vec![TaskStatus { task: task_name("req-1", n), attempt: seq, state: TaskState::Exited, exit_cause: Some(ExitCause::Busy), checkpointed: None }],
         };
         prop_assert_eq!(split_task(&r.tasks[0].task), Some(("req-1", n)));
         prop_assert_eq!(decode::<Heartbeat>(&encode(&r)).unwrap(), r);
@@ -89,9 +89,9 @@
 #[test]
 fn words_on_the_wire_are_the_protocols() {
     let body = encode(&HeartbeatResponse {
-        token: 41,
+        fencing_token: 41,
         commands: vec![Command {
-            op: CommandKind::Forget,
+            kind: CommandKind::Forget,
             task: "req-1/0".into(),
             attempt: 2,
             grace_s: None,
@@ -133,8 +133,8 @@
         JobSpec { tasks: MOST_TASKS + 1, ..spec() },
         JobSpec { cores: f64::NAN, ..spec() },
         JobSpec { memory_gb: -1.0, ..spec() },
-        JobSpec { estimate_s: f64::INFINITY, ..spec() },
-        JobSpec { due_s: Some(f64::NEG_INFINITY), ..spec() },
+        JobSpec { estimated_run_s: f64::INFINITY, ..spec() },
+        JobSpec { deadline_s: Some(f64::NEG_INFINITY), ..spec() },
         JobSpec { id: "job-1".into(), ..spec() },
         JobSpec { id: "req-1/2".into(), ..spec() },
         JobSpec { team: String::new(), ..spec() },
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -27,9 +27,9 @@
     #[serde(rename = "location")]
     pub zone: String,
     #[serde(rename = "front")]
-    pub listen: SocketAddrV4,
+    pub client_addr: SocketAddrV4,
     #[serde(rename = "back")]
-    pub peer_listen: SocketAddrV4,
+    pub peer_addr: SocketAddrV4,
     #[serde(rename = "seeds", default)]
     pub peers: Vec<Peer>,
     #[serde(rename = "external")]
@@ -50,7 +50,8 @@
 #[derive(Debug, Clone, Deserialize)]
 pub struct Services {
     pub cloud: SocketAddrV4,
-    pub state: SocketAddrV4,
+    #[serde(rename = "state")]
+    pub store: SocketAddrV4,
 }
 
 #[derive(Debug, Clone, Deserialize)]
@@ -60,13 +61,15 @@
     #[serde(default)]
     pub zones: Vec<String>,
     #[serde(rename = "clock_error_ms", default)]
-    pub clock_off_ms: f64,
+    pub clock_error_ms: f64,
     #[serde(default)]
     pub teams: Vec<Team>,
     #[serde(default)]
-    pub objectives: Vec<Slo>,
+    #[serde(rename = "objectives")]
+    pub slos: Vec<Slo>,
     pub workers: Workers,
-    pub state: StateLimits,
+    #[serde(rename = "state")]
+    pub store: StateLimits,
     pub cloud: CloudLimits,
     pub resources: Resources,
 }
@@ -91,16 +94,20 @@
     #[serde(default)]
     pub class: Option<String>,
     #[serde(default)]
-    pub within_s: Option<f64>,
+    #[serde(rename = "within_s")]
+    pub threshold_s: Option<f64>,
     #[serde(default)]
-    pub share: Option<f64>,
+    #[serde(rename = "share")]
+    pub target_share: Option<f64>,
     #[serde(default)]
-    pub times: Option<f64>,
+    #[serde(rename = "times")]
+    pub deadline_factor: Option<f64>,
 }
 
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_interval_s: f64,
     pub lease_s: f64,
     pub gang_wait_s: f64,
     pub gang_peer_s: f64,
@@ -133,19 +140,19 @@
 
 impl StateLimits {
     /// KiB of a value that fits both the present and the coming limit.
-    pub fn fit_value_kb(&self) -> f64 {
+    pub fn effective_value_kb(&self) -> f64 {
         let next = self.next.as_ref().and_then(|n| n.value_kb);
         next.map_or(self.value_kb, |kb| kb.min(self.value_kb))
     }
 
     /// Changes of a transaction that fits both the present and the coming limit.
-    pub fn fit_txn_ops(&self) -> usize {
+    pub fn effective_transaction_ops(&self) -> usize {
         let next = self.next.as_ref().and_then(|n| n.txn_ops);
         next.map_or(self.txn_ops, |ops| ops.min(self.txn_ops))
     }
 
     /// Changes a second that both the present and the coming limit allow.
-    pub fn fit_write_rps(&self) -> f64 {
+    pub fn effective_write_rps(&self) -> f64 {
         let next = self.next.as_ref().and_then(|n| n.write_rps);
         next.map_or(self.write_rps, |rate| rate.min(self.write_rps))
     }
@@ -203,14 +210,14 @@
             return bad("params.size", "must be at least 1");
         }
         for (field, x) in [
-            ("params.workers.report_s", p.workers.report_s),
+            ("params.workers.report_s", p.workers.heartbeat_interval_s),
             ("params.workers.lease_s", p.workers.lease_s),
             ("params.workers.gang_wait_s", p.workers.gang_wait_s),
             ("params.workers.gang_peer_s", p.workers.gang_peer_s),
             ("params.workers.cancel_s", p.workers.cancel_s),
-            ("params.state.rps", p.state.rps),
-            ("params.state.write_rps", p.state.write_rps),
-            ("params.state.value_kb", p.state.value_kb),
+            ("params.state.rps", p.store.rps),
+            ("params.state.write_rps", p.store.write_rps),
+            ("params.state.value_kb", p.store.value_kb),
             ("params.cloud.rps", p.cloud.rps),
             ("params.resources.cpu_share", p.resources.cpu_share),
             ("params.resources.memory_mb", p.resources.memory_mb),
@@ -220,7 +227,7 @@
             }
         }
         for (field, x) in
-            [("params.clock_error_ms", p.clock_off_ms), ("params.cloud.list_lag_s", p.cloud.list_lag_s)]
+            [("params.clock_error_ms", p.clock_error_ms), ("params.cloud.list_lag_s", p.cloud.list_lag_s)]
         {
             if !x.is_finite() || !(0.0..1e7).contains(&x) {
                 return bad(field, "must not be negative");
@@ -229,11 +236,11 @@
         if p.workers.cancel_s <= p.workers.lease_s {
             return bad("params.workers.cancel_s", "must exceed lease_s");
         }
-        if p.workers.lease_s <= p.workers.report_s {
+        if p.workers.lease_s <= p.workers.heartbeat_interval_s {
             return bad("params.workers.lease_s", "must exceed report_s");
         }
         self.check_room()?;
-        if p.state.txn_ops < 2 {
+        if p.store.txn_ops < 2 {
             return bad("params.state.txn_ops", "must be at least 2");
         }
         self.check_next()?;
@@ -257,11 +264,11 @@
                 }
             }
         }
-        for o in &p.objectives {
-            if o.share.is_some_and(|s| !(0.0..=1.0).contains(&s)) {
+        for o in &p.slos {
+            if o.target_share.is_some_and(|s| !(0.0..=1.0).contains(&s)) {
                 return bad("params.objectives.share", "must lie between 0 and 1");
             }
-            for (field, x) in [("within_s", o.within_s), ("times", o.times)] {
+            for (field, x) in [("within_s", o.threshold_s), ("times", o.deadline_factor)] {
                 if x.is_some_and(|x| !x.is_finite() || x <= 0.0) {
                     return bad(&format!("params.objectives.{field}"), "must be positive");
                 }
@@ -274,12 +281,12 @@
     /// answered in between (`docs/safety.md`).
     fn check_room(&self) -> Result<(), SettingsError> {
         let (w, d) = (&self.params.workers, Timing::from(self));
-        let clocks = w.cancel_s - (d.grace_s + w.lease_s) * DRIFT - EXPIRY_S;
-        let dates = d.grace_s - 2.0 * d.renew_s - d.state_timeout_s;
+        let clocks = w.cancel_s - (d.response_grace_s + w.lease_s) * DRIFT - EXPIRY_S;
+        let dates = d.response_grace_s - 2.0 * d.renewal_interval_s - d.store_timeout_s;
         if clocks >= 0.0 && dates >= 0.0 {
             return Ok(());
         }
-        let least = (2.0 * d.renew_s + d.state_timeout_s) / GRACE;
+        let least = (2.0 * d.renewal_interval_s + d.store_timeout_s) / GRACE;
         let least = least.max(((w.lease_s * (DRIFT - 1.0) + EXPIRY_S) / (1.0 - GRACE * DRIFT)).ceil());
         let has = w.cancel_s - w.lease_s;
         bad(
@@ -290,7 +297,7 @@
 
     /// The state service's coming limits, where they are named.
     fn check_next(&self) -> Result<(), SettingsError> {
-        let Some(next) = &self.params.state.next else { return Ok(()) };
+        let Some(next) = &self.params.store.next else { return Ok(()) };
         for (field, x) in [("rps", next.rps), ("write_rps", next.write_rps), ("value_kb", next.value_kb)] {
             if x.is_some_and(|x| !x.is_finite() || x <= 0.0 || x > 1e7) {
                 return bad(&format!("params.state.next.{field}"), "must be a positive number");
@@ -309,93 +316,93 @@
 pub struct Timing {
     /// Leadership lease. A fifth of the workers' lease: a crashed leader is
     /// replaced, and every worker answered again, well inside their lease.
-    pub leader_ttl_s: f64,
+    pub leader_lease_s: f64,
     /// Renewals go out four times per lease, so that three may be lost.
-    pub renew_s: f64,
+    pub renewal_interval_s: f64,
     /// How long a leader goes on answering reports after sending its last confirmed
     /// renewal, and after sending the last read that showed all that is stored: three
     /// quarters of what `cancel_s` leaves beyond the workers' lease, so a cut leader's
     /// tasks end in time for a cancellation that it cannot see.
-    pub grace_s: f64,
+    pub response_grace_s: f64,
     /// The workers wait this long for an answer (fixed by the protocol).
     pub worker_timeout_s: f64,
     /// A report waits that long for the plan and the commit that its launches
     /// need: three eighths of the worker's patience, and a gateway twice that. (At
     /// a quarter, places that had come free missed plans of a large fleet and
     /// stood empty until the next report.)
-    pub hold_s: f64,
+    pub busy_heartbeat_hold_s: f64,
     /// A report waits that long for a new leader to read the records: as long as its
     /// worker does, less the way back.
-    pub early_s: f64,
+    pub recovery_hold_s: f64,
     /// An idle machine's report waits that long for a launch: well inside the
     /// worker's patience, and no longer than it would wait before its next
     /// report anyway.
-    pub idle_hold_s: f64,
+    pub idle_heartbeat_hold_s: f64,
     /// How long after asking for it a node may answer reports on the leader's
     /// leave: a quarter of what `cancel_s` leaves beyond the workers' lease (the
     /// grace takes the other three), and no more than a third of that lease,
     /// which is waited for when the node is lost.
-    pub leave_s: f64,
+    pub delegated_lease_s: f64,
     /// The leader keeps a relay's reply that long for something to say: ten
     /// replies a second at the longest usual spacing of reports.
-    pub relay_s: f64,
+    pub forward_interval_s: f64,
     /// A relay unanswered for longer has failed: with a quarter of the leave left
     /// that its reply could give. (A busy leader plans for a second at times.)
-    pub relay_timeout_s: f64,
+    pub forward_timeout_s: f64,
     /// Workers that a node takes at most: seven tenths of its sockets. Of the
     /// rest half is for users, a third for what the node itself opens and for
     /// other controllers, and a sixth for direct calls to workers.
-    pub worker_room: u32,
+    pub worker_capacity: u32,
     /// Workers that a node takes where no other has room: the rest of the front's
     /// sockets, seven in a hundred of all, is always the users'.
-    pub worker_most: u32,
+    pub max_workers: u32,
     /// Connections of users and workers together that a node accepts.
-    pub front_sockets: usize,
+    pub max_front_connections: usize,
     /// Direct calls to workers at a time.
-    pub worker_calls: usize,
+    pub max_worker_calls: usize,
     /// From its last answer on, a worker's lease is over for certain.
-    pub lease_over_s: f64,
+    pub lease_expiry_s: f64,
     /// A worker that gets no answer tries the next node after that time: its patience
     /// and the protocol's second.
-    pub tour_s: f64,
+    pub worker_failover_s: f64,
     /// Silence after which a machine is looked at: three reports missed.
-    pub silent_s: f64,
+    pub failure_suspicion_s: f64,
     /// An attempt of a gang is kept together that long from its launch on, with its tasks
     /// that gave up waiting started again: four waits, in which the largest image
     /// comes to the slowest machine.
-    pub gather_s: f64,
+    pub gang_assembly_s: f64,
     /// Machines of a zone that is out of reach are kept that long: three leases. The
     /// first shows that nothing runs there any more; two more cost about what
     /// the same machines would cost that are rented anew and have to boot.
-    pub dark_hold_s: f64,
+    pub unreachable_zone_retention_s: f64,
     /// A class or team whose jobs have waited that long with next to nothing running
     /// is under its floor: three leases, by when what a cut or a crash held up
     /// has been placed anew.
-    pub starving_s: f64,
+    pub starvation_wait_s: f64,
     /// A job that has waited that long beside a free place takes it, whatever keeps it from there:
     /// half of what the operators allow. The rest is for the plan, the commit and the way.
-    pub lying_s: f64,
+    pub max_idle_capacity_wait_s: f64,
     /// For how long an overdue job may keep room to itself that it can't use yet: three quarters of what
     /// the operators let work lie beside room.
-    pub keeps_s: f64,
+    pub gang_reservation_s: f64,
     /// A leader that acts again rents nothing yet for what machines would take which were there
     /// before and have not reported since: one report at the longest spacing, and the way.
-    pub back_s: f64,
+    pub reappearance_wait_s: f64,
     /// What a submission has stored and nothing names is given up for lost after that time:
     /// ten times as long as users repeat one (fixed by the protocol).
-    pub abandon_s: f64,
+    pub abandoned_submission_s: f64,
     /// A worker heard within this time can reach the node: two reports at
     /// their longest spacing, and half of one for the way.
-    pub heard_s: f64,
+    pub heartbeat_validity_s: f64,
     /// Longest usual time between two reports of a worker, and half of one for the way.
-    pub report_gap_s: f64,
+    pub max_heartbeat_gap_s: f64,
     /// Planner's own tick (the design's starting value).
-    pub tick_s: f64,
+    pub planning_interval_s: f64,
     /// Timeout of a call to the state service.
-    pub state_timeout_s: f64,
+    pub store_timeout_s: f64,
     /// What users wait for is not taken for overdue before: a tenth of that time-out, many
     /// times as long as an answer usually takes.
-    pub overdue_s: f64,
+    pub hedge_after_s: f64,
     /// Timeout of a call to the cloud.
     pub cloud_timeout_s: f64,
 }
@@ -427,35 +434,35 @@
         let w = &s.params.workers;
         let leave_s = ((w.cancel_s - w.lease_s) / 4.0).min(w.lease_s / 3.0);
         Timing {
-            leader_ttl_s: (w.lease_s / 5.0).clamp(0.5, 60.0),
-            renew_s: (w.lease_s / 20.0).clamp(0.1, 15.0),
-            grace_s: (w.cancel_s - w.lease_s) * GRACE,
+            leader_lease_s: (w.lease_s / 5.0).clamp(0.5, 60.0),
+            renewal_interval_s: (w.lease_s / 20.0).clamp(0.1, 15.0),
+            response_grace_s: (w.cancel_s - w.lease_s) * GRACE,
             worker_timeout_s: WORKER_TIMEOUT_S,
-            hold_s: WORKER_TIMEOUT_S * 0.375,
-            early_s: WORKER_TIMEOUT_S * 0.85,
-            idle_hold_s: (w.report_s * 0.9).min(WORKER_TIMEOUT_S * 0.75),
-            leave_s,
-            relay_s: (w.report_s / 60.0).clamp(0.02, 0.5),
-            relay_timeout_s: leave_s * 0.75,
-            worker_room: (s.params.resources.max_connections as f64 * 0.7) as u32,
-            worker_most: (s.params.resources.max_connections as f64 * 0.78) as u32,
-            front_sockets: (s.params.resources.max_connections as f64 * 0.85) as usize,
-            worker_calls: (s.params.resources.max_connections / 20).max(2),
-            lease_over_s: w.lease_s * DRIFT + 0.5,
-            tour_s: WORKER_TIMEOUT_S + 1.0,
-            silent_s: w.report_s * 3.5,
-            gather_s: w.gang_wait_s * 4.0,
-            dark_hold_s: w.lease_s * 3.0,
-            starving_s: w.lease_s * 3.0,
-            lying_s: LYING_S * 0.5,
-            keeps_s: LYING_S * 0.75,
-            back_s: w.report_s * 1.75,
-            abandon_s: SUBMIT_S * 10.0,
-            heard_s: w.report_s * 3.0,
-            report_gap_s: w.report_s * 1.75,
-            tick_s: w.report_s / 3.0,
-            state_timeout_s: STATE_TIMEOUT_S,
-            overdue_s: STATE_TIMEOUT_S / 10.0,
+            busy_heartbeat_hold_s: WORKER_TIMEOUT_S * 0.375,
+            recovery_hold_s: WORKER_TIMEOUT_S * 0.85,
+            idle_heartbeat_hold_s: (w.heartbeat_interval_s * 0.9).min(WORKER_TIMEOUT_S * 0.75),
+            delegated_lease_s: leave_s,
+            forward_interval_s: (w.heartbeat_interval_s / 60.0).clamp(0.02, 0.5),
+            forward_timeout_s: leave_s * 0.75,
+            worker_capacity: (s.params.resources.max_connections as f64 * 0.7) as u32,
+            max_workers: (s.params.resources.max_connections as f64 * 0.78) as u32,
+            max_front_connections: (s.params.resources.max_connections as f64 * 0.85) as usize,
+            max_worker_calls: (s.params.resources.max_connections / 20).max(2),
+            lease_expiry_s: w.lease_s * DRIFT + 0.5,
+            worker_failover_s: WORKER_TIMEOUT_S + 1.0,
+            failure_suspicion_s: w.heartbeat_interval_s * 3.5,
+            gang_assembly_s: w.gang_wait_s * 4.0,
+            unreachable_zone_retention_s: w.lease_s * 3.0,
+            starvation_wait_s: w.lease_s * 3.0,
+            max_idle_capacity_wait_s: LYING_S * 0.5,
+            gang_reservation_s: LYING_S * 0.75,
+            reappearance_wait_s: w.heartbeat_interval_s * 1.75,
+            abandoned_submission_s: SUBMIT_S * 10.0,
+            heartbeat_validity_s: w.heartbeat_interval_s * 3.0,
+            max_heartbeat_gap_s: w.heartbeat_interval_s * 1.75,
+            planning_interval_s: w.heartbeat_interval_s / 3.0,
+            store_timeout_s: STATE_TIMEOUT_S,
+            hedge_after_s: STATE_TIMEOUT_S / 10.0,
             cloud_timeout_s: 5.0,
         }
     }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -40,8 +40,8 @@
 fn sizes_fit_the_present_and_the_coming_limits() {
     let state = |next: &str| {
         let text = GOOD.replace("txn_ops = 48", &format!("txn_ops = 48\n{next}"));
-        let s = Settings::parse(&text).unwrap().params.state;
-        (s.fit_value_kb(), s.fit_txn_ops(), s.fit_write_rps())
+        let s = Settings::parse(&text).unwrap().params.store;
+        (s.effective_value_kb(), s.effective_transaction_ops(), s.effective_write_rps())
     };
     assert_eq!(state(""), (32.0, 48, 60.0));
     assert_eq!(state("[params.state.next]\nvalue_kb = 2.0\nwrite_rps = 90.0"), (2.0, 48, 60.0));
@@ -54,9 +54,9 @@
     let d = Timing::from(&s);
     let w = &s.params.workers;
     // From the last confirmed renewal: grace, an answer on its way, the lease.
-    assert!(d.grace_s + w.lease_s * 1.001 < w.cancel_s);
-    assert!(d.leader_ttl_s < w.lease_s / 2.0);
-    assert!(d.grace_s > d.leader_ttl_s);
+    assert!(d.response_grace_s + w.lease_s * 1.001 < w.cancel_s);
+    assert!(d.leader_lease_s < w.lease_s / 2.0);
+    assert!(d.response_grace_s > d.leader_lease_s);
 }
 
 /// Too little beyond the lease: a leader would answer nobody between two renewals, or too late
--- a/crates/sharding/src/heartbeat_observations.rs
+++ b/crates/sharding/src/heartbeat_observations.rs
@@ -10,7 +10,7 @@
 /// When reports of a zone came by a node last, and since when without a gap.
 #[derive(Debug, Clone, Copy)]
 struct ObservationSpan {
-    last: Time,
+    last_at: Time,
     since: Time,
 }
 
@@ -24,20 +24,20 @@
 impl HeartbeatObservations {
     /// A report of a worker in `zone` had come to `node` at `came`. A silence longer
     /// than `gap` ends a node's hearing of a zone.
-    pub fn heard(&mut self, came: Time, node: &str, zone: &str, gap: Time) {
+    pub fn record(&mut self, came: Time, node: &str, zone: &str, gap: Time) {
         if !self.spans.contains_key(node) {
             self.spans.insert(node.to_string(), BTreeMap::new());
         }
         let Some(zones) = self.spans.get_mut(node) else { return };
         match zones.get_mut(zone) {
             Some(span) => {
-                if came - span.last > gap {
+                if came - span.last_at > gap {
                     span.since = came;
                 }
-                span.last = span.last.max(came);
+                span.last_at = span.last_at.max(came);
             }
             None => {
-                zones.insert(zone.to_string(), ObservationSpan { last: came, since: came });
+                zones.insert(zone.to_string(), ObservationSpan { last_at: came, since: came });
             }
         }
     }
@@ -45,10 +45,17 @@
     /// Whether workers of `zone` have reached `node` all along since `since`. Of a node
     /// that has had none of them for `lately` or ever nothing is known, unless it
     /// should have had `part` of them, a few at least.
-    pub fn reached(&self, now: Time, node: &str, zone: &str, part: usize, t: &ObservationWindows) -> bool {
+    pub fn reached_continuously(
+        &self,
+        now: Time,
+        node: &str,
+        zone: &str,
+        part: usize,
+        t: &ObservationWindows,
+    ) -> bool {
         match self.spans.get(node).and_then(|zones| zones.get(zone)) {
-            Some(span) if now - span.last <= t.gap => span.since <= now - t.within,
-            Some(span) if now - span.last <= t.lately => false,
+            Some(span) if now - span.last_at <= t.max_gap_s => span.since <= now - t.required_s,
+            Some(span) if now - span.last_at <= t.relevance_s => false,
             _ => part < FEWEST,
         }
     }
@@ -58,9 +65,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ObservationWindows {
     /// A longer silence ends it.
-    pub gap: Time,
+    pub max_gap_s: Time,
     /// What is newer than that may have gaps before it.
-    pub within: Time,
+    pub required_s: Time,
     /// What is older than that tells nothing.
-    pub lately: Time,
+    pub relevance_s: Time,
 }
--- a/crates/sharding/src/shard_balancer.rs
+++ b/crates/sharding/src/shard_balancer.rs
@@ -10,18 +10,18 @@
     /// Workers that report to it.
     pub workers: u32,
     /// Workers that it can take at most.
-    pub room: u32,
+    pub capacity: u32,
     /// How much of its usual part it takes, from 0 to 1: less while it is late.
     pub weight: f64,
 }
 
 impl ShardMember {
-    fn capacity(&self) -> f64 {
-        f64::from(self.room) * self.weight.clamp(0.0, 1.0)
+    fn weighted_capacity(&self) -> f64 {
+        f64::from(self.capacity) * self.weight.clamp(0.0, 1.0)
     }
 
-    pub fn free(&self) -> u32 {
-        self.room.saturating_sub(self.workers)
+    pub fn free_slots(&self) -> u32 {
+        self.capacity.saturating_sub(self.workers)
     }
 }
 
@@ -40,8 +40,8 @@
 #[derive(Debug)]
 pub struct ShardBalancer {
     lease_s: f64,
-    level: f64,
-    at: Time,
+    budget: f64,
+    refilled_at: Time,
     /// Workers sent on, where to and when.
     moves: BTreeMap<String, (String, Time)>,
     /// Nodes that workers came back from, until when they get none.
@@ -55,8 +55,8 @@
     pub fn new(lease_s: f64) -> Self {
         ShardBalancer {
             lease_s,
-            level: 0.0,
-            at: 0.0,
+            budget: 0.0,
+            refilled_at: 0.0,
             moves: BTreeMap::new(),
             avoid: BTreeMap::new(),
             probes: BTreeMap::new(),
@@ -64,30 +64,31 @@
     }
 
     /// The part of all workers that `own` should have.
-    fn part(own: &ShardMember, others: &[ShardMember]) -> f64 {
+    fn fair_share(own: &ShardMember, others: &[ShardMember]) -> f64 {
         let workers: u32 = own.workers + others.iter().map(|m| m.workers).sum::<u32>();
-        let capacity = own.capacity() + others.iter().map(ShardMember::capacity).sum::<f64>();
-        f64::from(workers) * own.capacity() / capacity.max(1e-9)
+        let capacity =
+            own.weighted_capacity() + others.iter().map(ShardMember::weighted_capacity).sum::<f64>();
+        f64::from(workers) * own.weighted_capacity() / capacity.max(1e-9)
     }
 
     /// The node that had better take `machine`'s worker, which reports here, if
     /// any: at most this node's part of them in a lease, and only as far as it
     /// has clearly more than its part.
-    pub fn better(
+    pub fn pick_better_node(
         &mut self,
         now: Time,
         machine: &str,
         own: &ShardMember,
         others: &[ShardMember],
     ) -> Option<String> {
-        let part = Self::part(own, others);
+        let part = Self::fair_share(own, others);
         let rate = (part / self.lease_s).max(1.0);
-        self.level = (self.level + (now - self.at).max(0.0) * rate).min(rate);
-        self.at = now;
-        if f64::from(own.workers) <= part * UNEVEN + 2.0 || self.level < 1.0 {
+        self.budget = (self.budget + (now - self.refilled_at).max(0.0) * rate).min(rate);
+        self.refilled_at = now;
+        if f64::from(own.workers) <= part * UNEVEN + 2.0 || self.budget < 1.0 {
             return None;
         }
-        let best = self.roomiest(now, others)?;
+        let best = self.least_loaded(now, others)?;
         if best.workers >= own.workers {
             return None;
         }
@@ -105,7 +106,7 @@
         } else {
             self.probes.remove(&node);
         }
-        self.level -= 1.0;
+        self.budget -= 1.0;
         if self.moves.len() >= MOST_MOVES {
             // Later than that no return counts. (All of them were once forgotten.)
             self.moves.retain(|_, (_, sent)| now - *sent < lease_s / 2.0);
@@ -117,7 +118,7 @@
     /// `machine`'s worker reports here. If it was sent on just now, it was not
     /// answered there. (A node that workers did not reach once drew them all,
     /// since it had none.)
-    pub fn came(&mut self, now: Time, machine: &str) {
+    pub fn on_heartbeat(&mut self, now: Time, machine: &str) {
         if let Some((node, sent)) = self.moves.remove(machine) {
             if now - sent < self.lease_s / 2.0 {
                 self.avoid.insert(node, now + self.lease_s);
@@ -126,10 +127,10 @@
     }
 
     /// Where a worker goes that finds no room here.
-    pub fn roomiest<'a>(&self, now: Time, others: &'a [ShardMember]) -> Option<&'a ShardMember> {
+    pub fn least_loaded<'a>(&self, now: Time, others: &'a [ShardMember]) -> Option<&'a ShardMember> {
         let avoided = |m: &ShardMember| self.avoid.get(&m.node).is_some_and(|until| now < *until);
-        let open = others.iter().filter(|m| m.free() > 0 && !avoided(m));
-        let lack = |m: &&ShardMember| m.capacity() - f64::from(m.workers);
+        let open = others.iter().filter(|m| m.free_slots() > 0 && !avoided(m));
+        let lack = |m: &&ShardMember| m.weighted_capacity() - f64::from(m.workers);
         open.max_by(|a, b| lack(a).total_cmp(&lack(b)).then_with(|| b.node.cmp(&a.node)))
     }
 }
@@ -138,26 +139,26 @@
 #[derive(Debug)]
 pub struct EventLoopLag {
     /// Mean lateness of its timers, in seconds.
-    late: f64,
+    mean_lag_s: f64,
     weight: f64,
 }
 
 impl Default for EventLoopLag {
     fn default() -> Self {
-        EventLoopLag { late: 0.0, weight: 1.0 }
+        EventLoopLag { mean_lag_s: 0.0, weight: 1.0 }
     }
 }
 
 impl EventLoopLag {
     /// A timer fired that much late.
-    pub fn note(&mut self, late: f64) {
-        self.late += (late.clamp(0.0, 10.0) - self.late) / 16.0;
+    pub fn record(&mut self, late: f64) {
+        self.mean_lag_s += (late.clamp(0.0, 10.0) - self.mean_lag_s) / 16.0;
     }
 
     /// Adjusts the weight, once a view: down while timers are later than
     /// `most`, slowly up again. Returns it, from 0.1 to 1.
-    pub fn adjust(&mut self, most: f64) -> f64 {
-        let step = if self.late > most { 0.9 } else { 1.03 };
+    pub fn update_weight(&mut self, most: f64) -> f64 {
+        let step = if self.mean_lag_s > most { 0.9 } else { 1.03 };
         self.weight = (self.weight * step).clamp(0.1, 1.0);
         self.weight
     }
@@ -169,7 +170,7 @@
     /// The part of requests to turn away whose askers wait for `patience` seconds:
     /// none while timers are less than half of that late, three quarters once
     /// answers would come when nobody waits for them any more.
-    pub fn shed(&self, patience: f64) -> f64 {
-        ((self.late * 2.0 / patience - 1.0) * 0.75).clamp(0.0, 0.75)
+    pub fn shed_probability(&self, patience: f64) -> f64 {
+        ((self.mean_lag_s * 2.0 / patience - 1.0) * 0.75).clamp(0.0, 0.75)
     }
 }
--- a/crates/sharding/src/zone_reachability.rs
+++ b/crates/sharding/src/zone_reachability.rs
@@ -18,9 +18,9 @@
 #[derive(Debug, Default)]
 pub struct ZoneReachability {
     /// Zones that are dark, since when.
-    dark: BTreeMap<String, Time>,
+    unreachable: BTreeMap<String, Time>,
     /// Zones that were, with when they came back.
-    back: BTreeMap<String, Time>,
+    recovered_at: BTreeMap<String, Time>,
 }
 
 impl ZoneReachability {
@@ -28,7 +28,7 @@
     /// heard lately. A zone gets dark when less than a third of its machines
     /// are heard and more than half of all others, and light again when half
     /// are heard. Returns whether anything changed.
-    pub fn look<'a>(&mut self, now: Time, machines: impl Iterator<Item = (&'a str, bool)>) -> bool {
+    pub fn update<'a>(&mut self, now: Time, machines: impl Iterator<Item = (&'a str, bool)>) -> bool {
         let mut zones: BTreeMap<&str, ZoneCount> = BTreeMap::new();
         let mut all = ZoneCount::default();
         for (zone, heard) in machines.filter(|(zone, _)| !zone.is_empty()) {
@@ -41,19 +41,19 @@
         // Where no machine is left nobody can be heard: whether it is back only a new one tells.
         // (A zone whose machines had all been given back stayed dark, and nothing was ever
         // rented there again.)
-        let before = self.dark.len();
-        self.dark.retain(|zone, _| zones.contains_key(zone.as_str()));
-        let mut changed = self.dark.len() < before;
+        let before = self.unreachable.len();
+        self.unreachable.retain(|zone, _| zones.contains_key(zone.as_str()));
+        let mut changed = self.unreachable.len() < before;
         for (zone, c) in zones {
             let others = ZoneCount { up: all.up - c.up, heard: all.heard - c.heard };
-            if self.dark.contains_key(zone) {
+            if self.unreachable.contains_key(zone) {
                 if c.heard * 2 >= c.up {
-                    self.dark.remove(zone);
-                    self.back.insert(zone.to_string(), now);
+                    self.unreachable.remove(zone);
+                    self.recovered_at.insert(zone.to_string(), now);
                     changed = true;
                 }
             } else if c.up >= FEWEST && c.heard * 3 < c.up && others.heard * 2 > others.up {
-                self.dark.insert(zone.to_string(), now);
+                self.unreachable.insert(zone.to_string(), now);
                 changed = true;
             }
         }
@@ -61,23 +61,23 @@
     }
 
     /// Since when `zone` has been out of reach.
-    pub fn dark_since(&self, zone: &str) -> Option<Time> {
-        self.dark.get(zone).copied()
+    pub fn unreachable_since(&self, zone: &str) -> Option<Time> {
+        self.unreachable.get(zone).copied()
     }
 
     /// Whether `zone` came back less than `within` ago: half of its machines are heard by
     /// then, and the others are on their way. (They were once given up in that moment,
     /// a third of the zone.)
-    pub fn is_back(&self, zone: &str, now: Time, within: Time) -> bool {
-        self.back.get(zone).is_some_and(|at| now - at < within)
+    pub fn recovered_within(&self, zone: &str, now: Time, within: Time) -> bool {
+        self.recovered_at.get(zone).is_some_and(|at| now - at < within)
     }
 
-    pub fn is_dark(&self, zone: &str) -> bool {
-        self.dark.contains_key(zone)
+    pub fn is_unreachable(&self, zone: &str) -> bool {
+        self.unreachable.contains_key(zone)
     }
 
     /// Zones that are out of reach now.
-    pub fn dark(&self) -> impl Iterator<Item = &str> {
-        self.dark.keys().map(String::as_str)
+    pub fn unreachable(&self) -> impl Iterator<Item = &str> {
+        self.unreachable.keys().map(String::as_str)
     }
 }
--- a/crates/sharding/tests/gateways.rs
+++ b/crates/sharding/tests/gateways.rs
@@ -62,7 +62,7 @@
         let (d, lease_s) = derived();
         let gateways = NODES.iter().map(|n| {
             let mut g = HeartbeatProxy::new(n, 7, d);
-            g.guards = guards;
+            g.checks = guards;
             g
         });
         World {
@@ -96,13 +96,13 @@
     }
 
     fn carry_out(&mut self, n: usize) {
-        for act in self.gateways[n].take_acts() {
+        for act in self.gateways[n].take_actions() {
             match act {
-                ProxyAction::Answer(id, answer) => self.answered(id, &answer),
-                ProxyAction::Elsewhere(id, _) | ProxyAction::Refuse(id, _) => {
+                ProxyAction::Respond(id, answer) => self.answered(id, &answer),
+                ProxyAction::Redirect(id, _) | ProxyAction::Reject(id, _) => {
                     self.reports.remove(&id);
                 }
-                ProxyAction::Call(_, request) => {
+                ProxyAction::Forward(_, request) => {
                     self.calls.insert(n, (request.number, self.now));
                     if let Some(at) = self.way() {
                         self.requests.push((at, n, request));
@@ -117,7 +117,7 @@
         self.answers += 1;
         for c in &answer.commands {
             self.launches += 1;
-            if c.attempt != answer.token * 1_000_000 + seq {
+            if c.attempt != answer.fencing_token * 1_000_000 + seq {
                 self.broken = Some("a command in another answer than it was given for");
             }
         }
@@ -138,8 +138,8 @@
             task: "req-1/0".into(),
             attempt: 1,
             state: TaskState::Running,
-            cause: None,
-            saved: None,
+            exit_cause: None,
+            checkpointed: None,
         };
         // Now and then something is new, or it is idle.
         let tasks = if self.rng.gen_bool(0.4) { vec![] } else { vec![task] };
@@ -149,16 +149,16 @@
             machine_type: "big".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
-            seq: self.seq,
-            token: 0,
+            epoch: 1,
+            sequence: self.seq,
+            fencing_token: 0,
             notice_s: None,
             tasks,
         };
         self.in_flight = Some((self.next, self.now));
         self.reports.insert(self.next, (self.seq, self.now));
         let n = self.rng.gen_range(0..NODES.len());
-        self.gateways[n].on_report(self.now, self.next, report);
+        self.gateways[n].on_heartbeat(self.now, self.next, report);
         self.carry_out(n);
     }
 
@@ -200,7 +200,7 @@
         if self.leaders.len() == 1 && now > 30.0 {
             // What the old leader granted ends with its grace.
             let mut new = Leader::new(2, now);
-            new.answered = now + self.d.leave_s;
+            new.answered = now + self.d.delegated_lease_s;
             self.leaders[0].until = now + 2.0;
             self.leaders.push(new);
         }
@@ -208,8 +208,8 @@
             // The nodes hear of the successor at different times.
             let unheard = self.leaders.len() == 2 && now < 31.0 + 3.0 * n as f64;
             let token = self.leaders.len() as u64 - u64::from(unheard);
-            self.gateways[n].follow(now, Some(("chiefs-0".into(), token)));
-            self.gateways[n].on_time(now);
+            self.gateways[n].set_leader(now, Some(("chiefs-0".into(), token)));
+            self.gateways[n].tick(now);
             self.carry_out(n);
             if self.calls.get(&n).is_some_and(|c| now > c.1 + 6.0) {
                 self.calls.remove(&n);
@@ -222,9 +222,9 @@
         }
         self.deliver();
         for l in 0..self.leaders.len() {
-            let leave = self.d.leave_s.min(self.leaders[l].until - now);
+            let leave = self.d.delegated_lease_s.min(self.leaders[l].until - now);
             let token = self.leaders[l].token;
-            for due in self.leaders[l].relays.due(now, token, leave, self.d.relay_s) {
+            for due in self.leaders[l].relays.take_due_replies(now, token, leave, self.d.forward_interval_s) {
                 let Some((n, number)) = self.asked.remove(&due.request) else { continue };
                 if let Some(at) = self.way() {
                     self.replies.push((at, n, number, due.reply));
@@ -232,7 +232,7 @@
             }
         }
         let current = &self.leaders[self.leaders.len() - 1];
-        let over = current.relays.surely_over(current.answered, self.lease_s, now);
+        let over = current.relays.lease_surely_expired(current.answered, self.lease_s, now);
         if over && now < self.renewed + self.lease_s {
             self.broken = Some("a lease is over for the leader and not for the worker");
         }
@@ -261,7 +261,7 @@
                 continue;
             }
             if e.content.is_none() && self.content != (e.session, e.same_as) {
-                self.relays.want(&source, &e.machine);
+                self.relays.request_content(&source, &e.machine);
                 continue;
             }
             self.newest = place;
@@ -274,7 +274,8 @@
                 let order =
                     TaskCommand { op: Op::Start.into(), task: "req-2/0".into(), attempt, grace_s: None };
                 let (machine, seq) = (e.machine.clone(), e.seq);
-                self.relays.order(&source, MachineCommands { machine, session: 1, seq, orders: vec![order] });
+                self.relays
+                    .add_commands(&source, MachineCommands { machine, session: 1, seq, orders: vec![order] });
             }
         }
     }
@@ -303,7 +304,7 @@
 /// for over.
 #[test]
 fn without_the_leave_a_lease_is_taken_for_over() {
-    let guards = ProxySafetyChecks { leave: false, ..ProxySafetyChecks::default() };
+    let guards = ProxySafetyChecks { lease_expiry: false, ..ProxySafetyChecks::default() };
     assert!((0..300).any(|seed| run(seed, guards).broken.is_some()));
 }
 
@@ -311,7 +312,7 @@
 /// leader's token.
 #[test]
 fn without_the_token_a_command_answers_another_report() {
-    let guards = ProxySafetyChecks { token: false, ..ProxySafetyChecks::default() };
+    let guards = ProxySafetyChecks { fencing: false, ..ProxySafetyChecks::default() };
     assert!((0..300).any(|seed| run(seed, guards).broken.is_some()));
 }
 
@@ -322,10 +323,10 @@
     let (d, _) = derived();
     let mut g = HeartbeatProxy::new(NODES[0], 7, d);
     let leave = |token| ForwardReply { token, leave_ms: 5000, ready: true, ..ForwardReply::default() };
-    g.follow(0.0, Some(("chiefs-0".into(), 3)));
-    g.on_time(d.relay_s);
-    g.on_reply(d.relay_s, Some(leave(3)));
-    g.take_acts();
+    g.set_leader(0.0, Some(("chiefs-0".into(), 3)));
+    g.tick(d.forward_interval_s);
+    g.on_reply(d.forward_interval_s, Some(leave(3)));
+    g.take_actions();
     for n in 0..500u64 {
         let report = Heartbeat {
             machine: format!("vm-{n:06}"),
@@ -333,20 +334,20 @@
             machine_type: "g8".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
-            seq: 5,
-            token: 2,
+            epoch: 1,
+            sequence: 5,
+            fencing_token: 2,
             notice_s: None,
             tasks: vec![],
         };
-        g.on_report(1.0 + n as f64 / 1000.0, n, report);
+        g.on_heartbeat(1.0 + n as f64 / 1000.0, n, report);
     }
     let (mut heard, mut requests, mut now) = (0, 0, 1.5);
     let mut oldest = 0;
     while heard < 500 && requests < 10 {
-        g.on_time(now);
-        for act in g.take_acts() {
-            let ProxyAction::Call(_, request) = act else { continue };
+        g.tick(now);
+        for act in g.take_actions() {
+            let ProxyAction::Forward(_, request) = act else { continue };
             requests += 1;
             heard += request.entries.len();
             oldest = request.entries.iter().map(|e| e.age_ms).max().unwrap_or(0).max(oldest);
@@ -354,7 +355,7 @@
             assert_eq!(request.complete, heard == 500);
             g.on_reply(now, Some(leave(3)));
         }
-        now += d.relay_s;
+        now += d.forward_interval_s;
     }
     assert_eq!((heard, requests), (500, 2));
     assert!((500..1000).contains(&oldest), "{oldest} ms");
@@ -367,8 +368,8 @@
     let mut reach = ZoneReachability::default();
     let look = |reach: &mut ZoneReachability, now, heard: usize| {
         let machines = (0..10).map(|n| ("a", n < heard)).chain((0..10).map(|_| ("b", true)));
-        reach.look(now, machines);
-        (reach.is_dark("a"), reach.is_back("a", now, 25.0))
+        reach.update(now, machines);
+        (reach.is_unreachable("a"), reach.recovered_within("a", now, 25.0))
     };
     assert_eq!(look(&mut reach, 10.0, 10), (false, false));
     assert_eq!(look(&mut reach, 20.0, 2), (true, false));
@@ -378,6 +379,6 @@
     assert_eq!(look(&mut reach, 117.0, 10), (false, false));
     // Its machines are given back while it is away: new ones may be rented there.
     assert_eq!(look(&mut reach, 200.0, 0), (true, false));
-    assert!(reach.look(300.0, (0..10).map(|_| ("b", true))));
-    assert!(!reach.is_dark("a"));
+    assert!(reach.update(300.0, (0..10).map(|_| ("b", true))));
+    assert!(!reach.is_unreachable("a"));
 }
--- a/crates/sharding/tests/presence.rs
+++ b/crates/sharding/tests/presence.rs
@@ -8,17 +8,17 @@
 #[test]
 fn who_was_back_at_once_has_been_away() {
     let mut p = PeerLiveness::default();
-    let here = |p: &PeerLiveness, now: f64| p.here(now, 2.0, 10.0, "n-1");
+    let here = |p: &PeerLiveness, now: f64| p.is_live(now, 2.0, 10.0, "n-1");
     for second in 0..30 {
-        p.heard(f64::from(second), "n-1", 2.0);
-        p.started(f64::from(second), "n-1", 7);
+        p.record_contact(f64::from(second), "n-1", 2.0);
+        p.record_incarnation(f64::from(second), "n-1", 7);
     }
     assert!(here(&p, 29.5));
-    p.started(29.7, "n-1", 8);
+    p.record_incarnation(29.7, "n-1", 8);
     assert!(!here(&p, 29.8));
     for second in 30..41 {
-        p.heard(f64::from(second), "n-1", 2.0);
-        p.started(f64::from(second), "n-1", 8);
+        p.record_contact(f64::from(second), "n-1", 2.0);
+        p.record_incarnation(f64::from(second), "n-1", 8);
     }
     assert!(here(&p, 40.0));
 }
--- a/crates/simulation/src/explore/line.rs
+++ b/crates/simulation/src/explore/line.rs
@@ -19,22 +19,22 @@
 
 /// Names of the guards.
 const GUARDS: [Guard; 16] = [
-    ("write_ahead", |g| g.write_ahead = false),
-    ("settled_only", |g| g.settled_only = false),
-    ("grace", |g| g.grace = false),
-    ("lease_wait", |g| g.lease_wait = false),
+    ("write_ahead", |g| g.launch_after_commit = false),
+    ("settled_only", |g| g.absence_needs_current_token = false),
+    ("grace", |g| g.response_grace = false),
+    ("lease_wait", |g| g.wait_for_lease_expiry = false),
     ("quota", |g| g.quota = false),
-    ("versions", |g| g.versions = false),
-    ("order", |g| g.order = false),
-    ("relay_wait", |g| g.relay_wait = false),
-    ("awaits", |g| g.awaits = false),
-    ("lineage", |g| g.lineage = false),
-    ("ears", |g| g.ears = false),
-    ("beside", |g| g.beside = false),
-    ("asleep", |g| g.asleep = false),
-    ("bound", |g| g.bound = false),
-    ("gateway.leave", |g| g.gateway.leave = false),
-    ("gateway.token", |g| g.gateway.token = false),
+    ("versions", |g| g.version_checks = false),
+    ("order", |g| g.heartbeat_order = false),
+    ("relay_wait", |g| g.wait_for_lost_proxies = false),
+    ("awaits", |g| g.dependency_order = false),
+    ("lineage", |g| g.cancellation_lineage = false),
+    ("ears", |g| g.one_way_partitions = false),
+    ("beside", |g| g.work_conservation = false),
+    ("asleep", |g| g.retain_silent_machines = false),
+    ("bound", |g| g.zonal_scale_out = false),
+    ("gateway.leave", |g| g.proxy.lease_expiry = false),
+    ("gateway.token", |g| g.proxy.fencing = false),
 ];
 
 /// Names of all guards.
--- a/crates/simulation/src/explore/play.rs
+++ b/crates/simulation/src/explore/play.rs
@@ -73,7 +73,7 @@
 /// Times of "a short while, a lease, longer than `cancel_s`".
 fn spells() -> [f64; 3] {
     let w = workers();
-    [w.report_s, w.lease_s + 1.0, w.cancel_s + 4.0]
+    [w.heartbeat_interval_s, w.lease_s + 1.0, w.cancel_s + 4.0]
 }
 
 /// When who ended is back: at once, or after a lease.
--- a/crates/simulation/src/explore/script.rs
+++ b/crates/simulation/src/explore/script.rs
@@ -215,16 +215,16 @@
         memory_gb: 8.0,
         image: "img-0".into(),
         image_gb: 2.0,
-        types: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         spread: false,
         spot: false,
-        estimate_s,
-        checkpoint_s: 0.0,
+        estimated_run_s: estimate_s,
+        checkpoint_interval_s: 0.0,
         save_s: 0.0,
-        due_s: None,
-        awaits: Vec::new(),
+        deadline_s: None,
+        dependencies: Vec::new(),
     }
 }
 
@@ -272,7 +272,7 @@
 }
 
 fn awaiting() -> Vec<Wish> {
-    let after = |n, first: &str| JobSpec { awaits: vec![first.into()], ..array(n, 1, 4.0) };
+    let after = |n, first: &str| JobSpec { dependencies: vec![first.into()], ..array(n, 1, 4.0) };
     vec![
         (2.0, array(1, 2, 5.0), None),
         (3.0, after(2, "req-1"), None),
--- a/crates/simulation/src/rules.rs
+++ b/crates/simulation/src/rules.rs
@@ -63,7 +63,7 @@
         let (mut all, mut left) = (BTreeSet::new(), vec![id]);
         while let Some(id) = left.pop() {
             if all.insert(id) {
-                left.extend(self.specs.get(id).into_iter().flat_map(|s| &s.awaits).map(String::as_str));
+                left.extend(self.specs.get(id).into_iter().flat_map(|s| &s.dependencies).map(String::as_str));
             }
         }
         all
--- a/crates/simulation/src/sim.rs
+++ b/crates/simulation/src/sim.rs
@@ -464,14 +464,14 @@
             .collect();
         let lag = setup.settings.params.cloud.list_lag_s;
         let ledger = Ledger { cancel_s: setup.settings.params.workers.cancel_s, ..Ledger::default() };
-        let state = &setup.settings.params.state;
+        let state = &setup.settings.params.store;
         let mut store = Store::default();
         store.limit(Limits {
             value_bytes: (state.value_kb * 1024.0) as usize,
             txn_ops: state.txn_ops,
             write_rps: f64::MAX,
         });
-        let usual = Timing::from(&setup.settings).relay_timeout_s;
+        let usual = Timing::from(&setup.settings).forward_timeout_s;
         let relay_timeout_s = setup.relay_timeout_s.unwrap_or(usual);
         let mut sim = Simulation {
             now: 0.0,
@@ -567,10 +567,10 @@
         let mut s = self.settings.clone();
         s.node = NODE_NAMES[n].to_string();
         s.zone.clone_from(&self.nodes[n].zone);
-        let peer = |name: &&str| Peer { node: (*name).into(), zone: String::new(), addr: s.peer_listen };
+        let peer = |name: &&str| Peer { node: (*name).into(), zone: String::new(), addr: s.peer_addr };
         s.peers = NODE_NAMES[..self.nodes.len()].iter().filter(|m| **m != s.node).map(peer).collect();
         let mut core = Controller::new(s, Operator::default(), self.rng.gen());
-        core.set_guards(self.guards);
+        core.set_safety_checks(self.guards);
         let node = &mut self.nodes[n];
         node.core = Some(core);
         node.incarnation += 1;
@@ -629,7 +629,7 @@
     fn carry_out(&mut self, n: usize, o: Output) {
         let inc = self.nodes[n].incarnation;
         match o {
-            Output::Answer(id, answer) => {
+            Output::Response(id, answer) => {
                 let Some(asker) = self.nodes[n].asked.remove(&id) else { return };
                 match asker {
                     Asker::Node(..) => {}
@@ -646,15 +646,15 @@
                     }
                 }
             }
-            Output::State(call, op) => {
+            Output::Store(call, op) => {
                 if let StoreRequest::Commit(txn) = &op {
-                    self.changes += txn.changes.len() as u64;
+                    self.changes += txn.mutations.len() as u64;
                 }
                 let wait = match &op {
                     StoreRequest::Watch { wait_ms, .. } => *wait_ms as f64 / 1000.0,
                     _ => 0.0,
                 };
-                self.open_call(n, call, 1.5 + wait, Input::State(call, StoreReply::Unknown));
+                self.open_call(n, call, 1.5 + wait, Input::Store(call, StoreReply::Unknown));
                 let late = self.now < self.late_writes.0 && matches!(op, StoreRequest::Commit(_));
                 if late && self.rng.gen_bool(self.late_writes.1) {
                     let at = self.now + self.rng.gen_range(2.0..LATEST_WRITE_S);
@@ -679,25 +679,25 @@
                     self.send(at + 0.1, Some(n), Ev::CloudArrives(n, inc, call, op));
                 }
             }
-            Output::Relay(call, node, request) => {
+            Output::Forward(call, node, request) => {
                 self.relays += 1;
                 self.relayed += request.entries.len() as u64;
                 self.relay_bytes += request.encoded_len() as u64;
                 let timeout = self.relay_timeout_s;
-                self.open_call(n, call, timeout, Input::RelayReply(call, None));
+                self.open_call(n, call, timeout, Input::ForwardReply(call, None));
                 let Some(to) = NODE_NAMES.iter().position(|m| *m == node) else { return };
                 if self.now < self.peers_refused {
-                    return self.reply(n, inc, Input::RelayReply(call, None), 0.0, None);
+                    return self.reply(n, inc, Input::ForwardReply(call, None), 0.0, None);
                 }
                 if let Some(at) = self.through(self.peer_cut(n, to)) {
                     self.send(at, Some(n), Ev::RelayArrives(n, inc, call, to, request));
                 }
             }
-            Output::RelayReply(id, reply) => {
+            Output::ForwardReply(id, reply) => {
                 let Some(Asker::Node(to, inc, call)) = self.nodes[n].asked.remove(&id) else { return };
                 self.relay_bytes += reply.encoded_len() as u64;
                 let cut = self.peer_cut(n, to);
-                self.reply(to, inc, Input::RelayReply(call, Some(reply)), cut, Some(n));
+                self.reply(to, inc, Input::ForwardReply(call, Some(reply)), cut, Some(n));
             }
             Output::Worker(call, addr, body) => {
                 self.direct_calls += 1;
@@ -741,7 +741,7 @@
     /// Whether the leader has read all records.
     pub fn has_loaded(&self) -> bool {
         let core = self.leader().and_then(|n| self.nodes[n].core.as_ref());
-        core.is_some_and(Controller::has_loaded)
+        core.is_some_and(Controller::has_recovered)
     }
 
     /// Whether a node leads while another leads with a higher token.
@@ -790,7 +790,7 @@
                 }
                 if let Some(mut view) = self.nodes[a].core.as_ref().map(Controller::view_for_peers) {
                     view.format = self.format_said.map_or(view.format, |f| f.min(view.format));
-                    self.feed(b, Input::Peer(view));
+                    self.feed(b, Input::PeerView(view));
                 }
             }
         }
@@ -834,7 +834,7 @@
             Ev::Tick(n, inc) => {
                 if self.alive(n, inc) {
                     self.feed(n, Input::Tick);
-                    let pause = self.nodes[n].core.as_ref().map_or(1.0, Controller::wake_s);
+                    let pause = self.nodes[n].core.as_ref().map_or(1.0, Controller::wake_interval_s);
                     self.send(self.now + pause, Some(n), Ev::Tick(n, inc));
                 }
             }
@@ -869,8 +869,8 @@
             Ev::DoArrives(n, inc, call, addr, body) => self.do_arrives(n, inc, call, &addr, &body),
             Ev::Reply(n, inc, input) => {
                 let call = match &input {
-                    Input::State(c, _) | Input::Cloud(c, _) | Input::Worker(c, _) => *c,
-                    Input::RelayReply(c, _) => *c,
+                    Input::Store(c, _) | Input::Cloud(c, _) | Input::Worker(c, _) => *c,
+                    Input::ForwardReply(c, _) => *c,
                     _ => 0,
                 };
                 if self.open.remove(&(n, inc, call)).is_some() && self.alive(n, inc) {
@@ -885,18 +885,18 @@
             Ev::RelayArrives(n, inc, call, to, request) => {
                 if self.nodes[to].core.is_some() {
                     let id = self.asked(to, Asker::Node(n, inc, call));
-                    self.feed(to, Input::RelayRequest(id, request));
+                    self.feed(to, Input::ForwardRequest(id, request));
                 }
             }
             Ev::Views => {
                 self.views();
-                let every = Timing::from(&self.settings).renew_s;
+                let every = Timing::from(&self.settings).renewal_interval_s;
                 self.push(self.now + every, Ev::Views);
             }
             Ev::Work(vm) => self.work(&vm),
             Ev::ReportArrives(vm, seq, n, body) => {
                 if self.nodes[n].core.is_some() {
-                    self.ask(n, Asker::Worker(vm, seq), Request::Report(body));
+                    self.ask(n, Asker::Worker(vm, seq), Request::Heartbeat(body));
                 }
             }
             Ev::AnswerArrives(vm, seq, n, a) => self.answer_arrives(&vm, seq, n, &a),
@@ -948,7 +948,7 @@
         let is_watch = matches!(op, StoreRequest::Watch { .. });
         if self.now < self.state_down || self.now < self.nodes[n].refused {
             // Open watches wait; what comes anew is refused.
-            return self.reply(n, inc, Input::State(call, StoreReply::Refused), cut, None);
+            return self.reply(n, inc, Input::Store(call, StoreReply::Refused), cut, None);
         }
         let before = self.store.revision;
         match self.store.execute(self.now, &op) {
@@ -959,7 +959,7 @@
                 }
                 let slow = self.slow_down();
                 if let Some(at) = self.through(cut) {
-                    self.send(at + slow, None, Ev::Reply(n, inc, Input::State(call, r)));
+                    self.send(at + slow, None, Ev::Reply(n, inc, Input::Store(call, r)));
                 }
             }
             None if is_watch => {
@@ -986,7 +986,7 @@
             match reply {
                 Some(r) => {
                     let cut = self.state_cut(w.node);
-                    self.reply(w.node, w.incarnation, Input::State(w.call, r), cut, None);
+                    self.reply(w.node, w.incarnation, Input::Store(w.call, r), cut, None);
                 }
                 None => self.watches.push(w),
             }
@@ -1029,15 +1029,15 @@
             return self.push(at, Ev::DoArrives(n, inc, call, addr.to_string(), body.clone()));
         }
         w.expire(now, lease_s);
-        let executed = body.token >= w.token && body.session == w.session;
-        w.see_token(body.token, now, lease_s);
+        let executed = body.fencing_token >= w.token && body.epoch == w.session;
+        w.see_token(body.fencing_token, now, lease_s);
         if executed {
             self.execute(&vm, &body.commands);
         }
         let Some(w) = self.workers.get_mut(&vm) else { return };
         let report = Box::new(w.report());
         let cut = self.worker_cut(&vm, n);
-        self.reply(n, inc, Input::Worker(call, WorkerReply::Report { executed, report }), cut, None);
+        self.reply(n, inc, Input::Worker(call, WorkerReply::Heartbeat { executed, report }), cut, None);
     }
 
     fn answer_arrives(&mut self, vm: &str, seq: u64, n: usize, a: &HttpResponse) {
@@ -1060,10 +1060,10 @@
         match a.status {
             200 => {
                 let Ok(answer) = protocol::decode::<HeartbeatResponse>(&a.body) else { return };
-                if answer.token < w.token {
+                if answer.fencing_token < w.token {
                     return;
                 }
-                w.see_token(answer.token, now, lease_s);
+                w.see_token(answer.fencing_token, now, lease_s);
                 w.renewed = w.renewed.max(sent);
                 self.answered_at.insert(vm.to_string(), now);
                 self.execute(vm, &answer.commands);
@@ -1100,7 +1100,7 @@
         let report = w.report();
         w.in_flight = Some((w.seq, w.session, now));
         w.last_report = now;
-        w.next_report = now + p.report_s * jitter;
+        w.next_report = now + p.heartbeat_interval_s * jitter;
         if now < self.wander {
             w.node = (w.node + 1) % self.nodes.len();
         }
@@ -1173,7 +1173,7 @@
     fn count_misjudged(&mut self) {
         let now = self.now;
         let (lease_s, silent_s) =
-            (self.settings.params.workers.lease_s, Timing::from(&self.settings).silent_s);
+            (self.settings.params.workers.lease_s, Timing::from(&self.settings).failure_suspicion_s);
         for (n, node) in self.nodes.iter().enumerate() {
             let Some(core) = &node.core else { continue };
             // A replaced one gives no work, and may hear a report that was held for it.
@@ -1185,7 +1185,7 @@
                 worker.is_some_and(|w| now < w.renewed + lease_s && now - w.hung_until > silent_s)
             };
             // As it is when it is given up: what hangs may come back later.
-            for id in core.given_up() {
+            for id in core.machines_given_up() {
                 let first = self.judged.insert((n, core.token().unwrap_or(0), id.to_string()));
                 if first && alive(id) {
                     self.given_up_alive.insert(id.to_string());
@@ -1303,7 +1303,7 @@
         for ((job, attempt), (waiting, running)) in members {
             let spec = &self.ledger.specs[job];
             let gang = spec.shape == Shape::Gang;
-            let run = spec.estimate_s * self.rng.gen_range(0.5..1.6);
+            let run = spec.estimated_run_s * self.rng.gen_range(0.5..1.6);
             let run = if spec.shape == Shape::Service { f64::MAX / 4.0 } else { run };
             if waiting > 0 && (!gang || waiting == spec.tasks) {
                 begin.insert((job.to_string(), attempt), run);
@@ -1349,7 +1349,7 @@
         if let Some(other) = elsewhere {
             self.ledger.break_rule(Rule::RanTwice, now, format!("{key:?} on {vm} and {other}"));
         }
-        let mut wrong = spec.types.as_ref().is_some_and(|t| !t.contains(&place.machine_type))
+        let mut wrong = spec.machine_types.as_ref().is_some_and(|t| !t.contains(&place.machine_type))
             || spec.zone.as_ref().is_some_and(|z| *z != place.zone)
             || (place.spot && !spec.spot);
         let zones: Vec<String> = self
@@ -1367,7 +1367,7 @@
             let here = zones.iter().filter(|z| **z == place.zone).count() as u32;
             wrong |= here > spec.tasks.div_ceil(2);
         }
-        if let Some(a) = spec.awaits.iter().find(|a| !self.ledger.is_done(a)) {
+        if let Some(a) = spec.dependencies.iter().find(|a| !self.ledger.is_done(a)) {
             self.ledger.break_rule(Rule::TooEarly, now, format!("{key:?} before {a}"));
         }
         if wrong {
@@ -1415,7 +1415,7 @@
             let stranger = format!("req-{}", self.rng.gen_range(5000..5100));
             let n = self.rng.gen_range(0..self.nodes.len());
             let at = now + self.delay();
-            self.push(at, Ev::UserArrives(stranger.clone(), 0, n, Request::Poll(stranger)));
+            self.push(at, Ev::UserArrives(stranger.clone(), 0, n, Request::QueryStatus(stranger)));
         }
         self.ask_oddly(id);
         let accepted = self.ledger.accepted.contains(id);
@@ -1425,7 +1425,7 @@
         }
         // The jobs of a pipeline are submitted one after another.
         let ready = |a: &String| self.ledger.accepted.contains(a);
-        if !accepted && !self.ledger.specs[id].awaits.iter().all(ready) {
+        if !accepted && !self.ledger.specs[id].dependencies.iter().all(ready) {
             return self.push(now + 0.3, Ev::User(id.to_string()));
         }
         u.waiting = true;
@@ -1443,7 +1443,7 @@
             // A repeated submission, which may come at any time.
             Request::Submit(protocol::encode(spec))
         } else {
-            Request::Poll(id.to_string())
+            Request::QueryStatus(id.to_string())
         };
         let n = self.rng.gen_range(0..self.nodes.len());
         let d = self.delay();
@@ -1594,11 +1594,11 @@
             Fault::ZoneCut { zone, for_s } => self.zone_cut = (now + for_s, zone),
             Fault::Wander { for_s } => self.wander = now + for_s,
             Fault::LimitsFall => {
-                let s = &self.settings.params.state;
+                let s = &self.settings.params.store;
                 self.store.limit(Limits {
-                    value_bytes: (s.fit_value_kb() * 1024.0) as usize,
-                    txn_ops: s.fit_txn_ops(),
-                    write_rps: s.fit_write_rps(),
+                    value_bytes: (s.effective_value_kb() * 1024.0) as usize,
+                    txn_ops: s.effective_transaction_ops(),
+                    write_rps: s.effective_write_rps(),
                 });
             }
             Fault::Polls { factor, for_s } => self.flood = (now + for_s, factor),
@@ -1613,7 +1613,8 @@
     /// Workers that go on, and that no leader would give work to or is giving back.
     pub fn unheard(&self) -> Vec<&str> {
         let cores = || self.nodes.iter().filter_map(|n| n.core.as_ref());
-        let known: BTreeSet<&str> = cores().flat_map(|c| c.usable_machines().chain(c.leaving())).collect();
+        let known: BTreeSet<&str> =
+            cores().flat_map(|c| c.usable_machines().chain(c.machines_leaving())).collect();
         let live = self.workers.iter().filter(|(_, w)| self.now >= w.hung_until && !w.faulty);
         live.map(|(id, _)| id.as_str()).filter(|id| !known.contains(id)).collect()
     }
@@ -1670,7 +1671,7 @@
 
     /// Whether node `n` counts as healthy.
     pub fn healthy(&mut self, n: usize) -> bool {
-        self.ask_by_hand(n, Request::Up).status == 200
+        self.ask_by_hand(n, Request::HealthCheck).status == 200
     }
 
     fn ask_by_hand(&mut self, n: usize, request: Request) -> HttpResponse {
--- a/crates/simulation/src/sim/border.rs
+++ b/crates/simulation/src/sim/border.rs
@@ -183,8 +183,8 @@
         match ev {
             Ev::StateArrives(..) | Ev::LateWrite(..) => self.strike(Fault::StateOutage { for_s }),
             Ev::CloudArrives(..) => self.strike(Fault::CloudOutage { for_s }),
-            Ev::Reply(node, _, Input::State(..)) => self.strike(Fault::Alone { node: *node, for_s }),
-            Ev::Reply(node, _, Input::RelayReply(..)) | Ev::RelayArrives(_, _, _, node, _) => {
+            Ev::Reply(node, _, Input::Store(..)) => self.strike(Fault::Alone { node: *node, for_s }),
+            Ev::Reply(node, _, Input::ForwardReply(..)) | Ev::RelayArrives(_, _, _, node, _) => {
                 self.strike(Fault::PeersCut { node: *node, for_s });
             }
             Ev::ReportArrives(_, _, node, _) | Ev::Reply(node, _, Input::Worker(..)) => {
@@ -212,7 +212,9 @@
                 let to = self.workers.values().find(|w| w.place.addr.as_deref() == Some(addr));
                 to?.place.id.clone()
             }
-            Ev::Reply(_, _, Input::Worker(_, WorkerReply::Report { report, .. })) => report.machine.clone(),
+            Ev::Reply(_, _, Input::Worker(_, WorkerReply::Heartbeat { report, .. })) => {
+                report.machine.clone()
+            }
             _ => return None,
         };
         self.workers.keys().position(|k| *k == id)
@@ -288,7 +290,7 @@
         Ev::CloudArrives(..) => Border::Cloud,
         Ev::DoArrives(..) => Border::Direct,
         Ev::RelayArrives(..) => Border::Relay,
-        Ev::Reply(_, _, Input::State(..)) => Border::StateReply,
+        Ev::Reply(_, _, Input::Store(..)) => Border::StateReply,
         Ev::Reply(_, _, Input::Cloud(..)) => Border::CloudReply,
         Ev::Reply(_, _, Input::Worker(..)) => Border::DirectReply,
         Ev::Reply(..) => Border::RelayReply,
@@ -320,7 +322,9 @@
         Ev::RelayArrives(n, inc, call, _, _) => Some(((*n, *inc, *call), true)),
         Ev::Reply(n, inc, input) => {
             let call = match input {
-                Input::State(c, _) | Input::Cloud(c, _) | Input::Worker(c, _) | Input::RelayReply(c, _) => *c,
+                Input::Store(c, _) | Input::Cloud(c, _) | Input::Worker(c, _) | Input::ForwardReply(c, _) => {
+                    *c
+                }
                 _ => return None,
             };
             Some(((*n, *inc, call), false))
@@ -353,16 +357,16 @@
 }
 
 fn verbs(commands: &[Command]) -> String {
-    each(commands.iter().map(|c| first_word(&c.op)).collect())
+    each(commands.iter().map(|c| first_word(&c.kind)).collect())
 }
 
 fn tasks(body: &[u8]) -> String {
     let Ok(report) = protocol::decode::<Heartbeat>(body) else { return String::new() };
-    let state = |t: &TaskStatus| match t.cause {
+    let state = |t: &TaskStatus| match t.exit_cause {
         Some(cause) => format!("{:?} {cause:?}", t.state),
         None => first_word(&t.state),
     };
-    let session = if report.session > 1 { "later session " } else { "" };
+    let session = if report.epoch > 1 { "later session " } else { "" };
     format!("{session}{}", each(report.tasks.iter().map(state).collect()))
 }
 
@@ -380,7 +384,7 @@
         StoreRequest::List { prefix: p, .. } => format!("list {p}"),
         StoreRequest::Watch { prefix: p, .. } => format!("watch {p}"),
         StoreRequest::Commit(txn) => {
-            format!("commit {}", each(txn.changes.iter().map(change_label).collect()))
+            format!("commit {}", each(txn.mutations.iter().map(change_label).collect()))
         }
         other => first_word(other),
     }
@@ -392,22 +396,22 @@
     match change {
         Mutation::Delete { key } => format!("{} gone", prefix(key)),
         Mutation::Put { key, value: Value::Job(j), .. } => {
-            let placed = if j.page.places.is_empty() { "" } else { " placed" };
-            let done = if j.page.done.chars().any(|c| c != '0') { " some done" } else { "" };
+            let placed = if j.first_page.placements.is_empty() { "" } else { " placed" };
+            let done = if j.first_page.done.chars().any(|c| c != '0') { " some done" } else { "" };
             format!("{} {:?}{placed}{done}", prefix(key), j.status)
         }
-        Mutation::Put { key, value: Value::Over(o), .. } => format!("{} {:?}", prefix(key), o.status),
+        Mutation::Put { key, value: Value::Terminal(o), .. } => format!("{} {:?}", prefix(key), o.status),
         Mutation::Put { key, .. } => prefix(key).to_string(),
     }
 }
 
 fn reply_label(input: &Input) -> String {
     match input {
-        Input::State(_, StoreReply::Events(e)) => format!("events: {}", !e.events.is_empty()),
-        Input::State(_, r) => first_word(r),
+        Input::Store(_, StoreReply::Events(e)) => format!("events: {}", !e.events.is_empty()),
+        Input::Store(_, r) => first_word(r),
         Input::Cloud(_, r) => first_word(r),
-        Input::Worker(_, WorkerReply::Report { executed, .. }) => format!("executed: {executed}"),
-        Input::RelayReply(_, Some(r)) => {
+        Input::Worker(_, WorkerReply::Heartbeat { executed, .. }) => format!("executed: {executed}"),
+        Input::ForwardReply(_, Some(r)) => {
             let ops = r.orders.iter().flat_map(|o| &o.orders).map(|o| first_word(&o.op()));
             format!("ready: {}, orders {}", r.ready, each(ops.collect()))
         }
--- a/crates/simulation/src/sim/digest.rs
+++ b/crates/simulation/src/sim/digest.rs
@@ -81,10 +81,10 @@
 fn request(request: &Request) -> Parts {
     match request {
         Request::Submit(body) => Parts::kind(1).bytes(body),
-        Request::Poll(id) => Parts::kind(2).text(id),
+        Request::QueryStatus(id) => Parts::kind(2).text(id),
         Request::Cancel(id) => Parts::kind(3).text(id),
-        Request::Report(body) => Parts::kind(4).bytes(body),
-        Request::Up => Parts::kind(5),
+        Request::Heartbeat(body) => Parts::kind(4).bytes(body),
+        Request::HealthCheck => Parts::kind(5),
     }
 }
 
@@ -149,7 +149,7 @@
 
 fn direct_reply(reply: &WorkerReply) -> Parts {
     match reply {
-        WorkerReply::Report { executed, report } => Parts::kind(1).number((*executed).into()).body(report),
+        WorkerReply::Heartbeat { executed, report } => Parts::kind(1).number((*executed).into()).body(report),
         WorkerReply::Failed => Parts::kind(2),
     }
 }
@@ -168,14 +168,14 @@
         let (way, id, parts) = match input {
             Input::Tick => return,
             Input::Request(id, r) => (Way::Request, *id, request(r)),
-            Input::State(call, r) => (Way::StateReply, *call, state_reply(r)),
+            Input::Store(call, r) => (Way::StateReply, *call, state_reply(r)),
             Input::Cloud(call, r) => (Way::CloudReply, *call, cloud_reply(r)),
             Input::Worker(call, r) => (Way::DirectReply, *call, direct_reply(r)),
-            Input::Peer(view) => (Way::View, 0, Parts::default().bytes(&view.encode_to_vec())),
-            Input::RelayRequest(id, r) => {
+            Input::PeerView(view) => (Way::View, 0, Parts::default().bytes(&view.encode_to_vec())),
+            Input::ForwardRequest(id, r) => {
                 (Way::RelayReceived, *id, Parts::default().bytes(&r.encode_to_vec()))
             }
-            Input::RelayReply(call, r) => {
+            Input::ForwardReply(call, r) => {
                 let parts = match r {
                     Some(r) => Parts::kind(1).bytes(&r.encode_to_vec()),
                     None => Parts::kind(0),
@@ -189,14 +189,14 @@
     /// What comes out of the core of node `n`.
     pub(super) fn output(&mut self, now: f64, n: usize, output: &Output) {
         let (way, id, parts) = match output {
-            Output::Answer(id, a) => (Way::Answer, *id, answer(a)),
-            Output::State(call, op) => (Way::State, *call, state(op)),
+            Output::Response(id, a) => (Way::Answer, *id, answer(a)),
+            Output::Store(call, op) => (Way::State, *call, state(op)),
             Output::Cloud(call, op) => (Way::Cloud, *call, cloud(op)),
             Output::Worker(call, addr, body) => (Way::Direct, *call, Parts::default().text(addr).body(body)),
-            Output::Relay(call, node, r) => {
+            Output::Forward(call, node, r) => {
                 (Way::RelaySent, *call, Parts::default().text(node).bytes(&r.encode_to_vec()))
             }
-            Output::RelayReply(id, r) => {
+            Output::ForwardReply(id, r) => {
                 (Way::RelayReplySent, *id, Parts::default().bytes(&r.encode_to_vec()))
             }
         };
--- a/crates/simulation/src/sim/looks.rs
+++ b/crates/simulation/src/sim/looks.rs
@@ -97,7 +97,8 @@
         for node in 0..self.nodes.len() {
             for _ in 0..2 {
                 let again = self.rng.gen_bool(0.4);
-                let r = if again { Request::Submit(spec.clone()) } else { Request::Poll(id.to_string()) };
+                let r =
+                    if again { Request::Submit(spec.clone()) } else { Request::QueryStatus(id.to_string()) };
                 let after = self.rng.gen_range(0.0..CLOSE_S);
                 self.looks.counts.close += 1;
                 self.look(id, node, after, r, false);
@@ -188,7 +189,7 @@
         for id in self.ledger.submitted.iter().cloned().collect::<Vec<_>>() {
             let again = Request::Submit(protocol::encode(&self.ledger.specs[&id]));
             for node in 0..self.nodes.len() {
-                self.look(&id, node, 0.0, Request::Poll(id.clone()), false);
+                self.look(&id, node, 0.0, Request::QueryStatus(id.clone()), false);
                 self.look(&id, node, 0.0, again.clone(), false);
             }
         }
@@ -208,11 +209,11 @@
         }
         self.looks.unfit += 1;
         let id = format!("req-{}", 9_000_000 + self.looks.unfit);
-        let spec = JobSpec { id: id.clone(), awaits: Vec::new(), ..spec };
+        let spec = JobSpec { id: id.clone(), dependencies: Vec::new(), ..spec };
         let body = match self.rng.gen_range(0..4) {
             0 => protocol::encode(&JobSpec { cores: 1e6, ..spec }),
             1 => protocol::encode(&JobSpec { team: "nobody".into(), ..spec }),
-            2 => protocol::encode(&JobSpec { types: Some(vec!["none".into()]), ..spec }),
+            2 => protocol::encode(&JobSpec { machine_types: Some(vec!["none".into()]), ..spec }),
             _ => protocol::encode(&BTreeMap::from([("id", id.clone()), ("lane", spec.class)])),
         };
         self.look(&id, node, 0.0, Request::Submit(body), true);
@@ -222,7 +223,7 @@
     pub(super) fn note_lost(&mut self, node: usize, op: &StoreRequest, before: u64) {
         let StoreRequest::Commit(txn) = op else { return };
         if self.store.revision != before {
-            let keys = txn.changes.iter().map(|c| match c {
+            let keys = txn.mutations.iter().map(|c| match c {
                 protocol::state::Mutation::Put { key, .. } | protocol::state::Mutation::Delete { key } => {
                     key.clone()
                 }
--- a/crates/simulation/src/sim/order.rs
+++ b/crates/simulation/src/sim/order.rs
@@ -122,7 +122,7 @@
     /// Whether a job could begin now: what it awaits is done, its team is under its limit, and
     /// machines that fit have room.
     fn has_room(&self, spec: &JobSpec) -> bool {
-        if !spec.awaits.iter().all(|a| self.ledger.is_done(a)) {
+        if !spec.dependencies.iter().all(|a| self.ledger.is_done(a)) {
             return false;
         }
         let at_once = if spec.shape == Shape::Array { 1 } else { spec.tasks };
@@ -147,7 +147,7 @@
     fn slots(&self, w: &Worker, spec: &JobSpec) -> u32 {
         let kind = self.cloud.types.iter().find(|t| t.name == w.place.machine_type);
         let Some(kind) = kind else { return 0 };
-        let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&kind.name))
+        let allowed = spec.machine_types.as_ref().is_none_or(|t| t.contains(&kind.name))
             && spec.zone.as_ref().is_none_or(|z| *z == w.place.zone)
             && (spec.spot || !w.place.spot);
         if !allowed || w.faulty || self.now < w.hung_until {
--- a/crates/simulation/src/state.rs
+++ b/crates/simulation/src/state.rs
@@ -47,8 +47,8 @@
 
     /// What `key` holds is from now on what nobody can read.
     pub fn damage(&mut self, key: &str) {
-        let change = Mutation::Put { key: key.to_string(), value: Value::Unread, lease: None };
-        self.commit(&Transaction { conditions: Vec::new(), changes: vec![change] });
+        let change = Mutation::Put { key: key.to_string(), value: Value::Undecodable, lease: None };
+        self.commit(&Transaction { compares: Vec::new(), mutations: vec![change] });
     }
 
     /// How many keys begin with `prefix`.
@@ -176,9 +176,9 @@
             Mutation::Put { value, .. } => l.value_bytes == usize::MAX || json_size(value) <= l.value_bytes,
             Mutation::Delete { .. } => true,
         };
-        let fits = txn.changes.len() <= l.txn_ops
-            && txn.conditions.len() <= l.txn_ops.saturating_mul(4)
-            && txn.changes.iter().all(value_fits);
+        let fits = txn.mutations.len() <= l.txn_ops
+            && txn.compares.len() <= l.txn_ops.saturating_mul(4)
+            && txn.mutations.iter().all(value_fits);
         if !fits || protocol::encode(txn).len() > TXN_LIMIT {
             self.invalid += 1;
             return StoreReply::Invalid;
@@ -186,11 +186,11 @@
         let (room, at) = self.room;
         let room = (room + (now - at) * l.write_rps).min(l.write_rps);
         self.room = (room, now);
-        if l.write_rps < f64::MAX && room < txn.changes.len() as f64 {
+        if l.write_rps < f64::MAX && room < txn.mutations.len() as f64 {
             self.limited += 1;
             return StoreReply::Limited;
         }
-        self.room.0 -= txn.changes.len() as f64;
+        self.room.0 -= txn.mutations.len() as f64;
         let reply = self.commit(txn);
         self.times.insert(self.revision, now);
         reply
@@ -209,7 +209,7 @@
     }
 
     fn commit(&mut self, txn: &Transaction<Value>) -> StoreReply {
-        for c in &txn.changes {
+        for c in &txn.mutations {
             if let Mutation::Put { lease: Some(id), .. } = c {
                 if !self.leases.contains_key(id) {
                     return StoreReply::Gone;
@@ -217,7 +217,7 @@
             }
         }
         let failed: Vec<String> = txn
-            .conditions
+            .compares
             .iter()
             .filter(|c| self.items.get(&c.key).map_or(0, |i| i.1) != c.version)
             .map(|c| c.key.clone())
@@ -227,7 +227,7 @@
         }
         self.revision += 1;
         let revision = self.revision;
-        for c in &txn.changes {
+        for c in &txn.mutations {
             let (key, event) = match c {
                 Mutation::Put { key, value, lease } => {
                     if let Some(inspect) = self.inspect {
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -104,11 +104,11 @@
                     Phase::Running { .. } | Phase::Orphaned { .. } => TaskState::Running,
                     Phase::Exited(_) => TaskState::Exited,
                 },
-                cause: match t.phase {
+                exit_cause: match t.phase {
                     Phase::Exited(c) => Some(c),
                     _ => None,
                 },
-                saved: None,
+                checkpointed: None,
             })
             .collect();
         Heartbeat {
@@ -117,9 +117,9 @@
             machine_type: self.place.machine_type.clone(),
             zone: self.place.zone.clone(),
             spot: self.place.spot,
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
+            epoch: self.session,
+            sequence: self.seq,
+            fencing_token: self.token,
             notice_s: None,
             tasks,
         }
@@ -155,7 +155,7 @@
     pub fn command(&mut self, now: f64, c: &Command, launch: Option<Launch>) {
         let Some((job, n)) = split_task(&c.task) else { return };
         let key = (job.to_string(), n);
-        match c.op {
+        match c.kind {
             CommandKind::Start => {
                 let known = self.tasks.get(&key);
                 if known.is_some_and(|t| t.attempt == c.attempt) {
--- a/crates/simulation/tests/answers.rs
+++ b/crates/simulation/tests/answers.rs
@@ -75,18 +75,18 @@
         task: task_name(&job.id, task),
         attempt: 1,
         state: TaskState::Exited,
-        cause: Some(ExitCause::Done),
-        saved: None,
+        exit_cause: Some(ExitCause::Done),
+        checkpointed: None,
     };
-    Request::Report(protocol::encode(&Heartbeat {
+    Request::Heartbeat(protocol::encode(&Heartbeat {
         machine: "vm-000001".into(),
         addr: "10.1.0.1:9000".into(),
         machine_type: "big".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        seq: 1,
-        token,
+        epoch: 1,
+        sequence: 1,
+        fencing_token: token,
         notice_s: None,
         tasks: (0..job.tasks).map(done).collect(),
     }))
@@ -102,7 +102,7 @@
         let mut w = World::new(1, Course { nodes, ids: 1, lead: true, trouble: false, cancels: 0.0 });
         let (id, job) = ("req-0", record.spec.clone());
         let changes = vec![put(job_key(id), Value::Job(Box::new(record)))];
-        w.store.execute(0.0, &StoreRequest::Commit(Transaction { conditions: vec![], changes }));
+        w.store.execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
         w.submitted.insert(id.into());
         while w.leader().is_none() {
             w.settle(0.02, |op| writes(op, id));
@@ -115,13 +115,13 @@
         w.ask((leader + 1) % nodes, id, Request::Cancel(id.into()));
         w.settle(1.0, |op| writes(op, id));
         assert_eq!(w.told.get(id), Some(&Told::Over(JobStatus::Cancelled)));
-        assert!(matches!(w.stored(mark_key(id)), Some(Value::Over(_))), "by a mark");
+        assert!(matches!(w.stored(mark_key(id)), Some(Value::Terminal(_))), "by a mark");
         w.settle(20.0, |_| false);
-        (0..nodes).for_each(|n| w.ask(n, id, Request::Poll(id.into())));
+        (0..nodes).for_each(|n| w.ask(n, id, Request::QueryStatus(id.into())));
         w.settle(1.0, |_| false);
         assert_eq!(w.broken, None, "{nodes} nodes");
         let over = w.stored(over_key(id));
-        assert!(matches!(&over, Some(Value::Over(o)) if o.status == JobStatus::Cancelled), "{over:?}");
+        assert!(matches!(&over, Some(Value::Terminal(o)) if o.status == JobStatus::Cancelled), "{over:?}");
     }
 }
 
@@ -133,7 +133,7 @@
         record.status = JobStatus::Running;
         pad(&mut record, bytes);
         let changes = vec![put(job_key("req-0"), Value::Job(Box::new(record)))];
-        w.store.execute(0.0, &StoreRequest::Commit(Transaction { conditions: vec![], changes }));
+        w.store.execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
         w.submitted.insert("req-0".into());
         w
     }
@@ -141,18 +141,20 @@
     /// Another leader stores that a job is done.
     fn finish(&mut self, id: &str) {
         let Some(Value::Job(j)) = self.stored(job_key(id)) else { return };
-        let record = JobRecord { status: JobStatus::Done, page: PageRecord::default(), ..*j };
+        let record = JobRecord { status: JobStatus::Done, first_page: PageRecord::default(), ..*j };
         let changes = vec![put(job_key(id), Value::Job(Box::new(record)))];
-        self.store.execute(self.now, &StoreRequest::Commit(Transaction { conditions: vec![], changes }));
+        self.store
+            .execute(self.now, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
     }
 
     /// Another leader takes a mark in: one write removes it and stores the cancellation.
     fn take_in(&mut self, id: &str) {
         let Some(Value::Job(j)) = self.stored(job_key(id)) else { return };
-        let record = JobRecord { status: JobStatus::Cancelled, page: PageRecord::default(), ..*j };
+        let record = JobRecord { status: JobStatus::Cancelled, first_page: PageRecord::default(), ..*j };
         let changes =
             vec![put(job_key(id), Value::Job(Box::new(record))), Mutation::Delete { key: mark_key(id) }];
-        self.store.execute(self.now, &StoreRequest::Commit(Transaction { conditions: vec![], changes }));
+        self.store
+            .execute(self.now, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
     }
 }
 
@@ -165,7 +167,7 @@
         w.ask(0, "req-0", Request::Cancel("req-0".into()));
         w.settle(1.0, |_| false);
         assert_eq!(w.told.get("req-0"), Some(&Told::Over(JobStatus::Cancelled)));
-        (1..nodes).for_each(|n| w.ask(n, "req-0", Request::Poll("req-0".into())));
+        (1..nodes).for_each(|n| w.ask(n, "req-0", Request::QueryStatus("req-0".into())));
         w.settle(1.0, |_| false);
         assert_eq!((w.broken, w.open.len()), (None, 0), "{bytes} bytes, {nodes} nodes");
     }
@@ -176,7 +178,7 @@
     match op {
         StoreRequest::Get(key) => *key == mark_key("req-0"),
         StoreRequest::Commit(t) => {
-            t.changes.is_empty() && t.conditions.iter().any(|c| c.key == mark_key("req-0"))
+            t.mutations.is_empty() && t.compares.iter().any(|c| c.key == mark_key("req-0"))
         }
         _ => false,
     }
@@ -187,7 +189,7 @@
     let mut w = World::running(1, nodes, TIGHT + 500);
     w.ask(0, "req-0", Request::Cancel("req-0".into()));
     w.settle(1.0, |_| false);
-    w.ask(1, "req-0", Request::Poll("req-0".into()));
+    w.ask(1, "req-0", Request::QueryStatus("req-0".into()));
     w.settle(0.2, looks);
     assert!(w.calls.iter().any(|c| looks(&c.3)), "it is looking for the mark");
     w
@@ -220,7 +222,7 @@
     /// Has job `id` read by node `n` and keeps the reply on its way.
     fn read_slowly(&mut self, n: usize, id: &str) -> (CallId, StoreReply) {
         let read = StoreRequest::Get(job_key(id));
-        self.ask(n, id, Request::Poll(id.into()));
+        self.ask(n, id, Request::QueryStatus(id.into()));
         self.settle(1.0, |op| *op == read);
         let at = self.calls.iter().position(|c| c.3 == read).expect("it is being read");
         let call = self.calls.remove(at).2;
@@ -229,14 +231,14 @@
 
     /// Stores that so many other jobs are over.
     fn end_others(&mut self, count: usize) {
-        let over = |n| TerminalRecord { status: JobStatus::Done, done: n % 7, at: 1e9 };
+        let over = |n| TerminalRecord { status: JobStatus::Done, done: n % 7, submitted_wall_s: 1e9 };
         for from in (0..count).step_by(100) {
             let ids = from..from + 100;
             let changes =
-                ids.map(|n| put(over_key(&format!("req-{}", 1000 + n)), Value::Over(over(n as u32))));
+                ids.map(|n| put(over_key(&format!("req-{}", 1000 + n)), Value::Terminal(over(n as u32))));
             self.store.execute(
                 0.0,
-                &StoreRequest::Commit(Transaction { conditions: vec![], changes: changes.collect() }),
+                &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes.collect() }),
             );
         }
     }
@@ -250,14 +252,14 @@
         let mut w = World::running(1, nodes, 1000);
         let (call, reply) = w.read_slowly(1, "req-0");
         w.finish("req-0");
-        w.ask(1, "req-0", Request::Poll("req-0".into()));
+        w.ask(1, "req-0", Request::QueryStatus("req-0".into()));
         w.settle(1.0, |_| false);
         assert_eq!(w.told.get("req-0"), Some(&Told::Over(JobStatus::Done)));
-        w.feed(1, Input::State(call, reply));
+        w.feed(1, Input::Store(call, reply));
         w.end_others(20_500);
         for id in ["req-1000", "req-0"] {
             w.submitted.insert(id.into());
-            w.ask(1, id, Request::Poll(id.into()));
+            w.ask(1, id, Request::QueryStatus(id.into()));
             w.settle(1.0, |_| false);
         }
         assert_eq!((w.broken, w.open.len()), (None, 0), "{nodes} nodes");
@@ -270,19 +272,19 @@
 fn a_page_left_of_a_cancelled_job_frees_nobody() {
     for nodes in [3, 5] {
         let mut w = World::new(1, Course { nodes, ids: 1, lead: true, trouble: false, cancels: 0.0 });
-        let over = TerminalRecord { status: JobStatus::Cancelled, done: 0, at: 1e9 };
+        let over = TerminalRecord { status: JobStatus::Cancelled, done: 0, submitted_wall_s: 1e9 };
         let next = JobRecord::new(w.spec("req-4"), 1e9, TIGHT);
         let changes = vec![
-            put(over_key("req-3"), Value::Over(over)),
+            put(over_key("req-3"), Value::Terminal(over)),
             put(page_key("req-3", 1, 0), Value::Page(PageRecord::default())),
             put(job_key("req-4"), Value::Job(Box::new(next))),
         ];
-        w.store.execute(0.0, &StoreRequest::Commit(Transaction { conditions: vec![], changes }));
+        w.store.execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
         w.submitted.insert("req-4".into());
         w.cancel_asked.insert("req-3".into());
         for _ in 0..3 {
             w.settle(5.0, |_| false);
-            (0..nodes).for_each(|n| w.ask(n, "req-4", Request::Poll("req-4".into())));
+            (0..nodes).for_each(|n| w.ask(n, "req-4", Request::QueryStatus("req-4".into())));
         }
         w.settle(1.0, |_| false);
         assert_eq!(w.broken, None, "{nodes} nodes");
@@ -301,8 +303,8 @@
         cores: 0.1,
         accelerators: 0.0,
         memory_gb: 0.1,
-        estimate_s: rng.gen_range(0.2..6.0),
-        awaits: (n % 4 == 3).then(|| format!("req-{}", 100 + n - 1)).into_iter().collect(),
+        estimated_run_s: rng.gen_range(0.2..6.0),
+        dependencies: (n % 4 == 3).then(|| format!("req-{}", 100 + n - 1)).into_iter().collect(),
         ..spec(&format!("req-{}", 100 + n))
     };
     s.jobs = (0..100)
@@ -506,14 +508,19 @@
         w.settle(1.0, |_| false);
         if end.is_final() {
             let Some(Value::Job(j)) = w.stored(job_key("req-0")) else { panic!("it is not stored") };
-            let over = Value::Over(TerminalRecord { status: end, done: j.done, at: j.at });
+            let over = Value::Terminal(TerminalRecord {
+                status: end,
+                done: j.done,
+                submitted_wall_s: j.submitted_wall_s,
+            });
             let changes = vec![Mutation::Delete { key: job_key("req-0") }, put(over_key("req-0"), over)];
-            w.store.execute(w.now, &StoreRequest::Commit(Transaction { conditions: vec![], changes }));
+            w.store
+                .execute(w.now, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
             w.cancel_asked.insert("req-0".into());
         }
         let other = Value::Types(vec![MachineType { name: "other".into(), ..big() }]);
         let changes = vec![put(TYPES_KEY.into(), other)];
-        w.store.execute(w.now, &StoreRequest::Commit(Transaction { conditions: vec![], changes }));
+        w.store.execute(w.now, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
         w.settle(4.0, |_| false);
         let Request::Submit(whole) = sent(&body(), "req-0") else { return };
         let mut all: Vec<Request> = submissions().iter().map(|(_, body, _)| sent(body, "req-0")).collect();
--- a/crates/simulation/tests/anyorder/machines.rs
+++ b/crates/simulation/tests/anyorder/machines.rs
@@ -87,7 +87,7 @@
         w.in_flight = Some((w.seq, w.session, now));
         self.next += 1;
         self.open.insert((n, self.next), (id.clone(), w.seq));
-        Some((self.next, Request::Report(protocol::encode(&report))))
+        Some((self.next, Request::Heartbeat(protocol::encode(&report))))
     }
 
     /// The answer to a report.
@@ -100,11 +100,12 @@
         w.in_flight = None;
         w.expire(now, self.lease_s);
         let answer = protocol::decode::<HeartbeatResponse>(&a.body).ok();
-        let Some(answer) = answer.filter(|r| a.status == 200 && session == w.session && r.token >= w.token)
+        let Some(answer) =
+            answer.filter(|r| a.status == 200 && session == w.session && r.fencing_token >= w.token)
         else {
             return;
         };
-        w.see_token(answer.token, now, self.lease_s);
+        w.see_token(answer.fencing_token, now, self.lease_s);
         w.renewed = w.renewed.max(sent);
         answer.commands.iter().for_each(|c| w.command(now, c, Some(Launch { fetch_s: 0.1 })));
     }
