--- a/crates/simulation/tests/anyorder/mod.rs
+++ b/crates/simulation/tests/anyorder/mod.rs
@@ -33,10 +33,10 @@
 pub fn settings(n: usize, nodes: usize) -> Settings {
     let mut s = Settings::parse(include_str!("../../../../docs/example.toml")).unwrap();
     s.node = NAMES[n].into();
-    let peer = |name: &&str| Peer { node: (*name).into(), zone: String::new(), addr: s.peer_listen };
+    let peer = |name: &&str| Peer { node: (*name).into(), zone: String::new(), addr: s.peer_addr };
     s.peers = NAMES[..nodes].iter().filter(|m| **m != NAMES[n]).map(peer).collect();
     s.params.nodes = nodes as u32;
-    let state = &mut s.params.state;
+    let state = &mut s.params.store;
     state.value_kb = 64.0;
     state.next = Some(NextLimits { value_kb: Some(TIGHT_KB), ..NextLimits::default() });
     s
@@ -53,8 +53,8 @@
 /// Gives a record a placement with which it takes so many bytes.
 pub fn pad(record: &mut JobRecord, bytes: usize) {
     let place = |machine: String| vec![StoredPlacement { task: 0, attempt: 1, machine }];
-    record.page.places = place(String::new());
-    record.page.places = place("m".repeat(bytes - json_size(record)));
+    record.first_page.placements = place(String::new());
+    record.first_page.placements = place("m".repeat(bytes - json_size(record)));
 }
 
 /// What a user was told of a job, in the order in which it may be told.
@@ -167,7 +167,8 @@
             put(FORMAT_KEY.into(), Value::Format(FORMAT)),
         ];
         if !course.lead {
-            let leader = LeaderRecord { node: "elsewhere".into(), at: 0.0, again: 0, lease: 0 };
+            let leader =
+                LeaderRecord { node: "elsewhere".into(), elected_wall_s: 0.0, quick_restarts: 0, lease: 0 };
             first.push(put(LEADER_KEY.into(), Value::Leader(leader)));
         }
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -178,7 +179,7 @@
             first.push(put(job_key("req-0"), Value::Job(Box::new(record))));
             machines
         });
-        store.execute(0.0, &StoreRequest::Commit(Transaction { conditions: vec![], changes: first }));
+        store.execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: first }));
         let mut w = World {
             course,
             rng,
@@ -213,7 +214,7 @@
         for a in 0..self.cores.len() {
             let view = self.cores[a].view_for_peers();
             for b in (0..self.cores.len()).filter(|b| *b != a) {
-                self.feed(b, Input::Peer(view.clone()));
+                self.feed(b, Input::PeerView(view.clone()));
             }
         }
     }
@@ -221,8 +222,8 @@
     pub fn feed(&mut self, n: usize, input: Input) {
         for o in self.cores[n].handle(self.now, 1e9 + self.now, input) {
             match o {
-                Output::Answer(id, a) => self.answered(n, id, &a),
-                Output::State(call, op) => self.calls.push((n, self.starts[n], call, op)),
+                Output::Response(id, a) => self.answered(n, id, &a),
+                Output::Store(call, op) => self.calls.push((n, self.starts[n], call, op)),
                 Output::Cloud(call, op) => {
                     let now = self.now;
                     let r = self.machines.as_mut().map_or(CloudReply::Refused, |m| m.call(now, &op));
@@ -232,10 +233,10 @@
                     let r = Input::Worker(call, WorkerReply::Failed);
                     self.replies.push((n, self.starts[n], r));
                 }
-                Output::Relay(call, ..) => {
-                    self.replies.push((n, self.starts[n], Input::RelayReply(call, None)));
+                Output::Forward(call, ..) => {
+                    self.replies.push((n, self.starts[n], Input::ForwardReply(call, None)));
                 }
-                Output::RelayReply(..) => {}
+                Output::ForwardReply(..) => {}
             }
         }
     }
@@ -244,13 +245,13 @@
         // Every third waits for the one before it, which may wait itself.
         let n: usize = id[4..].parse().unwrap();
         let before = (n % 3 != 0).then(|| format!("req-{}", n - 1));
-        JobSpec { awaits: before.into_iter().collect(), ..spec(id) }
+        JobSpec { dependencies: before.into_iter().collect(), ..spec(id) }
     }
 
     /// A job and all that it waits for.
     pub fn chain(&self, id: &str) -> Vec<String> {
         let mut all = vec![id.to_string()];
-        while let Some(a) = self.spec(&all[all.len() - 1]).awaits.pop() {
+        while let Some(a) = self.spec(&all[all.len() - 1]).dependencies.pop() {
             all.push(a);
         }
         all
@@ -345,7 +346,7 @@
                 0 => Request::Submit(protocol::encode(&self.spec(id))),
                 1 => self.odd(id),
                 2 if cancels => Request::Cancel(id.to_string()),
-                _ => Request::Poll(id.to_string()),
+                _ => Request::QueryStatus(id.to_string()),
             };
             self.ask(n, id, r);
         }
@@ -359,9 +360,9 @@
             0 => JobSpec { cores: f64::NAN, ..s },
             1 => JobSpec { tasks: 0, ..s },
             2 => JobSpec { team: "nobody".into(), ..s },
-            3 => JobSpec { types: Some(vec!["gone".into()]), ..s },
-            4 => JobSpec { awaits: vec![id.to_string()], ..s },
-            _ => JobSpec { awaits: vec!["req-77777".into()], ..s },
+            3 => JobSpec { machine_types: Some(vec!["gone".into()]), ..s },
+            4 => JobSpec { dependencies: vec![id.to_string()], ..s },
+            _ => JobSpec { dependencies: vec!["req-77777".into()], ..s },
         };
         Request::Submit(protocol::encode(&odd))
     }
@@ -373,27 +374,31 @@
         let mark = self.stored_at(mark_key(id));
         let conditions =
             vec![holds(job_key(id), version), holds(mark_key(id), mark.as_ref().map_or(0, |m| m.1))];
-        let before = j.awaits().first().map(|a| self.status_of(a));
+        let before = j.dependencies().first().map(|a| self.status_of(a));
         let mut changes = Vec::new();
         if j.status.is_final() {
-            let over = TerminalRecord { status: j.status, done: j.done, at: j.at };
-            changes = vec![Mutation::Delete { key: job_key(id) }, put(over_key(id), Value::Over(over))];
+            let over =
+                TerminalRecord { status: j.status, done: j.done, submitted_wall_s: j.submitted_wall_s };
+            changes = vec![Mutation::Delete { key: job_key(id) }, put(over_key(id), Value::Terminal(over))];
             self.met.moved += 1;
         } else if mark.is_some() || before == Some(JobStatus::Cancelled) {
             // It may be stored late.
             if self.rng.gen_bool(0.7) {
                 return;
             }
-            let record = JobRecord { status: JobStatus::Cancelled, page: PageRecord::default(), ..*j };
+            let record = JobRecord { status: JobStatus::Cancelled, first_page: PageRecord::default(), ..*j };
             changes.push(put(job_key(id), Value::Job(Box::new(record))));
             changes.extend(mark.map(|_| Mutation::Delete { key: mark_key(id) }));
         } else if before.is_none_or(|s| s == JobStatus::Done) {
             let freed_at = before.map(|_| 1e9 + self.now);
-            let record = self.gone_on(JobRecord { freed_at, ..*j });
+            let record = self.gone_on(JobRecord { ready_wall_s: freed_at, ..*j });
             changes.push(put(job_key(id), Value::Job(Box::new(record))));
         }
         if !changes.is_empty() {
-            self.store.execute(self.now, &StoreRequest::Commit(Transaction { conditions, changes }));
+            self.store.execute(
+                self.now,
+                &StoreRequest::Commit(Transaction { compares: conditions, mutations: changes }),
+            );
         }
     }
 
@@ -401,7 +406,7 @@
     fn status_of(&mut self, id: &str) -> JobStatus {
         match self.stored(job_key(id)).or_else(|| self.stored(over_key(id))) {
             Some(Value::Job(j)) => j.status,
-            Some(Value::Over(o)) => o.status,
+            Some(Value::Terminal(o)) => o.status,
             _ => JobStatus::Pending,
         }
     }
@@ -409,7 +414,7 @@
     /// A job's record when it runs, or is done.
     fn gone_on(&mut self, record: JobRecord) -> JobRecord {
         match self.rng.gen_range(0..5) {
-            0 => JobRecord { status: JobStatus::Done, done: 3, page: PageRecord::default(), ..record },
+            0 => JobRecord { status: JobStatus::Done, done: 3, first_page: PageRecord::default(), ..record },
             running => self.padded(JobRecord { status: JobStatus::Running, running, ..record }),
         }
     }
@@ -440,11 +445,11 @@
     pub fn serve(&mut self) {
         let (n, start, call, op) = self.calls.remove(self.rng.gen_range(0..self.calls.len()));
         let trouble = self.course.trouble;
-        let is_commit = matches!(&op, StoreRequest::Commit(t) if !t.changes.is_empty());
+        let is_commit = matches!(&op, StoreRequest::Commit(t) if !t.mutations.is_empty());
         if let (StoreRequest::Commit(t), true) = (&op, is_commit) {
             let marked =
                 |c: &Mutation<Value>| matches!(c, Mutation::Put { key, .. } if key.starts_with(MARK_PREFIX));
-            self.met.marks += u64::from(t.changes.iter().any(marked));
+            self.met.marks += u64::from(t.mutations.iter().any(marked));
         }
         if trouble && self.rng.gen_bool(0.06) {
             let reply = match self.rng.gen_range(0..3) {
@@ -460,14 +465,14 @@
                     StoreReply::Unknown
                 }
             };
-            return self.replies.push((n, start, Input::State(call, reply)));
+            return self.replies.push((n, start, Input::Store(call, reply)));
         }
         if trouble && matches!(op, StoreRequest::Watch { .. }) && self.rng.gen_bool(0.08) {
             self.met.gone += 1;
-            return self.replies.push((n, start, Input::State(call, StoreReply::Gone)));
+            return self.replies.push((n, start, Input::Store(call, StoreReply::Gone)));
         }
         let r = self.store.execute(self.now, &op).unwrap_or_else(|| self.store.quiet());
-        self.replies.push((n, start, Input::State(call, r)));
+        self.replies.push((n, start, Input::Store(call, r)));
     }
 
     pub fn step(&mut self) {
@@ -485,7 +490,7 @@
             2 if self.submitted.contains(&id) && self.rng.gen_bool(self.course.cancels) => {
                 self.ask(n, &id, Request::Cancel(id.clone()));
             }
-            3..=5 => self.ask(n, &id, Request::Poll(id.clone())),
+            3..=5 => self.ask(n, &id, Request::QueryStatus(id.clone())),
             6 if self.submitted.contains(&id) => {
                 let r = self.odd(&id);
                 self.ask(n, &id, r);
@@ -521,8 +526,8 @@
 /// Whether `op` is a leader's write of job `id`.
 pub fn writes(op: &StoreRequest, id: &str) -> bool {
     let StoreRequest::Commit(t) = op else { return false };
-    let led = t.conditions.iter().any(|c| c.key == LEADER_KEY);
-    led && t.conditions.iter().any(|c| c.key == job_key(id))
+    let led = t.compares.iter().any(|c| c.key == LEADER_KEY);
+    led && t.compares.iter().any(|c| c.key == job_key(id))
 }
 
 impl World {
@@ -536,7 +541,7 @@
             self.calls = held;
             for (n, _, call, op) in due {
                 let r = self.store.execute(self.now, &op).unwrap_or_else(|| self.store.quiet());
-                self.feed(n, Input::State(call, r));
+                self.feed(n, Input::Store(call, r));
             }
             (0..self.cores.len()).for_each(|n| self.feed(n, Input::Tick));
         }
@@ -544,7 +549,7 @@
 
     /// The node that leads and has read all records.
     pub fn leader(&self) -> Option<usize> {
-        self.cores.iter().position(Controller::has_loaded)
+        self.cores.iter().position(Controller::has_recovered)
     }
 
     pub fn stored(&mut self, key: String) -> Option<Value> {
@@ -567,10 +572,10 @@
     let names = (0..60).map(|n| format!("{}{n}", "type-with-a-long-name-".repeat(4)));
     let types = Some(names.chain(["big".to_string()]).collect());
     let many = JobRecord::new(JobSpec { tasks: 100, ..small.clone() }, 1e9, 63 * 1024);
-    let long = JobRecord::new(JobSpec { types, ..small }, 1e9, TIGHT);
+    let long = JobRecord::new(JobSpec { machine_types: types, ..small }, 1e9, TIGHT);
     [many, long].map(|mut r| {
         let place = |task| StoredPlacement { task, attempt: 1, machine: "vm-000001".into() };
-        r.page.places = (0..r.spec.tasks).map(place).collect();
+        r.first_page.placements = (0..r.spec.tasks).map(place).collect();
         r
     })
 }
--- a/crates/simulation/tests/at_limits.rs
+++ b/crates/simulation/tests/at_limits.rs
@@ -94,7 +94,7 @@
 /// What is saving when its job is cancelled is ended at once, however long it would take.
 #[test]
 fn a_task_that_saves_ends_when_its_job_is_cancelled() {
-    let long = JobSpec { shape: Shape::Gang, checkpoint_s: 10.0, save_s: 60.0, ..one("req-1") };
+    let long = JobSpec { shape: Shape::Gang, checkpoint_interval_s: 10.0, save_s: 60.0, ..one("req-1") };
     let (mut w, mut hand) = busy(&[long]);
     hand.report.notice_s = Some(200.0);
     let told = w.deliver(&hand.next());
@@ -120,10 +120,10 @@
     let (mut w, mut hand) = busy(&[one("req-1")]);
     w.submit(&one("req-2"));
     w.run(1.0);
-    assert_eq!(w.core.places(), 2);
+    assert_eq!(w.core.placement_count(), 2);
     w.reads_left = Some(1);
     w.cancel("req-2");
-    assert_eq!((w.core.places(), w.reads_left), (2, Some(0)));
+    assert_eq!((w.core.placement_count(), w.reads_left), (2, Some(0)));
     let told = w.turn(&mut hand);
     assert!(!launches(&told, "req-2"), "{told:?}");
 }
@@ -134,7 +134,7 @@
 fn a_cancellation_beside_a_write_on_its_way_stops_at_once() {
     let (mut w, mut hand) = busy(&[JobSpec { tasks: 2, ..one("req-1") }]);
     let first = &mut hand.report.tasks[0];
-    (first.state, first.cause) = (TaskState::Exited, Some(ExitCause::Done));
+    (first.state, first.exit_cause) = (TaskState::Exited, Some(ExitCause::Done));
     w.writes_held = true;
     w.deliver(&hand.next());
     w.run(2.0);
@@ -145,7 +145,7 @@
     let Value::Job(record) = item.value else { panic!() };
     let cancelled = Box::new(JobRecord { status: JobStatus::Cancelled, ..*record });
     let change = Mutation::Put { key, value: Value::Job(cancelled), lease: None };
-    let txn = Transaction { conditions: Vec::new(), changes: vec![change] };
+    let txn = Transaction { compares: Vec::new(), mutations: vec![change] };
     w.store.execute(w.now, &StoreRequest::Commit(txn));
     w.direct.clear();
     w.run(0.3);
@@ -211,10 +211,10 @@
     w.cancel("req-2");
     let copy = hand.next();
     let mut w = w.next_leader();
-    assert!(w.told(&hand).iter().all(|(.., d)| d.session != 1), "{:?}", w.told(&hand));
+    assert!(w.told(&hand).iter().all(|(.., d)| d.epoch != 1), "{:?}", w.told(&hand));
     w.deliver(&copy);
     w.run(0.2);
-    assert!(w.told(&hand).iter().any(|(.., d)| d.session == 1), "{:?}", w.told(&hand));
+    assert!(w.told(&hand).iter().any(|(.., d)| d.epoch == 1), "{:?}", w.told(&hand));
 }
 
 /// The same where its worker reported to this node before it led, and no more.
@@ -227,9 +227,9 @@
     let early = w.deliver(&hand.next());
     // Nobody leads yet, and its worker is sent on.
     assert!(w.run_until(4.0, |w| w.answers.contains_key(&early)) && !w.core.is_leader());
-    assert!(w.run_until(10.0, |w| w.core.has_loaded()));
+    assert!(w.run_until(10.0, |w| w.core.has_recovered()));
     w.run(0.2);
-    assert!(w.told(&hand).iter().any(|(.., d)| d.session == 1), "{:?}", w.told(&hand));
+    assert!(w.told(&hand).iter().any(|(.., d)| d.epoch == 1), "{:?}", w.told(&hand));
 }
 
 /// A machine that answers direct commands but whose reports arrive nowhere gets no work: no
@@ -252,10 +252,10 @@
         w.turn(&mut well);
         w.run(3.0);
     }
-    assert!(w.now - mute_since > derived().silent_s);
+    assert!(w.now - mute_since > derived().failure_suspicion_s);
     let usable: Vec<&str> = w.core.usable_machines().collect();
     assert!(!usable.contains(&"vm-1"), "{usable:?}");
-    assert!(w.core.given_up().any(|m| m == "vm-1"));
+    assert!(w.core.machines_given_up().any(|m| m == "vm-1"));
 }
 
 /// A leader that reads a job of eight tasks, four on each of two machines, whose second page it
@@ -263,18 +263,24 @@
 fn half_read() -> (ByHand, [Hand; 3]) {
     let spec = JobSpec { team: "dispatch".into(), tasks: 8, accelerators: 1.0, ..one("req-1") };
     let place = |task| StoredPlacement { task, attempt: 1, machine: "vm-1".into() };
-    let page = PageRecord { places: (0..4).map(place).collect(), ..PageRecord::default() };
-    let record = JobRecord { per_page: 4, attempt: 1, page, ..JobRecord::new(spec, 1e9, 30_000) };
+    let page = PageRecord { placements: (0..4).map(place).collect(), ..PageRecord::default() };
+    let record = JobRecord { per_page: 4, attempt: 1, first_page: page, ..JobRecord::new(spec, 1e9, 30_000) };
     let items = [
         (job_key("req-1"), Value::Job(Box::new(record))),
-        (page_key("req-1", 1, 0), Value::Unread),
+        (page_key("req-1", 1, 0), Value::Undecodable),
         (FORMAT_KEY.to_string(), Value::Format(FORMAT)),
     ];
     let mut w = ByHand::leading(Store::holding(items), &["vm-1", "vm-2", "vm-3"], 100.0);
     let mut hands = ["vm-1", "vm-2", "vm-3"].map(Hand::new);
     for (hand, tasks) in hands.iter_mut().zip([0..4, 4..8, 0..0]) {
         let (state, cause, saved) = (TaskState::Running, None, None);
-        let runs = |n| TaskStatus { task: task_name("req-1", n), attempt: 1, state, cause, saved };
+        let runs = |n| TaskStatus {
+            task: task_name("req-1", n),
+            attempt: 1,
+            state,
+            exit_cause: cause,
+            checkpointed: saved,
+        };
         hand.report.tasks = tasks.map(runs).collect();
         w.turn(hand);
     }
@@ -296,7 +302,7 @@
     };
     assert!(!turns(&mut w, &mut hands, 90.0), "over the limit: {:?}", hands[2].report.tasks);
     let ended = hands[1].report.tasks.iter_mut().take(2);
-    ended.for_each(|t| (t.state, t.cause) = (TaskState::Exited, Some(ExitCause::Stopped)));
+    ended.for_each(|t| (t.state, t.exit_cause) = (TaskState::Exited, Some(ExitCause::Stopped)));
     assert!(turns(&mut w, &mut hands, 30.0), "room is kept for ever");
 }
 
@@ -319,7 +325,7 @@
     w.store.damage(&job_key("req-1"));
     // The leader has something to write of it.
     let first = &mut hand.report.tasks[0];
-    (first.state, first.cause) = (TaskState::Exited, Some(ExitCause::Stopped));
+    (first.state, first.exit_cause) = (TaskState::Exited, Some(ExitCause::Stopped));
     w.turn(&mut hand);
     w.submit(&one("req-3"));
     w.settle(&mut hand, &["req-2", "req-3"]);
@@ -333,7 +339,7 @@
         team: ["dispatch", "clinics", "fleet"][n % 3].into(),
         tasks: 1 + (n as u32 / 3) % 3,
         accelerators: 1.0,
-        estimate_s: 60.0 + (n % 5) as f64 * 20.0,
+        estimated_run_s: 60.0 + (n % 5) as f64 * 20.0,
         ..long_array()
     };
     let jobs = (0..36).map(|n| (1.0 + n as f64 * 0.2, job(n), None)).collect();
--- a/crates/simulation/tests/common/by_hand.rs
+++ b/crates/simulation/tests/common/by_hand.rs
@@ -45,9 +45,9 @@
             machine_type: "big".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
-            seq: 0,
-            token: 0,
+            epoch: 1,
+            sequence: 0,
+            fencing_token: 0,
             notice_s: None,
             tasks: Vec::new(),
         };
@@ -56,13 +56,13 @@
 
     /// Its next report, or its next answer to a direct command.
     pub fn next(&mut self) -> Heartbeat {
-        self.report.seq += 1;
+        self.report.sequence += 1;
         self.report.clone()
     }
 
     /// Carries out what it is told; launched tasks run at once.
     pub fn obey(&mut self, answer: &HeartbeatResponse) {
-        self.report.token = self.report.token.max(answer.token);
+        self.report.fencing_token = self.report.fencing_token.max(answer.fencing_token);
         self.carry_out(&answer.commands);
     }
 
@@ -70,16 +70,16 @@
         for c in commands {
             let tasks = &mut self.report.tasks;
             let known = tasks.iter_mut().find(|t| t.task == c.task && t.attempt == c.attempt);
-            match (c.op, known) {
+            match (c.kind, known) {
                 (CommandKind::Start, None) => tasks.push(TaskStatus {
                     task: c.task.clone(),
                     attempt: c.attempt,
                     state: TaskState::Running,
-                    cause: None,
-                    saved: None,
+                    exit_cause: None,
+                    checkpointed: None,
                 }),
                 (CommandKind::Stop, Some(t)) if t.state != TaskState::Exited => {
-                    (t.state, t.cause) = (TaskState::Exited, Some(ExitCause::Stopped));
+                    (t.state, t.exit_cause) = (TaskState::Exited, Some(ExitCause::Stopped));
                 }
                 (CommandKind::Forget, Some(_)) => tasks.retain(|t| t.task != c.task),
                 _ => {}
@@ -100,14 +100,15 @@
 
 /// What of `commands` is to stop a task of `job`.
 pub fn stops<'a>(commands: &'a [Command], job: &'a str) -> impl Iterator<Item = &'a Command> {
-    let of =
-        move |c: &&Command| c.op == CommandKind::Stop && split_task(&c.task).is_some_and(|(id, _)| id == job);
+    let of = move |c: &&Command| {
+        c.kind == CommandKind::Stop && split_task(&c.task).is_some_and(|(id, _)| id == job)
+    };
     commands.iter().filter(of)
 }
 
 /// Whether `commands` launch a task of `job`.
 pub fn launches(commands: &[Command], job: &str) -> bool {
-    let starts = commands.iter().filter(|c| c.op == CommandKind::Start);
+    let starts = commands.iter().filter(|c| c.kind == CommandKind::Start);
     starts.filter_map(|c| split_task(&c.task)).any(|(id, _)| id == job)
 }
 
@@ -115,7 +116,7 @@
     /// It leads and has read what `store` holds; the cloud lists `listed`.
     pub fn leading(store: Store, listed: &[&str], now: f64) -> Self {
         let mut w = ByHand::starting(store, listed, now);
-        w.run_until(20.0, |w| w.core.has_loaded());
+        w.run_until(20.0, |w| w.core.has_recovered());
         w.run(1.0);
         w
     }
@@ -192,7 +193,7 @@
     pub fn feed(&mut self, input: Input) {
         for o in self.core.handle(self.now, 1e9 + self.now, input) {
             match o {
-                Output::Answer(id, answer) => {
+                Output::Response(id, answer) => {
                     self.answers.insert(id, answer);
                 }
                 Output::Worker(call, addr, body) => self.direct.push((self.now, call, addr, body)),
@@ -200,27 +201,27 @@
                     let reply = self.cloud(&op);
                     self.feed(Input::Cloud(call, reply));
                 }
-                Output::State(call, op) => self.state(call, op),
-                Output::Relay(..) | Output::RelayReply(..) => {}
+                Output::Store(call, op) => self.state(call, op),
+                Output::Forward(..) | Output::ForwardReply(..) => {}
             }
         }
     }
 
     fn state(&mut self, call: CallId, op: StoreRequest) {
         if self.lists_down && matches!(op, StoreRequest::List { .. }) {
-            return self.feed(Input::State(call, StoreReply::Refused));
+            return self.feed(Input::Store(call, StoreReply::Refused));
         }
         if self.writes_held && matches!(op, StoreRequest::Commit(_)) {
             return;
         }
         if matches!(op, StoreRequest::Get(_)) {
             match &mut self.reads_left {
-                Some(0) => return self.feed(Input::State(call, StoreReply::Refused)),
+                Some(0) => return self.feed(Input::Store(call, StoreReply::Refused)),
                 left => *left = left.map(|n| n - 1),
             }
         }
         match (self.store.execute(self.now, &op), &op) {
-            (Some(reply), _) => self.feed(Input::State(call, reply)),
+            (Some(reply), _) => self.feed(Input::Store(call, reply)),
             (None, StoreRequest::Watch { wait_ms, .. }) => {
                 self.watches.push((self.now + *wait_ms as f64 / 1000.0, call, op));
             }
@@ -242,7 +243,7 @@
             for (until, call, op) in std::mem::take(&mut self.watches) {
                 let quiet = (self.now >= until).then(|| self.store.quiet());
                 match self.store.execute(self.now, &op).or(quiet) {
-                    Some(reply) => self.feed(Input::State(call, reply)),
+                    Some(reply) => self.feed(Input::Store(call, reply)),
                     None => self.watches.push((until, call, op)),
                 }
             }
@@ -273,7 +274,7 @@
     }
 
     pub fn deliver(&mut self, report: &Heartbeat) -> RequestId {
-        self.ask(Request::Report(protocol::encode(report)))
+        self.ask(Request::Heartbeat(protocol::encode(report)))
     }
 
     /// The 200 that a report was answered with by now.
@@ -309,12 +310,12 @@
 
     /// `hand` takes a direct command and answers it.
     pub fn take_direct(&mut self, hand: &mut Hand, call: CallId, body: &DirectCommands) {
-        let executed = body.token >= hand.report.token && body.session == hand.report.session;
-        hand.report.token = hand.report.token.max(body.token);
+        let executed = body.fencing_token >= hand.report.fencing_token && body.epoch == hand.report.epoch;
+        hand.report.fencing_token = hand.report.fencing_token.max(body.fencing_token);
         if executed {
             hand.carry_out(&body.commands);
         }
         let report = Box::new(hand.next());
-        self.feed(Input::Worker(call, WorkerReply::Report { executed, report }));
+        self.feed(Input::Worker(call, WorkerReply::Heartbeat { executed, report }));
     }
 }
--- a/crates/simulation/tests/common/mod.rs
+++ b/crates/simulation/tests/common/mod.rs
@@ -48,16 +48,16 @@
         memory_gb: 8.0,
         image: format!("img-{}", rng.gen_range(0..3)),
         image_gb: 2.0,
-        types: None,
+        machine_types: None,
         zone: rng.gen_bool(0.2).then(|| "a".into()),
         one_zone: rng.gen_bool(0.3),
         spread: rng.gen_bool(0.2),
         spot: rng.gen_bool(0.5),
-        estimate_s: if shape == Shape::Service { 0.0 } else { rng.gen_range(5.0..30.0) },
-        checkpoint_s: 0.0,
+        estimated_run_s: if shape == Shape::Service { 0.0 } else { rng.gen_range(5.0..30.0) },
+        checkpoint_interval_s: 0.0,
         save_s: 0.0,
-        due_s: None,
-        awaits: Vec::new(),
+        deadline_s: None,
+        dependencies: Vec::new(),
     }
 }
 
@@ -113,16 +113,16 @@
         memory_gb: 1.0,
         image: "img-1".into(),
         image_gb: 1.0,
-        types: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         spread: false,
         spot: false,
-        estimate_s: 10.0,
-        checkpoint_s: 0.0,
+        estimated_run_s: 10.0,
+        checkpoint_interval_s: 0.0,
         save_s: 0.0,
-        due_s: None,
-        awaits: Vec::new(),
+        deadline_s: None,
+        dependencies: Vec::new(),
     }
 }
 
@@ -139,7 +139,7 @@
         one_zone: false,
         spread: false,
         spot: false,
-        estimate_s: 2000.0,
+        estimated_run_s: 2000.0,
         ..job(&mut SmallRng::seed_from_u64(1), 0)
     }
 }
@@ -227,8 +227,8 @@
         let awaits: BTreeSet<String> = (0..most)
             .map(|_| earlier[earlier.len() - 1 - rng.gen_range(0..earlier.len().min(6))].clone())
             .collect();
-        spec.awaits = awaits.into_iter().collect();
-        spec.estimate_s = spec.estimate_s.min(12.0);
+        spec.dependencies = awaits.into_iter().collect();
+        spec.estimated_run_s = spec.estimated_run_s.min(12.0);
         if rng.gen_bool(0.6) {
             *cancel = None;
         }
--- a/crates/simulation/tests/day_end.rs
+++ b/crates/simulation/tests/day_end.rs
@@ -22,7 +22,7 @@
 /// seed in ten: which ones moves with every change of timing.)
 #[test]
 fn without_a_look_at_its_sessions_work_stays_on_a_deaf_machine() {
-    let guards = SafetyChecks { ears: false, ..SafetyChecks::default() };
+    let guards = SafetyChecks { one_way_partitions: false, ..SafetyChecks::default() };
     assert!((0..72).any(|seed| !left_by_the_deaf(seed, guards).is_empty()));
 }
 
@@ -33,13 +33,13 @@
         0 => Fault::DeafZone { zone: "a", for_s },
         n => Fault::Deaf { nth: n as usize, for_s },
     };
-    let array = JobSpec { tasks: 24, estimate_s: 15.0, ..long_array() };
+    let array = JobSpec { tasks: 24, estimated_run_s: 15.0, ..long_array() };
     let gang = |id: &str| JobSpec {
         id: id.into(),
         shape: Shape::Gang,
         tasks: 4,
         accelerators: 4.0,
-        estimate_s: 15.0,
+        estimated_run_s: 15.0,
         priority: Priority::High,
         ..long_array()
     };
@@ -51,7 +51,7 @@
     unlimited(&mut s);
     // Reports so far apart that a try of another node in between is no silence.
     let w = &mut s.settings.params.workers;
-    (w.report_s, w.lease_s, w.cancel_s) = (6.0, 31.0, 51.0);
+    (w.heartbeat_interval_s, w.lease_s, w.cancel_s) = (6.0, 31.0, 51.0);
     let lease_s = w.lease_s;
     s.jobs = vec![(1.0, array, None), (44.0, gang("req-2"), None), (70.0, gang("req-3"), None)];
     let mut sim = Simulation::new(Setup { capacity: 6, guards, ..s });
@@ -89,11 +89,11 @@
         assert_eq!(sim.run(40.0), []);
         assert!((0..3).all(|n| sim.healthy(n)), "{node}");
         sim.strike(Fault::Alone { node, for_s: 60.0 });
-        assert_eq!(sim.run(40.0 + 3.0 * d.leader_ttl_s), []);
+        assert_eq!(sim.run(40.0 + 3.0 * d.leader_lease_s), []);
         for n in 0..3 {
             assert_eq!(sim.healthy(n), n != node, "{n} of {node}");
         }
-        assert_eq!(sim.run(40.0 + 60.0 + 3.0 * d.leader_ttl_s), []);
+        assert_eq!(sim.run(40.0 + 60.0 + 3.0 * d.leader_lease_s), []);
         assert!((0..3).all(|n| sim.healthy(n)), "{node}");
     }
 }
@@ -143,21 +143,21 @@
         s.jobs = (0..180)
             .map(|n| {
                 let spec = whole(format!("req-{}", 1000 + n), 1, Priority::High);
-                (2.0 + n as f64 * 2.0, JobSpec { estimate_s: 40.0, ..spec }, None)
+                (2.0 + n as f64 * 2.0, JobSpec { estimated_run_s: 40.0, ..spec }, None)
             })
             .collect();
         s.jobs.extend((0..180).map(|n| {
             let spec = JobSpec { id: format!("req-{}", 2000 + n), tasks: 6, ..plain.clone() };
-            (2.5 + n as f64 * 2.0, JobSpec { estimate_s: 8.0, ..spec }, None)
+            (2.5 + n as f64 * 2.0, JobSpec { estimated_run_s: 8.0, ..spec }, None)
         }));
         let gang = whole("req-1".into(), 10, Priority::Normal);
-        let gang = JobSpec { one_zone: true, estimate_s: 30.0, class: "large".into(), ..gang };
+        let gang = JobSpec { one_zone: true, estimated_run_s: 30.0, class: "large".into(), ..gang };
         let array = JobSpec {
             id: "req-2".into(),
             priority: Priority::Low,
             tasks: 3000,
-            estimate_s: 5.0,
-            due_s: Some(400.0),
+            estimated_run_s: 5.0,
+            deadline_s: Some(400.0),
             ..plain.clone()
         };
         s.jobs.extend([(60.0, gang, None), (61.0, array, None)]);
--- a/crates/simulation/tests/digests.rs
+++ b/crates/simulation/tests/digests.rs
@@ -103,12 +103,13 @@
     for (_, spec, _) in s.jobs.iter_mut() {
         spec.priority =
             [Priority::Low, Priority::Normal, Priority::High, Priority::Production][rng.gen_range(0..4)];
-        spec.due_s = rng.gen_bool(0.4).then(|| rng.gen_range(20.0..200.0));
+        spec.deadline_s = rng.gen_bool(0.4).then(|| rng.gen_range(20.0..200.0));
         if rng.gen_bool(0.5) {
-            (spec.checkpoint_s, spec.save_s) = (rng.gen_range(2.0..15.0), rng.gen_range(0.5..4.0));
+            (spec.checkpoint_interval_s, spec.save_s) = (rng.gen_range(2.0..15.0), rng.gen_range(0.5..4.0));
         }
         if rng.gen_bool(0.3) {
-            spec.types = Some(vec![["big", "small", "fast"][rng.gen_range(0..3)].into(), "big".into()]);
+            spec.machine_types =
+                Some(vec![["big", "small", "fast"][rng.gen_range(0..3)].into(), "big".into()]);
         }
     }
     Setup { capacity: 5, ..s }
@@ -118,7 +119,7 @@
 fn at_limits(seed: u64) -> Setup {
     let mut s = setup(seed, troubles(seed));
     unlimited(&mut s);
-    s.settings.params.state.next = Some(settings::NextLimits {
+    s.settings.params.store.next = Some(settings::NextLimits {
         value_kb: Some(2.0),
         txn_ops: Some(8),
         ..settings::NextLimits::default()
--- a/crates/simulation/tests/explored.rs
+++ b/crates/simulation/tests/explored.rs
@@ -14,7 +14,7 @@
     for seed in 0..6 {
         let mut s = setup(seed, vec![]);
         unlimited(&mut s);
-        let idle = JobSpec { priority: Priority::Low, tasks: 2, estimate_s: 110.0, ..long_array() };
+        let idle = JobSpec { priority: Priority::Low, tasks: 2, estimated_run_s: 110.0, ..long_array() };
         s.jobs = vec![(1.0, idle, None)];
         let mut sim = Simulation::new(Setup { capacity: 2, loss: 0.0, ..s });
         assert_eq!(sim.run(70.0), [], "seed {seed}");
--- a/crates/simulation/tests/floors.rs
+++ b/crates/simulation/tests/floors.rs
@@ -8,7 +8,7 @@
 
 fn spec(id: String, class: &str, team: &str, shape: Shape, priority: Priority, tasks: u32) -> JobSpec {
     let (class, team) = (class.into(), team.into());
-    JobSpec { id, class, team, shape, priority, tasks, estimate_s: 30.0, ..long_array() }
+    JobSpec { id, class, team, shape, priority, tasks, estimated_run_s: 30.0, ..long_array() }
 }
 
 fn day(seed: u64, jobs: Vec<(f64, JobSpec, Option<f64>)>, capacity: usize) -> Simulation {
--- a/crates/simulation/tests/gateways.rs
+++ b/crates/simulation/tests/gateways.rs
@@ -102,14 +102,14 @@
 /// those of machines that were given up.
 #[test]
 fn without_the_leave_a_rule_breaks() {
-    let gateway = ProxySafetyChecks { leave: false, ..ProxySafetyChecks::default() };
-    assert!(caught(&ANY, SafetyChecks { gateway, ..SafetyChecks::default() }, cut_zones));
+    let gateway = ProxySafetyChecks { lease_expiry: false, ..ProxySafetyChecks::default() };
+    assert!(caught(&ANY, SafetyChecks { proxy: gateway, ..SafetyChecks::default() }, cut_zones));
 }
 
 /// What a gateway answered before it was lost is not known to the leader.
 #[test]
 fn without_the_wait_for_a_lost_gateway_a_task_runs_twice() {
-    let guards = SafetyChecks { relay_wait: false, ..SafetyChecks::default() };
+    let guards = SafetyChecks { wait_for_lost_proxies: false, ..SafetyChecks::default() };
     let long_leave = |seed| {
         // Most seeds find no free machine within the few seconds that are missing.
         let mut s = cut_zones(200 + seed);
@@ -124,7 +124,7 @@
 /// gone that run.
 #[test]
 fn without_the_order_of_reports_a_rule_breaks() {
-    let guards = SafetyChecks { order: false, ..SafetyChecks::default() };
+    let guards = SafetyChecks { heartbeat_order: false, ..SafetyChecks::default() };
     let wandering = |seed: u64| {
         let cut = |i: u64| Fault::PeersCut { node: ((seed + i) % 3) as usize, for_s: 8.0 };
         let cuts = (0..10).map(|i| (20.0 + 13.0 * i as f64, cut(i)));
@@ -178,7 +178,7 @@
         let (relays, relayed) = ((sim.relays - before.1) as f64, (sim.relayed - before.2) as f64);
         let bytes = (sim.relay_bytes - before.3) as f64;
         // Two of three nodes pass theirs on, each at most every relay's hold.
-        let most = 2.0 * 100.0 / (settings().params.workers.report_s / 60.0);
+        let most = 2.0 * 100.0 / (settings().params.workers.heartbeat_interval_s / 60.0);
         assert!(relays <= most, "{relays} relays for {reports} reports, {most} at most");
         assert!(relayed <= reports * 0.75, "{relayed} of {reports} reports passed on");
         let each = (bytes - relays * 60.0) / relayed;
@@ -208,7 +208,7 @@
 /// No machine is rented that the nodes could not take.
 #[test]
 fn rentals_stop_at_the_nodes_room() {
-    let spec = JobSpec { tasks: 400, estimate_s: 100.0, ..long_array() };
+    let spec = JobSpec { tasks: 400, estimated_run_s: 100.0, ..long_array() };
     let mut s = setup(33, vec![]);
     unlimited(&mut s);
     // Seven tenths of 20 sockets at each of three nodes: 42 workers.
@@ -228,8 +228,8 @@
     let mut s = setup(34, vec![]);
     unlimited(&mut s);
     s.settings.params.resources.max_connections = 40;
-    let most = settings::Timing::from(&s.settings).worker_most as usize;
-    let spec = JobSpec { tasks: 400, estimate_s: 100.0, ..long_array() };
+    let most = settings::Timing::from(&s.settings).max_workers as usize;
+    let spec = JobSpec { tasks: 400, estimated_run_s: 100.0, ..long_array() };
     let mut sim = Simulation::new(Setup { jobs: vec![(1.0, spec, None)], capacity: 60, loss: 0.0, ..s });
     assert_eq!(sim.run(100.0), []);
     assert!(sim.machines() > most + 20, "{}", sim.machines());
--- a/crates/simulation/tests/hand_over.rs
+++ b/crates/simulation/tests/hand_over.rs
@@ -60,7 +60,7 @@
     w.cancel("req-1");
     w.run(0.2);
     let (_, call, body) = w.told(&hand)[0].clone();
-    hand.report.token += 100;
+    hand.report.fencing_token += 100;
     let before = w.core.token();
     w.take_direct(&mut hand, call, &body);
     assert_ne!(w.core.token(), before);
@@ -82,7 +82,7 @@
         cores: 1.0,
         accelerators: 0.25,
         memory_gb: 2.0,
-        estimate_s: if long { 900.0 } else { 70.0 },
+        estimated_run_s: if long { 900.0 } else { 70.0 },
         ..long_array()
     };
     s.jobs = (0..48)
--- a/crates/simulation/tests/left_lying.rs
+++ b/crates/simulation/tests/left_lying.rs
@@ -10,7 +10,7 @@
 
 /// An array of `tasks` that take `accelerators` each, for `estimate_s`.
 fn array(n: usize, tasks: u32, accelerators: f64, estimate_s: f64) -> JobSpec {
-    JobSpec { id: format!("req-{n}"), tasks, accelerators, estimate_s, ..long_array() }
+    JobSpec { id: format!("req-{n}"), tasks, accelerators, estimated_run_s: estimate_s, ..long_array() }
 }
 
 fn service(n: usize) -> JobSpec {
@@ -57,7 +57,8 @@
         let (rented, deleted) = after_an_outage(seed, SafetyChecks::default());
         assert!(rented <= 2 && deleted == 0, "seed {seed}: {rented} rented, {deleted} given back");
     }
-    let (rented, deleted) = after_an_outage(0, SafetyChecks { asleep: false, ..SafetyChecks::default() });
+    let (rented, deleted) =
+        after_an_outage(0, SafetyChecks { retain_silent_machines: false, ..SafetyChecks::default() });
     assert!(rented > 2 && deleted >= 12, "{rented} rented, {deleted} given back");
 }
 
@@ -85,7 +86,7 @@
     for seed in 0..6 {
         assert_eq!(unheard_for_a_moment(seed, SafetyChecks::default()), 0, "seed {seed}");
     }
-    let off = SafetyChecks { asleep: false, ..SafetyChecks::default() };
+    let off = SafetyChecks { retain_silent_machines: false, ..SafetyChecks::default() };
     assert!((0..6).any(|seed| unheard_for_a_moment(seed, off) > 0));
 }
 
@@ -111,7 +112,7 @@
     for seed in 0..6 {
         assert_eq!(bound(seed, SafetyChecks::default()), Vec::<String>::new(), "seed {seed}");
     }
-    let off = SafetyChecks { bound: false, ..SafetyChecks::default() };
+    let off = SafetyChecks { zonal_scale_out: false, ..SafetyChecks::default() };
     assert!((0..6).any(|seed| !bound(seed, off).is_empty()));
 }
 
@@ -125,7 +126,7 @@
         for t in &mut s.settings.params.teams {
             t.accelerators_max = 8.0;
         }
-        let late = |n| JobSpec { due_s: Some(60.0), ..array(n, 1, 4.0, 30.0) };
+        let late = |n| JobSpec { deadline_s: Some(60.0), ..array(n, 1, 4.0, 30.0) };
         let jobs = (10..60).map(|n| (2.0 + n as f64 * 0.2, late(n), None)).collect();
         let mut sim = Simulation::new(Setup { jobs, capacity: 60, loss: 0.0, ..s });
         assert_eq!(sim.run(200.0), [], "seed {seed}");
@@ -136,7 +137,7 @@
 /// A gang needs room on all three machines, of which one is full for the whole day; work that takes
 /// longer than that comes, and work that does not.
 fn held_for_a_gang(seed: u64, guards: SafetyChecks) -> Vec<Rule> {
-    let gang = JobSpec { shape: Shape::Gang, due_s: Some(10.0), ..array(10, 3, 1.5, 30.0) };
+    let gang = JobSpec { shape: Shape::Gang, deadline_s: Some(10.0), ..array(10, 3, 1.5, 30.0) };
     let jobs = vec![
         (2.0, array(1, 1, 4.0, 3000.0), None),
         (2.0, array(2, 2, 2.5, 3000.0), None),
@@ -154,7 +155,7 @@
     for seed in 0..6 {
         assert_eq!(held_for_a_gang(seed, SafetyChecks::default()), [], "seed {seed}");
     }
-    let off = SafetyChecks { beside: false, ..SafetyChecks::default() };
+    let off = SafetyChecks { work_conservation: false, ..SafetyChecks::default() };
     assert!((0..6).any(|seed| held_for_a_gang(seed, off) == [Rule::LeftWaiting]));
 }
 
@@ -164,7 +165,7 @@
     let mut s = setup(seed, vec![]);
     unlimited(&mut s);
     s.types.push(protocol::cloud::MachineType { name: "dear".into(), price: 40.0, ..s.types[0].clone() });
-    let dear = JobSpec { types: Some(vec!["dear".into()]), ..array(1, 1, 1.0, 3000.0) };
+    let dear = JobSpec { machine_types: Some(vec!["dear".into()]), ..array(1, 1, 1.0, 3000.0) };
     let idle = JobSpec { priority: Priority::Low, class: "spare".into(), ..array(2, 3, 1.0, 30.0) };
     let jobs = vec![(2.0, dear, None), (60.0, idle, None)];
     let nodes = 3 + 2 * (seed % 2) as usize;
@@ -178,7 +179,7 @@
     for seed in 0..4 {
         assert_eq!(left_beside_a_dear_machine(seed, SafetyChecks::default()), [], "seed {seed}");
     }
-    let off = SafetyChecks { beside: false, ..SafetyChecks::default() };
+    let off = SafetyChecks { work_conservation: false, ..SafetyChecks::default() };
     assert_eq!(left_beside_a_dear_machine(0, off), [Rule::LeftWaiting]);
 }
 
@@ -214,7 +215,7 @@
     s.types.push(protocol::cloud::MachineType { name: "dear".into(), price: 12.0, ..s.types[0].clone() });
     for (at, spec, _) in &mut s.jobs {
         *at = at.min(100.0);
-        spec.types = types[rng.gen_range(0..3usize)].clone();
+        spec.machine_types = types[rng.gen_range(0..3usize)].clone();
         (spec.accelerators, spec.class) = ([0.5, 1.0, 2.0, 4.0][rng.gen_range(0..4usize)], "work".into());
         if spec.priority == Priority::Low {
             spec.class = "spare".into();
--- a/crates/simulation/tests/limits.rs
+++ b/crates/simulation/tests/limits.rs
@@ -13,7 +13,7 @@
     let mut s = setup(seed, faults);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x11417);
     unlimited(&mut s);
-    let state = &mut s.settings.params.state;
+    let state = &mut s.settings.params.store;
     (state.value_kb, state.txn_ops) = (kb, 24);
     state.next = Some(NextLimits {
         rps: None,
@@ -72,18 +72,18 @@
             id: format!("req-{n:08}"),
             shape: Shape::Array,
             tasks: 1,
-            types: None,
+            machine_types: None,
             zone: None,
             one_zone: false,
             spread: false,
-            estimate_s: 2.0,
+            estimated_run_s: 2.0,
             ..job(rng, n)
         };
         s.jobs = (0..300).map(|n| (4.0 + n as f64 * 0.05, small(n, rng), None)).collect();
         let awaits: Vec<String> = s.jobs.iter().map(|j| j.1.id.clone()).collect();
         let names = (0..60).map(|n| format!("{}{n}", "type-with-a-long-name-".repeat(4)));
         let types = Some(names.chain(["big".to_string()]).collect());
-        let last = JobSpec { awaits, types, ..small(400, rng) };
+        let last = JobSpec { dependencies: awaits, machine_types: types, ..small(400, rng) };
         let cancel = (seed % 3 == 2).then_some(40.0);
         s.jobs.push((6.0, last, cancel));
         if seed % 3 == 1 {
@@ -98,7 +98,7 @@
         assert_eq!(sim.store().count("j/"), 0, "seed {seed}");
         // A submission whose write got no answer began anew; the first parts go with the
         // first takeover that is late enough to know.
-        let late = derived().abandon_s + 60.0;
+        let late = derived().abandoned_submission_s + 60.0;
         assert_eq!(sim.run(late), [], "seed {seed}");
         (0..3).for_each(|node| sim.strike(Fault::Crash { node, for_s: 2.0 }));
         assert_eq!(sim.run(late + 60.0), [], "seed {seed}");
--- a/crates/simulation/tests/lost_answers.rs
+++ b/crates/simulation/tests/lost_answers.rs
@@ -81,11 +81,11 @@
 /// A job of an earlier version, whose record is larger than the coming limits allow.
 fn with_a_large_record() -> Stage {
     let mut settings = settings();
-    settings.params.state.value_kb = 8.0;
-    settings.params.state.next = Some(NextLimits { value_kb: Some(2.0), ..NextLimits::default() });
+    settings.params.store.value_kb = 8.0;
+    settings.params.store.next = Some(NextLimits { value_kb: Some(2.0), ..NextLimits::default() });
     let mut record = JobRecord { per_page: 200, ..JobRecord::new(spec("req-1", 200), 1e9, 8192) };
     let place = |task| StoredPlacement { task, attempt: 1, machine: "vm-of-a-long-name".into() };
-    record.page.places = (0..100).map(place).collect();
+    record.first_page.placements = (0..100).map(place).collect();
     let mut s = Stage::with(settings, [("j/req-1".into(), Value::Job(Box::new(record)))]);
     s.all_have_this_version();
     s
@@ -99,7 +99,7 @@
     s.run(0.5);
     let mut left = 1;
     s.fate = Box::new(move |op| {
-        let compares = matches!(op, StoreRequest::Commit(t) if t.changes.is_empty());
+        let compares = matches!(op, StoreRequest::Commit(t) if t.mutations.is_empty());
         if compares && left > 0 {
             left -= 1;
             return JobOutcome::Lost;
@@ -107,7 +107,7 @@
         JobOutcome::Answered
     });
     let sent = s.now;
-    let asked = ["req-1", "req-2"].map(|id| s.ask(Request::Poll(id.into())));
+    let asked = ["req-1", "req-2"].map(|id| s.ask(Request::QueryStatus(id.into())));
     s.run(2.0);
     let told = asked.map(|request| s.told(request).expect("an answer"));
     assert_eq!(told.map(|t| (t.1, t.2)), [(200, Some(JobStatus::Pending)), (404, None)]);
@@ -130,7 +130,7 @@
         s.submit(&spec(&format!("req-{n}"), 1));
     });
     s.run(1.4);
-    let state = settings().params.state;
+    let state = settings().params.store;
     let most = state.rps * 0.8 / 3.0 * 0.25 * 2.4;
     let (reads, copies) = (s.reads("j/"), s.writes(1.1, "j/"));
     assert!(reads > 5 && reads as f64 <= most, "{reads} read, {most} at most");
@@ -220,12 +220,12 @@
     assert_eq!(s.started(request), ["req-1/0"]);
     s.report(&[task("req-1", 0, TaskState::Exited)]);
     s.run(TIMEOUT_S + 0.1);
-    assert_eq!((s.store.count("j/"), s.store.count("jo/"), s.core.places()), (0, 1, 0));
+    assert_eq!((s.store.count("j/"), s.store.count("jo/"), s.core.placement_count()), (0, 1, 0));
     s.fate = Box::new(|_| JobOutcome::Answered);
     let released = s.now;
     s.release();
     for _ in 0..4 {
-        assert_eq!(s.core.places(), 0);
+        assert_eq!(s.core.placement_count(), 0);
         s.report(&[]);
         s.run(1.0);
     }
@@ -258,8 +258,9 @@
 #[test]
 fn a_submission_in_parts_while_records_are_read_is_whole() {
     let names = (0..40).map(|n| format!("{}{n}", "type-with-a-long-name-".repeat(4)));
-    let spec_1 = JobSpec { types: Some(names.chain(["big".to_string()]).collect()), ..spec("req-1", 1) };
-    let (record, parts) = JobRecord::new(spec_1, 1e9, 2048).split("1-1".into(), 2048);
+    let spec_1 =
+        JobSpec { machine_types: Some(names.chain(["big".to_string()]).collect()), ..spec("req-1", 1) };
+    let (record, parts) = JobRecord::new(spec_1, 1e9, 2048).split_spec("1-1".into(), 2048);
     let mut s = Stage::new();
     s.before_list =
         Some(("j/", parts.into_iter().chain([("j/req-1".into(), Value::Job(Box::new(record)))]).collect()));
@@ -281,17 +282,18 @@
 /// when the limits fell.)
 #[test]
 fn a_node_that_is_back_knows_what_all_read() {
-    let leader = LeaderRecord { node: "elsewhere".into(), at: 0.0, again: 0, lease: 0 };
+    let leader = LeaderRecord { node: "elsewhere".into(), elected_wall_s: 0.0, quick_restarts: 0, lease: 0 };
     let items = [
         (LEADER_KEY.into(), Value::Leader(leader)),
         (TYPES_KEY.into(), Value::Types(vec![big()])),
         (FORMAT_KEY.into(), Value::Format(FORMAT)),
     ];
     let mut settings = settings();
-    settings.params.state.next = Some(NextLimits { value_kb: Some(2.0), ..NextLimits::default() });
+    settings.params.store.next = Some(NextLimits { value_kb: Some(2.0), ..NextLimits::default() });
     let mut s = Stage::with(settings, items);
     let names = (0..40).map(|n| format!("{}{n}", "type-with-a-long-name-".repeat(4)));
-    let large = JobSpec { types: Some(names.chain(["big".to_string()]).collect()), ..spec("req-1", 1) };
+    let large =
+        JobSpec { machine_types: Some(names.chain(["big".to_string()]).collect()), ..spec("req-1", 1) };
     for _ in 0..4 {
         s.submit(&large);
         s.run(0.015);
@@ -306,7 +308,7 @@
 #[test]
 fn a_division_without_an_answer_counts() {
     let mut settings = settings();
-    let state = &mut settings.params.state;
+    let state = &mut settings.params.store;
     (state.value_kb, state.txn_ops) = (8.0, 2);
     state.next = Some(NextLimits { rps: None, write_rps: None, value_kb: Some(2.0), txn_ops: None });
     let array = JobSpec { cores: 0.16, accelerators: 0.0, memory_gb: 0.1, ..spec("req-1", 200) };
@@ -385,7 +387,7 @@
 fn mixture(seed: u64) -> Setup {
     let mut s = setup(seed, vec![]);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x105e);
-    let state = &mut s.settings.params.state;
+    let state = &mut s.settings.params.store;
     (state.value_kb, state.txn_ops) = (8.0, 24);
     state.next = Some(NextLimits {
         rps: None,
@@ -403,7 +405,7 @@
         }
         if n % 7 == 0 {
             let names = (0..40).map(|n| format!("{}{n}", "type-with-a-long-name-".repeat(4)));
-            spec.types = Some(names.chain(["big".to_string()]).collect());
+            spec.machine_types = Some(names.chain(["big".to_string()]).collect());
         }
     }
     Setup { capacity: 12, ..s }
@@ -493,7 +495,7 @@
 fn accepted_in_time(seed: u64, nodes: usize, trouble: Fault) -> usize {
     let mut s = setup(seed, vec![(10.0, trouble)]);
     unlimited(&mut s);
-    let job = |n: usize| JobSpec { estimate_s: 3.0, ..spec(&format!("req-{n:04}"), 1) };
+    let job = |n: usize| JobSpec { estimated_run_s: 3.0, ..spec(&format!("req-{n:04}"), 1) };
     s.jobs = (0..300).map(|n| (10.0 + n as f64 * 0.2, job(n), None)).collect();
     let at: BTreeMap<String, f64> = s.jobs.iter().map(|(at, spec, _)| (spec.id.clone(), *at)).collect();
     let mut sim = Simulation::new(Setup { nodes, ..s });
--- a/crates/simulation/tests/meetings.rs
+++ b/crates/simulation/tests/meetings.rs
@@ -19,7 +19,7 @@
             let spec = JobSpec {
                 id: format!("req-{}", 100 + n),
                 tasks: 1 + n % 3,
-                estimate_s: 500.0,
+                estimated_run_s: 500.0,
                 cores: 1.0,
                 accelerators: 0.5,
                 memory_gb: 2.0,
@@ -80,7 +80,7 @@
 /// The guard of it: who renews leases without having read keeps what is cancelled.
 #[test]
 fn without_the_grace_an_unread_successor_keeps_what_is_cancelled() {
-    let guards = SafetyChecks { grace: false, ..SafetyChecks::default() };
+    let guards = SafetyChecks { response_grace: false, ..SafetyChecks::default() };
     let broken = |seed| unread_takeover(seed, guards).ledger.broken;
     assert!((0..8).any(|seed| broken(seed).iter().any(|b| b.rule == Rule::RanCancelled)));
 }
@@ -203,7 +203,7 @@
         // Many are cancelled while it goes on, and some would run on.
         *cancel = cancel.or((n % 2 == 0).then_some(at.max(45.0) + (n % 7) as f64));
         if n % 4 == 1 {
-            spec.estimate_s *= 4.0;
+            spec.estimated_run_s *= 4.0;
         }
     }
     let mut sim = Simulation::new(Setup { nodes, ..s });
@@ -265,7 +265,7 @@
 fn gap(seed: u64, guards: SafetyChecks) -> Simulation {
     let mut s = cancelled_arrays(seed, guards);
     let w = &mut s.settings.params.workers;
-    (w.report_s, w.lease_s, w.cancel_s) = (6.0, 31.0, 51.0);
+    (w.heartbeat_interval_s, w.lease_s, w.cancel_s) = (6.0, 31.0, 51.0);
     // Some come moments before, on machines that are busy already.
     let late: Vec<_> = s.jobs.iter().map(|(_, spec, _)| spec.clone()).collect();
     for (n, spec) in late.into_iter().enumerate() {
@@ -299,6 +299,6 @@
 
 #[test]
 fn without_the_grace_what_is_cancelled_in_a_gap_stays() {
-    let guards = SafetyChecks { grace: false, ..SafetyChecks::default() };
+    let guards = SafetyChecks { response_grace: false, ..SafetyChecks::default() };
     assert!((0..6).any(|seed| gap(seed, guards).ledger.broken.iter().any(|b| b.rule == Rule::RanCancelled)));
 }
--- a/crates/simulation/tests/pipelines.rs
+++ b/crates/simulation/tests/pipelines.rs
@@ -50,7 +50,7 @@
     let mut faults = newest_troubles(seed);
     faults.push((20.0 + (seed % 13) as f64 * 8.0, Fault::LimitsFall));
     let mut s = linked(seed, faults.clone());
-    s.settings.params.state.next =
+    s.settings.params.store.next =
         Some(NextLimits { value_kb: Some(2.0), txn_ops: Some(8), ..NextLimits::default() });
     for (_, spec, _) in s.jobs.iter_mut().step_by(9).filter(|j| j.1.shape == Shape::Array) {
         (spec.tasks, spec.cores, spec.accelerators, spec.memory_gb) = (300, 0.25, 0.0, 0.25);
@@ -71,7 +71,7 @@
 
 #[test]
 fn without_the_order_a_task_starts_too_early() {
-    let guards = SafetyChecks { awaits: false, ..SafetyChecks::default() };
+    let guards = SafetyChecks { dependency_order: false, ..SafetyChecks::default() };
     assert!(caught(&[Rule::TooEarly], guards, |_| vec![]));
 }
 
@@ -87,7 +87,7 @@
         };
         (0..150).map(cut).collect()
     };
-    let guards = SafetyChecks { lineage: false, ..SafetyChecks::default() };
+    let guards = SafetyChecks { cancellation_lineage: false, ..SafetyChecks::default() };
     assert!(caught(&[Rule::Orphaned], guards, faults));
     for seed in 300..306 {
         assert_eq!(Simulation::new(linked(seed, faults(seed))).run(400.0), [], "seed {seed}");
@@ -114,8 +114,8 @@
     let stage = |n: usize| JobSpec {
         id: format!("req-{}", 700 + n),
         tasks: 2,
-        estimate_s: 5.0,
-        awaits: if n == 0 { vec![] } else { vec![format!("req-{}", 699 + n)] },
+        estimated_run_s: 5.0,
+        dependencies: if n == 0 { vec![] } else { vec![format!("req-{}", 699 + n)] },
         ..long_array()
     };
     let jobs = (0..8).map(|n| (2.0 + n as f64 * 0.1, stage(n), None)).collect();
@@ -126,8 +126,8 @@
     for n in 1..8 {
         let (before, own) = (format!("req-{}", 699 + n), format!("req-{}", 700 + n));
         let done = |v: &Value| matches!(v, Value::Job(j) if j.status == JobStatus::Done);
-        let over = |v: &Value| matches!(v, Value::Over(_));
-        let placed = |v: &Value| matches!(v, Value::Job(j) if !j.page.places.is_empty());
+        let over = |v: &Value| matches!(v, Value::Terminal(_));
+        let placed = |v: &Value| matches!(v, Value::Job(j) if !j.first_page.placements.is_empty());
         let in_place = sim.store().first(&job_key(&before), done).0;
         let ended = in_place.or(sim.store().first(&over_key(&before), over).0).unwrap();
         let (begun, writes) = sim.store().first(&job_key(&own), placed);
@@ -146,14 +146,14 @@
     let wide = |n: usize| JobSpec {
         id: format!("req-{}", 2000 + n),
         tasks: 1,
-        awaits: vec![if n < 100 { "req-1".into() } else { format!("req-{}", 1900 + n) }],
+        dependencies: vec![if n < 100 { "req-1".into() } else { format!("req-{}", 1900 + n) }],
         ..long_array()
     };
     let first = JobSpec { id: "req-1".into(), tasks: 1, ..long_array() };
     let mut jobs = vec![(1.0, first, Some(40.0))];
     jobs.extend((0..400).map(|n| (2.0 + n as f64 * 0.05, wide(n), None)));
     // Something urgent goes on beside it.
-    let beside = JobSpec { id: "req-2".into(), tasks: 1, estimate_s: 5.0, ..long_array() };
+    let beside = JobSpec { id: "req-2".into(), tasks: 1, estimated_run_s: 5.0, ..long_array() };
     jobs.push((41.0, beside, None));
     let mut sim = Simulation::new(Setup { jobs, capacity: 3, loss: 0.0, ..s });
     assert_eq!(sim.run(52.0), []);
@@ -161,7 +161,7 @@
     assert!(open.len() <= 2, "{} not told", open.len());
     assert_eq!(sim.run(400.0), []);
     assert_eq!(sim.store().count("j/"), 0);
-    let placed = |v: &Value| matches!(v, Value::Job(j) if !j.page.places.is_empty());
+    let placed = |v: &Value| matches!(v, Value::Job(j) if !j.first_page.placements.is_empty());
     assert!(sim.store().first("j/req-2", placed).0.unwrap() < 46.0);
 }
 
@@ -173,8 +173,8 @@
     let array = |id: &str, awaits: &[&str]| JobSpec {
         id: id.into(),
         tasks: 1,
-        estimate_s: 5.0,
-        awaits: awaits.iter().map(|a| a.to_string()).collect(),
+        estimated_run_s: 5.0,
+        dependencies: awaits.iter().map(|a| a.to_string()).collect(),
         ..long_array()
     };
     let service = JobSpec { shape: Shape::Service, ..array("req-2", &[]) };
--- a/crates/simulation/tests/polls.rs
+++ b/crates/simulation/tests/polls.rs
@@ -26,16 +26,16 @@
         memory_gb: 1.0,
         image: "img-1".into(),
         image_gb: 1.0,
-        types: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         spread: false,
         spot: false,
-        estimate_s: 10.0,
-        checkpoint_s: 0.0,
+        estimated_run_s: 10.0,
+        checkpoint_interval_s: 0.0,
         save_s: 0.0,
-        due_s: None,
-        awaits: Vec::new(),
+        deadline_s: None,
+        dependencies: Vec::new(),
     }
 }
 
@@ -85,8 +85,8 @@
     fn new(seed: u64) -> Self {
         let mut store = Store::default();
         let put = |key: &str, value| Transaction {
-            conditions: vec![],
-            changes: vec![Mutation::Put { key: key.into(), value, lease: None }],
+            compares: vec![],
+            mutations: vec![Mutation::Put { key: key.into(), value, lease: None }],
         };
         store.execute(0.0, &StoreRequest::Commit(put(TYPES_KEY, Value::Types(vec![big()]))));
         store.execute(0.0, &StoreRequest::Commit(put(FORMAT_KEY, Value::Format(FORMAT))));
@@ -113,12 +113,12 @@
     fn feed(&mut self, n: usize, input: Input) {
         for o in self.cores[n].handle(self.now, 1e9 + self.now, input) {
             match o {
-                Output::Answer(id, a) => self.answered(n, id, &a),
-                Output::State(call, op) => {
+                Output::Response(id, a) => self.answered(n, id, &a),
+                Output::Store(call, op) => {
                     self.reads += u64::from(match &op {
                         StoreRequest::Get(key) => key.starts_with("j/"),
                         StoreRequest::Watch { wait_ms: 0, .. } => true,
-                        StoreRequest::Commit(t) => t.changes.is_empty(),
+                        StoreRequest::Commit(t) => t.mutations.is_empty(),
                         _ => false,
                     });
                     self.calls.push((n, call, op));
@@ -170,7 +170,7 @@
             1 if self.submitted.contains(&id) => self.ask(n, &id, Request::Cancel(id.clone())),
             2..=6 => {
                 self.polls += 1;
-                self.ask(n, &id, Request::Poll(id.clone()));
+                self.ask(n, &id, Request::QueryStatus(id.clone()));
             }
             7 if trouble => self.now += self.rng.gen_range(0.0..8.0),
             8..=12 if !self.calls.is_empty() => {
@@ -185,7 +185,7 @@
             }
             13..=18 if !self.replies.is_empty() => {
                 let (n, call, r) = self.replies.remove(self.rng.gen_range(0..self.replies.len()));
-                self.feed(n, Input::State(call, r));
+                self.feed(n, Input::Store(call, r));
             }
             _ => self.feed(n, Input::Tick),
         }
@@ -220,7 +220,7 @@
         for (n, call, op) in std::mem::take(&mut w.calls) {
             let r = w.store.execute(w.now, &op);
             let r = r.unwrap_or_else(|| w.store.quiet());
-            w.feed(n, Input::State(call, r));
+            w.feed(n, Input::Store(call, r));
         }
         for n in 0..NODES {
             w.feed(n, Input::Tick);
@@ -245,7 +245,7 @@
         for n in 0..300 {
             // Half of them ask for jobs that nobody submitted.
             let id = format!("req-{}", n % 200);
-            w.ask(n % NODES, &id, Request::Poll(id.clone()));
+            w.ask(n % NODES, &id, Request::QueryStatus(id.clone()));
         }
         settle(&mut w, 1.0);
     }
@@ -257,7 +257,7 @@
     for _ in 0..10 {
         for n in 0..300 {
             let id = format!("req-{}", n % 100);
-            w.ask(n % NODES, &id, Request::Poll(id.clone()));
+            w.ask(n % NODES, &id, Request::QueryStatus(id.clone()));
         }
         settle(&mut w, 1.0);
     }
--- a/crates/simulation/tests/returns.rs
+++ b/crates/simulation/tests/returns.rs
@@ -15,7 +15,7 @@
 fn what_is_gone_does_not_come_back_with_its_gateway() {
     let mut given_back = 0;
     for seed in 0..16 {
-        let (cut, hold) = (40.0 + seed as f64, derived().dark_hold_s + 40.0);
+        let (cut, hold) = (40.0 + seed as f64, derived().unreachable_zone_retention_s + 40.0);
         let mut faults = vec![(cut, Fault::ZoneCut { zone: "b", for_s: hold })];
         // All nodes outside start anew, so that nobody there knows any more.
         if seed % 2 == 1 {
@@ -79,7 +79,7 @@
 #[test]
 fn who_comes_back_is_heard_within_a_report() {
     let d = derived();
-    let report_s = settings().params.workers.report_s;
+    let report_s = settings().params.workers.heartbeat_interval_s;
     for seed in 0..8 {
         let mut sim = full(seed, 40);
         let away = 3.0 + seed as f64;
@@ -96,7 +96,7 @@
         }
         // A worker gives its report up and tries the next node a second later.
         let retry = d.worker_timeout_s + 1.0;
-        let takeover = d.leader_ttl_s + d.renew_s;
+        let takeover = d.leader_lease_s + d.renewal_interval_s;
         assert_eq!(sim.run(100.0 + away + takeover + report_s * 1.25 + retry), [], "seed {seed}");
         assert!(sim.unheard().is_empty(), "seed {seed}: {:?}", sim.unheard());
         assert!(sim.given_up_alive.is_empty(), "seed {seed}: {:?}", sim.given_up_alive);
@@ -181,7 +181,7 @@
         assert!(sim.given_up_alive.is_empty(), "seed {seed}: {:?}", sim.given_up_alive);
         if !apart {
             // Views go out that often; one may be lost.
-            assert!(sim.rivals_s < derived().renew_s * 2.5, "seed {seed}: {}", sim.rivals_s);
+            assert!(sim.rivals_s < derived().renewal_interval_s * 2.5, "seed {seed}: {}", sim.rivals_s);
         }
     }
 }
@@ -193,7 +193,7 @@
 fn nobody_is_given_up_for_an_outage() {
     for seed in 0..8 {
         let mut sim = full_of(3 + seed as usize % 3, seed, 24);
-        sim.strike(Fault::StateOutage { for_s: derived().grace_s + 4.0 + 3.0 * seed as f64 });
+        sim.strike(Fault::StateOutage { for_s: derived().response_grace_s + 4.0 + 3.0 * seed as f64 });
         if seed % 2 == 1 {
             sim.strike(Fault::Cut { node: 0, state: false, workers: true, for_s: 40.0 });
         }
@@ -224,7 +224,7 @@
         }
         sim.leaderless_s = 0.0;
         // The outage's rest, a look and a claim, each of which may be slow.
-        let most = if outage { 3.0 } else { back } + d.renew_s * 2.0;
+        let most = if outage { 3.0 } else { back } + d.renewal_interval_s * 2.0;
         assert_eq!(sim.run(200.0), [], "seed {seed}");
         assert!(sim.leaderless_s < most, "seed {seed}: {} s without a leader", sim.leaderless_s);
         assert_eq!(sim.leader(), leader, "seed {seed}");
--- a/crates/simulation/tests/scale.rs
+++ b/crates/simulation/tests/scale.rs
@@ -16,7 +16,7 @@
     let mut s = setup(1, faults);
     unlimited(&mut s);
     let w = &mut s.settings.params.workers;
-    (w.report_s, w.lease_s, w.cancel_s) = (6.0, 31.0, 62.0);
+    (w.heartbeat_interval_s, w.lease_s, w.cancel_s) = (6.0, 31.0, 62.0);
     s.settings.params.resources.max_connections = 4_000;
     s.settings.params.cloud.rps = 6.0;
     s.capacity = MACHINES as usize;
@@ -26,7 +26,7 @@
         cores: 16.0,
         accelerators: 4.0,
         memory_gb: 32.0,
-        estimate_s: run_s,
+        estimated_run_s: run_s,
         ..plain_array(&format!("req-{n}"), MACHINES / 9)
     };
     s.jobs = (0..9).map(|n| (1.0 + f64::from(n) * 0.1, array(n), None)).collect();
@@ -106,7 +106,7 @@
         team: "fleet".into(),
         accelerators: 0.0,
         memory_gb: 1.0,
-        estimate_s: 20.0,
+        estimated_run_s: 20.0,
         ..plain_array("req-1", 300)
     };
     s.jobs = vec![(1.0, gang, None)];
--- a/crates/simulation/tests/short_work.rs
+++ b/crates/simulation/tests/short_work.rs
@@ -41,7 +41,7 @@
         cores: 1.0,
         accelerators: 0.25,
         memory_gb: 1.0,
-        estimate_s: rng.gen_range(1.0..6.0),
+        estimated_run_s: rng.gen_range(1.0..6.0),
         ..long_array()
     };
     (0..(for_s * 4.0) as usize)
@@ -120,7 +120,7 @@
     ];
     let mut s = day(seed, 120.0, faults);
     let next = NextLimits { rps: None, write_rps: Some(24.0), value_kb: None, txn_ops: None };
-    s.settings.params.state.next = Some(next);
+    s.settings.params.store.next = Some(next);
     let mut sim = Simulation::new(s);
     sim.run(130.0);
     let rate = sim.changes as f64 / 120.0;
--- a/crates/simulation/tests/simulation.rs
+++ b/crates/simulation/tests/simulation.rs
@@ -91,11 +91,11 @@
         cores: 0.5,
         accelerators: 0.0,
         memory_gb: 0.5,
-        estimate_s: 20.0,
+        estimated_run_s: 20.0,
         ..wide("req-1", 3000, Priority::Normal, 0.0)
     };
     let mut s = roomy(vec![(1.0, array, None), (60.0, wide("req-2", 2, Priority::High, 1.0), None)], 100);
-    s.settings.params.state.value_kb = 8.0;
+    s.settings.params.store.value_kb = 8.0;
     let mut sim = Simulation::new(s);
     assert_eq!(sim.run(150.0), []);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
@@ -120,8 +120,9 @@
 fn a_gang_outlasts_a_long_fetch() {
     let wait_s = settings().params.workers.gang_wait_s;
     for seed in 0..12 {
-        let first = JobSpec { estimate_s: 5.0, ..wide("req-1", 3, Priority::Normal, 4.0) };
-        let gang = JobSpec { shape: Shape::Gang, estimate_s: 20.0, ..wide("req-2", 3, Priority::High, 4.0) };
+        let first = JobSpec { estimated_run_s: 5.0, ..wide("req-1", 3, Priority::Normal, 4.0) };
+        let gang =
+            JobSpec { shape: Shape::Gang, estimated_run_s: 20.0, ..wide("req-2", 3, Priority::High, 4.0) };
         let cancel = (seed % 4 == 3).then_some(60.0 + wait_s * 1.1);
         let slow = |nth| (40.0, Fault::SlowFetch { nth, fetch_s: wait_s * (1.6 + nth as f64) });
         let mut faults: Vec<_> = (0..1 + seed as usize % 2).map(slow).collect();
@@ -140,7 +141,8 @@
 fn a_sick_machine_is_found_within_a_few_failures() {
     let jobs = (0..60u32)
         .map(|n| {
-            let spec = JobSpec { estimate_s: 10.0, ..wide(&format!("req-{n}"), 4, Priority::Normal, 1.0) };
+            let spec =
+                JobSpec { estimated_run_s: 10.0, ..wide(&format!("req-{n}"), 4, Priority::Normal, 1.0) };
             (1.0 + 3.0 * f64::from(n), spec, None)
         })
         .collect::<Vec<_>>();
@@ -189,7 +191,7 @@
         one_zone: false,
         spread: false,
         spot: false,
-        estimate_s: 30.0,
+        estimated_run_s: 30.0,
         ..job(&mut SmallRng::seed_from_u64(1), 0)
     }
 }
@@ -208,7 +210,7 @@
 #[test]
 fn a_stop_goes_to_each_machine_once() {
     let jobs = vec![
-        (1.0, JobSpec { estimate_s: 400.0, ..wide("req-1", 32, Priority::Low, 1.0) }, None),
+        (1.0, JobSpec { estimated_run_s: 400.0, ..wide("req-1", 32, Priority::Low, 1.0) }, None),
         (90.0, wide("req-2", 8, Priority::High, 4.0), None),
     ];
     let mut sim = Simulation::new(roomy(jobs, 8));
@@ -269,7 +271,7 @@
                 one_zone: false,
                 spread: false,
                 spot: false,
-                estimate_s: 500.0,
+                estimated_run_s: 500.0,
                 ..job(&mut SmallRng::seed_from_u64(1), n)
             };
             (2.0, spec, None)
@@ -325,7 +327,7 @@
 
 #[test]
 fn without_the_lease_wait_a_task_runs_twice() {
-    let guards = SafetyChecks { lease_wait: false, ..SafetyChecks::default() };
+    let guards = SafetyChecks { wait_for_lease_expiry: false, ..SafetyChecks::default() };
     // The cloud is out, or deleting the silent machine would end its tasks.
     let faults = |seed: u64| {
         let hangs =
@@ -337,7 +339,8 @@
 
 #[test]
 fn without_write_ahead_a_takeover_breaks_a_rule() {
-    let guards = SafetyChecks { write_ahead: false, versions: false, ..SafetyChecks::default() };
+    let guards =
+        SafetyChecks { launch_after_commit: false, version_checks: false, ..SafetyChecks::default() };
     assert!(caught(
         &[Rule::RanTwice, Rule::Quota, Rule::WrongPlace, Rule::WentBack, Rule::RanCancelled],
         guards,
@@ -347,7 +350,7 @@
 
 #[test]
 fn without_versions_a_final_state_goes_back() {
-    let guards = SafetyChecks { versions: false, ..SafetyChecks::default() };
+    let guards = SafetyChecks { version_checks: false, ..SafetyChecks::default() };
     // Held writes of a cut leader arrive after its successor's.
     let faults = |seed: u64| {
         let cut = |i: u64| Fault::Cut {
@@ -363,7 +366,7 @@
 
 #[test]
 fn without_the_grace_a_cancelled_task_stays() {
-    let guards = SafetyChecks { grace: false, ..SafetyChecks::default() };
+    let guards = SafetyChecks { response_grace: false, ..SafetyChecks::default() };
     assert!(caught(&[Rule::RanCancelled, Rule::RanTwice, Rule::Quota, Rule::WrongPlace], guards, |_| {
         (0..3)
             .map(|n| (40.0, Fault::StateRefuses { node: n, for_s: 0.0 }))
--- a/crates/simulation/tests/stage/mod.rs
+++ b/crates/simulation/tests/stage/mod.rs
@@ -60,7 +60,13 @@
 pub fn task(id: &str, number: u32, state: TaskState) -> TaskStatus {
     let cause = (state == TaskState::Exited).then_some(ExitCause::Done);
     // An array that is placed in order has these attempts.
-    TaskStatus { task: task_name(id, number), attempt: u64::from(number) + 1, state, cause, saved: None }
+    TaskStatus {
+        task: task_name(id, number),
+        attempt: u64::from(number) + 1,
+        state,
+        exit_cause: cause,
+        checkpointed: None,
+    }
 }
 
 pub fn settings() -> Settings {
@@ -96,17 +102,17 @@
     pub fn leading() -> Self {
         let mut s = Stage::new();
         s.run(1.0);
-        assert!(s.core.has_loaded());
+        assert!(s.core.has_recovered());
         s
     }
 
     pub fn feed(&mut self, input: Input) {
         for o in self.core.handle(self.now, 1e9 + self.now, input) {
             match o {
-                Output::Answer(id, a) => {
+                Output::Response(id, a) => {
                     self.answers.insert(id, (self.now, a));
                 }
-                Output::State(call, op) => self.call(call, op),
+                Output::Store(call, op) => self.call(call, op),
                 Output::Cloud(call, op) => {
                     self.replies.push((self.now + 0.1, Input::Cloud(call, cloud(&op))))
                 }
@@ -125,10 +131,10 @@
         if let StoreRequest::Get(key) = &op {
             self.gets.push(key.clone());
         }
-        let unknown = (self.now + TIMEOUT_S, Input::State(call, StoreReply::Unknown));
+        let unknown = (self.now + TIMEOUT_S, Input::Store(call, StoreReply::Unknown));
         let fate = (self.fate)(&op);
         if fate == JobOutcome::Refused {
-            return self.replies.push((self.now + WAY_S, Input::State(call, StoreReply::Refused)));
+            return self.replies.push((self.now + WAY_S, Input::Store(call, StoreReply::Refused)));
         }
         if let JobOutcome::Late(at) = fate {
             self.late.push((self.now + at, op));
@@ -138,16 +144,18 @@
             if let Some((_, items)) = self.before_list.take_if(|b| b.0 == prefix) {
                 let put = |(key, value)| Mutation::Put { key, value, lease: None };
                 let changes = items.into_iter().map(put).collect();
-                self.store
-                    .execute(self.now, &StoreRequest::Commit(Transaction { conditions: vec![], changes }));
+                self.store.execute(
+                    self.now,
+                    &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }),
+                );
             }
         }
         let reply = self.store.execute(self.now, &op);
         match (reply, fate) {
             (Some(r), JobOutcome::Answered) => {
-                self.replies.push((self.now + 2.0 * WAY_S, Input::State(call, r)))
+                self.replies.push((self.now + 2.0 * WAY_S, Input::Store(call, r)))
             }
-            (Some(r), JobOutcome::Held) => self.held.push(Input::State(call, r)),
+            (Some(r), JobOutcome::Held) => self.held.push(Input::Store(call, r)),
             (Some(_), _) => self.replies.push(unknown),
             (None, _) => {
                 let StoreRequest::Watch { wait_ms, .. } = &op else { return };
@@ -170,7 +178,7 @@
     pub fn all_have_this_version(&mut self) {
         for node in ["chiefs-1", "chiefs-2"] {
             let view = protocol::peer::View { node: node.into(), token: 0, ..self.core.view_for_peers() };
-            self.feed(Input::Peer(view));
+            self.feed(Input::PeerView(view));
         }
     }
 
@@ -178,8 +186,8 @@
         for (until, call, op) in std::mem::take(&mut self.watches) {
             let r = self.store.execute(self.now, &op);
             match r.or_else(|| (self.now >= until).then(|| self.store.quiet())) {
-                Some(r) if (self.fate)(&op) == JobOutcome::Held => self.held.push(Input::State(call, r)),
-                Some(r) => self.replies.push((self.now + WAY_S, Input::State(call, r))),
+                Some(r) if (self.fate)(&op) == JobOutcome::Held => self.held.push(Input::Store(call, r)),
+                Some(r) => self.replies.push((self.now + WAY_S, Input::Store(call, r))),
                 None => self.watches.push((until, call, op)),
             }
         }
@@ -231,20 +239,20 @@
             machine_type: "big".into(),
             zone: "a".into(),
             spot: false,
-            session: 1,
-            seq: self.seq,
-            token: self.core.token().unwrap_or(0),
+            epoch: 1,
+            sequence: self.seq,
+            fencing_token: self.core.token().unwrap_or(0),
             notice_s: None,
             tasks: tasks.to_vec(),
         };
-        self.ask(Request::Report(protocol::encode(&report)))
+        self.ask(Request::Heartbeat(protocol::encode(&report)))
     }
 
     /// What the answer to a report starts.
     pub fn started(&self, request: RequestId) -> Vec<String> {
         let answer = self.answers.get(&request).filter(|a| a.1.status == 200);
         let commands = answer.map(|a| protocol::decode::<HeartbeatResponse>(&a.1.body).unwrap().commands);
-        let starts = commands.into_iter().flatten().filter(|c| c.op == CommandKind::Start);
+        let starts = commands.into_iter().flatten().filter(|c| c.kind == CommandKind::Start);
         starts.map(|c| c.task).collect()
     }
 
@@ -261,7 +269,7 @@
 
     /// Transactions since `at` that change a key with that beginning.
     pub fn writes(&self, at: f64, prefix: &str) -> usize {
-        let touches = |t: &Transaction<Value>| t.changes.iter().any(|c| changed(c).starts_with(prefix));
+        let touches = |t: &Transaction<Value>| t.mutations.iter().any(|c| changed(c).starts_with(prefix));
         self.sent.iter().filter(|(sent, t)| *sent > at && touches(t)).count()
     }
 }
@@ -275,7 +283,7 @@
 
 /// Whether `op` changes a key with that beginning.
 pub fn writes(op: &StoreRequest, prefix: &str) -> bool {
-    matches!(op, StoreRequest::Commit(t) if t.changes.iter().any(|c| changed(c).starts_with(prefix)))
+    matches!(op, StoreRequest::Commit(t) if t.mutations.iter().any(|c| changed(c).starts_with(prefix)))
 }
 
 fn cloud(op: &CloudRequest) -> CloudReply {
--- a/crates/simulation/tests/stored.rs
+++ b/crates/simulation/tests/stored.rs
@@ -58,38 +58,38 @@
         memory_gb: 9.6,
         image: "img-7".into(),
         image_gb: 6.2,
-        types: Some(vec!["big".into(), "small".into()]),
+        machine_types: Some(vec!["big".into(), "small".into()]),
         zone: Some("a".into()),
         one_zone: true,
         spread: true,
         spot: true,
-        estimate_s: 240.0,
-        checkpoint_s: 30.0,
+        estimated_run_s: 240.0,
+        checkpoint_interval_s: 30.0,
         save_s: 4.0,
-        due_s: Some(900.0),
-        awaits: vec!["req-410".into(), "req-411".into()],
+        deadline_s: Some(900.0),
+        dependencies: vec!["req-410".into(), "req-411".into()],
     }
 }
 
 fn page() -> PageRecord {
     let place =
         |task| StoredPlacement { task, attempt: 3 + u64::from(task), machine: format!("vm-{task:06}") };
-    PageRecord { done: "3f".into(), places: (8..24).map(place).collect() }
+    PageRecord { done: "3f".into(), placements: (8..24).map(place).collect() }
 }
 
 fn job(spec: JobSpec, status: JobStatus) -> Value {
     Value::Job(Box::new(JobRecord {
         spec,
-        at: 1.7e9,
+        submitted_wall_s: 1.7e9,
         status,
         done: 6,
         running: 16,
         attempt: 27,
         per_page: 252,
-        page: page(),
-        ran_on: (0..24).map(|n| format!("vm-{n:06}")).collect(),
-        freed_at: Some(1.7e9 + 2.5),
-        parts: Some(SpecChunks { nonce: "5eed".into(), count: 2 }),
+        first_page: page(),
+        machines_with_image: (0..24).map(|n| format!("vm-{n:06}")).collect(),
+        ready_wall_s: Some(1.7e9 + 2.5),
+        spec_chunks: Some(SpecChunks { nonce: "5eed".into(), count: 2 }),
         layout: 1,
     }))
 }
@@ -112,7 +112,7 @@
 /// Every kind of value, and each word that a job's record may hold.
 #[test]
 fn stored_records_keep_their_bytes() {
-    let leader = LeaderRecord { node: "n-1".into(), at: 1.7e9, again: 2, lease: 77 };
+    let leader = LeaderRecord { node: "n-1".into(), elected_wall_s: 1.7e9, quick_restarts: 2, lease: 77 };
     stored("leader.msgpack", &Value::Leader(leader));
     stored("types.msgpack", &Value::Types(vec![machine_type()]));
     stored("job.msgpack", &job(spec(Shape::Array, Priority::Normal), JobStatus::Running));
@@ -123,7 +123,7 @@
     for (name, status) in
         [("over.msgpack", JobStatus::Done), ("over_cancelled.msgpack", JobStatus::Cancelled)]
     {
-        stored(name, &Value::Over(TerminalRecord { status, done: 40, at: 1.7e9 }));
+        stored(name, &Value::Terminal(TerminalRecord { status, done: 40, submitted_wall_s: 1.7e9 }));
     }
     let images = ImagesRecord {
         images: vec![("img-7".into(), 6.2), ("img-8".into(), 1.0)],
@@ -131,7 +131,7 @@
     };
     stored("images.msgpack", &Value::Images(images));
     stored("format.msgpack", &Value::Format(3));
-    stored("part.msgpack", &Value::Part("{\"id\":\"req-412\"".into()));
+    stored("part.msgpack", &Value::SpecChunk("{\"id\":\"req-412\"".into()));
 }
 
 #[test]
@@ -144,7 +144,7 @@
     let Value::Job(record) = job(spec(Shape::Array, Priority::Normal), JobStatus::Running) else {
         panic!("it is a job's record");
     };
-    let (stub, parts) = record.split("5eed".into(), 400);
+    let (stub, parts) = record.split_spec("5eed".into(), 400);
     assert!(parts.len() > 1);
     stored("split_job.msgpack", &Value::Job(Box::new(stub)));
     stored("split_parts.msgpack", &parts.into_iter().collect::<std::collections::BTreeMap<_, _>>());
--- a/crates/simulation/tests/takeover.rs
+++ b/crates/simulation/tests/takeover.rs
@@ -10,7 +10,7 @@
 fn settings() -> Settings {
     let mut s = Settings::parse(include_str!("../../../docs/example.toml")).unwrap();
     s.peers.clear();
-    s.params.state.next = Some(NextLimits { value_kb: Some(2.0), txn_ops: Some(8), ..NextLimits::default() });
+    s.params.store.next = Some(NextLimits { value_kb: Some(2.0), txn_ops: Some(8), ..NextLimits::default() });
     s
 }
 
@@ -27,23 +27,26 @@
         memory_gb: 1.0,
         image: "img-1".into(),
         image_gb: 1.0,
-        types: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         spread: false,
         spot: false,
-        estimate_s: 10.0,
-        checkpoint_s: 0.0,
+        estimated_run_s: 10.0,
+        checkpoint_interval_s: 0.0,
         save_s: 0.0,
-        due_s: None,
-        awaits: Vec::new(),
+        deadline_s: None,
+        dependencies: Vec::new(),
     };
     let done = if status == JobStatus::Done { 3 } else { 0 };
     JobRecord {
         status,
         done,
         per_page: 100,
-        page: PageRecord { done: if done == 3 { "7".into() } else { String::new() }, places: vec![] },
+        first_page: PageRecord {
+            done: if done == 3 { "7".into() } else { String::new() },
+            placements: vec![],
+        },
         ..JobRecord::new(spec, 1e9, 30_000)
     }
 }
@@ -94,7 +97,7 @@
     fn beside(store: Store, now: f64) -> Self {
         let mut s = settings();
         let node = "n-1".to_string();
-        s.peers = vec![Peer { node: node.clone(), zone: String::new(), addr: s.peer_listen }];
+        s.peers = vec![Peer { node: node.clone(), zone: String::new(), addr: s.peer_addr }];
         let view = protocol::peer::View { node, state_reached: true, format: FORMAT, ..Default::default() };
         let core = Controller::new(s, Operator::default(), 1);
         let mut w = World { core, peer: Some(view), now, ..World::new(store) };
@@ -105,23 +108,23 @@
 
     fn feed(&mut self, input: Input) {
         for o in self.core.handle(self.now, 1e9 + self.now, input) {
-            if let Output::Answer(id, answer) = &o {
+            if let Output::Response(id, answer) = &o {
                 self.answers.insert(*id, answer.clone());
             }
-            let Output::State(call, op) = o else { continue };
+            let Output::Store(call, op) = o else { continue };
             self.requests += 1;
             if let StoreRequest::Commit(txn) = &op {
-                self.changes += txn.changes.len() as u64;
+                self.changes += txn.mutations.len() as u64;
             }
             if self.down {
-                self.feed(Input::State(call, StoreReply::Refused));
+                self.feed(Input::Store(call, StoreReply::Refused));
                 continue;
             }
             let job = |c: &protocol::state::Mutation<Value>| match c {
                 protocol::state::Mutation::Put { key, .. } => key.starts_with(JOB_PREFIX),
                 protocol::state::Mutation::Delete { .. } => false,
             };
-            if matches!(&op, StoreRequest::Commit(txn) if self.hold_writes && txn.changes.iter().any(job)) {
+            if matches!(&op, StoreRequest::Commit(txn) if self.hold_writes && txn.mutations.iter().any(job)) {
                 self.held_writes.push(call);
                 continue;
             }
@@ -145,7 +148,7 @@
                 StoreReply::Events(e) => protocol::encode(e).len() as u64,
                 _ => 20,
             };
-            self.feed(Input::State(call, reply));
+            self.feed(Input::Store(call, reply));
         }
     }
 
@@ -161,19 +164,19 @@
                 let reply = ready.then(|| self.store.execute(self.now, &op)).flatten();
                 let quiet = (ready && self.now >= until).then(|| self.store.quiet());
                 match reply.or(quiet) {
-                    Some(reply) => self.feed(Input::State(call, reply)),
+                    Some(reply) => self.feed(Input::Store(call, reply)),
                     None => self.watches.push((until, call, op)),
                 }
             }
             if let Some(view) = self.peer.clone() {
-                self.feed(Input::Peer(view));
+                self.feed(Input::PeerView(view));
             }
             self.feed(Input::Tick);
         }
     }
 
     fn take_over(&mut self) {
-        while !self.core.has_loaded() {
+        while !self.core.has_recovered() {
             assert!(self.now < 600.0, "records are not read");
             self.run(0.05);
         }
@@ -190,8 +193,8 @@
 /// Requests and bytes until all live work is known, after `over` jobs.
 fn takeover(over: usize) -> (u64, u64) {
     let finished = (0..over).map(|n| {
-        let o = TerminalRecord { status: JobStatus::Done, done: 3, at: 1e9 };
-        (over_key(&format!("req-{}", 1_000 + n)), Value::Over(o))
+        let o = TerminalRecord { status: JobStatus::Done, done: 3, submitted_wall_s: 1e9 };
+        (over_key(&format!("req-{}", 1_000 + n)), Value::Terminal(o))
     });
     let format = (FORMAT_KEY.to_string(), Value::Format(FORMAT));
     let mut w = World::new(Store::holding(live().chain(finished).chain([format])));
@@ -239,7 +242,7 @@
     let (before, at) = (w.changes, w.now);
     w.run(10.0);
     let rate = (w.changes - before) as f64 / (w.now - at);
-    let most = settings().params.state.write_rps / 8.0 * 1.2;
+    let most = settings().params.store.write_rps / 8.0 * 1.2;
     assert!(rate > 1.0 && rate <= most, "{rate} changes a second, {most} allowed");
     w.run(200.0);
     assert_eq!(w.store.count(OVER_PREFIX), 300);
@@ -252,14 +255,17 @@
 fn waiting_jobs(waiting: usize, moved: usize) -> Vec<(String, Value)> {
     let job = |id: String, awaits: Vec<String>, status| {
         let r = record(&id, status);
-        let r = JobRecord { spec: JobSpec { awaits, ..r.spec.clone() }, ..r };
+        let r = JobRecord { spec: JobSpec { dependencies: awaits, ..r.spec.clone() }, ..r };
         (job_key(&id), Value::Job(Box::new(r)))
     };
     let mut items = vec![
         job("req-1".into(), vec![], JobStatus::Done),
         job("req-2".into(), vec![], JobStatus::Pending),
         (FORMAT_KEY.to_string(), Value::Format(FORMAT)),
-        (over_key("req-3"), Value::Over(TerminalRecord { status: JobStatus::Done, done: 3, at: 1e9 })),
+        (
+            over_key("req-3"),
+            Value::Terminal(TerminalRecord { status: JobStatus::Done, done: 3, submitted_wall_s: 1e9 }),
+        ),
     ];
     items.extend((0..waiting).map(|n| {
         let first = if n < moved { "req-3" } else { "req-1" };
@@ -274,7 +280,7 @@
     let mut w = World::new(Store::holding(waiting_jobs(waiting, moved)));
     w.take_over();
     w.run(1.0);
-    assert_eq!(w.core.jobs_waiting(), waiting);
+    assert_eq!(w.core.waiting_job_count(), waiting);
     // Prefixes without a key take one list each.
     w.requests - (waiting as u64 + 2).div_ceil(7)
 }
@@ -303,8 +309,8 @@
     let r = record(id, JobStatus::Running);
     let spec = JobSpec { tasks: 300, ..r.spec.clone() };
     let place = |task| StoredPlacement { task, attempt: 1, machine: format!("vm-{task:06}") };
-    let page = PageRecord { done: "f".into(), places: (4..260).map(place).collect() };
-    let value = Value::Job(Box::new(JobRecord { spec, per_page: 300, done: 4, page, ..r }));
+    let page = PageRecord { done: "f".into(), placements: (4..260).map(place).collect() };
+    let value = Value::Job(Box::new(JobRecord { spec, per_page: 300, done: 4, first_page: page, ..r }));
     (job_key(id), value)
 }
 
@@ -323,13 +329,13 @@
     w.feed(Input::Request(1, Request::Cancel("req-1".into())));
     assert_eq!(w.answers.get(&1).map(|a| a.status), Some(200));
     assert_eq!(w.store.count(MARK_PREFIX), 1);
-    w.feed(Input::Request(2, Request::Poll("req-1".into())));
+    w.feed(Input::Request(2, Request::QueryStatus("req-1".into())));
     w.run(1.0);
     assert!(String::from_utf8_lossy(&w.answers[&2].body).contains("withdrawn"));
     w.run(20.0);
     assert!(w.store.largest("") <= 2048, "{}", w.store.largest(""));
     assert_eq!((w.store.count(MARK_PREFIX), w.store.invalid), (0, 0));
-    w.feed(Input::Request(3, Request::Poll("req-2".into())));
+    w.feed(Input::Request(3, Request::QueryStatus("req-2".into())));
     w.run(1.0);
     assert!(String::from_utf8_lossy(&w.answers[&3].body).contains("running"));
     // A new leader finds all of both.
@@ -337,7 +343,7 @@
     next.now = w.now + 20.0;
     next.store.expire(next.now);
     next.take_over();
-    assert_eq!(next.core.places(), 512);
+    assert_eq!(next.core.placement_count(), 512);
 }
 
 /// The largest array there may be, as production left it: pages of more than a thousand tasks,
@@ -354,11 +360,11 @@
         let long = |t: u32| format!("a-machine-with-a-name-longer-than-usual-{t:06}");
         let place = |t| StoredPlacement { task: first + t, attempt: 7, machine: long(t) };
         let places = if n % 5 == 0 { (ended..ended + 120).map(place).collect() } else { vec![] };
-        PageRecord { done: bits, places }
+        PageRecord { done: bits, placements: places }
     };
     let r = record("req-1", JobStatus::Running);
     let spec = JobSpec { tasks, ..r.spec.clone() };
-    let job = JobRecord { spec, per_page, page: page_of(0), ..r };
+    let job = JobRecord { spec, per_page, first_page: page_of(0), ..r };
     let pages = (1..tasks.div_ceil(per_page)).map(|n| {
         let page = page_of(n);
         (page_key("req-1", n as usize, 0), Value::Page(page))
@@ -368,13 +374,13 @@
     let mut w = World::new(Store::holding([main, format].into_iter().chain(pages)));
     w.store.limit(Limits { value_bytes: 2048, txn_ops: 8, write_rps: f64::MAX });
     let mut w = World::beside(w.store, 0.0);
-    let places = w.core.places();
+    let places = w.core.placement_count();
     assert!(places > 1500, "{places}");
     // No worker is heard, so that what is placed counts for a lease only.
     for seconds in [5.0, 8.0, 25.0] {
         w.run(seconds);
         w = World::beside(std::mem::take(&mut w.store), w.now + 20.0);
-        assert_eq!(w.core.places(), places);
+        assert_eq!(w.core.placement_count(), places);
     }
     assert!(w.store.largest(JOB_PREFIX) <= 2048);
     w.run(240.0);
@@ -383,7 +389,7 @@
     // What is left of the old layouts is gone as well.
     let expected = (0..tasks.div_ceil(per_page)).map(page_of);
     let ended: usize = expected.map(|p| p.done.len() * 4).sum();
-    assert_eq!(w.core.tasks_done(), ended);
+    assert_eq!(w.core.completed_task_count(), ended);
 }
 
 fn report(machine: &str, seq: u64, tasks: Vec<TaskStatus>) -> Input {
@@ -393,13 +399,13 @@
         machine_type: "big".into(),
         zone: "a".into(),
         spot: false,
-        session: 1,
-        seq,
-        token: 0,
+        epoch: 1,
+        sequence: seq,
+        fencing_token: 0,
         notice_s: None,
         tasks,
     };
-    Input::Request(seq, Request::Report(protocol::encode(&report)))
+    Input::Request(seq, Request::Heartbeat(protocol::encode(&report)))
 }
 
 /// Another node's cancellation is seen while a write of the same job is on its way, which the service
@@ -421,26 +427,26 @@
     let Value::Job(record) = item.value else { panic!() };
     let value = Value::Job(Box::new(JobRecord { status: JobStatus::Cancelled, ..*record }));
     let txn = protocol::state::Transaction {
-        conditions: vec![protocol::state::Compare { key: key.clone(), version: item.version }],
-        changes: vec![protocol::state::Mutation::Put { key, value, lease: None }],
+        compares: vec![protocol::state::Compare { key: key.clone(), version: item.version }],
+        mutations: vec![protocol::state::Mutation::Put { key, value, lease: None }],
     };
     assert!(matches!(w.store.execute(w.now, &StoreRequest::Commit(txn)), Some(StoreReply::Committed(_))));
     w.run(0.2);
     for call in std::mem::take(&mut w.held_writes) {
-        w.feed(Input::State(call, StoreReply::Refused));
+        w.feed(Input::Store(call, StoreReply::Refused));
     }
     w.run(2.0);
     let running = TaskStatus {
         task: "req-2/4".into(),
         attempt: 1,
         state: TaskState::Running,
-        cause: None,
-        saved: None,
+        exit_cause: None,
+        checkpointed: None,
     };
     w.feed(report("vm-000004", 1, vec![running]));
     w.run(3.9);
     let answer: HeartbeatResponse = protocol::decode(&w.answers[&1].body).unwrap();
-    let stops = answer.commands.iter().filter(|c| c.op == CommandKind::Stop && c.task == "req-2/4");
+    let stops = answer.commands.iter().filter(|c| c.kind == CommandKind::Stop && c.task == "req-2/4");
     assert_eq!(stops.count(), 1, "{:?}", answer.commands);
 }
 
--- a/crates/simulation/tests/versions.rs
+++ b/crates/simulation/tests/versions.rs
@@ -89,17 +89,20 @@
     let mut kinds = Vec::new();
     for item in &page.items {
         match &item.value {
-            Value::Leader(l) => assert_eq!((&l.node[..], l.again), ("n-1", 1)),
+            Value::Leader(l) => assert_eq!((&l.node[..], l.quick_restarts), ("n-1", 1)),
             Value::Types(t) => assert_eq!((t[0].cores, t[0].zones.len()), (16.0, 2)),
             Value::Format(f) => assert_eq!(*f, FORMAT_MOVES),
             Value::Images(i) => assert_eq!(i.machines, [("vm-000001".to_string(), vec![0])]),
-            Value::Over(o) => assert_eq!((o.status, o.done), (JobStatus::Done, 40)),
-            Value::Page(p) => assert_eq!((p.places.len(), p.places[0].attempt), (38, 3)),
+            Value::Terminal(o) => assert_eq!((o.status, o.done), (JobStatus::Done, 40)),
+            Value::Page(p) => assert_eq!((p.placements.len(), p.placements[0].attempt), (38, 3)),
             Value::Job(j) => {
                 assert_eq!(job_key(&j.spec.id), item.key);
-                assert_eq!((j.per_page, j.page.places.len(), j.ran_on.len()), (252, 38, 40));
-                assert_eq!((j.spec.due_s, j.layout, j.awaits().len()), (Some(900.0), 0, 0));
-                assert_eq!((j.freed_at, &j.parts), (None, &None));
+                assert_eq!(
+                    (j.per_page, j.first_page.placements.len(), j.machines_with_image.len()),
+                    (252, 38, 40)
+                );
+                assert_eq!((j.spec.deadline_s, j.layout, j.dependencies().len()), (Some(900.0), 0, 0));
+                assert_eq!((j.ready_wall_s, &j.spec_chunks), (None, &None));
             }
             other => panic!("{other:?}"),
         }
@@ -110,7 +113,7 @@
     let events: Events<Value> = protocol::decode(include_bytes!("production/events.msgpack")).unwrap();
     assert_eq!(events.events.len(), 9);
     let spec: JobSpec = protocol::decode(include_bytes!("production/submission.msgpack")).unwrap();
-    assert!(spec.check().is_ok() && spec.awaits.is_empty());
+    assert!(spec.check().is_ok() && spec.dependencies.is_empty());
 }
 
 #[test]
@@ -144,7 +147,7 @@
     for seed in 0..10 {
         let mut s = setup(seed, if seed % 2 == 0 { troubles(seed) } else { vec![] });
         unlimited(&mut s);
-        let state = &mut s.settings.params.state;
+        let state = &mut s.settings.params.store;
         state.next = Some(NextLimits { value_kb: Some(2.0), txn_ops: Some(8), ..NextLimits::default() });
         for (_, spec, _) in s.jobs.iter_mut().step_by(5).filter(|j| j.1.shape == Shape::Array) {
             (spec.tasks, spec.cores, spec.accelerators, spec.memory_gb) = (200, 0.25, 0.0, 0.25);
@@ -164,7 +167,7 @@
 fn the_gate_opens_when_all_have_said_so() {
     let mut s = setup(3, vec![]);
     unlimited(&mut s);
-    s.settings.params.state.next = Some(NextLimits { value_kb: Some(2.0), ..NextLimits::default() });
+    s.settings.params.store.next = Some(NextLimits { value_kb: Some(2.0), ..NextLimits::default() });
     let array = JobSpec { tasks: 900, cores: 0.25, accelerators: 0.0, memory_gb: 0.25, ..long_array() };
     let mut sim = Simulation::new(Setup { jobs: vec![(1.0, array, None)], capacity: 12, ..s });
     sim.say_format(FORMAT_MOVES);
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -31,7 +31,7 @@
 
 #[derive(Default)]
 pub struct Client {
-    pub deadlines: TimeoutWheel,
+    pub timeouts: TimeoutWheel,
     idle: RefCell<HashMap<SocketAddrV4, Vec<(Socket, Instant)>>>,
 }
 
@@ -73,7 +73,7 @@
             }
         }
         let left = deadline.saturating_duration_since(Instant::now());
-        let stream = match self.deadlines.within(left, Async::<TcpStream>::connect(addr)).await {
+        let stream = match self.timeouts.within(left, Async::<TcpStream>::connect(addr)).await {
             Some(Ok(s)) => s,
             _ => return Err(ClientError::NotSent),
         };
@@ -113,7 +113,7 @@
             response.take_body().take(MOST_RESPONSE).read_to_end(&mut bytes).await?;
             io::Result::Ok((status, bytes, closing))
         };
-        match self.deadlines.within(left, call).await {
+        match self.timeouts.within(left, call).await {
             Some(Ok((status, body, closing))) => {
                 if reuse && !closing {
                     self.keep(addr, stream);
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -22,18 +22,18 @@
 
 pub struct Driver {
     executor: Rc<LocalExecutor<'static>>,
-    shelf: Arc<peers::RelayMailbox>,
-    relays: peers::HeartbeatForwarding,
+    mailbox: Arc<peers::RelayMailbox>,
+    forwards: peers::HeartbeatForwarding,
     /// Direct commands that wait for a connection, and how many have one.
-    orders: RefCell<VecDeque<(CallId, String, DirectCommands)>>,
-    orders_open: Cell<usize>,
-    core: RefCell<Controller>,
+    worker_calls: RefCell<VecDeque<(CallId, String, DirectCommands)>>,
+    open_worker_calls: Cell<usize>,
+    controller: RefCell<Controller>,
     client: Client,
     settings: Settings,
-    derived: Timing,
+    timing: Timing,
     start: Instant,
     next: Cell<RequestId>,
-    waiting: RefCell<HashMap<RequestId, async_channel::Sender<HttpResponse>>>,
+    pending_requests: RefCell<HashMap<RequestId, async_channel::Sender<HttpResponse>>>,
 }
 
 /// Longest wait for an answer of the core's own making.
@@ -47,7 +47,7 @@
     fn feed(self: &Rc<Self>, input: Input) {
         let now = self.start.elapsed().as_secs_f64();
         let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64());
-        let outputs = self.core.borrow_mut().handle(now, wall, input);
+        let outputs = self.controller.borrow_mut().handle(now, wall, input);
         for o in outputs {
             self.carry_out(o);
         }
@@ -56,33 +56,33 @@
     fn carry_out(self: &Rc<Self>, output: Output) {
         let this = self.clone();
         match output {
-            Output::Answer(id, answer) => {
-                if let Some(s) = self.waiting.borrow_mut().remove(&id) {
+            Output::Response(id, answer) => {
+                if let Some(s) = self.pending_requests.borrow_mut().remove(&id) {
                     let _ = s.try_send(answer);
                 }
             }
-            Output::State(call, op) => self.spawn(async move {
-                let timeout = Duration::from_secs_f64(this.derived.state_timeout_s);
-                let reply = services::state(&this.client, this.settings.services.state, op, timeout).await;
-                this.feed(Input::State(call, reply));
+            Output::Store(call, op) => self.spawn(async move {
+                let timeout = Duration::from_secs_f64(this.timing.store_timeout_s);
+                let reply = services::state(&this.client, this.settings.services.store, op, timeout).await;
+                this.feed(Input::Store(call, reply));
             }),
             Output::Cloud(call, op) => self.spawn(async move {
-                let timeout = Duration::from_secs_f64(this.derived.cloud_timeout_s);
+                let timeout = Duration::from_secs_f64(this.timing.cloud_timeout_s);
                 let reply = services::cloud(&this.client, this.settings.services.cloud, op, timeout).await;
                 this.feed(Input::Cloud(call, reply));
             }),
-            Output::Relay(call, node, request) => self.spawn(async move {
+            Output::Forward(call, node, request) => self.spawn(async move {
                 let reply = peers::relay(&this, &node, request).await;
-                this.feed(Input::RelayReply(call, reply));
+                this.feed(Input::ForwardReply(call, reply));
             }),
-            Output::RelayReply(id, reply) => {
-                if let Some(s) = self.relays.waiting.borrow_mut().remove(&id) {
+            Output::ForwardReply(id, reply) => {
+                if let Some(s) = self.forwards.waiting.borrow_mut().remove(&id) {
                     let _ = s.try_send(reply);
                 }
             }
             Output::Worker(call, addr, body) => {
-                self.orders.borrow_mut().push_back((call, addr, body));
-                self.send_orders();
+                self.worker_calls.borrow_mut().push_back((call, addr, body));
+                self.send_worker_calls();
             }
         }
     }
@@ -96,17 +96,17 @@
     /// Sends direct commands as far as connections may be opened for them; the
     /// others wait their turn. (A gang's or a huge array's stops once took every
     /// socket that the node had left.)
-    fn send_orders(self: &Rc<Self>) {
-        while self.orders_open.get() < self.derived.worker_calls {
-            let Some((call, addr, body)) = self.orders.borrow_mut().pop_front() else { return };
-            self.orders_open.set(self.orders_open.get() + 1);
+    fn send_worker_calls(self: &Rc<Self>) {
+        while self.open_worker_calls.get() < self.timing.max_worker_calls {
+            let Some((call, addr, body)) = self.worker_calls.borrow_mut().pop_front() else { return };
+            self.open_worker_calls.set(self.open_worker_calls.get() + 1);
             let this = self.clone();
             self.spawn(async move {
-                let timeout = Duration::from_secs_f64(this.derived.worker_timeout_s / 2.0);
+                let timeout = Duration::from_secs_f64(this.timing.worker_timeout_s / 2.0);
                 let reply = services::worker(&this.client, &addr, body, timeout).await;
-                this.orders_open.set(this.orders_open.get() - 1);
+                this.open_worker_calls.set(this.open_worker_calls.get() - 1);
                 this.feed(Input::Worker(call, reply));
-                this.send_orders();
+                this.send_worker_calls();
             });
         }
     }
@@ -115,20 +115,20 @@
     pub(crate) async fn ask(self: &Rc<Self>, request: Request) -> Option<HttpResponse> {
         let id = self.next_id();
         let (sender, receiver) = async_channel::bounded(1);
-        self.waiting.borrow_mut().insert(id, sender);
+        self.pending_requests.borrow_mut().insert(id, sender);
         self.feed(Input::Request(id, request));
-        let answer = self.client.deadlines.within(LONGEST_ANSWER, receiver.recv()).await;
-        self.waiting.borrow_mut().remove(&id);
+        let answer = self.client.timeouts.within(LONGEST_ANSWER, receiver.recv()).await;
+        self.pending_requests.borrow_mut().remove(&id);
         answer?.ok()
     }
 
     async fn tick(self: Rc<Self>) {
         loop {
-            let pause = self.core.borrow().wake_s();
+            let pause = self.controller.borrow().wake_interval_s();
             let due = Instant::now() + Duration::from_secs_f64(pause);
             Timer::at(due).await;
-            self.core.borrow_mut().note_lateness(due.elapsed().as_secs_f64());
-            self.client.deadlines.sweep();
+            self.controller.borrow_mut().record_event_loop_lag(due.elapsed().as_secs_f64());
+            self.client.timeouts.sweep();
             self.feed(Input::Tick);
         }
     }
@@ -136,8 +136,8 @@
 
 /// Serves until the process is ended. Fails only if an address cannot be bound.
 pub fn run(settings: Settings, operator: Operator) -> std::io::Result<()> {
-    let listener = Async::<TcpListener>::bind(settings.listen)?;
-    let peer_listener = Async::<TcpListener>::bind(settings.peer_listen)?;
+    let listener = Async::<TcpListener>::bind(settings.client_addr)?;
+    let peer_listener = Async::<TcpListener>::bind(settings.peer_addr)?;
     let seed = settings
         .node
         .bytes()
@@ -146,27 +146,27 @@
     let (shelf, calls) = peers::RelayMailbox::new();
     let driver = Rc::new(Driver {
         executor: executor.clone(),
-        shelf,
-        relays: peers::HeartbeatForwarding::default(),
-        orders: RefCell::default(),
-        orders_open: Cell::new(0),
-        core: RefCell::new(Controller::new(settings.clone(), operator, seed)),
+        mailbox: shelf,
+        forwards: peers::HeartbeatForwarding::default(),
+        worker_calls: RefCell::default(),
+        open_worker_calls: Cell::new(0),
+        controller: RefCell::new(Controller::new(settings.clone(), operator, seed)),
         client: Client::default(),
-        derived: Timing::from(&settings),
+        timing: Timing::from(&settings),
         settings,
         start: Instant::now(),
         next: Cell::new(0),
-        waiting: RefCell::new(HashMap::new()),
+        pending_requests: RefCell::new(HashMap::new()),
     });
     driver.spawn(driver.clone().tick());
     driver.spawn(peers::serve(driver.clone(), peer_listener));
     driver.spawn(peers::take_relays(driver.clone(), calls));
-    let every = Duration::from_secs_f64(driver.derived.renew_s);
+    let every = Duration::from_secs_f64(driver.timing.renewal_interval_s);
     for p in driver.settings.peers.clone() {
         driver.spawn(peers::exchange(driver.clone(), p.addr, every));
     }
     driver.feed(Input::Tick);
-    let most = driver.derived.front_sockets;
+    let most = driver.timing.max_front_connections;
     async_io::block_on(executor.run(server::serve(driver, listener, most)));
     Ok(())
 }
--- a/crates/transport/src/peers.rs
+++ b/crates/transport/src/peers.rs
@@ -43,9 +43,9 @@
 /// views pass through a shelf that the driver fills and empties, and relays
 /// through a channel.
 pub struct RelayMailbox {
-    own: Mutex<View>,
-    heard: Mutex<Vec<View>>,
-    relays: async_channel::Sender<InboundForward>,
+    own_view: Mutex<View>,
+    received_views: Mutex<Vec<View>>,
+    forwards: async_channel::Sender<InboundForward>,
 }
 
 /// A relay and where its reply goes.
@@ -54,7 +54,14 @@
 impl RelayMailbox {
     pub fn new() -> (Arc<RelayMailbox>, async_channel::Receiver<InboundForward>) {
         let (relays, calls) = async_channel::bounded(MOST_PEERS);
-        (Arc::new(RelayMailbox { own: Mutex::default(), heard: Mutex::default(), relays }), calls)
+        (
+            Arc::new(RelayMailbox {
+                own_view: Mutex::default(),
+                received_views: Mutex::default(),
+                forwards: relays,
+            }),
+            calls,
+        )
     }
 }
 
@@ -74,11 +81,11 @@
 impl Peers for Service {
     async fn exchange(&self, r: tonic::Request<View>) -> Result<tonic::Response<View>, tonic::Status> {
         let lost = |_| tonic::Status::internal("view lost");
-        let mut heard = self.0.heard.lock().map_err(|_| lost(()))?;
+        let mut heard = self.0.received_views.lock().map_err(|_| lost(()))?;
         if heard.len() < MOST_PEERS {
             heard.push(r.into_inner());
         }
-        let own = self.0.own.lock().map_err(|_| lost(()))?.clone();
+        let own = self.0.own_view.lock().map_err(|_| lost(()))?.clone();
         Ok(tonic::Response::new(own))
     }
 
@@ -88,7 +95,7 @@
     ) -> Result<tonic::Response<ForwardReply>, tonic::Status> {
         let (sender, reply) = async_channel::bounded(1);
         let busy = |_| tonic::Status::resource_exhausted("too many relays");
-        self.0.relays.try_send((r.into_inner(), sender)).map_err(busy)?;
+        self.0.forwards.try_send((r.into_inner(), sender)).map_err(busy)?;
         let gone = |_| tonic::Status::unavailable("not answered");
         Ok(tonic::Response::new(reply.recv().await.map_err(gone)?))
     }
@@ -109,7 +116,7 @@
         open.set(open.get() + 1);
         let (this, open) = (driver.clone(), open.clone());
         driver.spawn(async move {
-            let service = Hyper(PeersServer::new(Service(this.shelf.clone())));
+            let service = Hyper(PeersServer::new(Service(this.mailbox.clone())));
             let served = hyper::server::conn::http2::Builder::new(Local(this.executor.clone()))
                 .max_concurrent_streams(4)
                 .serve_connection(FuturesIo::new(stream), service)
@@ -139,27 +146,27 @@
 pub async fn take_relays(driver: Rc<Driver>, calls: async_channel::Receiver<InboundForward>) {
     while let Ok((request, reply)) = calls.recv().await {
         let id = driver.next_id();
-        let mut waiting = driver.relays.waiting.borrow_mut();
+        let mut waiting = driver.forwards.waiting.borrow_mut();
         // Callers that have given up.
         waiting.retain(|_, s: &mut async_channel::Sender<ForwardReply>| !s.is_closed());
         waiting.insert(id, reply);
         drop(waiting);
-        driver.feed(Input::RelayRequest(id, request));
+        driver.feed(Input::ForwardRequest(id, request));
     }
 }
 
 /// Passes reports to `node`; None if no reply comes in time.
 pub async fn relay(driver: &Rc<Driver>, node: &str, request: ForwardRequest) -> Option<ForwardReply> {
     let addr = driver.settings.peers.iter().find(|p| p.node == node)?.addr;
-    let kept = driver.relays.links.borrow_mut().remove(node);
-    let longest = Duration::from_secs_f64(driver.derived.relay_timeout_s);
-    let within = |call| driver.client.deadlines.within(longest, call);
+    let kept = driver.forwards.links.borrow_mut().remove(node);
+    let longest = Duration::from_secs_f64(driver.timing.forward_timeout_s);
+    let within = |call| driver.client.timeouts.within(longest, call);
     let (client, late) = match kept {
         Some(link) => link,
-        None => (driver.client.deadlines.within(longest, connect(driver, addr)).await??, 0),
+        None => (driver.client.timeouts.within(longest, connect(driver, addr)).await??, 0),
     };
     let keep = |client, late| {
-        driver.relays.links.borrow_mut().insert(node.to_string(), (client, late));
+        driver.forwards.links.borrow_mut().insert(node.to_string(), (client, late));
     };
     // One that failed is not kept, and the next call connects anew. One that is
     // only late is: a busy node may have no socket left for another.
@@ -236,7 +243,7 @@
         })
         .await;
         match view {
-            Some(v) => driver.feed(Input::Peer(v)),
+            Some(v) => driver.feed(Input::PeerView(v)),
             None => client = None,
         }
     }
@@ -244,8 +251,8 @@
 
 impl Driver {
     fn own_view(&self) -> View {
-        let view = self.core.borrow().view_for_peers();
-        if let Ok(mut own) = self.shelf.own.lock() {
+        let view = self.controller.borrow().view_for_peers();
+        if let Ok(mut own) = self.mailbox.own_view.lock() {
             own.clone_from(&view);
         }
         view
@@ -253,9 +260,10 @@
 
     /// Hands the core what peers have left on the shelf.
     fn take_views(self: &Rc<Self>) {
-        let heard = self.shelf.heard.lock().map(|mut h| std::mem::take(&mut *h)).unwrap_or_default();
+        let heard =
+            self.mailbox.received_views.lock().map(|mut h| std::mem::take(&mut *h)).unwrap_or_default();
         for v in heard {
-            self.feed(Input::Peer(v));
+            self.feed(Input::PeerView(v));
         }
     }
 }
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -50,7 +50,7 @@
 async fn connection(driver: Rc<Driver>, stream: Async<TcpStream>) -> http_types::Result<()> {
     let mut socket = Socket::new(stream);
     loop {
-        let once = driver.client.deadlines.within(LONGEST, exchange(&driver, &mut socket)).await;
+        let once = driver.client.timeouts.within(LONGEST, exchange(&driver, &mut socket)).await;
         if !once.transpose()?.unwrap_or(false) {
             return Ok(());
         }
@@ -85,18 +85,18 @@
     let get = request.method() == Method::Get;
     let job = path.strip_prefix("/api/jobs/");
     let input = match (path.as_str(), job) {
-        ("/up", _) if get => Input::Up,
+        ("/up", _) if get => Input::HealthCheck,
         ("/api/jobs", _) if post => match body(driver, &mut request).await {
             Some(b) => Input::Submit(b),
             None => return plain(StatusCode::RequestTimeout),
         },
         ("/agent/beat", _) if post => match body(driver, &mut request).await {
-            Some(b) => Input::Report(b),
+            Some(b) => Input::Heartbeat(b),
             None => return plain(StatusCode::RequestTimeout),
         },
         (_, Some(rest)) => match rest.strip_suffix("/cancel") {
             Some(id) if post => Input::Cancel(id.to_string()),
-            None if get => Input::Poll(rest.to_string()),
+            None if get => Input::QueryStatus(rest.to_string()),
             _ => return plain(StatusCode::MethodNotAllowed),
         },
         ("/up" | "/api/jobs" | "/agent/beat", _) => return plain(StatusCode::MethodNotAllowed),
@@ -124,6 +124,6 @@
         let mut limited = taken.take(most);
         limited.read_to_end(&mut bytes).await.is_ok()
     };
-    let whole = driver.client.deadlines.within(BODY, read).await;
+    let whole = driver.client.timeouts.within(BODY, read).await;
     (whole == Some(true)).then_some(bytes)
 }
--- a/crates/transport/src/services.rs
+++ b/crates/transport/src/services.rs
@@ -38,7 +38,7 @@
 impl<'de> serde::Deserialize<'de> for Lenient {
     fn deserialize<D: serde::Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let raw = rmpv::Value::deserialize(d)?;
-        Ok(Lenient(rmpv::ext::from_value(raw).unwrap_or(Value::Unread)))
+        Ok(Lenient(rmpv::ext::from_value(raw).unwrap_or(Value::Undecodable)))
     }
 }
 
@@ -160,7 +160,9 @@
     match sent {
         Ok(r) if r.status == 200 || r.status == 409 => {
             match parsed::<Heartbeat>(&r.body, "worker's report") {
-                Some(report) => WorkerReply::Report { executed: r.status == 200, report: Box::new(report) },
+                Some(report) => {
+                    WorkerReply::Heartbeat { executed: r.status == 200, report: Box::new(report) }
+                }
                 None => WorkerReply::Failed,
             }
         }
