--- a/crates/controller/src/archive.rs
+++ b/crates/controller/src/archive.rs
@@ -126,16 +126,20 @@
 }
 
 /// The changes that move `f`; its other keys go first if there are more than `most`.
-fn moves(f: &TerminalJob, most: usize) -> (Vec<Compare>, Vec<Mutation<Value>>, Vec<String>) {
+fn moves(terminal_job: &TerminalJob, most: usize) -> (Vec<Compare>, Vec<Mutation<Value>>, Vec<String>) {
     let mut changes: Vec<Mutation<Value>> =
-        f.keys.iter().take(most).map(|key| Mutation::Delete { key: key.clone() }).collect();
-    let left: Vec<String> = f.keys.iter().skip(most).cloned().collect();
+        terminal_job.keys.iter().take(most).map(|key| Mutation::Delete { key: key.clone() }).collect();
+    let left: Vec<String> = terminal_job.keys.iter().skip(most).cloned().collect();
     let mut conditions = Vec::new();
     if changes.len() + 2 <= most {
-        let (key, over) = (job_key(&f.id), over_key(&f.id));
-        conditions.push(Compare { key: key.clone(), version: f.version });
+        let (key, over) = (job_key(&terminal_job.id), over_key(&terminal_job.id));
+        conditions.push(Compare { key: key.clone(), version: terminal_job.version });
         changes.push(Mutation::Delete { key });
-        changes.push(Mutation::Put { key: over, value: Value::Terminal(f.record.clone()), lease: None });
+        changes.push(Mutation::Put {
+            key: over,
+            value: Value::Terminal(terminal_job.record.clone()),
+            lease: None,
+        });
     }
     (conditions, changes, left)
 }
@@ -182,23 +186,23 @@
     /// of the service shows that it does; that is stored, and holds from then on.
     fn agree_on_format(&mut self) {
         let (now, renew_s) = (self.now, self.timing.renewal_interval_s);
-        let Role::Leader(l) = &mut self.role else { return };
-        let token = l.fencing_token;
-        if l.archive.format_in_flight
-            || l.archive.supports_current_format()
-            || now < l.archive.format_check_at
+        let Role::Leader(leader) = &mut self.role else { return };
+        let token = leader.fencing_token;
+        if leader.archive.format_in_flight
+            || leader.archive.supports_current_format()
+            || now < leader.archive.format_check_at
         {
             return;
         }
-        l.archive.format_check_at = now + renew_s;
+        leader.archive.format_check_at = now + renew_s;
         let reads = self.formats.common_format(&self.settings.peers);
-        match l.archive.format {
+        match leader.archive.format {
             None => {
-                l.archive.format_in_flight = true;
+                leader.archive.format_in_flight = true;
                 self.call_store(CallContext::FormatRead { token }, StoreRequest::Get(FORMAT_KEY.to_string()));
             }
             Some((format, version)) if reads > format => {
-                l.archive.format_in_flight = true;
+                leader.archive.format_in_flight = true;
                 let leads = Compare { key: LEADER_KEY.to_string(), version: token };
                 let new = Compare { key: FORMAT_KEY.to_string(), version };
                 let value = Value::Format(reads);
@@ -210,17 +214,17 @@
         }
     }
 
-    pub(crate) fn on_format_read(&mut self, token: u64, r: StoreReply) {
-        let Some(l) = self.leader_state(token) else { return };
-        l.archive.format_in_flight = false;
-        match r {
+    pub(crate) fn on_format_read(&mut self, token: u64, reply: StoreReply) {
+        let Some(leader) = self.leader_state(token) else { return };
+        leader.archive.format_in_flight = false;
+        match reply {
             StoreReply::Item(Item { value: Value::Format(f), version, .. }) => {
-                l.archive.format = Some((f, version));
+                leader.archive.format = Some((f, version));
                 if f >= FORMAT {
                     self.formats.confirm();
                 }
             }
-            StoreReply::Missing(_) => l.archive.format = Some((0, 0)),
+            StoreReply::Missing(_) => leader.archive.format = Some((0, 0)),
             _ => {}
         }
     }
@@ -232,42 +236,42 @@
         }
     }
 
-    pub(crate) fn on_format_gate_read(&mut self, r: StoreReply) {
-        self.formats.gate.end(matches!(r, StoreReply::Item(_) | StoreReply::Missing(_)));
-        if matches!(r, StoreReply::Item(Item { value: Value::Format(f), .. }) if f >= FORMAT) {
+    pub(crate) fn on_format_gate_read(&mut self, reply: StoreReply) {
+        self.formats.gate.end(matches!(reply, StoreReply::Item(_) | StoreReply::Missing(_)));
+        if matches!(reply, StoreReply::Item(Item { value: Value::Format(f), .. }) if f >= FORMAT) {
             self.formats.confirm();
         }
     }
 
-    pub(crate) fn on_format_write(&mut self, token: u64, format: u32, r: StoreReply) {
-        let Some(l) = self.leader_state(token) else { return };
-        l.archive.format_in_flight = false;
-        if let StoreReply::Committed(revision) = r {
+    pub(crate) fn on_format_write(&mut self, token: u64, format: u32, reply: StoreReply) {
+        let Some(leader) = self.leader_state(token) else { return };
+        leader.archive.format_in_flight = false;
+        if let StoreReply::Committed(revision) = reply {
             info!(format, "all nodes read this format of records, used from now on");
-            l.archive.format = Some((format, revision));
+            leader.archive.format = Some((format, revision));
         } else {
-            l.archive.format = None;
+            leader.archive.format = None;
         }
     }
 
     /// `job` is over, its record stored under `j/` in that version.
-    pub(crate) fn archive_job(&mut self, f: TerminalJob) {
-        if let Role::Leader(l) = &mut self.role {
-            let place = if l.dependencies.graph.has_dependents(&f.id) {
-                &mut l.archive.held_for_dependents
+    pub(crate) fn archive_job(&mut self, terminal_job: TerminalJob) {
+        if let Role::Leader(leader) = &mut self.role {
+            let place = if leader.dependencies.graph.has_dependents(&terminal_job.id) {
+                &mut leader.archive.held_for_dependents
             } else {
-                &mut l.archive.waiting
+                &mut leader.archive.waiting
             };
-            place.entry(f.id.clone()).or_insert(f);
+            place.entry(terminal_job.id.clone()).or_insert(terminal_job);
         }
     }
 
     /// Its record has left those that run: it is over, and nothing is left of it.
     pub(crate) fn on_job_archived(&mut self, id: &str, revision: u64) {
         self.log_job_finished(id);
-        let Role::Leader(l) = &mut self.role else { return };
-        l.archive.archived.record(id, revision);
-        if let Some(job) = l.jobs.remove(id) {
+        let Role::Leader(leader) = &mut self.role else { return };
+        leader.archive.archived.record(id, revision);
+        if let Some(job) = leader.jobs.remove(id) {
             self.terminal_states.insert(id, job.status, job.done_count);
         }
     }
@@ -276,15 +280,15 @@
         let now = self.now;
         let most = self.store_limits.mutations();
         let all = self.store_limits.write_rps();
-        let Role::Leader(l) = &mut self.role else { return };
-        let (token, rate) = (l.fencing_token, all * crate::write_queue::LEADER_WRITES);
-        let a = &mut l.archive;
-        let nothing = a.waiting.is_empty() && a.stale_keys.is_empty();
-        if !a.is_enabled() || a.in_flight.is_some() || nothing || now < a.retry_at {
+        let Role::Leader(leader) = &mut self.role else { return };
+        let (token, rate) = (leader.fencing_token, all * crate::write_queue::LEADER_WRITES);
+        let archive = &mut leader.archive;
+        let nothing = archive.waiting.is_empty() && archive.stale_keys.is_empty();
+        if !archive.is_enabled() || archive.in_flight.is_some() || nothing || now < archive.retry_at {
             return;
         }
-        let own = a.budget.get_or_insert_with(|| RateLimiter::new(all * MOVES));
-        let shared = l.fleet.write_budget(rate);
+        let own = archive.budget.get_or_insert_with(|| RateLimiter::new(all * MOVES));
+        let shared = leader.fleet.write_budget(rate);
         let allowed =
             own.available_at(now).min(shared.available_at(now) - rate / 2.0).min(most as f64) as usize;
         if allowed < 2 {
@@ -294,14 +298,14 @@
         let mut txn = Transaction { compares: vec![leads], mutations: Vec::new() };
         let mut moving = Vec::new();
         // Deleting twice does no harm.
-        a.deleting = a.stale_keys.split_off(a.stale_keys.len().saturating_sub(allowed / 2));
-        txn.mutations.extend(a.deleting.iter().map(|key| Mutation::Delete { key: key.clone() }));
-        while let Some((id, mut f)) = a.waiting.pop_first() {
+        archive.deleting = archive.stale_keys.split_off(archive.stale_keys.len().saturating_sub(allowed / 2));
+        txn.mutations.extend(archive.deleting.iter().map(|key| Mutation::Delete { key: key.clone() }));
+        while let Some((id, mut f)) = archive.waiting.pop_first() {
             let room = allowed - txn.mutations.len();
             // A job with more pages than that takes several transactions.
             let whole = f.keys.len() + 2 <= room;
             if !whole && !txn.mutations.is_empty() {
-                a.waiting.insert(id, f);
+                archive.waiting.insert(id, f);
                 break;
             }
             let (conditions, changes, left) = moves(&f, room);
@@ -309,7 +313,7 @@
             txn.mutations.extend(changes);
             if !whole {
                 f.keys = left;
-                a.waiting.insert(id, f);
+                archive.waiting.insert(id, f);
                 break;
             }
             moving.push(f);
@@ -320,21 +324,21 @@
         let n = txn.mutations.len() as f64;
         own.try_acquire(now, n);
         shared.try_acquire(now, n);
-        a.in_flight = Some(moving);
+        archive.in_flight = Some(moving);
         self.call_store(CallContext::ArchiveMove { token }, StoreRequest::Commit(txn));
     }
 
-    pub(crate) fn on_archive_moved(&mut self, token: u64, r: StoreReply) {
+    pub(crate) fn on_archive_moved(&mut self, token: u64, reply: StoreReply) {
         let now = self.now;
         let retry = self.timing.renewal_interval_s / 4.0;
-        let Some(l) = self.leader_state(token) else { return };
-        let moving = l.archive.in_flight.take().unwrap_or_default();
-        let deleting = std::mem::take(&mut l.archive.deleting);
+        let Some(leader) = self.leader_state(token) else { return };
+        let moving = leader.archive.in_flight.take().unwrap_or_default();
+        let deleting = std::mem::take(&mut leader.archive.deleting);
         // (Parts whose deletion got no answer once lay there until the next takeover.)
-        if !matches!(r, StoreReply::Committed(_)) {
-            l.archive.stale_keys.extend(deleting);
+        if !matches!(reply, StoreReply::Committed(_)) {
+            leader.archive.stale_keys.extend(deleting);
         }
-        match r {
+        match reply {
             StoreReply::Committed(_) => debug!(jobs = moving.len(), "moved what is over"),
             StoreReply::Conflict(c) if c.failed.iter().any(|k| k == LEADER_KEY) => {
                 self.step_down("leader key is another's");
@@ -343,12 +347,12 @@
             // of it the next takeover sees.
             StoreReply::Conflict(c) => {
                 let again = moving.into_iter().filter(|f| !c.failed.contains(&job_key(&f.id)));
-                l.archive.waiting.extend(again.map(|f| (f.id.clone(), f)));
+                leader.archive.waiting.extend(again.map(|f| (f.id.clone(), f)));
             }
             // Perhaps applied, perhaps later: the versions tell the next time.
             _ => {
-                l.archive.waiting.extend(moving.into_iter().map(|f| (f.id.clone(), f)));
-                l.archive.retry_at = now + retry;
+                leader.archive.waiting.extend(moving.into_iter().map(|f| (f.id.clone(), f)));
+                leader.archive.retry_at = now + retry;
             }
         }
     }
@@ -360,28 +364,31 @@
         let every = self.settings.params.workers.lease_s;
         let room = self.store_limits.value_bytes() * 3 / 4;
         let all = self.store_limits.write_rps();
-        let Role::Leader(l) = &mut self.role else { return };
-        let (token, rate) = (l.fencing_token, all * crate::write_queue::LEADER_WRITES);
-        let shared = l.fleet.write_budget(rate);
-        if !l.archive.is_enabled() || l.archive.images_in_flight.is_some() || now < l.archive.images_at {
+        let Role::Leader(leader) = &mut self.role else { return };
+        let (token, rate) = (leader.fencing_token, all * crate::write_queue::LEADER_WRITES);
+        let shared = leader.fleet.write_budget(rate);
+        if !leader.archive.is_enabled()
+            || leader.archive.images_in_flight.is_some()
+            || now < leader.archive.images_at
+        {
             return;
         }
         if shared.available_at(now) < rate / 2.0 {
             return;
         }
-        let held = l.images_held(IMAGES_EACH);
+        let held = leader.images_held(IMAGES_EACH);
         let parts = parts(&held, room);
-        let stored = &l.archive.images;
+        let stored = &leader.archive.images;
         let differs = |(n, p): &(usize, ImagesRecord)| stored.get(n).map(|s| &s.0) != Some(p);
         let Some((n, part)) = parts.into_iter().enumerate().take(MOST_PARTS).find(differs) else {
-            l.archive.images_at = now + every;
+            leader.archive.images_at = now + every;
             return;
         };
-        l.fleet.write_budget(rate).try_acquire(now, 1.0);
-        let version = l.archive.images.get(&n).map_or(0, |s| s.1);
-        l.archive.images_in_flight = Some((n, part.clone()));
+        leader.fleet.write_budget(rate).try_acquire(now, 1.0);
+        let version = leader.archive.images.get(&n).map_or(0, |s| s.1);
+        leader.archive.images_in_flight = Some((n, part.clone()));
         // Spread over the time until the next look.
-        l.archive.images_at = now + every / PARTS_A_LEASE as f64;
+        leader.archive.images_at = now + every / PARTS_A_LEASE as f64;
         let key = images_key(n);
         let leads = Compare { key: LEADER_KEY.to_string(), version: token };
         let conditions = vec![leads, Compare { key: key.clone(), version }];
@@ -392,14 +399,14 @@
         );
     }
 
-    pub(crate) fn on_images_write(&mut self, token: u64, r: StoreReply) {
+    pub(crate) fn on_images_write(&mut self, token: u64, reply: StoreReply) {
         let now = self.now;
         let every = self.settings.params.workers.lease_s;
-        let Some(l) = self.leader_state(token) else { return };
-        let Some((n, part)) = l.archive.images_in_flight.take() else { return };
-        match r {
+        let Some(leader) = self.leader_state(token) else { return };
+        let Some((n, part)) = leader.archive.images_in_flight.take() else { return };
+        match reply {
             StoreReply::Committed(revision) => {
-                l.archive.images.insert(n, (part, revision));
+                leader.archive.images.insert(n, (part, revision));
             }
             StoreReply::Conflict(c) if c.failed.iter().any(|k| k == LEADER_KEY) => {
                 self.step_down("leader key is another's");
@@ -407,20 +414,20 @@
             // An earlier one may have been carried out without an answer. (The version known
             // here then failed for ever, and no other part had its turn.)
             StoreReply::Conflict(_) | StoreReply::Unknown => {
-                l.archive.images_at = now + every;
+                leader.archive.images_at = now + every;
                 let purpose = CallContext::ImagesRead { token, part: n };
                 self.call_store(purpose, StoreRequest::Get(images_key(n)));
             }
             // It only helps the next leader.
-            _ => l.archive.images_at = now + every,
+            _ => leader.archive.images_at = now + every,
         }
     }
 
     /// A part of the machines' images as it is stored.
-    pub(crate) fn on_images_read(&mut self, token: u64, part: usize, r: StoreReply) {
-        let Some(l) = self.leader_state(token) else { return };
-        if let StoreReply::Item(Item { value: Value::Images(record), version, .. }) = r {
-            l.archive.read_images(part, record, version);
+    pub(crate) fn on_images_read(&mut self, token: u64, part: usize, reply: StoreReply) {
+        let Some(leader) = self.leader_state(token) else { return };
+        if let StoreReply::Item(Item { value: Value::Images(record), version, .. }) = reply {
+            leader.archive.read_images(part, record, version);
         }
     }
 }
--- a/crates/controller/src/cancellation_lineage.rs
+++ b/crates/controller/src/cancellation_lineage.rs
@@ -70,21 +70,21 @@
     /// looked up first, and the question answered then.
     pub(crate) fn check_lineage(
         &mut self,
-        a: StatusQuery,
+        query: StatusQuery,
         clear: &mut HashSet<String>,
     ) -> Option<(StatusQuery, bool)> {
         if !self.checks.cancellation_lineage {
-            return Some((a, false));
+            return Some((query, false));
         }
-        match self.lineage(&a.id, clear) {
-            LineageVerdict::Clear => Some((a, false)),
+        match self.lineage(&query.id, clear) {
+            LineageVerdict::Clear => Some((query, false)),
             LineageVerdict::Cancelled => {
                 // The cause is stored, and so this is as final as if it were.
-                self.terminal_states.insert(&a.id, JobStatus::Cancelled, 0);
-                Some((a, true))
+                self.terminal_states.insert(&query.id, JobStatus::Cancelled, 0);
+                Some((query, true))
             }
             LineageVerdict::Unknown(ids) => {
-                self.status_queries.lineage.parked_queries.push(a);
+                self.status_queries.lineage.parked_queries.push(query);
                 for id in ids {
                     if self.status_queries.lineage.lookups.insert(id.clone()) {
                         self.status_queries.enqueue(StatusQuery {
--- a/crates/controller/src/client_requests.rs
+++ b/crates/controller/src/client_requests.rs
@@ -118,7 +118,7 @@
         self.respond(id, code, protocol::encode(&view));
     }
 
-    pub(crate) fn on_submit(&mut self, req: RequestId, body: &[u8]) {
+    pub(crate) fn on_submit(&mut self, request_id: RequestId, body: &[u8]) {
         let parsed: Result<JobSpec, String> = if body.len() > protocol::BODY_LIMIT {
             Err("body over 64 KiB".to_string())
         } else {
@@ -132,42 +132,44 @@
                 let named = protocol::first_map::<JobIdOnly>(body).ok().and_then(|(o, _)| o.id);
                 let id = named.filter(|id| valid_id(id));
                 match id {
-                    Some(id) => self.query_status(req, &id, 400, &why),
-                    None => self.respond_error(req, 400, &why),
+                    Some(id) => self.query_status(request_id, &id, 400, &why),
+                    None => self.respond_error(request_id, 400, &why),
                 }
                 return;
             }
         };
         if let Some((status, done)) = self.terminal_states.get(&spec.id) {
-            self.respond_with_job(req, 200, &spec.id.clone(), status, Some((done, 0)));
+            self.respond_with_job(request_id, 200, &spec.id.clone(), status, Some((done, 0)));
             return;
         }
         match self.validate_feasibility(&spec) {
-            None => self.respond_error(req, 503, "machine types not known yet"),
-            Some(Err(why)) => self.query_status(req, &spec.id.clone(), 422, why),
-            Some(Ok(())) if spec.dependencies.is_empty() => self.create_job(req, spec, JobStatus::Pending),
-            Some(Ok(())) => self.check_dependencies(req, spec),
+            None => self.respond_error(request_id, 503, "machine types not known yet"),
+            Some(Err(why)) => self.query_status(request_id, &spec.id.clone(), 422, why),
+            Some(Ok(())) if spec.dependencies.is_empty() => {
+                self.create_job(request_id, spec, JobStatus::Pending)
+            }
+            Some(Ok(())) => self.check_dependencies(request_id, spec),
         }
     }
 
     /// Looks up the jobs that a submission names: all have to be accepted, and none may
     /// be a service, which is never done. What is done already need not be waited for, and
     /// with one that is cancelled the job is withdrawn from the start.
-    fn check_dependencies(&mut self, req: RequestId, spec: JobSpec) {
+    fn check_dependencies(&mut self, request_id: RequestId, spec: JobSpec) {
         let id = spec.id.clone();
         // Nobody asks for this before every node has this version.
         if self.formats.confirm() {
             info!("a job that awaits others was submitted: every node has this version");
         }
         if spec.dependencies.contains(&id) {
-            return self.query_status(req, &id, 422, "a job cannot await itself");
+            return self.query_status(request_id, &id, 422, "a job cannot await itself");
         }
         if let Some(v) = self.client_requests.dependency_checks.get_mut(&id) {
-            return v.waiting.push(req);
+            return v.waiting.push(request_id);
         }
         let open: usize = self.client_requests.dependency_checks.values().map(|v| v.unresolved.len()).sum();
         if open + spec.dependencies.len() > MOST_VETTED {
-            return self.respond_error(req, 503, "busy");
+            return self.respond_error(request_id, 503, "busy");
         }
         let left: BTreeSet<String> = spec.dependencies.iter().cloned().collect();
         let awaited: Vec<String> = left.iter().cloned().collect();
@@ -175,7 +177,7 @@
         self.client_requests.dependency_checks.insert(
             id.clone(),
             DependencyCheck {
-                waiting: vec![req],
+                waiting: vec![request_id],
                 spec,
                 logged_names: names,
                 unresolved: left,
@@ -248,15 +250,15 @@
         Some(Ok(()))
     }
 
-    fn create_job(&mut self, req: RequestId, spec: JobSpec, status: JobStatus) {
+    fn create_job(&mut self, request_id: RequestId, spec: JobSpec, status: JobStatus) {
         let id = spec.id.clone();
         if let Some(c) = self.client_requests.creates.get_mut(&id) {
-            c.waiting.push(req);
+            c.waiting.push(request_id);
             return;
         }
         if self.client_requests.creates.len() > MOST_WAITING || !self.client_writes.try_acquire(self.now, 1.0)
         {
-            return self.respond_error(req, 503, "busy");
+            return self.respond_error(request_id, 503, "busy");
         }
         let fit = self.store_limits.value_bytes();
         let mut record = JobRecord { status, ..JobRecord::new(spec, self.time_of_day, fit) };
@@ -265,7 +267,7 @@
         // (A node that was back at once stored such a job whole, which the coming limits never let
         // the leader write again: it never ran.)
         if large && !self.uses_current_format() && !self.formats.gate.was_answered() {
-            return self.respond_error(req, 503, "not known yet whether all nodes read parts");
+            return self.respond_error(request_id, 503, "not known yet whether all nodes read parts");
         }
         if large && self.uses_current_format() {
             let nonce = nonce(self.time_of_day, self.rng.gen());
@@ -278,7 +280,7 @@
         self.client_requests.creates.insert(
             id.clone(),
             PendingCreate {
-                waiting: vec![req],
+                waiting: vec![request_id],
                 record,
                 stored_record: stub,
                 pending_chunks: parts,
@@ -299,9 +301,9 @@
         self.commit_hedged(CallContext::Create { id: id.to_string() }, txn);
     }
 
-    pub(crate) fn on_job_created(&mut self, id: &str, r: StoreReply) {
+    pub(crate) fn on_job_created(&mut self, id: &str, reply: StoreReply) {
         let Some(c) = self.client_requests.creates.remove(id) else { return };
-        match &r {
+        match &reply {
             StoreReply::Committed(_) => self.store_limits.on_write_served(),
             StoreReply::Limited => self.on_rate_limited(),
             StoreReply::Invalid if json_size(&c.record) > self.store_limits.value_bytes() => {
@@ -311,7 +313,7 @@
         }
         let rate = self.store_limits.write_rps();
         let nodes = f64::from(self.settings.params.nodes.max(1));
-        match &r {
+        match &reply {
             StoreReply::Committed(_) | StoreReply::Conflict(_) => {
                 self.client_writes.recover(rate * MOST_WRITES)
             }
@@ -320,7 +322,7 @@
             }
             _ => {}
         }
-        match r {
+        match reply {
             StoreReply::Committed(revision) => {
                 let s = &c.record.spec;
                 let awaits = s.dependencies.len();
@@ -351,34 +353,34 @@
         }
     }
 
-    pub(crate) fn on_status_query(&mut self, req: RequestId, id: &str) {
+    pub(crate) fn on_status_query(&mut self, request_id: RequestId, id: &str) {
         if !valid_id(id) {
-            return self.respond_error(req, 404, "no such job");
+            return self.respond_error(request_id, 404, "no such job");
         }
         // Polls are shed first. Never all of them: somebody who asks on is told.
         let shed = self.event_loop_lag.shed_probability(POLL_PATIENCE_S);
         if shed > 0.0 && self.rng.gen_bool(shed) {
-            return self.respond_error(req, 503, "too late for polls");
+            return self.respond_error(request_id, 503, "too late for polls");
         }
-        self.query_status(req, id, 404, "no such job");
+        self.query_status(request_id, id, 404, "no such job");
     }
 
-    pub(crate) fn on_cancel(&mut self, req: RequestId, id: &str) {
+    pub(crate) fn on_cancel(&mut self, request_id: RequestId, id: &str) {
         if !valid_id(id) {
-            return self.respond_error(req, 404, "no such job");
+            return self.respond_error(request_id, 404, "no such job");
         }
         if let Some((status, _)) = self.terminal_states.get(id) {
-            return self.respond_with_job(req, 200, id, status, None);
+            return self.respond_with_job(request_id, 200, id, status, None);
         }
         if let Some(w) = self.client_requests.cancels.get_mut(id) {
-            w.0.push(req);
+            w.0.push(request_id);
             return;
         }
         if self.client_requests.cancels.len() > MOST_WAITING || !self.client_reads.try_acquire(self.now, 1.0)
         {
-            return self.respond_error(req, 503, "busy");
+            return self.respond_error(request_id, 503, "busy");
         }
-        self.client_requests.cancels.insert(id.to_string(), (vec![req], 0));
+        self.client_requests.cancels.insert(id.to_string(), (vec![request_id], 0));
         self.read_for_cancellation(id, 0);
     }
 
@@ -401,8 +403,8 @@
         }
     }
 
-    pub(crate) fn on_cancel_read(&mut self, id: &str, tries: u32, over: bool, r: StoreReply) {
-        match r {
+    pub(crate) fn on_cancel_read(&mut self, id: &str, tries: u32, over: bool, reply: StoreReply) {
+        match reply {
             StoreReply::Item(Item { value: Value::Terminal(o), .. }) => {
                 self.terminal_states.insert(id, o.status, o.done);
                 self.finish_cancellation(id, Ok(o.status));
@@ -464,8 +466,8 @@
         Transaction { compares: conditions, mutations: changes }
     }
 
-    pub(crate) fn on_cancel_write(&mut self, id: &str, tries: u32, r: StoreReply) {
-        match r {
+    pub(crate) fn on_cancel_write(&mut self, id: &str, tries: u32, reply: StoreReply) {
+        match reply {
             StoreReply::Committed(_) => {
                 self.terminal_states.insert(id, JobStatus::Cancelled, 0);
                 self.finish_cancellation(id, Ok(JobStatus::Cancelled));
--- a/crates/controller/src/early_heartbeats.rs
+++ b/crates/controller/src/early_heartbeats.rs
@@ -22,17 +22,17 @@
 impl HeartbeatsBeforeRecovery {
     /// Keeps a report until `until`, of each machine the newest; returns the request of an older
     /// one. (A late copy once took the place of the report whose worker waited.)
-    pub fn insert(&mut self, request: RequestId, report: &Heartbeat, until: Time) -> Option<RequestId> {
-        let place = (report.epoch, report.sequence);
+    pub fn insert(&mut self, request: RequestId, heartbeat: &Heartbeat, until: Time) -> Option<RequestId> {
+        let place = (heartbeat.epoch, heartbeat.sequence);
         let newer = |w: &DeferredHeartbeat| (w.heartbeat.epoch, w.heartbeat.sequence) > place;
-        if self.waiting.get(&report.machine).is_some_and(newer) {
+        if self.waiting.get(&heartbeat.machine).is_some_and(newer) {
             return Some(request);
         }
         if self.waiting.is_empty() || until < self.next_deadline {
             self.next_deadline = until;
         }
-        let waiting = DeferredHeartbeat { request, heartbeat: report.clone(), until };
-        Some(self.waiting.insert(report.machine.clone(), waiting)?.request)
+        let waiting = DeferredHeartbeat { request, heartbeat: heartbeat.clone(), until };
+        Some(self.waiting.insert(heartbeat.machine.clone(), waiting)?.request)
     }
 
     /// Requests whose workers will not wait any longer.
--- a/crates/controller/src/effective_priority.rs
+++ b/crates/controller/src/effective_priority.rs
@@ -112,9 +112,9 @@
     }
 
     /// Work that nobody waits for: idle, without a deadline or an aim.
-    pub(crate) fn is_best_effort(&self, s: &JobSpec) -> bool {
-        let aimed = |o: &settings::Slo| o.class.as_deref() == Some(&s.class);
-        let plain = s.priority == Priority::Low && s.deadline_s.is_none() && s.shape == Shape::Array;
+    pub(crate) fn is_best_effort(&self, spec: &JobSpec) -> bool {
+        let aimed = |o: &settings::Slo| o.class.as_deref() == Some(&spec.class);
+        let plain = spec.priority == Priority::Low && spec.deadline_s.is_none() && spec.shape == Shape::Array;
         plain && !self.settings.params.slos.iter().any(aimed)
     }
 
@@ -128,10 +128,10 @@
 
     /// What those that need them ask of the jobs before.
     pub(crate) fn inherited_priorities(&self) -> HashMap<String, InheritedPriority> {
-        let Role::Leader(l) = &self.role else { return HashMap::new() };
-        let ratio = |class: &str| l.classes.get(class).map_or(1.0, ClassStats::run_time_ratio);
+        let Role::Leader(leader) = &self.role else { return HashMap::new() };
+        let ratio = |class: &str| leader.classes.get(class).map_or(1.0, ClassStats::run_time_ratio);
         let own = |id: &str| {
-            let job = l.jobs.get(id)?;
+            let job = leader.jobs.get(id)?;
             let s = &job.spec;
             // An aim at its start or end counts from when it is free, which is its own
             // affair: what is passed back is the pipeline's deadline.
@@ -143,7 +143,7 @@
                 expected_duration_s: self.expected_duration_s(job, ratio(&s.class)),
             })
         };
-        let passed = l.dependencies.graph.inherited_priorities(own);
+        let passed = leader.dependencies.graph.inherited_priorities(own);
         passed.into_iter().map(|(id, p)| (id.to_string(), p)).collect()
     }
 
@@ -166,8 +166,8 @@
             u.latest_useful_end = u.latest_useful_end.min(p.latest_useful_end);
         }
         let open_ended = s.deadline_s.is_none() && passed.is_none_or(|p| p.deadline > NEVER / 2.0);
-        if let (Role::Leader(l), true) = (&self.role, open_ended) {
-            let usual = l.classes.get(&s.class).and_then(|c| c.inherited_demand.expect(job.ready_at));
+        if let (Role::Leader(leader), true) = (&self.role, open_ended) {
+            let usual = leader.classes.get(&s.class).and_then(|c| c.inherited_demand.expect(job.ready_at));
             if let Some((band, deadline)) = usual {
                 u.priority = u.priority.max(band);
                 u.deadline = u.deadline.min(deadline);
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -18,9 +18,9 @@
 }
 
 impl Controller {
-    pub(crate) fn on_campaign_reply(&mut self, lease: u64, r: StoreReply) {
+    pub(crate) fn on_campaign_reply(&mut self, lease: u64, reply: StoreReply) {
         let Some(claim) = self.election_attempt.filter(|c| c.lease == lease) else { return };
-        match r {
+        match reply {
             StoreReply::Committed(token) => self.become_leader(claim, token),
             StoreReply::Unknown => {
                 self.call_store(
@@ -33,9 +33,9 @@
     }
 
     /// The leader key, read back after a claim without an answer.
-    pub(crate) fn on_campaign_read(&mut self, lease: u64, r: StoreReply) {
+    pub(crate) fn on_campaign_read(&mut self, lease: u64, reply: StoreReply) {
         let Some(claim) = self.election_attempt.filter(|c| c.lease == lease) else { return };
-        match r {
+        match reply {
             StoreReply::Item(Item { value: Value::Leader(l), version, .. }) if l.lease == lease => {
                 self.become_leader(claim, version);
             }
--- a/crates/controller/src/fleet.rs
+++ b/crates/controller/src/fleet.rs
@@ -92,12 +92,13 @@
     /// now, a few where they were refused lately, else any number. (All the
     /// work was once sent after a pool as soon as its pause was over, found a
     /// machine or none, and dearer machines were rented much too late.)
-    pub(crate) fn available_machines(&self, now: Time, t: &MachineType, spot: bool) -> f64 {
-        t.zones
+    pub(crate) fn available_machines(&self, now: Time, machine_type: &MachineType, spot: bool) -> f64 {
+        machine_type
+            .zones
             .iter()
-            .filter(|z| self.is_zone_available(now, &t.name, z, spot))
+            .filter(|z| self.is_zone_available(now, &machine_type.name, z, spot))
             .map(|z| {
-                if self.was_exhausted_lately(now, &t.name, z, spot) {
+                if self.was_exhausted_lately(now, &machine_type.name, z, spot) {
                     f64::from(PROBE)
                 } else {
                     f64::MAX / 1e6
@@ -132,11 +133,11 @@
 
 /// Zones of which a new leader has hardly heard a machine yet: where nothing is
 /// rented until it can tell whether they are out of reach.
-fn unheard_zones(machines: &BTreeMap<String, Machine>, now: Time, d: &Timing) -> Vec<String> {
+fn unheard_zones(machines: &BTreeMap<String, Machine>, now: Time, timing: &Timing) -> Vec<String> {
     let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
     for m in machines.values().filter(|m| m.phase == MachinePhase::Up) {
         let n = zones.entry(&m.zone).or_default();
-        *n = (n.0 + 1, n.1 + usize::from(m.is_heard(now, d)));
+        *n = (n.0 + 1, n.1 + usize::from(m.is_heard(now, timing)));
     }
     let unheard = zones.into_iter().filter(|(_, (up, heard))| heard * 3 < *up);
     unheard.map(|(zone, _)| zone.to_string()).collect()
@@ -145,72 +146,74 @@
 impl Controller {
     fn try_acquire_cloud_call(&mut self) -> bool {
         let (now, rate) = (self.now, self.settings.params.cloud.rps * 0.9);
-        let Role::Leader(l) = &mut self.role else { return false };
-        l.fleet.cloud_calls.get_or_insert_with(|| RateLimiter::new(rate)).try_acquire(now, 1.0)
+        let Role::Leader(leader) = &mut self.role else { return false };
+        leader.fleet.cloud_calls.get_or_insert_with(|| RateLimiter::new(rate)).try_acquire(now, 1.0)
     }
 
     pub(crate) fn tick_fleet(&mut self) {
         let now = self.now;
         let lag = self.settings.params.cloud.list_lag_s;
-        let Role::Leader(l) = &self.role else { return };
-        let token = l.fencing_token;
-        let types_due = !l.fleet.types_in_flight && l.machine_types_read_at.is_none_or(|t| now - t > 60.0);
+        let Role::Leader(leader) = &self.role else { return };
+        let token = leader.fencing_token;
+        let types_due =
+            !leader.fleet.types_in_flight && leader.machine_types_read_at.is_none_or(|t| now - t > 60.0);
         if types_due && self.try_acquire_cloud_call() {
             self.call_cloud(CallContext::CloudTypes { token }, CloudRequest::Types);
-            if let Role::Leader(l) = &mut self.role {
-                l.fleet.types_in_flight = true;
-                l.machine_types_read_at = Some(now);
+            if let Role::Leader(leader) = &mut self.role {
+                leader.fleet.types_in_flight = true;
+                leader.machine_types_read_at = Some(now);
             }
         }
-        let Role::Leader(l) = &mut self.role else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
         // One that takes too long is begun anew: its first pages tell nothing any more.
-        if !l.fleet.list_in_flight && now - l.fleet.list_sent > self.settings.params.workers.lease_s {
-            l.fleet.list_after = None;
+        if !leader.fleet.list_in_flight && now - leader.fleet.list_sent > self.settings.params.workers.lease_s
+        {
+            leader.fleet.list_after = None;
         }
-        let after = l.fleet.list_after.clone();
-        let due = if after.is_some() { l.fleet.page_at } else { l.fleet.list_at };
-        if !l.fleet.list_in_flight && now >= due && self.try_acquire_cloud_call() {
+        let after = leader.fleet.list_after.clone();
+        let due = if after.is_some() { leader.fleet.page_at } else { leader.fleet.list_at };
+        if !leader.fleet.list_in_flight && now >= due && self.try_acquire_cloud_call() {
             // Every page is a call of its own. Half of the calls are left for the rest, but
             // nothing goes on before the first list is whole. (Pages beyond the first were once
             // asked for at once: with some thousand machines the cloud refused every list.)
             let pace = 2.0 / self.settings.params.cloud.rps;
-            let Role::Leader(l) = &mut self.role else { return };
-            l.fleet.list_in_flight = true;
-            l.fleet.page_at = if l.fleet.listed_once { now + pace } else { now };
-            l.fleet.list_at = l.fleet.list_at.max(now + pace);
+            let Role::Leader(leader) = &mut self.role else { return };
+            leader.fleet.list_in_flight = true;
+            leader.fleet.page_at = if leader.fleet.listed_once { now + pace } else { now };
+            leader.fleet.list_at = leader.fleet.list_at.max(now + pace);
             if after.is_none() {
-                l.fleet.list_sent = now;
-                l.fleet.listed.clear();
-                l.fleet.list_at = now + (lag * 0.75).max(pace);
+                leader.fleet.list_sent = now;
+                leader.fleet.listed.clear();
+                leader.fleet.list_at = now + (lag * 0.75).max(pace);
             }
             self.call_cloud(CallContext::CloudList { token }, CloudRequest::List { after });
         }
-        let Role::Leader(l) = &mut self.role else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
         // It looks at every machine and place, and no return is that urgent.
-        if now >= l.fleet.scale_in_check_at {
-            l.fleet.scale_in_check_at = now + self.timing.planning_interval_s / 2.0;
+        if now >= leader.fleet.scale_in_check_at {
+            leader.fleet.scale_in_check_at = now + self.timing.planning_interval_s / 2.0;
             self.tick_scale_in();
         }
         self.tick_deletions();
         self.tick_scale_out();
     }
 
-    pub(crate) fn on_cloud_reply(&mut self, p: CallContext, r: CloudReply) {
-        match p {
-            CallContext::CloudTypes { token } => self.on_machine_types(token, r),
-            CallContext::CloudList { token } => self.on_machine_list(token, r),
-            CallContext::ScaleOut { token } => self.on_scale_out(token, r),
-            CallContext::Delete { token, machines } => self.on_deleted(token, &machines, r),
+    pub(crate) fn on_cloud_reply(&mut self, context: CallContext, reply: CloudReply) {
+        match context {
+            CallContext::CloudTypes { token } => self.on_machine_types(token, reply),
+            CallContext::CloudList { token } => self.on_machine_list(token, reply),
+            CallContext::ScaleOut { token } => self.on_scale_out(token, reply),
+            CallContext::Delete { token, machines } => self.on_deleted(token, &machines, reply),
             _ => {}
         }
     }
 
-    fn on_machine_types(&mut self, token: u64, r: CloudReply) {
+    fn on_machine_types(&mut self, token: u64, reply: CloudReply) {
         let now = self.now;
-        let Some(l) = self.leader_state(token) else { return };
-        l.fleet.types_in_flight = false;
-        let CloudReply::Types(t) = r else {
-            l.machine_types_read_at = Some(now - 58.0);
+        let Some(leader) = self.leader_state(token) else { return };
+        leader.fleet.types_in_flight = false;
+        let CloudReply::Types(t) = reply else {
+            leader.machine_types_read_at = Some(now - 58.0);
             return;
         };
         let sane = |x: f64| x.is_finite() && x >= 0.0;
@@ -234,7 +237,7 @@
             warn!("catalogue of machine types makes no sense, ignored");
             return;
         }
-        l.plan_needed = true;
+        leader.plan_needed = true;
         let first = self.machine_types.is_none();
         self.machine_types = Some(t.types.clone());
         if first {
@@ -265,29 +268,29 @@
         }
     }
 
-    fn on_machine_list(&mut self, token: u64, r: CloudReply) {
+    fn on_machine_list(&mut self, token: u64, reply: CloudReply) {
         let now = self.now;
         let lag = self.settings.params.cloud.list_lag_s;
-        let Some(l) = self.leader_state(token) else { return };
-        l.fleet.list_in_flight = false;
+        let Some(leader) = self.leader_state(token) else { return };
+        leader.fleet.list_in_flight = false;
         // A page that failed is asked for again.
-        let CloudReply::List(page) = r else { return };
+        let CloudReply::List(page) = reply else { return };
         let after = page.machines.last().map(|m| m.id.clone());
-        l.fleet.listed.extend(page.machines);
-        l.fleet.list_after = after.filter(|_| page.more && l.fleet.listed.len() < MOST_MACHINES);
-        if l.fleet.list_after.is_some() {
+        leader.fleet.listed.extend(page.machines);
+        leader.fleet.list_after = after.filter(|_| page.more && leader.fleet.listed.len() < MOST_MACHINES);
+        if leader.fleet.list_after.is_some() {
             return;
         }
-        let first = !l.fleet.listed_once;
-        l.fleet.listed_once = true;
-        let list = std::mem::take(&mut l.fleet.listed);
+        let first = !leader.fleet.listed_once;
+        leader.fleet.listed_once = true;
+        let list = std::mem::take(&mut leader.fleet.listed);
         let mut failed = Vec::new();
         for item in &list {
-            if l.fleet.has_tombstone(&item.id) {
+            if leader.fleet.has_tombstone(&item.id) {
                 continue;
             }
-            let known = l.machines.contains_key(&item.id);
-            let m = l.machines.entry(item.id.clone()).or_insert_with(|| {
+            let known = leader.machines.contains_key(&item.id);
+            let m = leader.machines.entry(item.id.clone()).or_insert_with(|| {
                 Machine::new(&item.id, &item.machine_type, &item.zone, item.spot, now - item.age_s)
             });
             if !known && !first {
@@ -305,7 +308,7 @@
             if m.addr.is_empty() {
                 if let Some(a) = &item.addr {
                     m.addr.clone_from(a);
-                    l.pending_kills.retry_now(&item.id, now);
+                    leader.pending_kills.retry_now(&item.id, now);
                 }
             }
             if item.state == MachineState::Running {
@@ -319,24 +322,24 @@
         // A list is at most twice the lag old: a machine known for longer
         // that it lacks is gone, with everything on it.
         let settle = 2.0 * lag + 2.0;
-        let sent = l.fleet.list_sent;
-        let gone: Vec<String> = l
+        let sent = leader.fleet.list_sent;
+        let gone: Vec<String> = leader
             .machines
             .values()
             .filter(|m| !names.contains(m.id.as_str()) && m.listed && sent - m.known_since > settle)
             .map(|m| m.id.clone())
             .collect();
         for id in &failed {
-            if let Some(m) = l.machines.get_mut(id) {
+            if let Some(m) = leader.machines.get_mut(id) {
                 m.phase = MachinePhase::Terminating;
                 m.quarantined = true;
             }
         }
-        l.plan_needed = true;
+        leader.plan_needed = true;
         for id in gone {
             info!(machine = %id, "machine is gone");
-            if let Role::Leader(l) = &mut self.role {
-                l.fleet.add_tombstone(&id);
+            if let Role::Leader(leader) = &mut self.role {
+                leader.fleet.add_tombstone(&id);
             }
             self.remove_machine_work(&id, true);
         }
@@ -349,8 +352,8 @@
         let guaranteed = p.slos.iter().any(|o| o.kind == "guarantee")
             && p.teams.iter().any(|t| t.cores > 0.0 || t.accelerators > 0.0);
         if guaranteed {
-            if let Role::Leader(l) = &self.role {
-                return l.classes.keys().cloned().collect();
+            if let Role::Leader(leader) = &self.role {
+                return leader.classes.keys().cloned().collect();
             }
         }
         p.slos.iter().filter(|o| o.kind == "wait").filter_map(|o| o.class.clone()).collect()
@@ -368,30 +371,30 @@
         let prompt = self.latency_sensitive_classes();
         let (asleep, bound, d) =
             (self.checks.retain_silent_machines, self.checks.zonal_scale_out, self.timing);
-        let Role::Leader(l) = &mut self.role else { return };
-        let (since, reach) = (l.elected_at, &l.fleet.zones);
+        let Role::Leader(leader) = &mut self.role else { return };
+        let (since, reach) = (leader.elected_at, &leader.fleet.zones);
         // Nobody could give it work before. (After an outage whatever stood idle was once given
         // back in the moment before the users came again.)
-        let acts_since = if asleep { l.tenure.entitled_since() } else { 0.0 };
+        let acts_since = if asleep { leader.tenure.entitled_since() } else { 0.0 };
         if !entitled {
             return;
         }
-        let places = l.jobs.values().flat_map(|j| j.placements.values());
+        let places = leader.jobs.values().flat_map(|j| j.placements.values());
         let used: HashSet<&str> = places.map(|p| p.machine.as_str()).collect();
         let mut count: BTreeMap<MachinePool, u32> = BTreeMap::new();
-        for m in l.machines.values().filter(|m| m.accepts_work()) {
+        for m in leader.machines.values().filter(|m| m.accepts_work()) {
             *count.entry((m.machine_type.clone(), m.spot)).or_insert(0) += 1;
         }
         let mut idle: Vec<(Time, String, bool)> = Vec::new();
         // Where work has to start within seconds, a machine is worth keeping
         // until another could have booted in its place.
-        let waited_for: BTreeSet<MachinePool> = l
+        let waited_for: BTreeSet<MachinePool> = leader
             .classes
             .iter()
             .filter(|(name, _)| prompt.contains(name.as_str()))
             .filter_map(|(_, c)| c.typical_demand.as_ref().map(|u| u.pool.clone()))
             .collect();
-        for m in l.machines.values_mut() {
+        for m in leader.machines.values_mut() {
             let boot = types.iter().find(|t| t.name == m.machine_type).map_or(60.0, |t| t.boot_s);
             // Nor could it get work while it was not heard. (Of a zone that came back one machine was given
             // back in that moment, by a target of the time without it.)
@@ -431,9 +434,9 @@
         }
         idle.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         // Counted anew at each look, or it would hold for one only.
-        let mut gathering = l.fleet.assembling_gang_machines.clone();
+        let mut gathering = leader.fleet.assembling_gang_machines.clone();
         for (_, id, prompt) in idle {
-            let Some(m) = l.machines.get_mut(&id) else { continue };
+            let Some(m) = leader.machines.get_mut(&id) else { continue };
             let waits = gathering.get_mut(&(m.machine_type.clone(), m.zone.clone()));
             // Not beyond the time in which the others would have come. (What could never be whole
             // once kept the last machines to be had from others for ever.)
@@ -447,7 +450,7 @@
             let pool = (m.machine_type.clone(), m.spot);
             let have = count.entry(pool.clone()).or_insert(0);
             // Far more idle ones than a bad moment takes are not worth it.
-            let keep = if prompt { &l.fleet.generous_capacity } else { &l.fleet.desired_capacity };
+            let keep = if prompt { &leader.fleet.generous_capacity } else { &leader.fleet.desired_capacity };
             if *have > keep.get(&pool).copied().unwrap_or(0) {
                 *have -= 1;
                 info!(machine = %id, kind = %pool.0, spot = pool.1, "idle beyond the target, giving it back");
@@ -459,11 +462,11 @@
     fn tick_deletions(&mut self) {
         let now = self.now;
         let entitled = self.may_act();
-        let Role::Leader(l) = &mut self.role else { return };
-        if l.fleet.delete_in_flight || now < l.fleet.delete_at || !entitled {
+        let Role::Leader(leader) = &mut self.role else { return };
+        if leader.fleet.delete_in_flight || now < leader.fleet.delete_at || !entitled {
             return;
         }
-        let names: Vec<String> = l
+        let names: Vec<String> = leader
             .machines
             .values()
             .filter(|m| m.phase == MachinePhase::Terminating)
@@ -473,25 +476,25 @@
         if names.is_empty() || !self.try_acquire_cloud_call() {
             return;
         }
-        let Role::Leader(l) = &mut self.role else { return };
-        l.fleet.delete_in_flight = true;
-        let token = l.fencing_token;
+        let Role::Leader(leader) = &mut self.role else { return };
+        leader.fleet.delete_in_flight = true;
+        let token = leader.fencing_token;
         self.call_cloud(CallContext::Delete { token, machines: names.clone() }, CloudRequest::Delete(names));
     }
 
-    fn on_deleted(&mut self, token: u64, machines: &[String], r: CloudReply) {
+    fn on_deleted(&mut self, token: u64, machines: &[String], reply: CloudReply) {
         let now = self.now;
-        let Some(l) = self.leader_state(token) else { return };
-        l.fleet.delete_in_flight = false;
-        if r == CloudReply::Done {
+        let Some(leader) = self.leader_state(token) else { return };
+        leader.fleet.delete_in_flight = false;
+        if reply == CloudReply::Done {
             for id in machines {
-                l.fleet.add_tombstone(id);
+                leader.fleet.add_tombstone(id);
             }
             for id in machines {
                 self.remove_machine_work(id, true);
             }
         } else {
-            l.fleet.delete_at = now + 1.0;
+            leader.fleet.delete_at = now + 1.0;
         }
     }
 
@@ -499,19 +502,19 @@
         let now = self.now;
         let entitled = self.may_act();
         let types = self.machine_types.clone().unwrap_or_default();
-        let d = self.timing;
-        let Role::Leader(l) = &mut self.role else { return };
-        let token = l.fencing_token;
-        if let Some(r) = &l.fleet.pending_scale_out {
+        let timing = self.timing;
+        let Role::Leader(leader) = &mut self.role else { return };
+        let token = leader.fencing_token;
+        if let Some(r) = &leader.fleet.pending_scale_out {
             if r.in_flight || now < r.retry_at {
                 return;
             }
         } else {
             // Unknown machines would be rented twice: the list comes first.
-            if !entitled || !l.fleet.listed_once {
+            if !entitled || !leader.fleet.listed_once {
                 return;
             }
-            if l.fleet.wanted.values().all(|n| *n == 0) {
+            if leader.fleet.wanted.values().all(|n| *n == 0) {
                 return;
             }
             // No machine that no node could take.
@@ -519,24 +522,24 @@
             if room == 0 {
                 return;
             }
-            let Role::Leader(l) = &mut self.role else { return };
+            let Role::Leader(leader) = &mut self.role else { return };
             // Calls are few. Ordinary machines come before spot ones, which less
             // work may use, but no pool twice in a row while another waits: single
             // ordinary machines once kept hundreds of spot machines waiting for half
             // a minute, and the largest call first kept gangs waiting for theirs.
             let mut choice: Option<(String, bool, String, u32)> = None;
-            let unsure = if now - l.elected_at < d.worker_failover_s {
-                unheard_zones(&l.machines, now, &d)
+            let unsure = if now - leader.elected_at < timing.worker_failover_s {
+                unheard_zones(&leader.machines, now, &timing)
             } else {
                 vec![]
             };
             let rents_in = |name: &str, zone: &String, spot: bool| {
-                l.fleet.is_zone_available(now, name, zone, spot) && !unsure.contains(zone)
+                leader.fleet.is_zone_available(now, name, zone, spot) && !unsure.contains(zone)
             };
-            for ((name, spot), n) in &l.fleet.wanted {
+            for ((name, spot), n) in &leader.fleet.wanted {
                 let Some(t) = types.iter().find(|t| t.name == *name) else { continue };
                 // What is wanted in one zone is of no use in another.
-                let shut = l
+                let shut = leader
                     .fleet
                     .wanted_in_zone
                     .iter()
@@ -550,7 +553,7 @@
                     .iter()
                     .filter(|z| rents_in(name, z, *spot))
                     .map(|z| {
-                        let there = l
+                        let there = leader
                             .machines
                             .values()
                             .filter(|m| m.zone == **z && m.machine_type == *name && m.spot == *spot)
@@ -563,16 +566,19 @@
                     let mut part = n.div_ceil(zones.len() as u32).clamp(1, MOST_RENTED);
                     let mut zone = *zone;
                     let together = zones.iter().find_map(|(_, z)| {
-                        let n = l.fleet.wanted_in_zone.get(&((name.clone(), *spot), (*z).clone()))?;
+                        let n = leader.fleet.wanted_in_zone.get(&((name.clone(), *spot), (*z).clone()))?;
                         (*n > 0).then_some((*z, *n))
                     });
                     if let Some((z, n)) = together {
                         (zone, part) = (z, n.min(MOST_RENTED));
                     }
-                    let lately = l.fleet.was_exhausted_lately(now, name, zone, *spot);
+                    let lately = leader.fleet.was_exhausted_lately(now, name, zone, *spot);
                     let part = if lately { part.min(PROBE) } else { part }.min(room);
-                    let again =
-                        l.fleet.last_scale_out_pool.as_ref().is_some_and(|r| r.0 == *name && r.1 == *spot);
+                    let again = leader
+                        .fleet
+                        .last_scale_out_pool
+                        .as_ref()
+                        .is_some_and(|r| r.0 == *name && r.1 == *spot);
                     if choice.is_none() || !again {
                         choice = Some((name.clone(), *spot, zone.clone(), part));
                     }
@@ -582,10 +588,10 @@
                 }
             }
             let Some((machine_type, spot, zone, count)) = choice else { return };
-            l.fleet.last_scale_out_pool = Some((machine_type.clone(), spot));
-            l.scale_out_count += 1;
-            let request = format!("r-{token}-{}", l.scale_out_count);
-            l.fleet.pending_scale_out = Some(PendingScaleOut {
+            leader.fleet.last_scale_out_pool = Some((machine_type.clone(), spot));
+            leader.scale_out_count += 1;
+            let request = format!("r-{token}-{}", leader.scale_out_count);
+            leader.fleet.pending_scale_out = Some(PendingScaleOut {
                 request: RentRequest { request, machine_type, zone, spot, count },
                 requested_at: now,
                 in_flight: false,
@@ -595,49 +601,49 @@
         if !self.try_acquire_cloud_call() {
             return;
         }
-        let Role::Leader(l) = &mut self.role else { return };
-        if let Some(r) = &mut l.fleet.pending_scale_out {
+        let Role::Leader(leader) = &mut self.role else { return };
+        if let Some(r) = &mut leader.fleet.pending_scale_out {
             r.in_flight = true;
             let rent = r.request.clone();
             self.call_cloud(CallContext::ScaleOut { token }, CloudRequest::Rent(rent));
         }
     }
 
-    fn on_scale_out(&mut self, token: u64, r: CloudReply) {
+    fn on_scale_out(&mut self, token: u64, reply: CloudReply) {
         let now = self.now;
-        let Some(l) = self.leader_state(token) else { return };
-        let Some(mut rental) = l.fleet.pending_scale_out.take() else { return };
+        let Some(leader) = self.leader_state(token) else { return };
+        let Some(mut rental) = leader.fleet.pending_scale_out.take() else { return };
         let rent = rental.request.clone();
         let key = (rent.machine_type.clone(), rent.zone.clone(), rent.spot);
-        match r {
+        match reply {
             CloudReply::Machines(got) => {
                 info!(kind = %rent.machine_type, zone = %rent.zone, spot = rent.spot,
                       asked = rent.count, got = got.machines.len(), "rented");
                 for id in &got.machines {
-                    l.machines.entry(id.clone()).or_insert_with(|| {
+                    leader.machines.entry(id.clone()).or_insert_with(|| {
                         Machine::new(id, &rent.machine_type, &rent.zone, rent.spot, rental.requested_at)
                     });
                 }
                 let pool = (rent.machine_type.clone(), rent.spot);
-                if let Some(n) = l.fleet.wanted.get_mut(&pool) {
+                if let Some(n) = leader.fleet.wanted.get_mut(&pool) {
                     *n = n.saturating_sub(got.machines.len() as u32);
                 }
-                if let Some(n) = l.fleet.wanted_in_zone.get_mut(&(pool, rent.zone.clone())) {
+                if let Some(n) = leader.fleet.wanted_in_zone.get_mut(&(pool, rent.zone.clone())) {
                     *n = n.saturating_sub(got.machines.len() as u32);
                 }
                 if (got.machines.len() as u32) < rent.count {
-                    l.fleet.exhausted_pools.insert(key, (now + 10.0, 1));
+                    leader.fleet.exhausted_pools.insert(key, (now + 10.0, 1));
                 } else {
-                    l.fleet.exhausted_pools.remove(&key);
+                    leader.fleet.exhausted_pools.remove(&key);
                 }
-                l.plan_needed = true;
+                leader.plan_needed = true;
             }
             CloudReply::NoCapacity => {
-                let often = l.fleet.exhausted_pools.get(&key).map_or(0, |b| b.1) + 1;
+                let often = leader.fleet.exhausted_pools.get(&key).map_or(0, |b| b.1) + 1;
                 let pause = 5.0 * f64::from(often.min(4));
                 info!(kind = %rent.machine_type, zone = %rent.zone, spot = rent.spot, "no capacity");
-                l.fleet.exhausted_pools.insert(key, (now + pause, often));
-                l.plan_needed = true;
+                leader.fleet.exhausted_pools.insert(key, (now + pause, often));
+                leader.plan_needed = true;
             }
             CloudReply::Malformed => warn!("rental refused as malformed"),
             // Refused or unknown: the same request again, under its name,
@@ -645,7 +651,7 @@
             _ => {
                 rental.in_flight = false;
                 rental.retry_at = now + 1.0;
-                l.fleet.pending_scale_out = Some(rental);
+                leader.fleet.pending_scale_out = Some(rental);
             }
         }
     }
--- a/crates/controller/src/heartbeat_proxying.rs
+++ b/crates/controller/src/heartbeat_proxying.rs
@@ -27,27 +27,29 @@
 }
 
 impl Controller {
-    pub(crate) fn redirect(&mut self, req: RequestId, report_to: Option<String>) {
-        self.respond(req, 421, protocol::encode(&Redirect { report_to }));
+    pub(crate) fn redirect(&mut self, request_id: RequestId, report_to: Option<String>) {
+        self.respond(request_id, 421, protocol::encode(&Redirect { report_to }));
     }
 
     /// A report at a node that does not lead.
-    pub(crate) fn on_proxied_heartbeat(&mut self, req: RequestId, report: Heartbeat) {
-        let known = self.proxy.knows(&report.machine);
+    pub(crate) fn on_proxied_heartbeat(&mut self, request_id: RequestId, heartbeat: Heartbeat) {
+        let known = self.proxy.knows(&heartbeat.machine);
         match self.admit_worker(known) {
             WorkerAdmission::Accept => {}
-            WorkerAdmission::Redirect(node) => return self.redirect(req, Some(node)),
-            WorkerAdmission::Reject => return self.respond_error(req, 503, "no room for more workers"),
+            WorkerAdmission::Redirect(node) => return self.redirect(request_id, Some(node)),
+            WorkerAdmission::Reject => {
+                return self.respond_error(request_id, 503, "no room for more workers")
+            }
         }
-        if self.proxy.may_be_moved(self.now, &report) {
+        if self.proxy.may_be_moved(self.now, &heartbeat) {
             let (own, others) = self.shard_members();
-            if let Some(node) = self.balancer.pick_better_node(self.now, &report.machine, &own, &others) {
-                self.proxy.on_worker_moved(self.now, &report.machine);
+            if let Some(node) = self.balancer.pick_better_node(self.now, &heartbeat.machine, &own, &others) {
+                self.proxy.on_worker_moved(self.now, &heartbeat.machine);
                 self.worker_count = self.worker_count.saturating_sub(1);
-                return self.redirect(req, Some(node));
+                return self.redirect(request_id, Some(node));
             }
         }
-        self.proxy.on_heartbeat(self.now, req, report);
+        self.proxy.on_heartbeat(self.now, request_id, heartbeat);
         self.perform_proxy_actions();
     }
 
@@ -116,25 +118,25 @@
     }
 
     /// Another node passes reports on.
-    pub(crate) fn on_forward_request(&mut self, req: RequestId, r: ForwardRequest) {
+    pub(crate) fn on_forward_request(&mut self, request_id: RequestId, request: ForwardRequest) {
         let now = self.now;
-        let known = self.settings.peers.iter().any(|p| p.node == r.node);
+        let known = self.settings.peers.iter().any(|p| p.node == request.node);
         if known {
-            self.peer_liveness.record_incarnation(now, &r.node, r.incarnation);
+            self.peer_liveness.record_incarnation(now, &request.node, request.incarnation);
         }
-        let Role::Leader(l) = &mut self.role else {
-            return self.outputs.push(Output::ForwardReply(req, ForwardReply::default()));
+        let Role::Leader(leader) = &mut self.role else {
+            return self.outputs.push(Output::ForwardReply(request_id, ForwardReply::default()));
         };
         // What was meant for an earlier leadership may be minutes old.
-        let ready = l.recovered && r.token == l.fencing_token;
-        if !known || !l.forwarding.on_request(now, req, &r, ready) {
-            return self.outputs.push(Output::ForwardReply(req, ForwardReply::default()));
+        let ready = leader.recovered && request.token == leader.fencing_token;
+        if !known || !leader.forwarding.on_request(now, request_id, &request, ready) {
+            return self.outputs.push(Output::ForwardReply(request_id, ForwardReply::default()));
         }
         if !ready {
             return;
         }
-        let source: ProxyId = (r.node, r.incarnation);
-        for entry in r.entries {
+        let source: ProxyId = (request.node, request.incarnation);
+        for entry in request.entries {
             self.on_forwarded_heartbeat(&source, entry);
         }
     }
@@ -142,10 +144,10 @@
     fn on_forwarded_heartbeat(&mut self, source: &ProxyId, entry: ForwardedHeartbeat) {
         let (now, close, gap) = (self.now, self.timing.heartbeat_validity_s, self.timing.max_heartbeat_gap_s);
         let came = now - f64::from(entry.age_ms) / 1000.0;
-        let Role::Leader(l) = &mut self.role else { return };
-        let (token, held, place) = (l.fencing_token, entry.held, (entry.session, entry.seq));
+        let Role::Leader(leader) = &mut self.role else { return };
+        let (token, held, place) = (leader.fencing_token, entry.held, (entry.session, entry.seq));
         let machine = entry.machine.clone();
-        let mut known = l.machines.get_mut(&machine);
+        let mut known = leader.machines.get_mut(&machine);
         if let Some(m) = &mut known {
             // Its node may have answered it, whatever is known of what it says.
             m.record_heartbeat(place, came, true);
@@ -160,14 +162,14 @@
                     m.newest_position = place;
                     m.record_unsolicited_heartbeat(came);
                     m.reports_here = false;
-                    l.forwarding.observations.record(came, &source.0, &m.zone, gap);
+                    leader.forwarding.observations.record(came, &source.0, &m.zone, gap);
                 }
                 return;
             }
             (Some(base), Some(m)) if m.content_position == base => Some(m.repeated_heartbeat(place.1)),
             (Some(_), Some(m)) if place <= m.newest_position => None,
             (Some(_), _) => {
-                l.forwarding.request_content(source, &machine);
+                leader.forwarding.request_content(source, &machine);
                 None
             }
         };
@@ -175,8 +177,8 @@
         if !self.ingest_heartbeat(&report, Some(source.clone()), came) {
             return;
         }
-        if let (Some(base), Role::Leader(l)) = (base, &mut self.role) {
-            if let Some(m) = l.machines.get_mut(&machine) {
+        if let (Some(base), Role::Leader(leader)) = (base, &mut self.role) {
+            if let Some(m) = leader.machines.get_mut(&machine) {
                 m.content_position = base;
             }
         }
@@ -191,17 +193,17 @@
     pub(crate) fn respond_to_heartbeat(
         &mut self,
         machine: &str,
-        held: PendingHeartbeat,
+        pending: PendingHeartbeat,
         answer: HeartbeatResponse,
     ) {
-        match held.reply_route {
+        match pending.reply_route {
             ReplyRoute::Direct(request) => self.respond(request, 200, protocol::encode(&answer)),
             // Its node answers an idle machine by itself when its time is over.
-            ReplyRoute::Forwarded(..) if held.idle && answer.commands.is_empty() => {}
+            ReplyRoute::Forwarded(..) if pending.idle && answer.commands.is_empty() => {}
             ReplyRoute::Forwarded(source, session, seq) => {
                 let orders = answer.commands.iter().map(TaskCommand::from).collect();
-                let Role::Leader(l) = &mut self.role else { return };
-                l.forwarding.add_commands(
+                let Role::Leader(leader) = &mut self.role else { return };
+                leader.forwarding.add_commands(
                     &source,
                     MachineCommands { machine: machine.to_string(), session, seq, orders },
                 );
@@ -213,12 +215,12 @@
     /// to tell there.
     pub(crate) fn update_leader_only(&mut self, machine: &str) {
         let now = self.now;
-        let Role::Leader(l) = &mut self.role else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
         let mut stops = None;
-        let on = l.tasks_on(machine);
+        let on = leader.tasks_on(machine);
         let places = on.len();
         for (id, task) in on {
-            let Some(job) = l.jobs.get(&id) else { continue };
+            let Some(job) = leader.jobs.get(&id) else { continue };
             let Some(p) = job.placements.get(&task) else { continue };
             if p.stopping.is_some() {
                 stops = Some(true);
@@ -226,9 +228,9 @@
                 stops = Some(false);
             }
         }
-        if let Some(m) = l.machines.get(machine) {
+        if let Some(m) = leader.machines.get(machine) {
             let placed = |id: &str, n: u32, attempt: u64| {
-                let place = l.jobs.get(id).and_then(|j| j.placements.get(&n));
+                let place = leader.jobs.get(id).and_then(|j| j.placements.get(&n));
                 place.is_some_and(|p| p.machine == machine && p.attempt == attempt)
             };
             let live = m.tasks.iter().filter(|t| t.state != TaskState::Exited);
@@ -239,9 +241,9 @@
                 stops = Some(true);
             }
         }
-        l.forwarding.set_leader_only(machine, stops);
-        let settled = |m: &Machine| m.content_token == l.fencing_token && places == m.tasks.len();
-        if let Some(m) = l.machines.get_mut(machine) {
+        leader.forwarding.set_leader_only(machine, stops);
+        let settled = |m: &Machine| m.content_token == leader.fencing_token && places == m.tasks.len();
+        if let Some(m) = leader.machines.get_mut(machine) {
             m.reconciled_at = (stops.is_none() && settled(m)).then_some(now);
         }
     }
@@ -250,11 +252,12 @@
     pub(crate) fn tick_forwarding(&mut self) {
         let now = self.now;
         let (leave_s, hold) = (self.timing.delegated_lease_s, self.timing.forward_interval_s);
-        let Role::Leader(l) = &mut self.role else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
         // Their answers end with this leader's own, at the latest.
-        let own = if self.checks.response_grace { l.authority.may_respond_until() - now } else { leave_s };
-        let token = l.fencing_token;
-        for due in l.forwarding.take_due_replies(now, token, leave_s.min(own), hold) {
+        let own =
+            if self.checks.response_grace { leader.authority.may_respond_until() - now } else { leave_s };
+        let token = leader.fencing_token;
+        for due in leader.forwarding.take_due_replies(now, token, leave_s.min(own), hold) {
             self.outputs.push(Output::ForwardReply(due.request, due.reply));
         }
     }
@@ -267,9 +270,9 @@
     /// A worker's report had come to `via`, or to this node, at `came`.
     pub(crate) fn record_observation(&mut self, via: Option<&ProxyId>, zone: &str, came: Time) {
         let gap = self.timing.max_heartbeat_gap_s;
-        let Role::Leader(l) = &mut self.role else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
         let node = via.map_or(&self.settings.node, |(node, _)| node);
-        l.forwarding.observations.record(came, node, zone, gap);
+        leader.forwarding.observations.record(came, node, zone, gap);
     }
 
     /// Silence after which machines are given up, by zone: longer while nodes are away
@@ -277,7 +280,7 @@
     /// other. (With two of three nodes cut off, machines that went on were once
     /// given up; with four of five cut off from the workers alone, a quarter of them.)
     pub(crate) fn failure_timeouts_s(&self) -> BTreeMap<String, f64> {
-        let Role::Leader(l) = &self.role else { return BTreeMap::new() };
+        let Role::Leader(leader) = &self.role else { return BTreeMap::new() };
         let (now, d) = (self.now, &self.timing);
         let own = &self.settings.node;
         let peers = self.settings.peers.iter().map(|p| p.node.as_str());
@@ -292,13 +295,14 @@
             relevance_s: longest,
         };
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
-        for m in l.machines.values().filter(|m| m.phase == MachinePhase::Up) {
+        for m in leader.machines.values().filter(|m| m.phase == MachinePhase::Up) {
             *zones.entry(&m.zone).or_default() += 1;
         }
         let patience = |(zone, up): (&str, usize)| {
             let part = up / nodes.len();
             let reached = |node: &&&str| {
-                here(node) && l.forwarding.observations.reached_continuously(now, node, zone, part, &spans)
+                here(node)
+                    && leader.forwarding.observations.reached_continuously(now, node, zone, part, &spans)
             };
             let away = nodes.len() - nodes.iter().filter(reached).count();
             (
@@ -339,8 +343,8 @@
         let since = self.now - self.timing.heartbeat_validity_s;
         self.new_workers = 0;
         self.worker_count = match &self.role {
-            Role::Leader(l) => {
-                let here = l
+            Role::Leader(leader) => {
+                let here = leader
                     .machines
                     .values()
                     .filter(|m| m.reports_here && m.last_heartbeat_at.is_some_and(|t| t > since));
@@ -382,19 +386,19 @@
 
     /// The node that had better take a worker which has just reported here, and
     /// for which there is nothing to do.
-    pub(crate) fn pick_better_node(&mut self, report: &Heartbeat) -> Option<String> {
-        let ended = report.tasks.iter().any(|t| t.state == TaskState::Exited);
-        if ended || report.notice_s.is_some() {
+    pub(crate) fn pick_better_node(&mut self, heartbeat: &Heartbeat) -> Option<String> {
+        let ended = heartbeat.tasks.iter().any(|t| t.state == TaskState::Exited);
+        if ended || heartbeat.notice_s.is_some() {
             return None;
         }
         let (own, others) = self.shard_members();
-        let node = self.balancer.pick_better_node(self.now, &report.machine, &own, &others)?;
-        self.update_leader_only(&report.machine);
-        let Role::Leader(l) = &mut self.role else { return None };
-        if l.forwarding.is_leader_only(&report.machine) {
+        let node = self.balancer.pick_better_node(self.now, &heartbeat.machine, &own, &others)?;
+        self.update_leader_only(&heartbeat.machine);
+        let Role::Leader(leader) = &mut self.role else { return None };
+        if leader.forwarding.is_leader_only(&heartbeat.machine) {
             return None;
         }
-        if let Some(m) = l.machines.get_mut(&report.machine) {
+        if let Some(m) = leader.machines.get_mut(&heartbeat.machine) {
             m.reports_here = false;
         }
         self.worker_count = self.worker_count.saturating_sub(1);
@@ -404,9 +408,9 @@
     /// Machines that the nodes can take: those that answer reports, or did
     /// lately, and this one.
     pub(crate) fn worker_capacity(&self) -> u32 {
-        let Role::Leader(l) = &self.role else { return 0 };
+        let Role::Leader(leader) = &self.role else { return 0 };
         let lately = self.now - self.settings.params.workers.lease_s;
-        let serving: BTreeSet<&str> = l.forwarding.nodes_that_may_respond(lately).collect();
+        let serving: BTreeSet<&str> = leader.forwarding.nodes_that_may_respond(lately).collect();
         let rooms = serving.iter().filter_map(|n| self.peers.get(*n)).map(|(v, _)| v.room);
         self.timing.worker_capacity + rooms.sum::<u32>()
     }
@@ -414,10 +418,10 @@
     /// Machines that may be rented yet.
     pub(crate) fn machine_capacity_left(&mut self) -> u32 {
         let ceiling = self.worker_capacity();
-        let Role::Leader(l) = &mut self.role else { return 0 };
-        let there = l.machines.values().filter(|m| m.phase != MachinePhase::Terminating).count() as u32;
-        if ceiling != l.logged_capacity && there + 50 >= ceiling {
-            l.logged_capacity = ceiling;
+        let Role::Leader(leader) = &mut self.role else { return 0 };
+        let there = leader.machines.values().filter(|m| m.phase != MachinePhase::Terminating).count() as u32;
+        if ceiling != leader.logged_capacity && there + 50 >= ceiling {
+            leader.logged_capacity = ceiling;
             info!(ceiling, machines = there, "the nodes can take no more machines than that");
         }
         ceiling.saturating_sub(there)
--- a/crates/controller/src/heartbeats.rs
+++ b/crates/controller/src/heartbeats.rs
@@ -26,10 +26,10 @@
 const FORGOTTEN_LEASES: Time = 10.0;
 
 impl Controller {
-    pub(crate) fn on_heartbeat(&mut self, req: RequestId, body: &[u8]) {
+    pub(crate) fn on_heartbeat(&mut self, request_id: RequestId, body: &[u8]) {
         let report: Heartbeat = match protocol::decode(body) {
             Ok(r) => r,
-            Err(e) => return self.respond_error(req, 400, &e.to_string()),
+            Err(e) => return self.respond_error(request_id, 400, &e.to_string()),
         };
         let now = self.now;
         // A copy that comes late, or a report that was held for long, is no hearing.
@@ -53,23 +53,24 @@
             None => {}
         }
         if self.is_leader() {
-            self.on_leader_heartbeat(req, &report);
+            self.on_leader_heartbeat(request_id, &report);
         } else {
-            self.on_proxied_heartbeat(req, report);
+            self.on_proxied_heartbeat(request_id, report);
         }
     }
 
     /// A report that came straight to the leader.
-    pub(crate) fn on_leader_heartbeat(&mut self, req: RequestId, report: &Heartbeat) {
+    pub(crate) fn on_leader_heartbeat(&mut self, request_id: RequestId, heartbeat: &Heartbeat) {
         let now = self.now;
-        let Role::Leader(l) = &mut self.role else { return };
-        let token = l.fencing_token;
-        if report.fencing_token > token {
-            self.observe_token(report.fencing_token, &report.machine);
-            return self.respond_error(req, 503, "a newer leader exists");
-        }
-        if !l.recovered && self.checks.response_grace {
-            let older = l.early_heartbeats.insert(req, report, now + self.timing.recovery_hold_s);
+        let Role::Leader(leader) = &mut self.role else { return };
+        let token = leader.fencing_token;
+        if heartbeat.fencing_token > token {
+            self.observe_token(heartbeat.fencing_token, &heartbeat.machine);
+            return self.respond_error(request_id, 503, "a newer leader exists");
+        }
+        if !leader.recovered && self.checks.response_grace {
+            let older =
+                leader.early_heartbeats.insert(request_id, heartbeat, now + self.timing.recovery_hold_s);
             if let Some(older) = older {
                 self.respond_error(older, 503, "a newer report came");
             }
@@ -77,45 +78,47 @@
         }
         // Past the grace a cancellation may have been told that this node
         // cannot see: the workers' leases have to run out in time for it.
-        if !l.authority.may_respond(now) && self.checks.response_grace {
-            return self.respond_error(req, 503, "state service not reached");
+        if !leader.authority.may_respond(now) && self.checks.response_grace {
+            return self.respond_error(request_id, 503, "state service not reached");
         }
-        let known = l.machines.get(&report.machine).is_some_and(|m| m.reports_here);
+        let known = leader.machines.get(&heartbeat.machine).is_some_and(|m| m.reports_here);
         match self.admit_worker(known) {
             WorkerAdmission::Accept => {}
-            WorkerAdmission::Redirect(node) => return self.redirect(req, Some(node)),
-            WorkerAdmission::Reject => return self.respond_error(req, 503, "no room for more workers"),
+            WorkerAdmission::Redirect(node) => return self.redirect(request_id, Some(node)),
+            WorkerAdmission::Reject => {
+                return self.respond_error(request_id, 503, "no room for more workers")
+            }
         }
-        let Some(l) = self.leader_state(token) else { return };
-        if !l.recovered {
+        let Some(leader) = self.leader_state(token) else { return };
+        if !leader.recovered {
             let answer = HeartbeatResponse { fencing_token: token, commands: Vec::new() };
-            return self.respond(req, 200, protocol::encode(&answer));
+            return self.respond(request_id, 200, protocol::encode(&answer));
         }
-        if !self.ingest_heartbeat(report, None, now) {
+        if !self.ingest_heartbeat(heartbeat, None, now) {
             // Late, or overtaken by a copy of it or by the answer to a direct command. Its worker
             // may wait yet, and the answer renews its lease: it says what there is to tell.
             // (A copy that came first once took the stops with it, with every report.)
-            let answer = self.commands_for(&report.machine);
-            return self.respond(req, 200, protocol::encode(&answer));
+            let answer = self.commands_for(&heartbeat.machine);
+            return self.respond(request_id, 200, protocol::encode(&answer));
         }
-        if let Some(node) = self.pick_better_node(report) {
-            return self.redirect(req, Some(node));
+        if let Some(node) = self.pick_better_node(heartbeat) {
+            return self.redirect(request_id, Some(node));
         }
-        self.defer_response(report, ReplyRoute::Direct(req));
+        self.defer_response(heartbeat, ReplyRoute::Direct(request_id));
     }
 
     /// The records are read: what came before is answered.
     pub(crate) fn process_early_heartbeats(&mut self) {
-        let Role::Leader(l) = &mut self.role else { return };
-        for (request, report) in l.early_heartbeats.take_all() {
+        let Role::Leader(leader) = &mut self.role else { return };
+        for (request, report) in leader.early_heartbeats.take_all() {
             self.on_leader_heartbeat(request, &report);
         }
     }
 
     /// Reports whose workers wait no longer for the records to be read.
     pub(crate) fn expire_early_heartbeats(&mut self) {
-        let Role::Leader(l) = &mut self.role else { return };
-        for request in l.early_heartbeats.take_expired(self.now) {
+        let Role::Leader(leader) = &mut self.role else { return };
+        for request in leader.early_heartbeats.take_expired(self.now) {
             self.respond_error(request, 503, "records are being read");
         }
     }
@@ -124,45 +127,52 @@
     /// is not newer than the last, or speaks of a machine that is gone.
     pub(crate) fn ingest_heartbeat(
         &mut self,
-        report: &Heartbeat,
+        heartbeat: &Heartbeat,
         via: Option<sharding::ProxyId>,
         came: Time,
     ) -> bool {
         let (now, silent_s, order) = (self.now, self.timing.failure_suspicion_s, self.checks.heartbeat_order);
-        let Role::Leader(l) = &mut self.role else { return false };
-        let id = &report.machine;
+        let Role::Leader(leader) = &mut self.role else { return false };
+        let id = &heartbeat.machine;
         // Gateways that come back pass on all that they knew: what was given
         // back meanwhile once took work again until it fell silent.
-        let gone = l.fleet.has_tombstone(id) || !l.machines.contains_key(id) && now - came > silent_s;
+        let gone =
+            leader.fleet.has_tombstone(id) || !leader.machines.contains_key(id) && now - came > silent_s;
         if gone {
             return false;
         }
-        let m = l.machines.entry(id.clone()).or_insert_with(|| {
-            info!(machine = %report.machine, "machine heard that nobody listed yet");
-            let mut m = Machine::new(&report.machine, &report.machine_type, &report.zone, report.spot, came);
+        let m = leader.machines.entry(id.clone()).or_insert_with(|| {
+            info!(machine = %heartbeat.machine, "machine heard that nobody listed yet");
+            let mut m = Machine::new(
+                &heartbeat.machine,
+                &heartbeat.machine_type,
+                &heartbeat.zone,
+                heartbeat.spot,
+                came,
+            );
             m.unconfirmed_since = Some(came);
             m
         });
         // Whoever has taken an answer of this leader's is there. (Two copies that came one after
         // the other once passed for a worker that goes on.)
-        m.unconfirmed_since.take_if(|_| report.fencing_token == l.fencing_token);
+        m.unconfirmed_since.take_if(|_| heartbeat.fencing_token == leader.fencing_token);
         if m.last_heard_at.is_none() {
-            info!(machine = %id, kind = %report.machine_type, zone = %report.zone, spot = report.spot,
+            info!(machine = %id, kind = %heartbeat.machine_type, zone = %heartbeat.zone, spot = heartbeat.spot,
                   took_s = now - m.known_since, "machine up");
-            l.plan_needed = true;
-            for (image, at, gb) in l.cached_images.remove(id).unwrap_or_default() {
+            leader.plan_needed = true;
+            for (image, at, gb) in leader.cached_images.remove(id).unwrap_or_default() {
                 m.record_image(image, at, gb);
             }
         }
         // Its lease runs from when it sent the report, which was earlier. (A copy of one
         // that was taken before says nothing of a later answer.)
-        m.record_heartbeat((report.epoch, report.sequence), came, order);
-        if !self.apply_heartbeat(report, true, came) {
+        m.record_heartbeat((heartbeat.epoch, heartbeat.sequence), came, order);
+        if !self.apply_heartbeat(heartbeat, true, came) {
             return false;
         }
-        self.record_observation(via.as_ref(), &report.zone, came);
-        if let Role::Leader(l) = &mut self.role {
-            if let Some(m) = l.machines.get_mut(id) {
+        self.record_observation(via.as_ref(), &heartbeat.zone, came);
+        if let Role::Leader(leader) = &mut self.role {
+            if let Some(m) = leader.machines.get_mut(id) {
                 m.record_unsolicited_heartbeat(came);
                 m.reports_here = via.is_none();
                 m.proxy = via;
@@ -172,16 +182,16 @@
     }
 
     /// Keeps a report that was taken in until there is something to tell.
-    pub(crate) fn defer_response(&mut self, report: &Heartbeat, way: ReplyRoute) {
+    pub(crate) fn defer_response(&mut self, heartbeat: &Heartbeat, way: ReplyRoute) {
         let (now, hold, idle_hold) =
             (self.now, self.timing.busy_heartbeat_hold_s, self.timing.idle_heartbeat_hold_s);
-        let Role::Leader(l) = &mut self.role else { return };
-        let id = report.machine.clone();
-        let idle = report.tasks.iter().all(|t| t.state == TaskState::Exited)
-            && l.machines.get(&id).is_some_and(Machine::accepts_work);
+        let Role::Leader(leader) = &mut self.role else { return };
+        let id = heartbeat.machine.clone();
+        let idle = heartbeat.tasks.iter().all(|t| t.state == TaskState::Exited)
+            && leader.machines.get(&id).is_some_and(Machine::accepts_work);
         let until = now + if idle { idle_hold } else { hold };
-        l.heartbeats_to_check.insert(id.clone());
-        let older = l.pending_heartbeats.insert(id, PendingHeartbeat { reply_route: way, until, idle });
+        leader.heartbeats_to_check.insert(id.clone());
+        let older = leader.pending_heartbeats.insert(id, PendingHeartbeat { reply_route: way, until, idle });
         // Its worker has given that one up.
         if let Some(PendingHeartbeat { reply_route: ReplyRoute::Direct(request), .. }) = older {
             self.respond_error(request, 503, "a newer report came");
@@ -192,57 +202,58 @@
     /// `beat` is false for the answer to a direct command: that one may have
     /// been made while the answer to a report, with a launch in it, was still
     /// on its way, so what it lacks may yet start. `came`: when a node got it.
-    pub(crate) fn apply_heartbeat(&mut self, report: &Heartbeat, beat: bool, came: Time) -> bool {
+    pub(crate) fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, beat: bool, came: Time) -> bool {
         let (now, d) = (self.now, self.timing);
-        let Role::Leader(l) = &mut self.role else { return false };
-        let token = l.fencing_token;
-        let Some(m) = l.machines.get_mut(&report.machine) else { return false };
+        let Role::Leader(leader) = &mut self.role else { return false };
+        let token = leader.fencing_token;
+        let Some(m) = leader.machines.get_mut(&heartbeat.machine) else { return false };
         let noticed = m.spot_reclaim_at.is_some();
         let mut leaving = None;
-        if self.checks.heartbeat_order && (report.epoch, report.sequence) <= m.newest_position {
+        if self.checks.heartbeat_order && (heartbeat.epoch, heartbeat.sequence) <= m.newest_position {
             return false;
         }
         let before = m.newest_position.0;
         // One gap of reports, and a try of another node in between.
-        let voice = if self.checks.retain_silent_machines { l.responsiveness.since(now) } else { 0.0 };
+        let voice = if self.checks.retain_silent_machines { leader.responsiveness.since(now) } else { 0.0 };
         let pace = HeartbeatTiming {
             max_gap_s: d.max_heartbeat_gap_s + d.worker_failover_s,
             lease_expiry_s: d.lease_expiry_s,
             responding_since: voice,
         };
-        let unheard = beat && m.reachability.record(before, report.epoch, m.last_heartbeat_at, came, &pace);
+        let unheard =
+            beat && m.reachability.record(before, heartbeat.epoch, m.last_heartbeat_at, came, &pace);
         if unheard {
-            warn!(machine = %report.machine, "its reports come, but it hears no answer: no work for it");
-            l.plan_needed = true;
+            warn!(machine = %heartbeat.machine, "its reports come, but it hears no answer: no work for it");
+            leader.plan_needed = true;
         }
         // Its tasks ended with the session before, and what was launched in answers to that
         // one's reports is never carried out.
-        let anew = beat && self.checks.one_way_partitions && before > 0 && report.epoch > before;
+        let anew = beat && self.checks.one_way_partitions && before > 0 && heartbeat.epoch > before;
         if before == 0 {
             // What is to be stopped there could not be told for want of its session.
-            l.pending_kills.retry_now(&report.machine, now);
+            leader.pending_kills.retry_now(&heartbeat.machine, now);
         }
-        m.apply_heartbeat(report, now);
+        m.apply_heartbeat(heartbeat, now);
         if beat {
             m.record_contact(came);
         }
         if m.spot_reclaim_at.is_some() && !noticed {
-            info!(machine = %report.machine, notice_s = report.notice_s, "spot notice");
-            l.plan_needed = true;
-            leaving = report.notice_s;
+            info!(machine = %heartbeat.machine, notice_s = heartbeat.notice_s, "spot notice");
+            leader.plan_needed = true;
+            leaving = heartbeat.notice_s;
         }
         // Only a worker that has seen this leader's token is past every
         // earlier leader's commands: absence proves nothing before.
-        let settled = beat && (report.fencing_token == token || !self.checks.absence_needs_current_token);
+        let settled = beat && (heartbeat.fencing_token == token || !self.checks.absence_needs_current_token);
         let mut touched: Vec<String> = Vec::new();
         let mut exits: Vec<(String, u32, TaskStatus)> = Vec::new();
-        for t in &report.tasks {
+        for t in &heartbeat.tasks {
             let Some((job_id, number)) = split_task(&t.task) else { continue };
-            let Some(job) = l.jobs.get_mut(job_id) else { continue };
+            let Some(job) = leader.jobs.get_mut(job_id) else { continue };
             let mine = job
                 .placements
                 .get_mut(&number)
-                .filter(|p| p.machine == report.machine && p.attempt == t.attempt);
+                .filter(|p| p.machine == heartbeat.machine && p.attempt == t.attempt);
             match mine {
                 Some(p) => {
                     if t.state == TaskState::Exited {
@@ -258,7 +269,7 @@
                         p.inherited = false;
                         if t.state == TaskState::Running && p.running_since.is_none() {
                             p.running_since = Some(now);
-                            job.machines_with_image.insert(report.machine.clone());
+                            job.machines_with_image.insert(heartbeat.machine.clone());
                             if job.first_start.replace(job.first_start.unwrap_or(now)).is_none() {
                                 info!(job = %job_id, waited_s = now - job.ready_at, "job started");
                             }
@@ -276,29 +287,29 @@
                     && job.done_tasks.get(number as usize) == Some(&false) =>
                 {
                     job.finish_task(number);
-                    l.plan_needed = true;
+                    leader.plan_needed = true;
                 }
                 None => {}
             }
         }
-        for (id, task) in l.tasks_on(&report.machine) {
-            let Some(job) = l.jobs.get_mut(&id) else { continue };
+        for (id, task) in leader.tasks_on(&heartbeat.machine) {
+            let Some(job) = leader.jobs.get_mut(&id) else { continue };
             let Some(p) = job.placements.get(&task) else { continue };
             let launched = p.observed_state.is_some() || p.inherited || p.stopping.is_some() && p.launch_sent;
             let proof = settled && launched || anew && !p.inherited && (p.launch_sent || unheard);
-            if proof && !Self::heartbeat_lists(report, &id, task, p) {
+            if proof && !Self::heartbeat_lists(heartbeat, &id, task, p) {
                 if p.observed_state.is_some() {
-                    info!(job = %id, task, machine = %report.machine, "task is gone");
+                    info!(job = %id, task, machine = %heartbeat.machine, "task is gone");
                 }
                 lose(job, task, now);
                 touched.push(id);
             }
         }
         if !touched.is_empty() || !exits.is_empty() {
-            l.plan_needed = true;
+            leader.plan_needed = true;
         }
         for (id, task, t) in exits {
-            self.on_task_exit(&report.machine, &id, task, &t);
+            self.on_task_exit(&heartbeat.machine, &id, task, &t);
             touched.push(id);
         }
         for id in touched {
@@ -306,11 +317,11 @@
             self.kill_now(&id);
         }
         if let Some(notice_s) = leaving {
-            self.checkpoint_gangs_before_reclaim(&report.machine, notice_s);
+            self.checkpoint_gangs_before_reclaim(&heartbeat.machine, notice_s);
         }
-        if let Role::Leader(l) = &mut self.role {
-            if let Some(m) = l.machines.get_mut(&report.machine) {
-                if !report.tasks.is_empty() {
+        if let Role::Leader(leader) = &mut self.role {
+            if let Some(m) = leader.machines.get_mut(&heartbeat.machine) {
+                if !heartbeat.tasks.is_empty() {
                     m.idle_since = now;
                 }
             }
@@ -322,10 +333,10 @@
     /// tasks at once, if there is time. Other work goes on as long as it can.
     fn checkpoint_gangs_before_reclaim(&mut self, machine: &str, notice_s: f64) {
         let now = self.now;
-        let Role::Leader(l) = &mut self.role else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
         let mut stopped = Vec::new();
-        for (id, task) in l.tasks_on(machine) {
-            let Some(job) = l.jobs.get_mut(&id) else { continue };
+        for (id, task) in leader.tasks_on(machine) {
+            let Some(job) = leader.jobs.get_mut(&id) else { continue };
             let grace = job.spec.save_s * 1.25;
             let here = job.placements.get(&task).is_some_and(|p| p.running_since.is_some());
             let can =
@@ -343,24 +354,24 @@
         }
     }
 
-    fn heartbeat_lists(report: &Heartbeat, job: &str, task: u32, place: &Placement) -> bool {
-        report.tasks.iter().any(|t| t.attempt == place.attempt && split_task(&t.task) == Some((job, task)))
+    fn heartbeat_lists(heartbeat: &Heartbeat, job: &str, task: u32, place: &Placement) -> bool {
+        heartbeat.tasks.iter().any(|t| t.attempt == place.attempt && split_task(&t.task) == Some((job, task)))
     }
 
-    fn on_task_exit(&mut self, machine: &str, id: &str, task: u32, t: &TaskStatus) {
+    fn on_task_exit(&mut self, machine: &str, id: &str, task: u32, status: &TaskStatus) {
         let now = self.now;
         let report_s = self.settings.params.workers.heartbeat_interval_s;
-        if t.exit_cause == Some(ExitCause::Alone) && self.gang_still_assembling(id, task) {
+        if status.exit_cause == Some(ExitCause::Alone) && self.gang_still_assembling(id, task) {
             return;
         }
-        let Role::Leader(l) = &mut self.role else { return };
-        let Some(job) = l.jobs.get_mut(id) else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
+        let Some(job) = leader.jobs.get_mut(id) else { return };
         let Some(place) = job.placements.get(&task).cloned() else { return };
         let gang = job.spec.shape == Shape::Gang;
-        match t.exit_cause {
+        match status.exit_cause {
             Some(ExitCause::Done) => {
                 if let Some(since) = place.running_since {
-                    let stats = l.classes.entry(job.spec.class.clone()).or_default();
+                    let stats = leader.classes.entry(job.spec.class.clone()).or_default();
                     if job.progress_s == 0.0 && job.spec.estimated_run_s > 0.0 {
                         stats.record_run((now - since).max(0.1) / job.spec.estimated_run_s);
                     }
@@ -373,19 +384,19 @@
                 for n in all {
                     job.finish_task(n);
                 }
-                if let Some(m) = l.machines.get_mut(machine) {
+                if let Some(m) = leader.machines.get_mut(machine) {
                     m.failed_jobs.clear();
                     m.suspected_since = None;
                 }
                 // It is sound, so the machines it failed on were not.
                 for name in blamed {
-                    if let Some(m) = l.machines.get_mut(&name).filter(|m| m.failed_jobs.contains(id)) {
+                    if let Some(m) = leader.machines.get_mut(&name).filter(|m| m.failed_jobs.contains(id)) {
                         m.quarantine();
                     }
                 }
             }
             Some(ExitCause::Stopped) => {
-                if t.checkpointed == Some(true) {
+                if status.checkpointed == Some(true) {
                     if let Some(since) = place.running_since {
                         job.progress_s += (now - since).max(0.0) * 0.9;
                     }
@@ -419,9 +430,9 @@
     /// every fetch, seventeen times within a day.) False once that has taken too long.
     fn gang_still_assembling(&mut self, id: &str, task: u32) -> bool {
         let (now, d) = (self.now, self.timing);
-        let Role::Leader(l) = &mut self.role else { return false };
-        let machines = &l.machines;
-        let Some(job) = l.jobs.get_mut(id) else { return false };
+        let Role::Leader(leader) = &mut self.role else { return false };
+        let machines = &leader.machines;
+        let Some(job) = leader.jobs.get_mut(id) else { return false };
         let whole = job.placements.len() == job.spec.tasks as usize && !job.gang_aborting && !job.is_final();
         let gathers = |p: &Placement| {
             let there = |m: &Machine| m.accepts_work() && m.is_heard(now, &d);
@@ -448,11 +459,11 @@
         let now = self.now;
         let w = &self.settings.params.workers;
         let (report_s, longest) = (w.heartbeat_interval_s, w.lease_s * 2.0);
-        let Role::Leader(l) = &mut self.role else { return };
-        let Some(job) = l.jobs.get_mut(id) else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
+        let Some(job) = leader.jobs.get_mut(id) else { return };
         let sound = job.done_count > 0;
         if !job.is_suspected() {
-            match l.machines.get_mut(machine) {
+            match leader.machines.get_mut(machine) {
                 Some(m) if m.quarantined => {}
                 // Several tasks of one job on one machine are one failure.
                 Some(m) if sound => m.quarantine(),
@@ -481,7 +492,7 @@
             job.not_before = now + (report_s * f64::from(1u32 << job.probes.min(16))).min(longest);
         }
         for name in &job.failed_on {
-            if let Some(m) = l.machines.get_mut(name) {
+            if let Some(m) = leader.machines.get_mut(name) {
                 m.failed_jobs.remove(id);
             }
         }
@@ -491,14 +502,15 @@
     pub(crate) fn respond_to_pending_heartbeats(&mut self) {
         let now = self.now;
         let scan_s = self.timing.planning_interval_s / 50.0;
-        let Role::Leader(l) = &mut self.role else { return };
-        let mut names = std::mem::take(&mut l.heartbeats_to_check);
-        if now >= l.check_all_heartbeats_at {
-            l.check_all_heartbeats_at = now + scan_s;
+        let Role::Leader(leader) = &mut self.role else { return };
+        let mut names = std::mem::take(&mut leader.heartbeats_to_check);
+        if now >= leader.check_all_heartbeats_at {
+            leader.check_all_heartbeats_at = now + scan_s;
             // Few wait for a plan or a commit at a time; the idle ones wait
             // for their time only, unless something was placed there.
             names.extend(
-                l.pending_heartbeats
+                leader
+                    .pending_heartbeats
                     .iter()
                     .filter(|(_, h)| !h.idle || now >= h.until)
                     .map(|(m, _)| m.clone()),
@@ -506,14 +518,14 @@
         }
         for machine in names {
             self.update_leader_only(&machine);
-            let Role::Leader(l) = &mut self.role else { return };
-            let Some(h) = l.pending_heartbeats.get(&machine) else { continue };
+            let Role::Leader(leader) = &mut self.role else { return };
+            let Some(h) = leader.pending_heartbeats.get(&machine) else { continue };
             let (over, idle) = (now >= h.until, h.idle);
             if !over && self.should_keep_pending(&machine, idle) {
                 continue;
             }
-            let Role::Leader(l) = &mut self.role else { return };
-            let Some(h) = l.pending_heartbeats.remove(&machine) else { continue };
+            let Role::Leader(leader) = &mut self.role else { return };
+            let Some(h) = leader.pending_heartbeats.remove(&machine) else { continue };
             let answer = self.commands_for(&machine);
             self.respond_to_heartbeat(&machine, h, answer);
         }
@@ -523,20 +535,20 @@
     fn should_keep_pending(&mut self, machine: &str, idle: bool) -> bool {
         let entitled = self.may_act();
         let write_ahead = self.checks.launch_after_commit;
-        let Role::Leader(l) = &mut self.role else { return false };
+        let Role::Leader(leader) = &mut self.role else { return false };
         let mut launch = false;
-        for (id, task) in l.tasks_on(machine) {
-            let Some(job) = l.jobs.get(&id) else { continue };
+        for (id, task) in leader.tasks_on(machine) {
+            let Some(job) = leader.jobs.get(&id) else { continue };
             let Some(p) = job.placements.get(&task) else { continue };
             if !p.committed && write_ahead {
                 return true;
             }
             launch |= p.observed_state.is_none() && !job.is_final() && entitled;
         }
-        let Some(m) = l.machines.get(machine) else { return false };
+        let Some(m) = leader.machines.get(machine) else { return false };
         let mut forget = false;
         for t in m.tasks.iter().filter(|t| t.state == TaskState::Exited) {
-            let job = split_task(&t.task).and_then(|(id, n)| Some((l.jobs.get(id)?, n)));
+            let job = split_task(&t.task).and_then(|(id, n)| Some((leader.jobs.get(id)?, n)));
             match job {
                 // Its end is about to be stored, and its place is then free
                 // for another attempt.
@@ -546,7 +558,7 @@
             }
         }
         // A place that has just come free may be given anew by the next plan.
-        let planning = l.plan_needed && m.accepts_work();
+        let planning = leader.plan_needed && m.accepts_work();
         if idle {
             !(launch || forget)
         } else {
@@ -557,17 +569,17 @@
     fn commands_for(&mut self, machine: &str) -> HeartbeatResponse {
         let entitled = self.may_act();
         let write_ahead = self.checks.launch_after_commit;
-        let Role::Leader(l) = &mut self.role else {
+        let Role::Leader(leader) = &mut self.role else {
             return HeartbeatResponse { fencing_token: 0, commands: Vec::new() };
         };
         let mut commands = Vec::new();
-        let tasks = l.machines.get(machine).map(|m| m.tasks.clone()).unwrap_or_default();
+        let tasks = leader.machines.get(machine).map(|m| m.tasks.clone()).unwrap_or_default();
         for t in &tasks {
             let Some((id, number)) = split_task(&t.task) else { continue };
-            if l.undecodable.contains_job(id) && self.terminal_states.get(id).is_none() {
+            if leader.undecodable.contains_job(id) && self.terminal_states.get(id).is_none() {
                 continue;
             }
-            let job = l.jobs.get(id);
+            let job = leader.jobs.get(id);
             let place = job
                 .and_then(|j| j.placements.get(&number))
                 .filter(|p| p.machine == machine && p.attempt == t.attempt);
@@ -595,8 +607,8 @@
             }
         }
         if entitled {
-            for (id, task) in l.tasks_on(machine) {
-                let Some(job) = l.jobs.get_mut(&id).filter(|j| !j.is_final()) else { continue };
+            for (id, task) in leader.tasks_on(machine) {
+                let Some(job) = leader.jobs.get_mut(&id).filter(|j| !j.is_final()) else { continue };
                 // Its end was told here, and the leader has yet to read it.
                 if self.terminal_states.get(&id).is_some() {
                     continue;
@@ -615,7 +627,7 @@
         }
         // An answer is at most 64 KiB; what is left over goes with the next.
         commands.truncate(MOST_COMMANDS);
-        HeartbeatResponse { fencing_token: l.fencing_token, commands }
+        HeartbeatResponse { fencing_token: leader.fencing_token, commands }
     }
 
     /// Answers of earlier leaders, and those on their leave, have come or never will by then.
@@ -636,15 +648,15 @@
     pub(crate) fn register_machines_of_placements(&mut self) {
         let old_end = self.previous_lease_expiry();
         let now = self.now;
-        let Role::Leader(l) = &mut self.role else { return };
-        if !l.recovered {
+        let Role::Leader(leader) = &mut self.role else { return };
+        if !leader.recovered {
             return;
         }
-        for id in l.jobs.keys().cloned().collect::<Vec<_>>() {
-            l.index_job(&id);
+        for id in leader.jobs.keys().cloned().collect::<Vec<_>>() {
+            leader.index_job(&id);
         }
-        for p in l.jobs.values().flat_map(|j| j.placements.values()) {
-            let m = l.machines.entry(p.machine.clone()).or_insert_with(|| {
+        for p in leader.jobs.values().flat_map(|j| j.placements.values()) {
+            let m = leader.machines.entry(p.machine.clone()).or_insert_with(|| {
                 let mut m = Machine::new(&p.machine, "", "", false, now);
                 m.phase = MachinePhase::Up;
                 m
@@ -658,14 +670,17 @@
     pub(crate) fn step_down_if_unreachable(&mut self) {
         let now = self.now;
         let heard_s = self.timing.heartbeat_validity_s;
-        let Role::Leader(l) = &self.role else { return };
-        let known = l.machines.values().filter(|m| m.phase == MachinePhase::Up).count();
-        let settled = now - l.elected_at > heard_s + self.timing.worker_timeout_s;
-        if known == 0 || !settled || !l.authority.is_exclusive(now) {
+        let Role::Leader(leader) = &self.role else { return };
+        let known = leader.machines.values().filter(|m| m.phase == MachinePhase::Up).count();
+        let settled = now - leader.elected_at > heard_s + self.timing.worker_timeout_s;
+        if known == 0 || !settled || !leader.authority.is_exclusive(now) {
             return;
         }
-        let here =
-            l.machines.values().filter(|m| m.last_heartbeat_at.is_some_and(|t| now - t < heard_s)).count();
+        let here = leader
+            .machines
+            .values()
+            .filter(|m| m.last_heartbeat_at.is_some_and(|t| now - t < heard_s))
+            .count();
         let there = self
             .peers
             .values()
@@ -681,7 +696,7 @@
         if !(better || here == 0 && !(asked && there == 0)) {
             return;
         }
-        let lease = l.lease;
+        let lease = leader.lease;
         self.call_store(CallContext::Revoke, StoreRequest::Revoke(lease));
         self.step_down("workers do not reach this node");
         // The others get the first chance.
@@ -705,22 +720,22 @@
             }
             relays.lease_surely_expired(answered, over, now)
         };
-        let Role::Leader(l) = &mut self.role else { return };
-        for m in l.machines.values_mut() {
+        let Role::Leader(leader) = &mut self.role else { return };
+        for m in leader.machines.values_mut() {
             if m.suspected_since.is_some_and(|at| now - at > silent_s) {
                 m.suspected_since = None;
                 if m.failed_jobs.len() > 1 {
                     m.quarantine();
                 }
-                l.plan_needed = true;
+                leader.plan_needed = true;
             }
         }
-        l.forwarding.forget_expired(now, over);
+        leader.forwarding.forget_expired(now, over);
         self.update_zone_reachability();
         // Every worker has tried all nodes by then, and reported to one that hears it.
         let (dark_hold_s, back_s) = (self.timing.unreachable_zone_retention_s, self.full_failover_s());
-        let Role::Leader(l) = &mut self.role else { return };
-        let reach = &l.fleet.zones;
+        let Role::Leader(leader) = &mut self.role else { return };
+        let reach = &leader.fleet.zones;
         // What is cut off with its zone may be back in seconds.
         let held = |m: &Machine| {
             reach.unreachable_since(&m.zone).is_some_and(|since| now - since < dark_hold_s)
@@ -731,12 +746,14 @@
         // a zone's machines up by the age of their last reports, before it could
         // see that the whole zone was silent.
         let patience = |m: &Machine| patience_s.get(&m.zone).copied().unwrap_or(silent_s);
-        let silent =
-            l.machines.values().filter(|m| m.silence_s(now).min(l.tenure.entitled_for_s(now)) > patience(m));
+        let silent = leader
+            .machines
+            .values()
+            .filter(|m| m.silence_s(now).min(leader.tenure.entitled_for_s(now)) > patience(m));
         let (dark, silent): (Vec<&Machine>, Vec<&Machine>) = silent.partition(|m| held(m));
         let ended = dark
             .iter()
-            .filter(|m| surely_over(&l.forwarding, m.last_possible_response_at))
+            .filter(|m| surely_over(&leader.forwarding, m.last_possible_response_at))
             .map(|m| m.id.clone());
         let ended: Vec<String> = ended.collect();
         let silent: Vec<String> = silent.iter().map(|m| m.id.clone()).collect();
@@ -745,18 +762,18 @@
         // that missed a report, not on those silent for long: these come one
         // by one, and a cut leader once gave up its whole fleet that way.
         let fresh = |m: &&Machine| m.last_heard_at.is_some_and(|h| now - h < silent_s / 2.0);
-        let fresh = l.machines.values().filter(up).filter(fresh).count();
-        let up = l.machines.values().filter(up).filter(|m| m.last_heard_at.is_some()).count();
+        let fresh = leader.machines.values().filter(up).filter(fresh).count();
+        let up = leader.machines.values().filter(up).filter(|m| m.last_heard_at.is_some()).count();
         let many = up > 2 && fresh * 3 < up * 2;
         let mut leave = Vec::new();
         for id in &silent {
-            let Some(m) = l.machines.get_mut(id) else { continue };
-            let lease_over = surely_over(&l.forwarding, m.last_possible_response_at);
+            let Some(m) = leader.machines.get_mut(id) else { continue };
+            let lease_over = surely_over(&leader.forwarding, m.last_possible_response_at);
             if lease_over || (!many && m.last_heard_at.is_some()) {
                 warn!(machine = %id, lease_over, "silent, giving it up");
                 m.phase = MachinePhase::Terminating;
                 m.given_up = true;
-                l.plan_needed = true;
+                leader.plan_needed = true;
                 leave.push((id.clone(), lease_over));
             }
         }
@@ -765,13 +782,13 @@
             self.remove_machine_work(&id, false);
         }
         // A machine given up earlier whose lease has ended since.
-        let Role::Leader(l) = &mut self.role else { return };
-        let ended: Vec<String> = l
+        let Role::Leader(leader) = &mut self.role else { return };
+        let ended: Vec<String> = leader
             .machines
             .values()
             .filter(|m| {
                 m.phase == MachinePhase::Terminating
-                    && surely_over(&l.forwarding, m.last_possible_response_at)
+                    && surely_over(&leader.forwarding, m.last_possible_response_at)
             })
             .filter(|m| m.last_heard_at.is_none_or(|h| now - h > over))
             .map(|m| m.id.clone())
@@ -784,38 +801,38 @@
     /// Which zones are out of reach.
     fn update_zone_reachability(&mut self) {
         let (now, d) = (self.now, self.timing);
-        let Role::Leader(l) = &mut self.role else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
         // At first a leader has not heard all nodes yet, and after an outage of the
         // state service the workers may have been sent on in vain.
-        if l.tenure.entitled_for_s(now) < d.worker_failover_s {
+        if leader.tenure.entitled_for_s(now) < d.worker_failover_s {
             return;
         }
-        let machines = l.machines.values().filter(|m| m.phase == MachinePhase::Up);
+        let machines = leader.machines.values().filter(|m| m.phase == MachinePhase::Up);
         let heard = machines.map(|m| (m.zone.as_str(), m.is_heard(now, &d)));
-        if l.fleet.zones.update(now, heard) {
-            let dark: Vec<&str> = l.fleet.zones.unreachable().collect();
+        if leader.fleet.zones.update(now, heard) {
+            let dark: Vec<&str> = leader.fleet.zones.unreachable().collect();
             warn!(?dark, "zones out of reach");
-            l.plan_needed = true;
+            leader.plan_needed = true;
         }
     }
 
     /// Every task of `machine` is surely gone.
     pub(crate) fn remove_machine_work(&mut self, machine: &str, remove: bool) {
         let now = self.now;
-        let Role::Leader(l) = &mut self.role else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
         let mut touched = Vec::new();
-        for (id, task) in l.tasks_on(machine) {
-            if let Some(job) = l.jobs.get_mut(&id) {
+        for (id, task) in leader.tasks_on(machine) {
+            if let Some(job) = leader.jobs.get_mut(&id) {
                 lose(job, task, now);
                 touched.push(id);
             }
         }
         if remove {
-            l.machines.remove(machine);
-            l.forwarding.set_leader_only(machine, None);
+            leader.machines.remove(machine);
+            leader.forwarding.set_leader_only(machine, None);
         }
         if !touched.is_empty() {
-            l.plan_needed = true;
+            leader.plan_needed = true;
         }
         for id in touched {
             self.settle_terminal(&id);
--- a/crates/controller/src/hedged_requests.rs
+++ b/crates/controller/src/hedged_requests.rs
@@ -60,8 +60,8 @@
     }
 
     /// Notes how the service answered any call.
-    pub fn record_reply(&mut self, r: &StoreReply) {
-        match r {
+    pub fn record_reply(&mut self, reply: &StoreReply) {
+        match reply {
             StoreReply::Refused => self.refused = true,
             StoreReply::Unknown => {}
             _ => self.refused = false,
@@ -85,11 +85,11 @@
         Some((key, value, condition.version))
     }
 
-    fn read_back_outcome(&self, r: StoreReply) -> ReadBackOutcome {
+    fn read_back_outcome(&self, reply: StoreReply) -> ReadBackOutcome {
         let Some((key, value, before)) = self.outcome_key() else { return ReadBackOutcome::Unread };
         let overtaken =
             |revision| ReadBackOutcome::Overtaken(CasConflict { failed: vec![key.to_string()], revision });
-        match r {
+        match reply {
             StoreReply::Item(item) if item.value == *value => ReadBackOutcome::Stored(item.version),
             StoreReply::Item(Item { version, .. }) if version != before => overtaken(version),
             StoreReply::Item(_) => ReadBackOutcome::NotYet,
@@ -103,11 +103,11 @@
 
 impl Controller {
     /// Sends a transaction whose outcome users wait for. `purpose` gets one answer.
-    pub(crate) fn commit_hedged(&mut self, purpose: CallContext, txn: Transaction<Value>) {
+    pub(crate) fn commit_hedged(&mut self, context: CallContext, txn: Transaction<Value>) {
         let n = self.hedged_requests.next_id;
         self.hedged_requests.next_id += 1;
         let hedge = HedgedRequest {
-            context: purpose,
+            context: context,
             transaction: txn,
             copies_sent: 0,
             copies_open: 0,
@@ -126,23 +126,23 @@
         self.call_store(CallContext::Hedged { n }, op);
     }
 
-    fn finish_hedged(&mut self, n: u64, r: StoreReply) {
+    fn finish_hedged(&mut self, n: u64, reply: StoreReply) {
         if let Some(h) = self.hedged_requests.open.remove(&n) {
-            self.on_store_reply(h.context, r);
+            self.on_store_reply(h.context, reply);
         }
     }
 
-    pub(crate) fn on_hedged_reply(&mut self, n: u64, r: StoreReply) {
+    pub(crate) fn on_hedged_reply(&mut self, n: u64, reply: StoreReply) {
         let Some(h) = self.hedged_requests.open.get_mut(&n) else { return };
         h.copies_open -= 1;
         // Of a copy, a conflict may come from an earlier one that was carried out. Whoever gets it
         // reads what is there.
-        let told = matches!(r, StoreReply::Committed(_) | StoreReply::Conflict(_));
+        let told = matches!(reply, StoreReply::Committed(_) | StoreReply::Conflict(_));
         let (only, last) = (h.copies_sent == 1, h.copies_open == 0 && !h.read_back_in_flight);
         if told || only && last {
-            return self.finish_hedged(n, r);
+            return self.finish_hedged(n, reply);
         }
-        if matches!(r, StoreReply::Limited) {
+        if matches!(reply, StoreReply::Limited) {
             self.on_rate_limited();
         }
         if last {
@@ -150,11 +150,11 @@
         }
     }
 
-    pub(crate) fn on_hedged_read_back(&mut self, n: u64, r: StoreReply) {
+    pub(crate) fn on_hedged_read_back(&mut self, n: u64, reply: StoreReply) {
         let now = self.now;
         let Some(h) = self.hedged_requests.open.get_mut(&n) else { return };
         (h.read_back_in_flight, h.last_attempt_at) = (false, now);
-        match h.read_back_outcome(r) {
+        match h.read_back_outcome(reply) {
             ReadBackOutcome::Stored(version) => self.finish_hedged(n, StoreReply::Committed(version)),
             ReadBackOutcome::Overtaken(conflict) => self.finish_hedged(n, StoreReply::Conflict(conflict)),
             ReadBackOutcome::NotYet | ReadBackOutcome::Unread if h.copies_open == 0 => {
--- a/crates/controller/src/job_dependencies.rs
+++ b/crates/controller/src/job_dependencies.rs
@@ -31,11 +31,11 @@
 }
 
 /// Tells the graph of live job `id`, with what is stored of those that it awaits.
-fn enter(l: &mut LeaderState, finals: &TerminalStateCache, id: &str) -> GraphEffects {
-    let Some(job) = l.jobs.get(id).filter(|j| j.ready_wall_s.is_none() && !j.is_final()) else {
+fn enter(leader: &mut LeaderState, finals: &TerminalStateCache, id: &str) -> GraphEffects {
+    let Some(job) = leader.jobs.get(id).filter(|j| j.ready_wall_s.is_none() && !j.is_final()) else {
         return GraphEffects::default();
     };
-    let (jobs, archive) = (&l.jobs, &l.archive);
+    let (jobs, archive) = (&leader.jobs, &leader.archive);
     // A job that is done in memory only counts as live: its end may not be stored yet.
     let cancelled = |a: &str| jobs.get(a).filter(|j| j.status == JobStatus::Cancelled).map(|j| j.status);
     let fate = |a: &str| {
@@ -43,7 +43,7 @@
             finals.get(a).map(|f| f.0).or_else(|| archive.terminal_status(a)).or_else(|| cancelled(a));
         status.and_then(fate_of)
     };
-    l.dependencies.graph.add(id, &job.spec.dependencies, fate, |a| jobs.contains_key(a))
+    leader.dependencies.graph.add(id, &job.spec.dependencies, fate, |a| jobs.contains_key(a))
 }
 
 impl Controller {
@@ -54,15 +54,15 @@
 
     /// A live job was taken in.
     pub(crate) fn enter_graph(&mut self, id: &str) {
-        let Role::Leader(l) = &mut self.role else { return };
-        let effects = enter(l, &self.terminal_states, id);
+        let Role::Leader(leader) = &mut self.role else { return };
+        let effects = enter(leader, &self.terminal_states, id);
         self.apply_graph_effects(effects);
     }
 
     /// All records were read: who waits for whom.
     pub(crate) fn build_graph(&mut self) {
-        let Role::Leader(l) = &mut self.role else { return };
-        let waiting: Vec<String> = l
+        let Role::Leader(leader) = &mut self.role else { return };
+        let waiting: Vec<String> = leader
             .jobs
             .iter()
             .filter(|(_, j)| !j.spec.dependencies.is_empty())
@@ -70,12 +70,17 @@
             .collect();
         let mut all = Vec::new();
         for id in &waiting {
-            all.push(enter(l, &self.terminal_states, id));
+            all.push(enter(leader, &self.terminal_states, id));
         }
-        let named: Vec<String> =
-            l.archive.waiting.keys().filter(|id| l.dependencies.graph.has_dependents(id)).cloned().collect();
+        let named: Vec<String> = leader
+            .archive
+            .waiting
+            .keys()
+            .filter(|id| leader.dependencies.graph.has_dependents(id))
+            .cloned()
+            .collect();
         for id in named {
-            l.archive.hold(&id);
+            leader.archive.hold(&id);
         }
         for effects in all {
             self.apply_graph_effects(effects);
@@ -85,49 +90,49 @@
     /// It is stored that job `id` is over.
     pub(crate) fn record_outcome(&mut self, id: &str, status: JobStatus) {
         let Some(fate) = fate_of(status) else { return };
-        let Role::Leader(l) = &mut self.role else { return };
-        let effects = l.dependencies.graph.record_outcome(id, fate);
+        let Role::Leader(leader) = &mut self.role else { return };
+        let effects = leader.dependencies.graph.record_outcome(id, fate);
         self.apply_graph_effects(effects);
     }
 
     /// It is stored that job `id` waits for nobody any more.
     pub(crate) fn on_ready_stored(&mut self, id: &str) {
-        let Role::Leader(l) = &mut self.role else { return };
-        for over in l.dependencies.graph.on_ready_stored(id) {
-            l.archive.release(&over);
+        let Role::Leader(leader) = &mut self.role else { return };
+        for over in leader.dependencies.graph.on_ready_stored(id) {
+            leader.archive.release(&over);
         }
     }
 
     /// The record of job `id` is gone from those that run, and how it ended is not known.
     pub(crate) fn on_archived_unseen(&mut self, id: &str) {
-        if let Role::Leader(l) = &mut self.role {
-            l.dependencies.graph.mark_unknown(id);
+        if let Role::Leader(leader) = &mut self.role {
+            leader.dependencies.graph.mark_unknown(id);
         }
     }
 
     fn apply_graph_effects(&mut self, effects: GraphEffects) {
         let (now, wall) = (self.now, self.time_of_day);
         for id in effects.ready {
-            let Role::Leader(l) = &mut self.role else { return };
-            let Some(job) = l.jobs.get_mut(&id).filter(|j| !j.is_final()) else { continue };
+            let Role::Leader(leader) = &mut self.role else { return };
+            let Some(job) = leader.jobs.get_mut(&id).filter(|j| !j.is_final()) else { continue };
             info!(job = %id, waited_s = now - job.submitted_at, "job waits for no other any more");
             job.on_dependencies_done(now, wall);
             let spec = job.spec.clone();
             // At once, not with the next tick.
-            (l.plan_needed, l.plan_after) = (true, l.plan_after.min(now));
+            (leader.plan_needed, leader.plan_after) = (true, leader.plan_after.min(now));
             self.record_arrival(&spec, now);
         }
         for id in effects.cancelled {
             self.terminal_states.insert(&id, JobStatus::Cancelled, 0);
-            let Role::Leader(l) = &mut self.role else { return };
-            if let Some(job) = l.jobs.get_mut(&id) {
+            let Role::Leader(leader) = &mut self.role else { return };
+            if let Some(job) = leader.jobs.get_mut(&id) {
                 job.cancel();
             }
             self.settle_terminal(&id);
         }
-        let Role::Leader(l) = &mut self.role else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
         for id in effects.forgotten {
-            l.archive.release(&id);
+            leader.archive.release(&id);
         }
     }
 
@@ -135,9 +140,9 @@
     /// when this leader began, or that another node has taken just now.
     pub(crate) fn tick_dependencies(&mut self) {
         let now = self.now;
-        let Role::Leader(l) = &mut self.role else { return };
-        let token = l.fencing_token;
-        let p = &mut l.dependencies;
+        let Role::Leader(leader) = &mut self.role else { return };
+        let token = leader.fencing_token;
+        let p = &mut leader.dependencies;
         if now < p.retry_at || p.reads_in_flight.len() >= MOST_READS {
             return;
         }
@@ -151,28 +156,28 @@
         }
     }
 
-    pub(crate) fn on_dependency_read(&mut self, token: u64, id: &str, over: bool, r: StoreReply) {
+    pub(crate) fn on_dependency_read(&mut self, token: u64, id: &str, over: bool, reply: StoreReply) {
         let (now, retry) = (self.now, self.timing.renewal_interval_s / 4.0);
-        let Some(l) = self.leader_state(token) else { return };
-        match r {
+        let Some(leader) = self.leader_state(token) else { return };
+        match reply {
             StoreReply::Missing(_) if !over => {
                 let purpose = CallContext::DependencyRead { token, id: id.to_string(), over: true };
                 self.call_store(purpose, StoreRequest::Get(over_key(id)));
             }
             StoreReply::Item(Item { value: Value::Terminal(o), .. }) => {
-                l.dependencies.reads_in_flight.remove(id);
+                leader.dependencies.reads_in_flight.remove(id);
                 self.terminal_states.insert(id, o.status, o.done);
                 self.record_outcome(id, o.status);
             }
             StoreReply::Item(Item { key, value: value @ Value::Job(_), version }) => {
-                l.dependencies.reads_in_flight.remove(id);
-                l.dependencies.graph.mark_known(id);
+                leader.dependencies.reads_in_flight.remove(id);
+                leader.dependencies.graph.mark_known(id);
                 self.observe_record(&key, value, version);
             }
             // Not there at all: accepted jobs are never missing, so it is asked for again.
             _ => {
-                l.dependencies.reads_in_flight.remove(id);
-                l.dependencies.retry_at = now + retry;
+                leader.dependencies.reads_in_flight.remove(id);
+                leader.dependencies.retry_at = now + retry;
             }
         }
     }
--- a/crates/controller/src/leader.rs
+++ b/crates/controller/src/leader.rs
@@ -377,9 +377,9 @@
         self.leader_watch = WatchCursor { in_flight: false, revision: None, retry_at: self.now + pause };
     }
 
-    pub(crate) fn on_leader_read(&mut self, r: StoreReply) {
+    pub(crate) fn on_leader_read(&mut self, reply: StoreReply) {
         self.leader_watch.in_flight = false;
-        match r {
+        match reply {
             StoreReply::Item(Item { value: Value::Leader(l), version, .. }) => {
                 self.leader_watch.revision = Some(version);
                 self.observe_leader(Some((l, version)));
@@ -414,9 +414,9 @@
         self.known_leader = leader;
     }
 
-    pub(crate) fn on_leader_watch(&mut self, r: StoreReply) {
+    pub(crate) fn on_leader_watch(&mut self, reply: StoreReply) {
         self.leader_watch.in_flight = false;
-        match r {
+        match reply {
             StoreReply::Events(e) => {
                 for event in e.events {
                     match event {
@@ -439,8 +439,8 @@
         }
     }
 
-    pub(crate) fn on_types_read(&mut self, r: StoreReply) {
-        match r {
+    pub(crate) fn on_types_read(&mut self, reply: StoreReply) {
+        match reply {
             StoreReply::Item(Item { value: Value::Types(t), .. }) => self.machine_types = Some(t),
             StoreReply::Missing(_) => {
                 let op = StoreRequest::List { prefix: CATALOGUE_PREFIX.to_string(), after: None };
@@ -458,8 +458,8 @@
         }
     }
 
-    pub(crate) fn on_lease_granted(&mut self, r: StoreReply) {
-        let StoreReply::Granted(lease) = r else {
+    pub(crate) fn on_lease_granted(&mut self, reply: StoreReply) {
+        let StoreReply::Granted(lease) = reply else {
             self.campaigning = false;
             self.campaign_at = self.now + self.timing.renewal_interval_s / 2.0;
             return;
@@ -488,23 +488,23 @@
     /// been replaced.
     pub(crate) fn observe_token(&mut self, token: u64, by: &str) {
         self.last_reported_token = self.last_reported_token.max(token);
-        if matches!(&self.role, Role::Leader(l) if l.fencing_token < token) {
+        if matches!(&self.role, Role::Leader(leader) if leader.fencing_token < token) {
             info!(newer = token, by, "another leader was heard of");
             self.step_down("another leader was heard of");
         }
     }
 
     pub(crate) fn step_down(&mut self, why: &str) {
-        if let Role::Leader(mut l) = std::mem::replace(&mut self.role, Role::Follower) {
-            warn!(token = l.fencing_token, why, "no longer leading");
+        if let Role::Leader(mut leader) = std::mem::replace(&mut self.role, Role::Follower) {
+            warn!(token = leader.fencing_token, why, "no longer leading");
             self.worker_count = 0;
-            for request in l.forwarding.take_waiting_requests() {
+            for request in leader.forwarding.take_waiting_requests() {
                 self.outputs.push(Output::ForwardReply(request, ForwardReply::default()));
             }
-            for (request, _) in l.early_heartbeats.take_all() {
+            for (request, _) in leader.early_heartbeats.take_all() {
                 self.respond_error(request, 503, "no longer leading");
             }
-            for h in l.pending_heartbeats.into_values() {
+            for h in leader.pending_heartbeats.into_values() {
                 if let ReplyRoute::Direct(request) = h.reply_route {
                     self.respond_error(request, 503, "no longer leading");
                 }
@@ -519,50 +519,50 @@
         }
     }
 
-    pub(crate) fn on_lease_renewed(&mut self, token: u64, sent: Time, r: StoreReply) {
+    pub(crate) fn on_lease_renewed(&mut self, token: u64, sent: Time, reply: StoreReply) {
         let (now, renew_s) = (self.now, self.timing.renewal_interval_s);
-        let Some(l) = self.leader_state(token) else { return };
-        l.renewal_in_flight = None;
-        match r {
+        let Some(leader) = self.leader_state(token) else { return };
+        leader.renewal_in_flight = None;
+        match reply {
             StoreReply::Done => {
-                l.authority.record_renewal(sent);
-                l.renew_at = sent + renew_s;
-                if !l.authority.may_act(now) {
+                leader.authority.record_renewal(sent);
+                leader.renew_at = sent + renew_s;
+                if !leader.authority.may_act(now) {
                     // It is served again: what it missed is read at once.
-                    l.watch.retry_at = l.watch.retry_at.min(now);
+                    leader.watch.retry_at = leader.watch.retry_at.min(now);
                 }
             }
             StoreReply::Gone => self.step_down("lease ended"),
-            _ => l.renew_at = now + renew_s / 4.0,
+            _ => leader.renew_at = now + renew_s / 4.0,
         }
     }
 
     /// Whether the lease may still be trusted for commands, and what is known for new enough.
     pub(crate) fn may_act(&self) -> bool {
         match &self.role {
-            Role::Leader(l) => l.authority.may_act(self.now),
+            Role::Leader(leader) => leader.authority.may_act(self.now),
             Role::Follower => false,
         }
     }
 
     pub(crate) fn tick_leader(&mut self) {
         let now = self.now;
-        let Role::Leader(l) = &mut self.role else { return };
-        let token = l.fencing_token;
-        if l.renewal_in_flight.is_none() && now >= l.renew_at {
-            let lease = l.lease;
+        let Role::Leader(leader) = &mut self.role else { return };
+        let token = leader.fencing_token;
+        if leader.renewal_in_flight.is_none() && now >= leader.renew_at {
+            let lease = leader.lease;
             let id = self.call_store(CallContext::Renew { token, sent: now }, StoreRequest::Renew(lease));
-            if let Some(l) = self.leader_state(token) {
-                l.renewal_in_flight = Some(id);
+            if let Some(leader) = self.leader_state(token) {
+                leader.renewal_in_flight = Some(id);
             }
         }
         self.tick_recovery(token);
         self.expire_early_heartbeats();
-        let Some(l) = self.leader_state(token) else { return };
-        if l.recovered {
-            if !l.watch.in_flight && now >= l.watch.retry_at {
-                l.watch.in_flight = true;
-                let after = l.watch.revision.unwrap_or(0);
+        let Some(leader) = self.leader_state(token) else { return };
+        if leader.recovered {
+            if !leader.watch.in_flight && now >= leader.watch.retry_at {
+                leader.watch.in_flight = true;
+                let after = leader.watch.revision.unwrap_or(0);
                 // As often as the lease is renewed: what is known counts from a watch's sending.
                 let wait_ms = (self.timing.renewal_interval_s * 1000.0) as u64;
                 self.call_store(
@@ -577,16 +577,16 @@
             // What looks at every machine need not be done at every message.
             let sweep_s = self.timing.planning_interval_s / 5.0;
             let entitled = self.may_act();
-            if let Some(l) = self.leader_state(token) {
-                l.tenure.update(now, entitled, token);
-                let answers = l.authority.may_respond(now);
-                l.responsiveness.update(now, answers);
+            if let Some(leader) = self.leader_state(token) {
+                leader.tenure.update(now, entitled, token);
+                let answers = leader.authority.may_respond(now);
+                leader.responsiveness.update(now, answers);
             }
-            let due =
-                entitled && matches!(&self.role, Role::Leader(l) if now - l.machines_checked_at >= sweep_s);
+            let due = entitled
+                && matches!(&self.role, Role::Leader(leader) if now - leader.machines_checked_at >= sweep_s);
             if due {
-                if let Role::Leader(l) = &mut self.role {
-                    l.machines_checked_at = now;
+                if let Role::Leader(leader) = &mut self.role {
+                    leader.machines_checked_at = now;
                 }
                 self.tick_failure_detection();
                 self.step_down_if_unreachable();
@@ -611,15 +611,15 @@
         let now = self.now;
         let every = self.settings.params.workers.lease_s;
         let (here, ceiling) = (self.worker_count, self.worker_capacity());
-        let Role::Leader(l) = &mut self.role else { return };
-        if now < l.log_summary_at {
+        let Role::Leader(leader) = &mut self.role else { return };
+        if now < leader.log_summary_at {
             return;
         }
-        l.log_summary_at = now + every;
+        leader.log_summary_at = now + every;
         let (mut unstored, mut unseen, mut fetching, mut gathering, mut running, mut stopping) =
             (0, 0, 0, 0, 0, 0);
         let (mut waiting, mut jobs) = (0, 0);
-        for job in l.jobs.values().filter(|j| !j.is_final()) {
+        for job in leader.jobs.values().filter(|j| !j.is_final()) {
             let open = job.spec.tasks.saturating_sub(job.done_count + job.placements.len() as u32);
             waiting += open;
             jobs += u32::from(open > 0);
@@ -635,13 +635,13 @@
                 *count += 1;
             }
         }
-        let up = l.machines.values().filter(|m| m.phase == MachinePhase::Up).count();
-        let booting = l.machines.values().filter(|m| m.phase == MachinePhase::Booting).count();
+        let up = leader.machines.values().filter(|m| m.phase == MachinePhase::Up).count();
+        let booting = leader.machines.values().filter(|m| m.phase == MachinePhase::Booting).count();
         let placed: BTreeSet<&str> =
-            l.jobs.values().flat_map(|j| j.placements.values()).map(|p| p.machine.as_str()).collect();
+            leader.jobs.values().flat_map(|j| j.placements.values()).map(|p| p.machine.as_str()).collect();
         // Machines of each pool that are up, and how many of them are idle.
         let mut pools: BTreeMap<(&str, bool), (u32, u32)> = BTreeMap::new();
-        for m in l.machines.values().filter(|m| m.phase == MachinePhase::Up) {
+        for m in leader.machines.values().filter(|m| m.phase == MachinePhase::Up) {
             let n = pools.entry((&m.machine_type, m.spot)).or_insert((0, 0));
             n.0 += 1;
             n.1 += u32::from(!placed.contains(m.id.as_str()));
@@ -666,17 +666,19 @@
 
     fn tick_recovery(&mut self, token: u64) {
         let now = self.now;
-        let Some(l) = self.leader_state(token) else { return };
-        if l.recovered || l.recovery_read_in_flight || now < l.recovery_retry_at {
+        let Some(leader) = self.leader_state(token) else { return };
+        if leader.recovered || leader.recovery_read_in_flight || now < leader.recovery_retry_at {
             return;
         }
-        l.recovery_read_in_flight = true;
-        let op =
-            StoreRequest::List { prefix: l.recovery_prefix.to_string(), after: l.recovery_cursor.clone() };
+        leader.recovery_read_in_flight = true;
+        let op = StoreRequest::List {
+            prefix: leader.recovery_prefix.to_string(),
+            after: leader.recovery_cursor.clone(),
+        };
         self.call_store(CallContext::RecoveryPage { token, sent: now }, op);
     }
 
-    pub(crate) fn on_recovery_page(&mut self, token: u64, sent: Time, r: StoreReply) {
+    pub(crate) fn on_recovery_page(&mut self, token: u64, sent: Time, reply: StoreReply) {
         let (now, wall) = (self.now, self.time_of_day);
         let renew_s = self.timing.renewal_interval_s;
         let limits = self.store_limits.clone();
@@ -685,24 +687,24 @@
         let mut finals = Vec::new();
         let mut marked = Vec::new();
         let mut arrived = Vec::new();
-        let Some(l) = self.leader_state(token) else { return };
-        l.recovery_read_in_flight = false;
-        let StoreReply::Page(page) = r else {
-            l.recovery_retry_at = now + renew_s / 4.0;
+        let Some(leader) = self.leader_state(token) else { return };
+        leader.recovery_read_in_flight = false;
+        let StoreReply::Page(page) = reply else {
+            leader.recovery_retry_at = now + renew_s / 4.0;
             return;
         };
         // The watch starts from the first page's revision: whatever changed
         // after it is seen again.
-        if l.recovery_revision.is_none() {
-            l.recovery_revision = Some(page.revision);
-            l.authority.record_read(sent);
+        if leader.recovery_revision.is_none() {
+            leader.recovery_revision = Some(page.revision);
+            leader.authority.record_read(sent);
         }
         for item in page.items {
-            l.recovery_cursor = Some(item.key.clone());
+            leader.recovery_cursor = Some(item.key.clone());
             match item.value {
-                Value::SpecChunk(text) => l.spec_chunks.add(&item.key, text),
+                Value::SpecChunk(text) => leader.spec_chunks.add(&item.key, text),
                 Value::Undecodable => {
-                    let job = l.quarantine_undecodable(&item.key, unseen_until);
+                    let job = leader.quarantine_undecodable(&item.key, unseen_until);
                     if let Some(job) = job.filter(Job::is_final) {
                         let over = over_record(job.status, job.done_count, job.submitted_wall_s);
                         marked.push((job.spec.id, over));
@@ -711,19 +713,19 @@
                 Value::Job(mut record) => {
                     let id = record.spec.id.clone();
                     let ended = record.status.is_final();
-                    if !l.spec_chunks.complete(&mut record) && !ended {
+                    if !leader.spec_chunks.complete(&mut record) && !ended {
                         // What was submitted since reading began the watch shows with its parts.
-                        if l.recovery_revision.is_none_or(|began| item.version <= began) {
-                            l.undecodable.record(&item.key);
+                        if leader.recovery_revision.is_none_or(|began| item.version <= began) {
+                            leader.undecodable.record(&item.key);
                         }
                         continue;
                     }
                     let since = now - (wall - record.submitted_wall_s).max(0.0);
                     if now - since < REMEMBERED_S {
-                        let image = l.image_id(&record.spec.image);
+                        let image = leader.image_id(&record.spec.image);
                         for m in &record.machines_with_image {
                             let had = (image, since, record.spec.image_gb);
-                            l.cached_images.entry(m.clone()).or_default().push(had);
+                            leader.cached_images.entry(m.clone()).or_default().push(had);
                         }
                     }
                     // Where there are more pages, these may have placements.
@@ -737,54 +739,54 @@
                         if record.dependencies().is_empty() {
                             arrived.push((record.spec.clone(), submitted));
                         }
-                        l.insert_job(Job::from_record(&record, item.version, submitted, &limits));
+                        leader.insert_job(Job::from_record(&record, item.version, submitted, &limits));
                     }
                 }
                 Value::Page(record) => {
-                    if l.undecodable.contains_job(page_of_key(&item.key).map_or("", |p| p.0)) {
+                    if leader.undecodable.contains_job(page_of_key(&item.key).map_or("", |p| p.0)) {
                         continue;
                     }
                     let Some((id, n, layout)) = page_of_key(&item.key) else { continue };
-                    match l.jobs.get_mut(id) {
+                    match leader.jobs.get_mut(id) {
                         Some(job) => {
                             job.load_page(n, layout, &record, item.version, now);
                         }
-                        None => l.orphaned_pages.entry(id.to_string()).or_default().push(item.key),
+                        None => leader.orphaned_pages.entry(id.to_string()).or_default().push(item.key),
                     }
                 }
                 Value::Terminal(over) => {
                     let Some(id) = item.key.strip_prefix(MARK_PREFIX) else { continue };
-                    match l.jobs.get_mut(id) {
+                    match leader.jobs.get_mut(id) {
                         Some(job) => {
                             job.on_cancellation_mark(item.version);
                             marked.push((id.to_string(), over));
                         }
-                        None => l.archive.discard_keys(vec![item.key]),
+                        None => leader.archive.discard_keys(vec![item.key]),
                     }
                 }
-                Value::Images(record) => l.read_images(&item.key, record, item.version, now),
+                Value::Images(record) => leader.read_images(&item.key, record, item.version, now),
                 _ => {}
             }
         }
         if !page.more {
-            l.recovery_cursor = None;
-            if l.recovery_prefix == IMAGES_PREFIX {
-                l.recovery_prefix = PARTS_PREFIX;
-            } else if l.recovery_prefix == PARTS_PREFIX {
-                l.recovery_prefix = JOB_PREFIX;
-            } else if l.recovery_prefix == JOB_PREFIX {
-                l.recovery_prefix = MARK_PREFIX;
-            } else if l.recovery_prefix == MARK_PREFIX {
-                l.recovery_prefix = PAGE_PREFIX;
+            leader.recovery_cursor = None;
+            if leader.recovery_prefix == IMAGES_PREFIX {
+                leader.recovery_prefix = PARTS_PREFIX;
+            } else if leader.recovery_prefix == PARTS_PREFIX {
+                leader.recovery_prefix = JOB_PREFIX;
+            } else if leader.recovery_prefix == JOB_PREFIX {
+                leader.recovery_prefix = MARK_PREFIX;
+            } else if leader.recovery_prefix == MARK_PREFIX {
+                leader.recovery_prefix = PAGE_PREFIX;
             } else {
-                l.recovered = true;
-                l.authority.record_applied();
-                l.assign_orphaned_pages();
-                let abandoned = std::mem::take(&mut l.spec_chunks).abandoned_keys(wall - abandon_s);
-                l.archive.discard_keys(abandoned);
-                l.watch.revision = Some(l.recovery_revision.unwrap_or(page.revision));
-                let placed: usize = l.jobs.values().map(|j| j.placements.len()).sum();
-                info!(token, jobs = l.jobs.len(), placed, "records read");
+                leader.recovered = true;
+                leader.authority.record_applied();
+                leader.assign_orphaned_pages();
+                let abandoned = std::mem::take(&mut leader.spec_chunks).abandoned_keys(wall - abandon_s);
+                leader.archive.discard_keys(abandoned);
+                leader.watch.revision = Some(leader.recovery_revision.unwrap_or(page.revision));
+                let placed: usize = leader.jobs.values().map(|j| j.placements.len()).sum();
+                info!(token, jobs = leader.jobs.len(), placed, "records read");
             }
         }
         for (id, over) in marked {
@@ -794,7 +796,7 @@
             self.terminal_states.insert(&f.id, f.record.status, f.record.done);
             self.archive_job(f);
         }
-        if self.leader_state(token).is_some_and(|l| l.recovered) {
+        if self.leader_state(token).is_some_and(|leader| leader.recovered) {
             self.settle_all_terminal();
             self.build_graph();
         }
@@ -803,20 +805,20 @@
             self.record_arrival(&spec, at);
         }
         self.register_machines_of_placements();
-        if self.leader_state(token).is_some_and(|l| l.recovered) {
+        if self.leader_state(token).is_some_and(|leader| leader.recovered) {
             self.process_early_heartbeats();
         }
     }
 
-    pub(crate) fn on_job_watch(&mut self, token: u64, sent: Time, r: StoreReply) {
+    pub(crate) fn on_job_watch(&mut self, token: u64, sent: Time, reply: StoreReply) {
         let now = self.now;
         let retry = self.timing.renewal_interval_s / 4.0;
-        let Some(l) = self.leader_state(token) else { return };
-        l.watch.in_flight = false;
-        match r {
+        let Some(leader) = self.leader_state(token) else { return };
+        leader.watch.in_flight = false;
+        match reply {
             StoreReply::Events(e) => {
-                let before = l.watch.revision.unwrap_or(u64::MAX);
-                l.watch.revision = l.watch.revision.max(Some(e.revision));
+                let before = leader.watch.revision.unwrap_or(u64::MAX);
+                leader.watch.revision = leader.watch.revision.max(Some(e.revision));
                 self.record_events(&e);
                 self.status_queries.extend_freshness(before, e.revision, now);
                 self.observe_own_write(token, &e.events);
@@ -825,14 +827,14 @@
                         self.observe_record(&key, value, version);
                     }
                 }
-                if let Some(l) = self.leader_state(token) {
-                    l.authority.record_read(sent);
+                if let Some(leader) = self.leader_state(token) {
+                    leader.authority.record_read(sent);
                 }
                 self.record_applied();
             }
             // Too old: everything is read again by leading anew.
             StoreReply::Gone => self.step_down("watch fell behind"),
-            _ => l.watch.retry_at = now + retry,
+            _ => leader.watch.retry_at = now + retry,
         }
     }
 
@@ -847,19 +849,19 @@
         if record.status.is_final() {
             self.terminal_states.insert(id, record.status, record.done);
         }
-        let Role::Leader(l) = &mut self.role else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
         // (Where the answer to its move was lost, a job's earlier record was once taken for a live
         // job's, and its tasks were placed.)
-        if l.archive.archived.covers(id, version) {
+        if leader.archive.archived.covers(id, version) {
             return;
         }
-        if record.status.is_final() && l.undecodable.contains_job(id) {
+        if record.status.is_final() && leader.undecodable.contains_job(id) {
             return self.record_outcome(id, record.status);
         }
-        if l.write_queue.unsettled(id) {
+        if leader.write_queue.unsettled(id) {
             let cancelled = record.status == JobStatus::Cancelled;
-            l.deferred_records.push_back((key.to_string(), Value::Job(record), version));
-            if let Some(job) = l.jobs.get_mut(id).filter(|_| cancelled) {
+            leader.deferred_records.push_back((key.to_string(), Value::Job(record), version));
+            if let Some(job) = leader.jobs.get_mut(id).filter(|_| cancelled) {
                 // Whatever becomes of that write, its tasks are of no use. (They once went on
                 // until the outcome was known.)
                 job.cancel();
@@ -868,9 +870,9 @@
             return;
         }
         // Its own job's specification is known here, another's lies in parts.
-        let known = l.jobs.contains_key(id) || record.status.is_final() || !record.spec.class.is_empty();
+        let known = leader.jobs.contains_key(id) || record.status.is_final() || !record.spec.class.is_empty();
         if record.spec_chunks.is_some() && !known {
-            let token = l.fencing_token;
+            let token = leader.fencing_token;
             return self.read_spec_chunks(Some(token), *record, version);
         }
         let status = record.status;
@@ -881,13 +883,13 @@
     /// The record of job `id` as stored in `version`; `was_over`: it had ended before.
     fn apply_record(&mut self, id: &str, record: &JobRecord, version: u64, was_over: bool) {
         let (now, wall) = (self.now, self.time_of_day);
-        let Role::Leader(l) = &mut self.role else { return };
-        match l.jobs.get_mut(id) {
+        let Role::Leader(leader) = &mut self.role else { return };
+        match leader.jobs.get_mut(id) {
             Some(job) => {
                 if version > job.version {
                     debug!(id, version, "record changed by another node");
                     job.reconcile(record, version);
-                    l.plan_needed = true;
+                    leader.plan_needed = true;
                     self.settle_terminal(id);
                 }
             }
@@ -904,8 +906,8 @@
                     return;
                 }
                 let submitted = now - (wall - record.submitted_wall_s).max(0.0);
-                l.insert_job(Job::from_record(record, version, submitted, &self.store_limits));
-                l.plan_needed = true;
+                leader.insert_job(Job::from_record(record, version, submitted, &self.store_limits));
+                leader.plan_needed = true;
                 if record.dependencies().is_empty() {
                     self.record_arrival(&record.spec, submitted);
                 } else {
@@ -921,17 +923,17 @@
     /// be written again.
     pub(crate) fn observe_cancellation_mark(&mut self, id: &str, status: JobStatus, version: u64) {
         self.terminal_states.insert(id, status, 0);
-        let Role::Leader(l) = &mut self.role else { return };
-        let Some(job) = l.jobs.get_mut(id) else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
+        let Some(job) = leader.jobs.get_mut(id) else { return };
         job.on_cancellation_mark(version);
-        l.plan_needed = true;
+        leader.plan_needed = true;
         self.record_outcome(id, status);
         self.settle_terminal(id);
     }
 
     pub(crate) fn replay_deferred_records(&mut self) {
-        let Role::Leader(l) = &mut self.role else { return };
-        for (key, value, version) in std::mem::take(&mut l.deferred_records) {
+        let Role::Leader(leader) = &mut self.role else { return };
+        for (key, value, version) in std::mem::take(&mut leader.deferred_records) {
             self.observe_record(&key, value, version);
         }
         self.record_applied();
@@ -939,20 +941,20 @@
 
     /// What the watch showed is carried out, unless some of it waits for a write's outcome.
     fn record_applied(&mut self) {
-        let Role::Leader(l) = &mut self.role else { return };
-        if l.recovered && l.deferred_records.is_empty() {
-            l.authority.record_applied();
-            l.archive.archived.forget_until(l.watch.revision.unwrap_or(0));
+        let Role::Leader(leader) = &mut self.role else { return };
+        if leader.recovered && leader.deferred_records.is_empty() {
+            leader.authority.record_applied();
+            leader.archive.archived.forget_until(leader.watch.revision.unwrap_or(0));
         }
     }
 
     /// A cancellation went through at this node: the leader need not wait for
     /// its watch, but it takes the record as stored.
     pub(crate) fn on_local_cancellation(&mut self, id: &str) {
-        let Role::Leader(l) = &mut self.role else { return };
-        if l.jobs.contains_key(id) {
-            let token = l.fencing_token;
-            l.write_queue.rereads_in_flight += 1;
+        let Role::Leader(leader) = &mut self.role else { return };
+        if leader.jobs.contains_key(id) {
+            let token = leader.fencing_token;
+            leader.write_queue.rereads_in_flight += 1;
             let key = job_key(id);
             self.call_store(CallContext::ReadBackRecord { token, key: key.clone() }, StoreRequest::Get(key));
         }
@@ -960,9 +962,9 @@
 
     /// Jobs that were read as over, with pages of their own.
     fn settle_all_terminal(&mut self) {
-        let Role::Leader(l) = &self.role else { return };
+        let Role::Leader(leader) = &self.role else { return };
         let over: Vec<String> =
-            l.jobs.iter().filter(|(_, j)| j.is_final()).map(|(id, _)| id.clone()).collect();
+            leader.jobs.iter().filter(|(_, j)| j.is_final()).map(|(id, _)| id.clone()).collect();
         for id in over {
             self.settle_terminal(&id);
         }
@@ -970,8 +972,8 @@
 
     /// A line on a job that is over: how long it took, and whether that was late.
     pub(crate) fn log_job_finished(&self, id: &str) {
-        let Role::Leader(l) = &self.role else { return };
-        let Some(job) = l.jobs.get(id) else { return };
+        let Role::Leader(leader) = &self.role else { return };
+        let Some(job) = leader.jobs.get(id) else { return };
         let s = &job.spec;
         let status = if job.status == JobStatus::Done { "done" } else { "withdrawn" };
         let (took_s, late) = (self.now - job.submitted_at, self.now > self.due_by(job));
@@ -982,8 +984,8 @@
 
     /// Drops what a final job still plans; forgets it once nothing is left.
     pub(crate) fn settle_terminal(&mut self, id: &str) {
-        let Role::Leader(l) = &mut self.role else { return };
-        let Some(job) = l.jobs.get_mut(id) else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
+        let Some(job) = leader.jobs.get_mut(id) else { return };
         if !job.is_final() {
             return;
         }
@@ -1006,8 +1008,8 @@
         if job.placements.is_empty() && job.is_stored() {
             let f = TerminalJob::from_job(job);
             self.log_job_finished(id);
-            let Role::Leader(l) = &mut self.role else { return };
-            l.jobs.remove(id);
+            let Role::Leader(leader) = &mut self.role else { return };
+            leader.jobs.remove(id);
             self.terminal_states.insert(id, f.record.status, f.record.done);
             self.archive_job(f);
         } else {
--- a/crates/controller/src/lease_authority.rs
+++ b/crates/controller/src/lease_authority.rs
@@ -27,11 +27,11 @@
 
 impl LeaseAuthority {
     /// Of a leader whose lease was asked for at `claimed`.
-    pub fn new(d: &Timing, claimed: Time) -> Self {
+    pub fn new(timing: &Timing, claimed: Time) -> Self {
         // The service may end a lease as soon as its time is over.
-        let ttl_s = d.leader_lease_s * 0.99;
+        let ttl_s = timing.leader_lease_s * 0.99;
         LeaseAuthority {
-            response_grace_s: d.response_grace_s,
+            response_grace_s: timing.response_grace_s,
             leader_lease_s: ttl_s,
             renewal_confirmed_at: claimed,
             state_known_at: None,
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -481,16 +481,16 @@
     }
 
     /// The state service answered a call, or did not.
-    fn record_store_reply(&mut self, c: &PendingCall, r: &StoreReply) {
-        self.hedged_requests.record_reply(r);
-        if matches!(r, StoreReply::Refused | StoreReply::Unknown) {
+    fn record_store_reply(&mut self, call: &PendingCall, reply: &StoreReply) {
+        self.hedged_requests.record_reply(reply);
+        if matches!(reply, StoreReply::Refused | StoreReply::Unknown) {
             self.store_failing_since.get_or_insert(self.now);
             return;
         }
         (self.store_reached_at, self.store_failing_since) = (self.now, None);
         // Watches wait for changes.
-        if !matches!(r, StoreReply::Events(_)) {
-            self.store_latency.record(self.now - c.sent_at);
+        if !matches!(reply, StoreReply::Events(_)) {
+            self.store_latency.record(self.now - call.sent_at);
         }
     }
 
@@ -503,12 +503,12 @@
     pub fn view_for_peers(&self) -> protocol::peer::View {
         let since = self.now - self.timing.heartbeat_validity_s;
         let serves = match &self.role {
-            Role::Leader(l) => l.authority.may_respond(self.now),
+            Role::Leader(leader) => leader.authority.may_respond(self.now),
             Role::Follower => self.proxy.may_respond(self.now),
         };
         protocol::peer::View {
             node: self.settings.node.clone(),
-            token: if let Role::Leader(l) = &self.role { l.fencing_token } else { 0 },
+            token: if let Role::Leader(leader) = &self.role { leader.fencing_token } else { 0 },
             state_reached: self.store_failing_since.is_none()
                 && self.now - self.store_reached_at < self.timing.leader_lease_s,
             workers_heard: self.worker_contacts.values().filter(|w| w.0 > since).count() as u32,
@@ -554,8 +554,10 @@
 
     fn default_wake_interval_s(&self) -> f64 {
         match &self.role {
-            Role::Leader(l) if l.pending_heartbeats.values().any(|h| !h.idle) => 0.02,
-            Role::Leader(l) if l.forwarding.has_open_request() => self.timing.forward_interval_s.min(0.1),
+            Role::Leader(leader) if leader.pending_heartbeats.values().any(|h| !h.idle) => 0.02,
+            Role::Leader(leader) if leader.forwarding.has_open_request() => {
+                self.timing.forward_interval_s.min(0.1)
+            }
             Role::Leader(_) => 0.1,
             Role::Follower if self.proxy.has_pending() => self.timing.forward_interval_s.min(0.2),
             Role::Follower => 0.2,
@@ -564,10 +566,10 @@
 
     fn machines(&self) -> impl Iterator<Item = &machine::Machine> {
         let lead = match &self.role {
-            Role::Leader(l) => Some(l),
+            Role::Leader(leader) => Some(leader),
             Role::Follower => None,
         };
-        lead.into_iter().flat_map(|l| l.machines.values())
+        lead.into_iter().flat_map(|leader| leader.machines.values())
     }
 
     /// Machines that this leader takes for faulty.
@@ -595,7 +597,7 @@
     /// Placements that this leader knows of.
     pub fn placement_count(&self) -> usize {
         match &self.role {
-            Role::Leader(l) => l.jobs.values().map(|j| j.placements.len()).sum(),
+            Role::Leader(leader) => leader.jobs.values().map(|j| j.placements.len()).sum(),
             Role::Follower => 0,
         }
     }
@@ -603,7 +605,7 @@
     /// Tasks of live jobs that this leader knows to have ended.
     pub fn completed_task_count(&self) -> usize {
         match &self.role {
-            Role::Leader(l) => l.jobs.values().map(|j| j.done_count as usize).sum(),
+            Role::Leader(leader) => leader.jobs.values().map(|j| j.done_count as usize).sum(),
             Role::Follower => 0,
         }
     }
@@ -611,20 +613,20 @@
     /// Jobs that wait for others, as far as this leader knows.
     pub fn waiting_job_count(&self) -> usize {
         match &self.role {
-            Role::Leader(l) => l.dependencies.graph.waiting_count(),
+            Role::Leader(leader) => leader.dependencies.graph.waiting_count(),
             Role::Follower => 0,
         }
     }
 
     /// Whether it leads and has read all records.
     pub fn has_recovered(&self) -> bool {
-        matches!(&self.role, Role::Leader(l) if l.recovered)
+        matches!(&self.role, Role::Leader(leader) if leader.recovered)
     }
 
     /// The token with which it leads.
     pub fn token(&self) -> Option<u64> {
         match &self.role {
-            Role::Leader(l) => Some(l.fencing_token),
+            Role::Leader(leader) => Some(leader.fencing_token),
             Role::Follower => None,
         }
     }
@@ -633,32 +635,32 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    pub(crate) fn register_call(&mut self, purpose: CallContext) -> CallId {
+    pub(crate) fn register_call(&mut self, context: CallContext) -> CallId {
         let id = self.next_call;
         self.next_call += 1;
-        self.calls.insert(id, PendingCall { sent_at: self.now, context: purpose });
+        self.calls.insert(id, PendingCall { sent_at: self.now, context: context });
         id
     }
 
-    pub(crate) fn call_store(&mut self, purpose: CallContext, op: StoreRequest) -> CallId {
-        let id = self.register_call(purpose);
-        self.outputs.push(Output::Store(id, op));
+    pub(crate) fn call_store(&mut self, context: CallContext, request: StoreRequest) -> CallId {
+        let id = self.register_call(context);
+        self.outputs.push(Output::Store(id, request));
         id
     }
 
-    pub(crate) fn call_cloud(&mut self, purpose: CallContext, op: CloudRequest) -> CallId {
-        let id = self.register_call(purpose);
-        self.outputs.push(Output::Cloud(id, op));
+    pub(crate) fn call_cloud(&mut self, context: CallContext, request: CloudRequest) -> CallId {
+        let id = self.register_call(context);
+        self.outputs.push(Output::Cloud(id, request));
         id
     }
 
     pub(crate) fn call_worker(
         &mut self,
-        purpose: CallContext,
+        context: CallContext,
         addr: &str,
         body: protocol::worker::DirectCommands,
     ) {
-        let id = self.register_call(purpose);
+        let id = self.register_call(context);
         self.outputs.push(Output::Worker(id, addr.to_string(), body));
     }
 
@@ -673,8 +675,8 @@
         self.outputs.push(Output::Response(id, HttpResponse { status, body, retry_after_s }));
     }
 
-    fn on_request(&mut self, id: RequestId, r: Request) {
-        match r {
+    fn on_request(&mut self, id: RequestId, request: Request) {
+        match request {
             Request::Submit(body) => self.on_submit(id, &body),
             Request::QueryStatus(job) => self.on_status_query(id, &job),
             Request::Cancel(job) => self.on_cancel(id, &job),
@@ -691,42 +693,44 @@
         }
     }
 
-    fn on_store_reply(&mut self, p: CallContext, r: StoreReply) {
-        match p {
-            CallContext::LeaderRead => self.on_leader_read(r),
-            CallContext::LeaderWatch => self.on_leader_watch(r),
-            CallContext::TypesRead => self.on_types_read(r),
-            CallContext::Grant => self.on_lease_granted(r),
-            CallContext::Campaign { lease } => self.on_campaign_reply(lease, r),
-            CallContext::CampaignRead { lease } => self.on_campaign_read(lease, r),
-            CallContext::Renew { token, sent } => self.on_lease_renewed(token, sent, r),
+    fn on_store_reply(&mut self, context: CallContext, reply: StoreReply) {
+        match context {
+            CallContext::LeaderRead => self.on_leader_read(reply),
+            CallContext::LeaderWatch => self.on_leader_watch(reply),
+            CallContext::TypesRead => self.on_types_read(reply),
+            CallContext::Grant => self.on_lease_granted(reply),
+            CallContext::Campaign { lease } => self.on_campaign_reply(lease, reply),
+            CallContext::CampaignRead { lease } => self.on_campaign_read(lease, reply),
+            CallContext::Renew { token, sent } => self.on_lease_renewed(token, sent, reply),
             CallContext::Revoke | CallContext::TypesWrite => {}
-            CallContext::RecoveryPage { token, sent } => self.on_recovery_page(token, sent, r),
-            CallContext::JobWatch { token, sent } => self.on_job_watch(token, sent, r),
-            CallContext::Commit { token, serial } => self.on_committed(token, serial, r),
-            CallContext::ArchiveMove { token } => self.on_archive_moved(token, r),
-            CallContext::FormatGateRead => self.on_format_gate_read(r),
-            CallContext::FormatRead { token } => self.on_format_read(token, r),
-            CallContext::FormatWrite { token, format } => self.on_format_write(token, format, r),
-            CallContext::DependencyRead { token, id, over } => self.on_dependency_read(token, &id, over, r),
-            CallContext::ImagesWrite { token } => self.on_images_write(token, r),
-            CallContext::ImagesRead { token, part } => self.on_images_read(token, part, r),
-            CallContext::ReadBackRecord { token, key } => self.on_read_back_record(token, &key, r),
-            CallContext::FreshnessRead => self.on_freshness_read(r),
-            CallContext::CacheComparison => self.on_comparison(r),
-            CallContext::JobRead { id, over } => self.on_job_read(&id, over, r),
+            CallContext::RecoveryPage { token, sent } => self.on_recovery_page(token, sent, reply),
+            CallContext::JobWatch { token, sent } => self.on_job_watch(token, sent, reply),
+            CallContext::Commit { token, serial } => self.on_committed(token, serial, reply),
+            CallContext::ArchiveMove { token } => self.on_archive_moved(token, reply),
+            CallContext::FormatGateRead => self.on_format_gate_read(reply),
+            CallContext::FormatRead { token } => self.on_format_read(token, reply),
+            CallContext::FormatWrite { token, format } => self.on_format_write(token, format, reply),
+            CallContext::DependencyRead { token, id, over } => {
+                self.on_dependency_read(token, &id, over, reply)
+            }
+            CallContext::ImagesWrite { token } => self.on_images_write(token, reply),
+            CallContext::ImagesRead { token, part } => self.on_images_read(token, part, reply),
+            CallContext::ReadBackRecord { token, key } => self.on_read_back_record(token, &key, reply),
+            CallContext::FreshnessRead => self.on_freshness_read(reply),
+            CallContext::CacheComparison => self.on_comparison(reply),
+            CallContext::JobRead { id, over } => self.on_job_read(&id, over, reply),
             CallContext::CancellationMarkCompare { id, record, version } => {
-                self.on_cancellation_mark_compared(&id, &record, version, r)
+                self.on_cancellation_mark_compared(&id, &record, version, reply)
             }
             CallContext::SpecChunks { token, record, version, pieces } => {
-                self.on_spec_chunks(token, record, version, pieces, r);
+                self.on_spec_chunks(token, record, version, pieces, reply);
             }
-            CallContext::CreateChunks { id } => self.on_chunks_stored(&id, r),
-            CallContext::Create { id } => self.on_job_created(&id, r),
-            CallContext::CancelRead { id, tries, over } => self.on_cancel_read(&id, tries, over, r),
-            CallContext::CancelWrite { id, tries } => self.on_cancel_write(&id, tries, r),
-            CallContext::Hedged { n } => self.on_hedged_reply(n, r),
-            CallContext::HedgedReadBack { n } => self.on_hedged_read_back(n, r),
+            CallContext::CreateChunks { id } => self.on_chunks_stored(&id, reply),
+            CallContext::Create { id } => self.on_job_created(&id, reply),
+            CallContext::CancelRead { id, tries, over } => self.on_cancel_read(&id, tries, over, reply),
+            CallContext::CancelWrite { id, tries } => self.on_cancel_write(&id, tries, reply),
+            CallContext::Hedged { n } => self.on_hedged_reply(n, reply),
+            CallContext::HedgedReadBack { n } => self.on_hedged_read_back(n, reply),
             _ => {}
         }
     }
@@ -750,7 +754,7 @@
 
     pub(crate) fn leader_state(&mut self, token: u64) -> Option<&mut LeaderState> {
         match &mut self.role {
-            Role::Leader(l) if l.fencing_token == token => Some(l),
+            Role::Leader(leader) if leader.fencing_token == token => Some(leader),
             _ => None,
         }
     }
--- a/crates/controller/src/machine.rs
+++ b/crates/controller/src/machine.rs
@@ -136,18 +136,18 @@
     }
 
     /// Takes what a newer report says.
-    pub fn apply_heartbeat(&mut self, r: &Heartbeat, now: Time) {
-        self.newest_position = (r.epoch, r.sequence);
+    pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, now: Time) {
+        self.newest_position = (heartbeat.epoch, heartbeat.sequence);
         self.content_position = self.newest_position;
-        self.content_token = r.fencing_token;
-        self.addr.clone_from(&r.addr);
-        self.machine_type.clone_from(&r.machine_type);
-        self.zone.clone_from(&r.zone);
-        self.spot = r.spot;
-        self.highest_token_seen = self.highest_token_seen.max(r.fencing_token);
+        self.content_token = heartbeat.fencing_token;
+        self.addr.clone_from(&heartbeat.addr);
+        self.machine_type.clone_from(&heartbeat.machine_type);
+        self.zone.clone_from(&heartbeat.zone);
+        self.spot = heartbeat.spot;
+        self.highest_token_seen = self.highest_token_seen.max(heartbeat.fencing_token);
         self.mark_up(now);
-        self.spot_reclaim_at = r.notice_s.map(|s| now + s);
-        self.tasks.clone_from(&r.tasks);
+        self.spot_reclaim_at = heartbeat.notice_s.map(|s| now + s);
+        self.tasks.clone_from(&heartbeat.tasks);
     }
 
     /// It is up, whether it was heard or the list says so.
@@ -167,13 +167,13 @@
     }
 
     /// Whether it is up, but has missed reports: no work goes there.
-    pub fn missed_heartbeats(&self, now: Time, d: &Timing) -> bool {
-        self.silence_s(now) > d.failure_suspicion_s / 2.0
+    pub fn missed_heartbeats(&self, now: Time, timing: &Timing) -> bool {
+        self.silence_s(now) > timing.failure_suspicion_s / 2.0
     }
 
     /// Whether it was heard and has missed no reports since.
-    pub fn is_heard(&self, now: Time, d: &Timing) -> bool {
-        self.last_heard_at.is_some() && !self.missed_heartbeats(now, d)
+    pub fn is_heard(&self, now: Time, timing: &Timing) -> bool {
+        self.last_heard_at.is_some() && !self.missed_heartbeats(now, timing)
     }
 
     /// A report that no command had asked for came to a node at `came`.
--- a/crates/controller/src/pending_kills.rs
+++ b/crates/controller/src/pending_kills.rs
@@ -80,8 +80,8 @@
 impl Controller {
     /// Tasks of job `id` may be newly under a stop: `send_stops` looks there.
     pub(crate) fn kill_now(&mut self, id: &str) {
-        if let Role::Leader(l) = &mut self.role {
-            l.pending_kills.add_job(id);
+        if let Role::Leader(leader) = &mut self.role {
+            leader.pending_kills.add_job(id);
         }
     }
 
@@ -91,12 +91,12 @@
     pub(crate) fn tick_pending_kills(&mut self) {
         let (now, d) = (self.now, self.timing);
         let longest = self.settings.params.workers.lease_s;
-        let Role::Leader(l) = &mut self.role else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
         let mut new: BTreeSet<String> = BTreeSet::new();
-        for id in std::mem::take(&mut l.pending_kills.jobs) {
-            let Some(job) = l.jobs.get_mut(&id) else { continue };
+        for id in std::mem::take(&mut leader.pending_kills.jobs) {
+            let Some(job) = leader.jobs.get_mut(&id) else { continue };
             for p in job.placements.values_mut().filter(|p| p.stopping.is_some()) {
-                l.pending_kills.machines.insert(p.machine.clone());
+                leader.pending_kills.machines.insert(p.machine.clone());
                 // What was launched and not seen may be on its way there: it was once
                 // told nothing before a report showed it.
                 if !p.kill_sent && (p.observed_state.is_some() || p.launch_sent) {
@@ -106,8 +106,9 @@
             }
         }
         // Half of the calls are for what is new.
-        let again =
-            l.pending_kills.take_due(now, (d.max_worker_calls / 2).saturating_sub(l.pending_kills.calls));
+        let again = leader
+            .pending_kills
+            .take_due(now, (d.max_worker_calls / 2).saturating_sub(leader.pending_kills.calls));
         for machine in new.iter().chain(again.iter().filter(|m| !new.contains(*m))) {
             let first = new.contains(machine);
             self.send_kills(machine, first, (d.worker_failover_s, longest));
@@ -117,11 +118,11 @@
     /// Tells `machine` directly what is to be stopped there; `first`: something of it is new.
     fn send_kills(&mut self, machine: &str, first: bool, (pause, longest): (Time, Time)) {
         let now = self.now;
-        let Role::Leader(l) = &mut self.role else { return };
-        let token = l.fencing_token;
+        let Role::Leader(leader) = &mut self.role else { return };
+        let token = leader.fencing_token;
         let mut commands = Vec::new();
-        for (id, task) in l.tasks_on(machine) {
-            let Some(p) = l.jobs.get(&id).and_then(|j| j.placements.get(&task)) else { continue };
+        for (id, task) in leader.tasks_on(machine) {
+            let Some(p) = leader.jobs.get(&id).and_then(|j| j.placements.get(&task)) else { continue };
             let Some((_, grace)) = p.stopping.filter(|_| p.observed_state.is_some() || p.launch_sent) else {
                 continue;
             };
@@ -130,10 +131,10 @@
         }
         commands.truncate(MOST_COMMANDS);
         if commands.is_empty() {
-            return l.pending_kills.remove(machine);
+            return leader.pending_kills.remove(machine);
         }
-        l.pending_kills.schedule_retry(machine, now, pause, longest);
-        let Some(m) = l.machines.get(machine) else { return };
+        leader.pending_kills.schedule_retry(machine, now, pause, longest);
+        let Some(m) = leader.machines.get(machine) else { return };
         // Its worker may have reported here before this node led.
         let before = self.worker_contacts.get(machine).map_or(0, |(_, place)| place.0);
         let (addr, session) = (m.addr.clone(), m.newest_position.0.max(before));
@@ -142,33 +143,33 @@
         if addr.is_empty() || session == 0 && first {
             return;
         }
-        l.pending_kills.calls += 1;
+        leader.pending_kills.calls += 1;
         let machine = machine.to_string();
         let body = DirectCommands { fencing_token: token, epoch: session, commands };
         self.call_worker(CallContext::WorkerCall { token, machine, session }, &addr, body);
     }
 
     /// The answer to a direct command that named `session`.
-    pub(crate) fn on_worker_reply(&mut self, token: u64, machine: &str, session: u64, r: WorkerReply) {
+    pub(crate) fn on_worker_reply(&mut self, token: u64, machine: &str, session: u64, reply: WorkerReply) {
         let now = self.now;
-        let Some(l) = self.leader_state(token) else { return };
-        l.pending_kills.calls = l.pending_kills.calls.saturating_sub(1);
-        let WorkerReply::Heartbeat { executed, report } = r else { return };
+        let Some(leader) = self.leader_state(token) else { return };
+        leader.pending_kills.calls = leader.pending_kills.calls.saturating_sub(1);
+        let WorkerReply::Heartbeat { executed, report } = reply else { return };
         if report.fencing_token > token {
             return self.observe_token(report.fencing_token, machine);
         }
         self.apply_heartbeat(&report, false, now);
-        let Some(l) = self.leader_state(token) else { return };
-        let known = l.machines.get(machine).map_or(session, |m| m.newest_position.0);
+        let Some(leader) = self.leader_state(token) else { return };
+        let known = leader.machines.get(machine).map_or(session, |m| m.newest_position.0);
         if !executed && known != session {
-            l.pending_kills.retry_now(machine, now);
+            leader.pending_kills.retry_now(machine, now);
         }
     }
 
     /// Looks again at machines where something is to be stopped.
     pub(crate) fn mark_kills_leader_only(&mut self) {
-        let Role::Leader(l) = &mut self.role else { return };
-        for machine in l.pending_kills.take_machines() {
+        let Role::Leader(leader) = &mut self.role else { return };
+        for machine in leader.pending_kills.take_machines() {
             self.update_leader_only(&machine);
         }
     }
