--- a/crates/controller/src/scheduling.rs
+++ b/crates/controller/src/scheduling.rs
@@ -82,29 +82,29 @@
     }
 }
 
-pub(crate) fn needs(s: &JobSpec) -> Resources {
-    Resources::new(s.cores, s.accelerators, s.memory_gb)
+pub(crate) fn needs(spec: &JobSpec) -> Resources {
+    Resources::new(spec.cores, spec.accelerators, spec.memory_gb)
 }
 
-fn size_of(t: &MachineType) -> Resources {
-    Resources::new(t.cores, t.accelerators, t.memory_gb)
+fn size_of(machine_type: &MachineType) -> Resources {
+    Resources::new(machine_type.cores, machine_type.accelerators, machine_type.memory_gb)
 }
 
 /// What a second of such a task costs on a machine that is full of them.
-fn task_price(t: &MachineType, need: &Resources, spot: bool) -> Option<f64> {
-    let side = size_of(t).instances_that_fit(need);
-    let price = if spot { t.spot_price } else { t.price };
+fn task_price(machine_type: &MachineType, need: &Resources, spot: bool) -> Option<f64> {
+    let side = size_of(machine_type).instances_that_fit(need);
+    let price = if spot { machine_type.spot_price } else { machine_type.price };
     (side > 0 && price > 0.0).then(|| price / f64::from(side))
 }
 
 /// The same where it is cheapest.
-fn lowest_price(types: &[MachineType], s: &JobSpec) -> Option<f64> {
-    let allowed = types.iter().filter(|t| s.machine_types.as_ref().is_none_or(|l| l.contains(&t.name)));
-    allowed.filter_map(|t| task_price(t, &needs(s), s.spot)).min_by(f64::total_cmp)
+fn lowest_price(types: &[MachineType], spec: &JobSpec) -> Option<f64> {
+    let allowed = types.iter().filter(|t| spec.machine_types.as_ref().is_none_or(|l| l.contains(&t.name)));
+    allowed.filter_map(|t| task_price(t, &needs(spec), spec.spot)).min_by(f64::total_cmp)
 }
 
-pub(crate) fn band(s: &JobSpec) -> u8 {
-    match s.priority {
+pub(crate) fn band(spec: &JobSpec) -> u8 {
+    match spec.priority {
         Priority::Low => 0,
         Priority::Normal => 1,
         Priority::High => 2,
@@ -121,15 +121,15 @@
 /// What stopping a running task would lose, and how long it would take; None
 /// if it is not to be stopped for others. A gang of several tasks is left
 /// alone: its orderly stop costs all of its machines.
-fn victim(job: &Job, p: &Placement, now: f64) -> Option<(f64, f64)> {
-    let stoppable = p.observed_state.is_some()
-        && p.stopping.is_none()
+fn victim(job: &Job, placement: &Placement, now: f64) -> Option<(f64, f64)> {
+    let stoppable = placement.observed_state.is_some()
+        && placement.stopping.is_none()
         && !job.is_final()
         && (job.spec.shape != Shape::Gang || job.spec.tasks == 1);
     if !stoppable {
         return None;
     }
-    let ran = p.running_since.map_or(0.0, |s| now - s);
+    let ran = placement.running_since.map_or(0.0, |s| now - s);
     if job.spec.checkpoint_interval_s > 0.0 {
         Some((job.spec.save_s, job.spec.save_s + STOP_S))
     } else {
@@ -183,7 +183,7 @@
         let need = needs(spec);
         let mut best: Option<(f64, MachinePool, f64, f64)> = None;
         for t in self.machine_types.iter().flatten() {
-            let allowed = spec.machine_types.as_ref().is_none_or(|l| l.contains(&t.name));
+            let allowed = spec.machine_types.as_ref().is_none_or(|allowed| allowed.contains(&t.name));
             let side = size_of(t).instances_that_fit(&need);
             if !allowed || side == 0 {
                 continue;
@@ -195,8 +195,8 @@
                 best = Some((price / n, (t.name.clone(), spec.spot), machines, t.boot_s));
             }
         }
-        let Role::Leader(l) = &mut self.role else { return };
-        let stats = l.classes.entry(spec.class.clone()).or_default();
+        let Role::Leader(leader) = &mut self.role else { return };
+        let stats = leader.classes.entry(spec.class.clone()).or_default();
         stats.record_arrival(at, best.map(|(_, pool, machines, boot)| (pool, machines, boot)));
     }
 
@@ -205,32 +205,32 @@
         let tick = self.timing.planning_interval_s;
         let entitled = self.may_act();
         let Some(types) = self.machine_types.clone() else { return };
-        let Role::Leader(l) = &mut self.role else { return };
-        let due = l.plan_needed || now - l.planned_at >= tick;
-        if !due || now < l.plan_after || !entitled || !l.fleet.listed_once {
+        let Role::Leader(leader) = &mut self.role else { return };
+        let due = leader.plan_needed || now - leader.planned_at >= tick;
+        if !due || now < leader.plan_after || !entitled || !leader.fleet.listed_once {
             return;
         }
         let zones = zones_of(&types);
-        let Role::Leader(l) = &self.role else { return };
-        let ratio = |class: &str| l.classes.get(class).map_or(1.0, ClassStats::run_time_ratio);
+        let Role::Leader(leader) = &self.role else { return };
+        let ratio = |class: &str| leader.classes.get(class).map_or(1.0, ClassStats::run_time_ratio);
         // Machines: what their places take, and until when.
         let mut names: Vec<String> = Vec::new();
         let mut machines: Vec<planner::Machine> = Vec::new();
         let mut index: HashMap<&str, usize> = HashMap::new();
-        for m in l.machines.values().filter(|m| m.accepts_work()) {
+        for m in leader.machines.values().filter(|m| m.accepts_work()) {
             let Some(kind) = types.iter().position(|t| t.name == m.machine_type) else { continue };
             let Some(zone) = zones.iter().position(|z| *z == m.zone) else { continue };
             if m.missed_heartbeats(now, &self.timing)
-                || m.last_heard_at.is_none() && l.fleet.zones.is_unreachable(&m.zone)
+                || m.last_heard_at.is_none() && leader.fleet.zones.is_unreachable(&m.zone)
             {
                 continue;
             }
             // What runs there takes nobody knows how much.
             let unread = |t: &TaskStatus| {
                 t.state != TaskState::Exited
-                    && split_task(&t.task).is_some_and(|(id, _)| l.undecodable.contains_job(id))
+                    && split_task(&t.task).is_some_and(|(id, _)| leader.undecodable.contains_job(id))
             };
-            if !l.undecodable.is_empty() && m.tasks.iter().any(unread) {
+            if !leader.undecodable.is_empty() && m.tasks.iter().any(unread) {
                 continue;
             }
             let t = &types[kind];
@@ -260,7 +260,7 @@
             });
         }
         let team_of = |name: &str| self.settings.params.teams.iter().position(|t| t.name == name);
-        for (team, takes) in l.undecodable_usage(now) {
+        for (team, takes) in leader.undecodable_usage(now) {
             let Some(t) = team_of(team).filter(|_| self.checks.quota).map(|t| &mut teams[t]) else {
                 continue;
             };
@@ -269,10 +269,10 @@
         }
         // Guarantees cover a team's unfinished jobs in the order they came.
         // What waits for others holds no part of them.
-        let graph = &l.dependencies.graph;
+        let graph = &leader.dependencies.graph;
         let awaits = self.checks.dependency_order;
         let free = |(id, j): &(&String, &Job)| !(j.is_final() || awaits && graph.is_waiting(id));
-        let mut by_age: Vec<(&String, &Job)> = l.jobs.iter().filter(free).collect();
+        let mut by_age: Vec<(&String, &Job)> = leader.jobs.iter().filter(free).collect();
         by_age.sort_by(|a, b| a.1.ready_at.total_cmp(&b.1.ready_at).then(a.0.cmp(b.0)));
         let passed = self.inherited_priorities();
         let urgency = |id: &str, job: &Job| self.effective_priority(job, passed.get(id));
@@ -304,7 +304,7 @@
         // Machines by what is on them: work that somebody waits for, or not.
         let mut serious: HashSet<&str> = HashSet::new();
         let mut spare: HashSet<&str> = HashSet::new();
-        for (id, job) in &l.jobs {
+        for (id, job) in &leader.jobs {
             floors.add_usage(&job.spec, job.placements.len());
             let need = needs(&job.spec);
             let team = team_of(&job.spec.team);
@@ -353,7 +353,7 @@
         // What is kept ready for others is nothing for work that nobody waits for:
         // the emptiest machines of each pool, as many as its reserve.
         let mut kept: Vec<usize> = Vec::new();
-        for ((name, spot), n) in &l.fleet.reserve {
+        for ((name, spot), n) in &leader.fleet.reserve {
             let mut free: Vec<(f64, usize)> = machines
                 .iter()
                 .enumerate()
@@ -379,7 +379,7 @@
         }
         // What nobody waits for takes half as many machines as other work has
         // had, unless there is no other work.
-        let others = serious.len().max(l.peak_demanded_machines);
+        let others = serious.len().max(leader.peak_demanded_machines);
         let alone = serious.is_empty()
             && open_jobs.iter().all(|j| self.is_best_effort(&j.3.spec) && !j.0.has_dependents);
         let mut spare_left = if alone { usize::MAX } else { others.saturating_sub(spare.len()) };
@@ -392,7 +392,8 @@
         };
         open_jobs.sort_by_key(|j| std::cmp::Reverse((under_limit(j.1, &j.3.spec), j.0.priority)));
         let free_for = |s: &JobSpec, m: &planner::Machine| {
-            let kind = s.machine_types.as_ref().is_none_or(|l| l.contains(&types[m.instance_type].name));
+            let kind =
+                s.machine_types.as_ref().is_none_or(|allowed| allowed.contains(&types[m.instance_type].name));
             let there = s.zone.as_ref().is_none_or(|z| *z == zones[m.zone]) && (s.spot || !m.spot);
             kind && there && m.ready_at <= now && m.free.fits(&needs(s))
         };
@@ -429,14 +430,14 @@
             };
             let mut waiting = waiting;
             let mut kinds: Vec<usize> = (0..types.len())
-                .filter(|&k| s.machine_types.as_ref().is_none_or(|l| l.contains(&types[k].name)))
+                .filter(|&k| s.machine_types.as_ref().is_none_or(|allowed| allowed.contains(&types[k].name)))
                 .collect();
             let mut spot_only = false;
             if leftover {
                 // Without a deadline the cheapest configuration is Cura's choice;
                 // others as far as they cost no more than work does on average.
                 let task = |k: usize, spot: bool| task_price(&types[k], &needs(s), spot);
-                let least = lowest_price(&types, s).unwrap_or(0.0) * l.price_paid.max(1.0) + 1e-9;
+                let least = lowest_price(&types, s).unwrap_or(0.0) * leader.price_paid.max(1.0) + 1e-9;
                 let spots = s.spot && types.iter().any(|t| t.spot_price > 0.0);
                 let fit = |spot: bool| -> Vec<usize> {
                     kinds.iter().copied().filter(|&k| task(k, spot).is_some_and(|p| p <= least)).collect()
@@ -458,7 +459,8 @@
             let mut zone_load = vec![0u32; zones.len()];
             let zoned = s.one_zone || s.spread;
             for p in job.placements.values().filter(|_| zoned) {
-                let at = l.machines.get(&p.machine).and_then(|m| zones.iter().position(|z| *z == m.zone));
+                let at =
+                    leader.machines.get(&p.machine).and_then(|m| zones.iter().position(|z| *z == m.zone));
                 if let Some(z) = at {
                     zone_load[z] += 1;
                 }
@@ -497,10 +499,14 @@
                 best_effort: leftover,
                 starvation_relief: false,
                 reserves_until: 0.0,
-                assembly_zone: l.gang_reservation.zone_of(id),
+                assembly_zone: leader.gang_reservation.zone_of(id),
                 waits_beside_capacity: self.checks.work_conservation
                     && job.placements.is_empty()
-                    && l.waiting_beside_capacity.has_waited(id, now, self.timing.max_idle_capacity_wait_s),
+                    && leader.waiting_beside_capacity.has_waited(
+                        id,
+                        now,
+                        self.timing.max_idle_capacity_wait_s,
+                    ),
                 spot_only,
                 excluded_machines: job
                     .failed_on
@@ -517,11 +523,11 @@
             }
         }
         let starving = floors.apply(now, &mut ids, &mut jobs);
-        let spec = |owner: usize| l.jobs.get(&owners[owner].0).map(|j| &j.spec);
+        let spec = |owner: usize| leader.jobs.get(&owners[owner].0).map(|j| &j.spec);
         starving.protect_from_preemption(machines.iter_mut().flat_map(|m| &mut m.running), spec);
         // What is paid in proportion to what the running work would cost where it
         // is cheapest, over the last leases.
-        let bill: f64 = l
+        let bill: f64 = leader
             .machines
             .values()
             .filter_map(|m| {
@@ -529,7 +535,7 @@
                 Some(if m.spot { t.spot_price } else { t.price })
             })
             .sum();
-        let worth: f64 = l
+        let worth: f64 = leader
             .jobs
             .values()
             .map(|j| {
@@ -537,9 +543,10 @@
                 running as f64 * lowest_price(&types, &j.spec).unwrap_or(0.0)
             })
             .sum();
-        let weight = ((now - l.planned_at) / (self.settings.params.workers.lease_s * 3.0)).clamp(0.0, 1.0);
-        let paid = if worth > 0.0 { (bill / worth).min(10.0) } else { l.price_paid };
-        let price_paid = l.price_paid + (paid - l.price_paid) * weight;
+        let weight =
+            ((now - leader.planned_at) / (self.settings.params.workers.lease_s * 3.0)).clamp(0.0, 1.0);
+        let paid = if worth > 0.0 { (bill / worth).min(10.0) } else { leader.price_paid };
+        let price_paid = leader.price_paid + (paid - leader.price_paid) * weight;
         let problem = Problem {
             now,
             instance_types: types
@@ -565,34 +572,36 @@
         let made = planner::plan(&problem);
         let passed: Vec<(String, dependencies::InheritedPriority)> = passed.into_iter().collect();
         let effort = (made.steps + steps) as f64 / (PLAN_STEPS * self.settings.params.resources.cpu_share);
-        if let Role::Leader(l) = &mut self.role {
-            l.gang_reservation = GangReservation(made.gang_assembly.map(|(i, zone)| (ids[i].clone(), zone)));
-            l.waiting_beside_capacity
+        if let Role::Leader(leader) = &mut self.role {
+            leader.gang_reservation =
+                GangReservation(made.gang_assembly.map(|(i, zone)| (ids[i].clone(), zone)));
+            leader
+                .waiting_beside_capacity
                 .update(now, &made.waiting_beside_capacity.iter().map(|&i| ids[i].as_str()).collect());
-            if l.starving_groups != starving {
+            if leader.starving_groups != starving {
                 info!(?starving, "classes and teams under their floors");
-                l.starving_groups = starving;
+                leader.starving_groups = starving;
             }
-            l.plan_after = now + effort.clamp(tick / 50.0, tick);
-            l.peak_demanded_machines = others;
+            leader.plan_after = now + effort.clamp(tick / 50.0, tick);
+            leader.peak_demanded_machines = others;
             for (id, p) in passed {
-                if let Some(job) = l.jobs.get_mut(&id) {
+                if let Some(job) = leader.jobs.get_mut(&id) {
                     job.inherited_priority = Some(p);
                 }
             }
-            l.price_paid = price_paid;
+            leader.price_paid = price_paid;
         }
         self.apply_starts(&problem, &made, &names, &ids);
         self.apply_preemptions(&made.preemptions, &owners);
         self.set_desired_capacity(&problem, &made, &types);
     }
 
-    fn apply_starts(&mut self, p: &Problem, made: &planner::Plan, names: &[String], ids: &[String]) {
+    fn apply_starts(&mut self, problem: &Problem, made: &planner::Plan, names: &[String], ids: &[String]) {
         let now = self.now;
         let too_early = !self.checks.dependency_order;
-        let Role::Leader(l) = &mut self.role else { return };
-        l.plan_needed = false;
-        l.planned_at = now;
+        let Role::Leader(leader) = &mut self.role else { return };
+        leader.plan_needed = false;
+        leader.planned_at = now;
         if !made.starts.is_empty() {
             debug!(starts = made.starts.len(), reserved = made.reservations.len(), "planned");
         }
@@ -601,10 +610,10 @@
         for s in &made.starts {
             // The one place where placements are made: none before all that the job awaits
             // is stored as done.
-            if l.dependencies.graph.is_waiting(&ids[s.job]) && !too_early {
+            if leader.dependencies.graph.is_waiting(&ids[s.job]) && !too_early {
                 continue;
             }
-            let Some(job) = l.jobs.get(&ids[s.job]) else { continue };
+            let Some(job) = leader.jobs.get(&ids[s.job]) else { continue };
             let attempt = if job.spec.shape == Shape::Gang {
                 *gangs.entry(s.job).or_insert(job.attempt + 1)
             } else {
@@ -618,11 +627,11 @@
                 continue;
             }
             *fill += more;
-            l.add_placement(&ids[s.job], s.task, &names[s.machine], attempt, now);
-            l.heartbeats_to_check.insert(names[s.machine].clone());
-            l.write_queue.write_now = true;
-            if let Some(m) = l.machines.get_mut(&names[s.machine]) {
-                m.record_image(p.jobs[s.job].image, now, p.jobs[s.job].image_gb);
+            leader.add_placement(&ids[s.job], s.task, &names[s.machine], attempt, now);
+            leader.heartbeats_to_check.insert(names[s.machine].clone());
+            leader.write_queue.write_now = true;
+            if let Some(m) = leader.machines.get_mut(&names[s.machine]) {
+                m.record_image(problem.jobs[s.job].image, now, problem.jobs[s.job].image_gb);
                 m.idle_since = now;
             }
         }
@@ -630,15 +639,15 @@
 
     fn apply_preemptions(&mut self, stops: &[usize], owners: &[(String, u32)]) {
         let now = self.now;
-        let Role::Leader(l) = &mut self.role else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
         let mut told: BTreeMap<&String, u32> = BTreeMap::new();
         for (id, task) in stops.iter().filter_map(|&s| owners.get(s)) {
-            let Some(job) = l.jobs.get_mut(id) else { continue };
+            let Some(job) = leader.jobs.get_mut(id) else { continue };
             let grace = if job.spec.checkpoint_interval_s > 0.0 { job.spec.save_s * 1.25 } else { 0.0 };
             let Some(p) = job.placements.get_mut(task) else { continue };
             p.stopping = Some((now, grace));
             *told.entry(id).or_insert(0) += 1;
-            l.pending_kills.add_job(id);
+            leader.pending_kills.add_job(id);
         }
         for (job, tasks) in told {
             info!(%job, tasks, "stopped for more urgent work");
@@ -649,22 +658,26 @@
     /// and a reserve for what usually comes.
     fn set_desired_capacity(
         &mut self,
-        p: &Problem,
+        problem: &Problem,
         made: &planner::Plan,
         types: &[protocol::cloud::MachineType],
     ) {
         let now = self.now;
         let (reserve_share, d, guards) = (self.operator.reserve, self.timing, self.checks);
-        let Role::Leader(l) = &mut self.role else { return };
+        let Role::Leader(leader) = &mut self.role else { return };
         let mut rooms: BTreeMap<MachinePool, f64> = BTreeMap::new();
         // Machines without work, booting ones included, by type and zone.
-        let placed: HashSet<&str> =
-            l.jobs.values().flat_map(|j| j.placements.values()).map(|p| p.machine.as_str()).collect();
+        let placed: HashSet<&str> = leader
+            .jobs
+            .values()
+            .flat_map(|j| j.placements.values())
+            .map(|problem| problem.machine.as_str())
+            .collect();
         let (mut at_hand, mut idle) = (AvailableCapacity::default(), AvailableCapacity::default());
         // What is out of reach is not there.
-        let reach = &l.fleet.zones;
+        let reach = &leader.fleet.zones;
         let there = |m: &&Machine| m.accepts_work() && !reach.is_unreachable(&m.zone);
-        for m in l.machines.values().filter(there).filter(|m| !placed.contains(m.id.as_str())) {
+        for m in leader.machines.values().filter(there).filter(|m| !placed.contains(m.id.as_str())) {
             at_hand.add(&m.machine_type, &m.zone, m.spot, 1);
             idle.add(&m.machine_type, &m.zone, m.spot, u32::from(m.last_heard_at.is_some()));
         }
@@ -673,7 +686,7 @@
             now,
             types,
             zones: &zones,
-            fleet: &l.fleet,
+            fleet: &leader.fleet,
             available: at_hand,
             idle,
             wanted_in_zone: BTreeMap::new(),
@@ -688,14 +701,14 @@
             let i = u.job;
             // What gathers for an overdue gang is kept, and what it lacks is rented.
             let gathers = made.gang_assembly.is_some_and(|(job, _)| job == i);
-            let tasks = if p.jobs[i].guaranteed || gathers { u.tasks } else { u.late_tasks };
+            let tasks = if problem.jobs[i].guaranteed || gathers { u.tasks } else { u.late_tasks };
             if tasks == 0 {
                 continue;
             }
-            let job = &p.jobs[i];
+            let job = &problem.jobs[i];
             let mut pools: Vec<(f64, MachinePool, f64)> = Vec::new();
             for &k in &job.instance_types {
-                let side = p.instance_types[k].size.instances_that_fit(&job.resources);
+                let side = problem.instance_types[k].size.instances_that_fit(&job.resources);
                 if side == 0 {
                     continue;
                 }
@@ -704,11 +717,15 @@
                     if spot && !job.spot || !spot && job.spot_only {
                         continue;
                     }
-                    let price = if spot { p.instance_types[k].spot_price } else { p.instance_types[k].price };
+                    let price = if spot {
+                        problem.instance_types[k].spot_price
+                    } else {
+                        problem.instance_types[k].price
+                    };
                     let pool = (types[k].name.clone(), spot);
                     rooms
                         .entry(pool.clone())
-                        .or_insert_with(|| l.fleet.available_machines(now, &types[k], spot));
+                        .or_insert_with(|| leader.fleet.available_machines(now, &types[k], spot));
                     pools.push((price / n, pool, n));
                 }
             }
@@ -742,12 +759,12 @@
             *need.entry(pool).or_insert(0.0) += n;
         }
         // A leader that acts again has not heard yet what was there before.
-        let back = l.tenure.entitled_for_s(now) < d.reappearance_wait_s;
+        let back = leader.tenure.entitled_for_s(now) < d.reappearance_wait_s;
         let mut used: BTreeMap<MachinePool, f64> = BTreeMap::new();
         // Machines that will take work without being rented: they boot, or are not heard again yet.
         let mut booting: BTreeMap<MachinePool, u32> = BTreeMap::new();
         let mut have: BTreeMap<MachinePool, u32> = BTreeMap::new();
-        for m in l.machines.values().filter(there) {
+        for m in leader.machines.values().filter(there) {
             let pool = (m.machine_type.clone(), m.spot);
             *have.entry(pool.clone()).or_insert(0) += 1;
             let unsure =
@@ -764,7 +781,7 @@
         // jobs come and end like throws of dice, the variance of how many
         // machines' worth come less how many end.
         let mut usual: BTreeMap<MachinePool, (f64, f64)> = BTreeMap::new();
-        for class in l.classes.values() {
+        for class in leader.classes.values() {
             if let Some(u) = &class.typical_demand {
                 let jobs = class.arrival_rate(now) * u.boot_s;
                 let sums = usual.entry(u.pool.clone()).or_insert((0.0, 0.0));
@@ -809,18 +826,18 @@
             let more = more.get(pool).copied().unwrap_or(0);
             *w = (*w).max(n - more) + more;
         }
-        l.fleet.wanted_in_zone = zoned;
-        l.fleet.assembling_gang_machines = gathering;
-        if wanted != l.fleet.wanted && !wanted.is_empty() {
+        leader.fleet.wanted_in_zone = zoned;
+        leader.fleet.assembling_gang_machines = gathering;
+        if wanted != leader.fleet.wanted && !wanted.is_empty() {
             info!(?wanted, waiting = made.unmet.len(), "fleet wanted");
         }
-        l.fleet.reserve = types
+        leader.fleet.reserve = types
             .iter()
             .flat_map(|t| [true, false].map(|spot| (t.name.clone(), spot)))
             .map(|pool| (pool.clone(), reserve(&pool).round() as u32))
             .collect();
-        l.fleet.wanted = wanted;
-        l.fleet.desired_capacity = target;
-        l.fleet.generous_capacity = ample;
+        leader.fleet.wanted = wanted;
+        leader.fleet.desired_capacity = target;
+        leader.fleet.generous_capacity = ample;
     }
 }
--- a/crates/controller/src/spec_chunks.rs
+++ b/crates/controller/src/spec_chunks.rs
@@ -77,11 +77,11 @@
         self.commit_hedged(CallContext::CreateChunks { id: id.to_string() }, txn);
     }
 
-    pub(crate) fn on_chunks_stored(&mut self, id: &str, r: StoreReply) {
-        match r {
+    pub(crate) fn on_chunks_stored(&mut self, id: &str, reply: StoreReply) {
+        match reply {
             StoreReply::Committed(_) => self.store_next_chunks(id),
             // Nothing counts yet: the submission comes again, with another name for its parts.
-            r => self.on_job_created(id, r),
+            reply => self.on_job_created(id, reply),
         }
     }
 
@@ -99,9 +99,9 @@
         mut record: Box<JobRecord>,
         version: u64,
         mut pieces: Vec<String>,
-        r: StoreReply,
+        reply: StoreReply,
     ) {
-        let page = match r {
+        let page = match reply {
             StoreReply::Page(page) => page,
             _ => return self.on_spec_chunks_failed(token, record, version),
         };
--- a/crates/controller/src/starvation.rs
+++ b/crates/controller/src/starvation.rs
@@ -44,8 +44,8 @@
     }
 
     /// The part of all machines that one task takes.
-    fn share_per_task(&self, s: &JobSpec) -> f64 {
-        let (need, all) = (needs(s), &self.total);
+    fn share_per_task(&self, spec: &JobSpec) -> f64 {
+        let (need, all) = (needs(spec), &self.total);
         let part = |x: f64, of: f64| if of > 0.0 { x / of } else { 0.0 };
         part(need.cores, all.cores)
             .max(part(need.accelerators, all.accelerators))
@@ -53,16 +53,16 @@
     }
 
     /// `tasks` tasks of such a job have their places.
-    pub fn add_usage(&mut self, s: &JobSpec, tasks: usize) {
-        let part = self.share_per_task(s) * tasks as f64;
-        for g in self.group_indices(s) {
+    pub fn add_usage(&mut self, spec: &JobSpec, tasks: usize) {
+        let part = self.share_per_task(spec) * tasks as f64;
+        for g in self.group_indices(spec) {
             self.held_shares[g] += part;
         }
     }
 
     /// Job `at` of the plan waits with what it needs.
-    pub fn add_demand(&mut self, at: usize, s: &JobSpec, job: &Job, begun: bool) {
-        let (groups, each) = (self.group_indices(s), self.share_per_task(s));
+    pub fn add_demand(&mut self, at: usize, spec: &JobSpec, job: &Job, begun: bool) {
+        let (groups, each) = (self.group_indices(spec), self.share_per_task(spec));
         // A job bound to zones is not divided either: each part would choose its
         // own. (Two parts of an array once ran in two zones.)
         let whole = job.shape == Shape::Gang || job.one_zone || job.max_per_zone.is_some();
@@ -128,8 +128,8 @@
 }
 
 impl StarvingGroups {
-    fn contains(&self, s: &JobSpec) -> bool {
-        self.groups.iter().any(|(team, name)| *name == if *team { &s.team } else { &s.class }[..])
+    fn contains(&self, spec: &JobSpec) -> bool {
+        self.groups.iter().any(|(team, name)| *name == if *team { &spec.team } else { &spec.class }[..])
     }
 
     /// What they run is not stopped for others. `spec`: of the task's job.
--- a/crates/controller/src/status_queries.rs
+++ b/crates/controller/src/status_queries.rs
@@ -152,8 +152,8 @@
     }
 
     /// A question that the copy cannot answer.
-    pub(crate) fn enqueue(&mut self, a: StatusQuery) {
-        self.uncached.push(a);
+    pub(crate) fn enqueue(&mut self, query: StatusQuery) {
+        self.uncached.push(query);
     }
 
     fn invalidate(&mut self) {
@@ -198,8 +198,8 @@
         });
     }
 
-    pub(crate) fn fail_queries(&mut self, asks: Vec<StatusQuery>, why: &str) {
-        for a in asks {
+    pub(crate) fn fail_queries(&mut self, queries: Vec<StatusQuery>, why: &str) {
+        for a in queries {
             match a.requester {
                 Requester::User { request, .. } => {
                     self.status_queries.waiting -= 1;
@@ -214,8 +214,8 @@
     }
 
     /// There is no such job, by fresh knowledge.
-    fn answer_unknown(&mut self, asks: Vec<StatusQuery>) {
-        for a in asks {
+    fn answer_unknown(&mut self, queries: Vec<StatusQuery>) {
+        for a in queries {
             match a.requester {
                 Requester::User { request, code, why } => {
                     self.status_queries.waiting -= 1;
@@ -230,40 +230,48 @@
     }
 
     /// Says how a job is.
-    fn answer_query(&mut self, a: StatusQuery, status: JobStatus, counts: (u32, u32), service: bool) {
-        match a.requester {
+    fn answer_query(&mut self, query: StatusQuery, status: JobStatus, counts: (u32, u32), service: bool) {
+        match query.requester {
             Requester::User { request, .. } => {
                 self.status_queries.waiting -= 1;
-                self.respond_with_job(request, 200, &a.id, status, Some(counts));
+                self.respond_with_job(request, 200, &query.id, status, Some(counts));
             }
             Requester::Submission(submission) => {
-                self.on_dependency_checked(&submission, &a.id, DependencyLookup::Known { status, service });
+                self.on_dependency_checked(
+                    &submission,
+                    &query.id,
+                    DependencyLookup::Known { status, service },
+                );
             }
-            Requester::Lineage => self.status_queries.lineage.on_lookup_done(&a.id),
+            Requester::Lineage => self.status_queries.lineage.on_lookup_done(&query.id),
         }
     }
 
     /// Answers from the copy if the job is there, or has the jobs before it looked up first;
     /// else gives the question back. `clear`: jobs that are known by now not to be
     /// cancelled with any before them.
-    pub(crate) fn try_answer(&mut self, a: StatusQuery, clear: &mut HashSet<String>) -> Option<StatusQuery> {
-        if let Some((status, done)) = self.terminal_states.get(&a.id) {
-            self.answer_query(a, status, (done, 0), false);
+    pub(crate) fn try_answer(
+        &mut self,
+        query: StatusQuery,
+        clear: &mut HashSet<String>,
+    ) -> Option<StatusQuery> {
+        if let Some((status, done)) = self.terminal_states.get(&query.id) {
+            self.answer_query(query, status, (done, 0), false);
             return None;
         }
-        let Some(row) = self.status_queries.cached_jobs.get(&a.id) else { return Some(a) };
+        let Some(row) = self.status_queries.cached_jobs.get(&query.id) else { return Some(query) };
         let (status, counts, service) = (row.status, (row.done, row.running), row.service);
         if row.external_spec.is_some() && row.waits_for_dependencies() {
-            return Some(a);
+            return Some(query);
         }
         // What only a later job's question asks is its own record, which is known now.
-        if !row.waits_for_dependencies() || matches!(a.requester, Requester::Lineage) {
-            self.answer_query(a, status, counts, service);
+        if !row.waits_for_dependencies() || matches!(query.requester, Requester::Lineage) {
+            self.answer_query(query, status, counts, service);
             return None;
         }
-        if let Some((a, cancelled)) = self.check_lineage(a, clear) {
+        if let Some((query, cancelled)) = self.check_lineage(query, clear) {
             let status = if cancelled { JobStatus::Cancelled } else { status };
-            self.answer_query(a, status, counts, service);
+            self.answer_query(query, status, counts, service);
         }
         None
     }
@@ -319,9 +327,9 @@
         }
     }
 
-    pub(crate) fn on_freshness_read(&mut self, r: StoreReply) {
+    pub(crate) fn on_freshness_read(&mut self, reply: StoreReply) {
         let asks = self.status_queries.watch_read.take().unwrap_or_default();
-        match r {
+        match reply {
             StoreReply::Events(e) => {
                 self.record_events(&e);
                 let p = &mut self.status_queries;
@@ -347,8 +355,8 @@
     }
 
     /// Notes what a watch showed, for later questions.
-    pub(crate) fn record_events(&mut self, e: &Events<Value>) {
-        for event in &e.events {
+    pub(crate) fn record_events(&mut self, events: &Events<Value>) {
+        for event in &events.events {
             let (key, record, version) = match event {
                 Event::Put { key, value: Value::Job(record), version } => (key, record, version),
                 Event::Put { key, value: Value::Terminal(o), .. } => {
@@ -387,9 +395,9 @@
         }
     }
 
-    pub(crate) fn on_comparison(&mut self, r: StoreReply) {
+    pub(crate) fn on_comparison(&mut self, reply: StoreReply) {
         let asks = self.status_queries.comparison.take().unwrap_or_default();
-        let (there, revision) = match r {
+        let (there, revision) = match reply {
             StoreReply::Committed(revision) => (Vec::new(), revision),
             StoreReply::Conflict(c) if !c.failed.is_empty() => (c.failed, c.revision),
             _ => {
@@ -421,29 +429,29 @@
         }
     }
 
-    fn read_job_record(&mut self, id: String, over: bool, asks: Vec<StatusQuery>) {
+    fn read_job_record(&mut self, id: String, over: bool, queries: Vec<StatusQuery>) {
         let quarter = self.client_reads.rate() / 4.0;
         if self.client_reads.available_at(self.now) < quarter.max(1.0)
             || !self.client_reads.try_acquire(self.now, 1.0)
         {
-            return self.fail_queries(asks, "busy");
+            return self.fail_queries(queries, "busy");
         }
         let era = self.status_queries.era();
-        self.status_queries.job_reads.insert(id.clone(), (era, asks));
+        self.status_queries.job_reads.insert(id.clone(), (era, queries));
         let key = if over { over_key(&id) } else { job_key(&id) };
         self.call_store(CallContext::JobRead { id, over }, StoreRequest::Get(key));
     }
 
-    pub(crate) fn on_job_read(&mut self, id: &str, over: bool, r: StoreReply) {
+    pub(crate) fn on_job_read(&mut self, id: &str, over: bool, reply: StoreReply) {
         // Not among those that run: it has moved since, or never was. The other
         // place is read after this one, so a move cannot slip in between.
-        if matches!(r, StoreReply::Missing(_)) && !over {
+        if matches!(reply, StoreReply::Missing(_)) && !over {
             let purpose = CallContext::JobRead { id: id.to_string(), over: true };
             self.call_store(purpose, StoreRequest::Get(over_key(id)));
             return;
         }
         let (era, asks) = self.status_queries.job_reads.remove(id).unwrap_or_default();
-        match r {
+        match reply {
             StoreReply::Item(Item { value: Value::Job(j), version, .. }) => {
                 // The mark of a cancellation may lie beside a record of that size.
                 if !j.status.is_final() && j.may_have_cancellation_mark(self.store_limits.value_bytes()) {
@@ -498,10 +506,10 @@
         id: &str,
         record: &JobRecord,
         version: u64,
-        r: StoreReply,
+        reply: StoreReply,
     ) {
         let (era, asks) = self.status_queries.job_reads.remove(id).unwrap_or_default();
-        match r {
+        match reply {
             StoreReply::Committed(_) => self.answer_from_record(id, record, version, era, asks),
             StoreReply::Conflict(c) if c.failed.contains(&mark_key(id)) => {
                 self.terminal_states.insert(id, JobStatus::Cancelled, 0);
@@ -520,15 +528,15 @@
     fn answer_from_record(
         &mut self,
         id: &str,
-        j: &JobRecord,
+        record: &JobRecord,
         version: u64,
         era: Option<u64>,
-        asks: Vec<StatusQuery>,
+        queries: Vec<StatusQuery>,
     ) {
-        self.record_job_read(id, j, version, era);
-        let row = CachedJob::from_record(j, version);
+        self.record_job_read(id, record, version, era);
+        let row = CachedJob::from_record(record, version);
         let mut clear = HashSet::new();
-        for a in asks {
+        for a in queries {
             if row.waits_for_dependencies() && !matches!(a.requester, Requester::Lineage) {
                 // From the copy, where it is now, or with the next look.
                 if let Some(a) = self.try_answer(a, &mut clear) {
--- a/crates/controller/src/write_queue.rs
+++ b/crates/controller/src/write_queue.rs
@@ -103,10 +103,10 @@
 impl Controller {
     pub(crate) fn tick_write_queue(&mut self) {
         let now = self.now;
-        if let Role::Leader(l) = &mut self.role {
-            if now >= l.write_queue.retry_at && !l.write_queue.reread_queue.is_empty() {
-                let token = l.fencing_token;
-                for key in std::mem::take(&mut l.write_queue.reread_queue) {
+        if let Role::Leader(leader) = &mut self.role {
+            if now >= leader.write_queue.retry_at && !leader.write_queue.reread_queue.is_empty() {
+                let token = leader.fencing_token;
+                for key in std::mem::take(&mut leader.write_queue.reread_queue) {
                     self.call_store(
                         CallContext::ReadBackRecord { token, key: key.clone() },
                         StoreRequest::Get(key),
@@ -123,24 +123,24 @@
         let newest = self.uses_current_format();
         let lazy_s = self.settings.params.workers.heartbeat_interval_s / 2.0;
         let scan_s = self.timing.planning_interval_s / 50.0;
-        let Role::Leader(l) = &mut self.role else { return };
-        if l.write_queue.in_flight.is_some()
-            || l.write_queue.rereads_in_flight > 0
-            || now < l.write_queue.retry_at
+        let Role::Leader(leader) = &mut self.role else { return };
+        if leader.write_queue.in_flight.is_some()
+            || leader.write_queue.rereads_in_flight > 0
+            || now < leader.write_queue.retry_at
         {
             return;
         }
-        if now < l.write_queue.scan_at && !l.write_queue.write_now {
+        if now < leader.write_queue.scan_at && !leader.write_queue.write_now {
             return;
         }
-        l.write_queue.scan_at = now + scan_s;
-        l.write_queue.write_now = false;
+        leader.write_queue.scan_at = now + scan_s;
+        leader.write_queue.write_now = false;
         // Placements and completed jobs go at once, the most urgent first;
         // mere ends and counts wait a little, so that many of a job share one
         // change, and leave half of the budget to what presses. (In the order
         // of ids, late jobs once starved under a backlog.)
         let mut due: Vec<(bool, u8, Time, String)> = Vec::new();
-        for (id, job) in &mut l.jobs {
+        for (id, job) in &mut leader.jobs {
             if job.is_stored() {
                 continue;
             }
@@ -160,8 +160,8 @@
         if due.is_empty() {
             // Nothing presses: what an earlier version left that does not fit the coming
             // limits is divided, the most urgent first and one at a time.
-            if newest && l.fleet.write_budget(rate).available_at(now) >= rate / 2.0 {
-                let wide = l
+            if newest && leader.fleet.write_budget(rate).available_at(now) >= rate / 2.0 {
+                let wide = leader
                     .jobs
                     .values_mut()
                     .filter(|j| j.page_layout.exceeds_next_limit() && j.is_stored() && !j.is_over());
@@ -175,9 +175,9 @@
             return;
         }
         due.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)).then(a.2.total_cmp(&b.2)).then(a.3.cmp(&b.3)));
-        let (token, open) = (l.fencing_token, l.archive.is_enabled());
-        let (graph, alone) = (&l.dependencies.graph, l.write_queue.isolate_jobs);
-        let budget = l.fleet.write_budget(rate);
+        let (token, open) = (leader.fencing_token, leader.archive.is_enabled());
+        let (graph, alone) = (&leader.dependencies.graph, leader.write_queue.isolate_jobs);
+        let budget = leader.fleet.write_budget(rate);
         let mut txn = Transaction {
             compares: vec![Compare { key: LEADER_KEY.to_string(), version: token }],
             mutations: Vec::new(),
@@ -185,7 +185,7 @@
         let mut parts = Vec::new();
         let mut size = 0;
         for (lazy, _, _, id) in due {
-            let Some(job) = l.jobs.get_mut(&id) else { continue };
+            let Some(job) = leader.jobs.get_mut(&id) else { continue };
             let ripe = job.dirty_since.is_some_and(|s| now >= s + lazy_s);
             let all = job.is_complete() || ripe && budget.available_at(now) >= rate / 2.0;
             let room = most - txn.mutations.len();
@@ -273,9 +273,9 @@
         if parts.is_empty() {
             return;
         }
-        l.write_queue.last_serial += 1;
-        let serial = l.write_queue.last_serial;
-        l.write_queue.in_flight =
+        leader.write_queue.last_serial += 1;
+        let serial = leader.write_queue.last_serial;
+        leader.write_queue.in_flight =
             Some(InFlightTransaction { serial, entries: parts, written_values: puts(&txn) });
         if !self.checks.version_checks {
             txn.compares.clear();
@@ -283,12 +283,12 @@
         self.call_store(CallContext::Commit { token, serial }, StoreRequest::Commit(txn));
     }
 
-    pub(crate) fn on_committed(&mut self, token: u64, serial: u64, r: StoreReply) {
+    pub(crate) fn on_committed(&mut self, token: u64, serial: u64, reply: StoreReply) {
         let now = self.now;
         let retry = self.timing.renewal_interval_s / 4.0;
-        let Some(l) = self.leader_state(token) else { return };
-        let Some(c) = l.write_queue.in_flight.take_if(|c| c.serial == serial) else { return };
-        match r {
+        let Some(leader) = self.leader_state(token) else { return };
+        let Some(c) = leader.write_queue.in_flight.take_if(|c| c.serial == serial) else { return };
+        match reply {
             StoreReply::Committed(revision) => {
                 self.store_limits.on_write_served();
                 self.on_transaction_applied(token, c.entries, revision);
@@ -300,9 +300,9 @@
                 debug!(?f.failed, "records changed meanwhile");
                 self.read_back_keys(token, f.failed);
             }
-            StoreReply::Refused | StoreReply::Gone => l.write_queue.retry_at = now + retry,
+            StoreReply::Refused | StoreReply::Gone => leader.write_queue.retry_at = now + retry,
             StoreReply::Limited => {
-                l.write_queue.retry_at = now + retry;
+                leader.write_queue.retry_at = now + retry;
                 self.on_rate_limited();
             }
             StoreReply::Invalid => self.on_transaction_invalid(token, c.entries),
@@ -314,7 +314,7 @@
                     .entries
                     .iter()
                     .flat_map(|p| {
-                        let layout = l.jobs.get(&p.job_id).map_or(0, |j| j.page_layout.number);
+                        let layout = leader.jobs.get(&p.job_id).map_or(0, |j| j.page_layout.number);
                         let key = move |&n: &usize| {
                             if n == 0 {
                                 job_key(&p.job_id)
@@ -335,35 +335,35 @@
     /// The watch may show a transaction in flight before its answer does, which may be lost. (All
     /// writes once stood still until that was given up for lost.)
     pub(crate) fn observe_own_write(&mut self, token: u64, events: &[Event<Value>]) {
-        let Some(l) = self.leader_state(token) else { return };
-        let Some(c) = l.write_queue.in_flight.take() else { return };
+        let Some(leader) = self.leader_state(token) else { return };
+        let Some(c) = leader.write_queue.in_flight.take() else { return };
         match c.stored_at(events) {
             Some(revision) => {
                 self.store_limits.on_write_served();
                 self.on_transaction_applied(token, c.entries, revision);
                 self.replay_deferred_records();
             }
-            None => l.write_queue.in_flight = Some(c),
+            None => leader.write_queue.in_flight = Some(c),
         }
     }
 
     /// A transaction with these parts was applied.
     fn on_transaction_applied(&mut self, token: u64, parts: Vec<TransactionEntry>, revision: u64) {
-        if let Some(l) = self.leader_state(token) {
+        if let Some(leader) = self.leader_state(token) {
             for part in parts.iter().filter(|p| p.final_status == Some(JobStatus::Done)) {
-                l.learn_inherited_priority(&part.job_id);
+                leader.learn_inherited_priority(&part.job_id);
             }
         }
         for part in parts.iter().filter(|p| p.archives) {
             self.on_job_archived(&part.job_id, revision);
         }
-        let Some(l) = self.leader_state(token) else { return };
-        l.write_queue.isolate_jobs = false;
+        let Some(leader) = self.leader_state(token) else { return };
+        leader.write_queue.isolate_jobs = false;
         for part in &parts {
-            if let Some(job) = l.jobs.get_mut(&part.job_id) {
+            if let Some(job) = leader.jobs.get_mut(&part.job_id) {
                 job.on_stored(part.mutation_count, &part.pages, part.covers_all, revision);
-                l.archive.discard_keys(job.page_layout.take_obsolete_keys(&part.job_id));
-                l.heartbeats_to_check.extend(job.placements.values().map(|p| p.machine.clone()));
+                leader.archive.discard_keys(job.page_layout.take_obsolete_keys(&part.job_id));
+                leader.heartbeats_to_check.extend(job.placements.values().map(|p| p.machine.clone()));
             }
         }
         for part in &parts {
@@ -382,9 +382,10 @@
     fn on_transaction_invalid(&mut self, token: u64, parts: Vec<TransactionEntry>) {
         let (now, aside_s) = (self.now, self.settings.params.workers.lease_s);
         let present = self.store_limits.current_value_bytes();
-        let Some(l) = self.leader_state(token) else { return };
+        let Some(leader) = self.leader_state(token) else { return };
         let larger = |p: &TransactionEntry| {
-            l.jobs
+            leader
+                .jobs
                 .get(&p.job_id)
                 .is_some_and(|j| j.needs_repagination() || j.page_layout.exceeds_next_limit())
         };
@@ -392,48 +393,48 @@
         if large {
             self.on_size_refused();
         }
-        let Some(l) = self.leader_state(token) else { return };
-        l.write_queue.isolate_jobs = true;
-        l.write_queue.write_now = true;
+        let Some(leader) = self.leader_state(token) else { return };
+        leader.write_queue.isolate_jobs = true;
+        leader.write_queue.write_now = true;
         if let ([part], false) = (&parts[..], large) {
             warn!(job = %part.job_id, present, "the state service takes this job's record for invalid, set aside");
-            if let Some(job) = l.jobs.get_mut(&part.job_id) {
+            if let Some(job) = leader.jobs.get_mut(&part.job_id) {
                 job.write_suspended_until = now + aside_s;
             }
         }
     }
 
     fn read_back_keys(&mut self, token: u64, keys: Vec<String>) {
-        if let Some(l) = self.leader_state(token) {
-            l.write_queue.rereads_in_flight += keys.len() as u32;
+        if let Some(leader) = self.leader_state(token) {
+            leader.write_queue.rereads_in_flight += keys.len() as u32;
         }
         for key in keys {
             self.call_store(CallContext::ReadBackRecord { token, key: key.clone() }, StoreRequest::Get(key));
         }
     }
 
-    pub(crate) fn on_read_back_record(&mut self, token: u64, key: &str, r: StoreReply) {
+    pub(crate) fn on_read_back_record(&mut self, token: u64, key: &str, reply: StoreReply) {
         let now = self.now;
         let retry = self.timing.renewal_interval_s / 4.0;
         let unseen_until = self.unreported_work_expiry();
-        let Some(l) = self.leader_state(token) else { return };
-        match r {
+        let Some(leader) = self.leader_state(token) else { return };
+        match reply {
             StoreReply::Item(Item { value, version, .. }) => {
-                l.write_queue.rereads_in_flight -= 1;
-                let done = l.write_queue.rereads_in_flight == 0;
+                leader.write_queue.rereads_in_flight -= 1;
+                let done = leader.write_queue.rereads_in_flight == 0;
                 match value {
                     Value::Job(record) => {
-                        if let Some(job) = l.jobs.get_mut(&record.spec.id) {
+                        if let Some(job) = leader.jobs.get_mut(&record.spec.id) {
                             job.reconcile(&record, version);
                         }
-                        l.plan_needed = true;
+                        leader.plan_needed = true;
                         let id = record.spec.id.clone();
                         self.record_outcome(&id, record.status);
                         self.settle_terminal(&id);
                     }
                     Value::Page(record) => {
                         if let Some((id, n, layout)) = page_of_key(key) {
-                            let job = l.jobs.get_mut(id).filter(|j| j.page_layout.number == layout);
+                            let job = leader.jobs.get_mut(id).filter(|j| j.page_layout.number == layout);
                             if let Some(job) = job {
                                 job.reconcile_page(n, &record);
                                 job.page_layout.record_stored(&BTreeSet::from([n]), version);
@@ -446,7 +447,7 @@
                         }
                     }
                     // (It was once read back and written in turn, for ever, and nothing else.)
-                    Value::Undecodable => drop(l.quarantine_undecodable(key, unseen_until)),
+                    Value::Undecodable => drop(leader.quarantine_undecodable(key, unseen_until)),
                     _ => {}
                 }
                 if done {
@@ -458,14 +459,15 @@
                 // job that was over, and has moved. By whom is not known, nor as
                 // what: a leader that was cut off once took its own move, which
                 // had failed, for done, and called a cancelled job done.
-                l.write_queue.rereads_in_flight -= 1;
-                let done = l.write_queue.rereads_in_flight == 0;
+                leader.write_queue.rereads_in_flight -= 1;
+                let done = leader.write_queue.rereads_in_flight == 0;
                 if let Some(id) = key.strip_prefix(JOB_PREFIX) {
-                    l.archive.archived.record(id, revision);
-                    if l.jobs.remove(id).is_some() {
+                    leader.archive.archived.record(id, revision);
+                    if leader.jobs.remove(id).is_some() {
                         self.on_archived_unseen(id);
                     }
-                } else if let Some(job) = key.strip_prefix(MARK_PREFIX).and_then(|id| l.jobs.get_mut(id)) {
+                } else if let Some(job) = key.strip_prefix(MARK_PREFIX).and_then(|id| leader.jobs.get_mut(id))
+                {
                     job.mark_version = None;
                 }
                 if done {
@@ -475,8 +477,8 @@
             _ => {
                 // Nothing may be written before this is known: ask again, but
                 // not at once, or an outage becomes a storm of reads.
-                l.write_queue.retry_at = now + retry;
-                l.write_queue.reread_queue.push(key.to_string());
+                leader.write_queue.retry_at = now + retry;
+                leader.write_queue.reread_queue.push(key.to_string());
             }
         }
     }
