--- a/crates/analysis/src/chains.rs
+++ b/crates/analysis/src/chains.rs
@@ -1,5 +1,6 @@
 //! Pipelines in the controllers' lines: in time by their last job, and where the time went.
 
+use crate::job_event::JobEvent;
 use crate::served::{share, value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -49,19 +50,20 @@
 impl PipelineStats {
     /// Takes in one line of a controller's log.
     pub fn line(&mut self, line: &str) {
-        let kinds = ["job accepted", "job awaits others", "job started", "job over"];
-        let Some(kind) = kinds.iter().position(|k| line.contains(k)) else { return };
+        let Some(event) = JobEvent::of_line(line) else { return };
         let Some(id) = value(line, "job") else { return };
         let number = |key: &str| value(line, key).and_then(|v| v.parse().ok()).unwrap_or(0.0);
         let job = self.jobs.entry(id.to_string()).or_default();
         if let Some(class) = value(line, "class") {
             job.class = class.to_string();
         }
-        match kind {
-            0 => {}
-            1 => job.awaits = value(line, "awaits").unwrap_or("").split(',').map(String::from).collect(),
-            2 => job.waited_s = number("waited_s"),
-            _ => {
+        match event {
+            JobEvent::Submitted => {}
+            JobEvent::HasDependencies => {
+                job.awaits = value(line, "awaits").unwrap_or("").split(',').map(String::from).collect()
+            }
+            JobEvent::Started => job.waited_s = number("waited_s"),
+            JobEvent::Finished => {
                 job.withdrawn = value(line, "status") == Some("withdrawn");
                 job.done |= !job.withdrawn;
                 job.in_time |= !job.withdrawn && value(line, "late") == Some("false");
--- a/crates/analysis/src/lib.rs
+++ b/crates/analysis/src/lib.rs
@@ -4,6 +4,7 @@
 
 mod chains;
 mod day;
+mod job_event;
 mod journal;
 mod outcome;
 mod play;
--- a/crates/analysis/src/served.rs
+++ b/crates/analysis/src/served.rs
@@ -1,5 +1,6 @@
 //! The controllers' lines on jobs, counted.
 
+use crate::job_event::JobEvent;
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -89,8 +90,10 @@
 impl Served {
     /// Takes in one line of a controller's log.
     pub fn line(&mut self, line: &str) {
-        let kinds = ["job accepted", "job started", "job over"];
-        let Some(kind) = kinds.iter().position(|k| line.contains(k)) else { return };
+        let Some(event) = JobEvent::of_line(line) else { return };
+        if event == JobEvent::HasDependencies {
+            return;
+        }
         let Some(id) = value(line, "job") else { return };
         let job = self.jobs.entry(id.to_string()).or_default();
         for (field, key) in [(&mut job.class, "class"), (&mut job.team, "team")] {
@@ -99,15 +102,16 @@
             }
         }
         let number = |key: &str| value(line, key).and_then(|v| v.parse::<f64>().ok());
-        match kind {
-            0 => job.tasks = number("tasks").unwrap_or(0.0) as u32,
-            1 => {
+        match event {
+            JobEvent::HasDependencies => {}
+            JobEvent::Submitted => job.tasks = number("tasks").unwrap_or(0.0) as u32,
+            JobEvent::Started => {
                 job.started = true;
                 // A later leader counts from another start: the first word holds.
                 job.waited_s = job.waited_s.or(number("waited_s"));
             }
-            _ if value(line, "status") == Some("withdrawn") => job.cancelled = true,
-            _ => {
+            JobEvent::Finished if value(line, "status") == Some("withdrawn") => job.cancelled = true,
+            JobEvent::Finished => {
                 (job.started, job.done) = (true, true);
                 job.in_time |= value(line, "late") == Some("false");
             }
--- a/crates/analysis/tests/served.rs
+++ b/crates/analysis/tests/served.rs
@@ -8,7 +8,7 @@
 fn jobs_are_counted_once_by_class_and_team() {
     let mut s = Served::default();
     for line in [
-        r#"  1.2 n-0  INFO job accepted job="req-1" class="tiles" team="maps" tasks=4"#,
+        r#"  1.2 n-0  INFO job submitted job="req-1" class="tiles" team="maps" tasks=4"#,
         r#"  1.3 n-1  INFO job accepted job=req-2 class=tiles team=maps tasks=4"#,
         r#"  1.4 n-1  INFO job accepted job=req-3 class=train team=labs tasks=1"#,
         r#"  1.5 n-1  INFO job accepted job=req-4 class=train team=maps tasks=1"#,
@@ -16,7 +16,7 @@
         r#"  2.0 n-0  INFO machine up machine=vm-1 job accepted-looking"#,
         r#"  9.0 n-0  INFO job over job=req-1 class=tiles team=maps status=done took_s=7.8 late=false"#,
         r#"  9.4 n-1  INFO job over job=req-1 class=tiles team=maps status=done took_s=8.2 late=true"#,
-        r#"  9.5 n-1  INFO job over job=req-4 class=train team=maps status=withdrawn took_s=8.2 late=false"#,
+        r#"  9.5 n-1  INFO job finished job=req-4 class=train team=maps status=withdrawn took_s=8.2 late=false"#,
     ] {
         s.line(line);
     }
@@ -55,7 +55,7 @@
         let [free, waited, ran, took] = times;
         let mut lines = vec![format!("1 n-0 INFO job accepted job={id} class={class} team=maps tasks=1")];
         if !awaits.is_empty() {
-            lines.push(format!("1 n-0 INFO job awaits others job={id} awaits={awaits}"));
+            lines.push(format!("1 n-0 INFO job has dependencies job={id} awaits={awaits}"));
         }
         lines.push(format!("2 n-0 INFO job started job={id} waited_s={waited}"));
         lines.push(format!(
@@ -90,7 +90,7 @@
         let (tasks, waited_s) = if n < 2 { (100 + n, 200.0 + 50.0 * n as f64) } else { (n, 5.0) };
         s.line(&format!("1 n-0 INFO job accepted job=req-{n} class=tiles team=maps tasks={tasks}"));
         s.line(&format!("2 n-0 INFO job started job=req-{n} waited_s={waited_s}"));
-        s.line(&format!("3 n-0 INFO job over job=req-{n} class=tiles team=maps status=done late=false"));
+        s.line(&format!("3 n-0 INFO job finished job=req-{n} class=tiles team=maps status=done late=false"));
     }
     let rows = s.rows();
     let row = |g: Group| rows.iter().find(|r| r.group == g).unwrap();
--- a/crates/controller/src/archive.rs
+++ b/crates/controller/src/archive.rs
@@ -247,7 +247,7 @@
         let Some(leader) = self.leader_state(token) else { return };
         leader.archive.format_in_flight = false;
         if let StoreReply::Committed(revision) = reply {
-            info!(format, "all nodes read this format of records, used from now on");
+            info!(format, "record format activated: all nodes can read it");
             leader.archive.format = Some((format, revision));
         } else {
             leader.archive.format = None;
@@ -339,9 +339,9 @@
             leader.archive.stale_keys.extend(deleting);
         }
         match reply {
-            StoreReply::Committed(_) => debug!(jobs = moving.len(), "moved what is over"),
+            StoreReply::Committed(_) => debug!(jobs = moving.len(), "terminal jobs archived"),
             StoreReply::Conflict(c) if c.failed.iter().any(|k| k == LEADER_KEY) => {
-                self.step_down("leader key is another's");
+                self.step_down("leader key is held by another node");
             }
             // Moved by an attempt whose reply was lost. What else may have become
             // of it the next takeover sees.
@@ -409,7 +409,7 @@
                 leader.archive.images.insert(n, (part, revision));
             }
             StoreReply::Conflict(c) if c.failed.iter().any(|k| k == LEADER_KEY) => {
-                self.step_down("leader key is another's");
+                self.step_down("leader key is held by another node");
             }
             // An earlier one may have been carried out without an answer. (The version known
             // here then failed for ever, and no other part had its turn.)
--- a/crates/controller/src/client_requests.rs
+++ b/crates/controller/src/client_requests.rs
@@ -159,7 +159,7 @@
         let id = spec.id.clone();
         // Nobody asks for this before every node has this version.
         if self.formats.confirm() {
-            info!("a job that awaits others was submitted: every node has this version");
+            info!("job with dependencies submitted: every node runs this version");
         }
         if spec.dependencies.contains(&id) {
             return self.query_status(request_id, &id, 422, "a job cannot await itself");
@@ -215,7 +215,7 @@
         };
         let status = if v.cancelled { JobStatus::Cancelled } else { JobStatus::Pending };
         if refusal.is_none() {
-            info!(job = %id, awaits = %v.logged_names, "job awaits others");
+            info!(job = %id, awaits = %v.logged_names, "job has dependencies");
         }
         for req in v.waiting {
             match refusal {
@@ -326,7 +326,7 @@
             StoreReply::Committed(revision) => {
                 let s = &c.record.spec;
                 let awaits = s.dependencies.len();
-                info!(job = %id, class = %s.class, team = %s.team, tasks = s.tasks, awaits, "job accepted");
+                info!(job = %id, class = %s.class, team = %s.team, tasks = s.tasks, awaits, "job submitted");
                 self.record_job_read(id, &c.record, revision, c.cache_era);
                 let status = c.record.status;
                 self.client_requests.created.push((id.to_string(), c.record, revision));
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -52,7 +52,7 @@
     }
 
     fn become_leader(&mut self, claim: ElectionAttempt, token: u64) {
-        info!(token, "leading");
+        info!(token, "elected leader");
         (self.campaigning, self.election_attempt) = (false, None);
         self.known_leader = Some((self.settings.node.clone(), token));
         let authority = LeaseAuthority::new(&self.timing, claim.requested_at);
--- a/crates/controller/src/fleet.rs
+++ b/crates/controller/src/fleet.rs
@@ -234,14 +234,14 @@
                     && !t.zones.is_empty()
             });
         if !valid {
-            warn!("catalogue of machine types makes no sense, ignored");
+            warn!("machine type catalogue is invalid, ignored");
             return;
         }
         leader.plan_needed = true;
         let first = self.machine_types.is_none();
         self.machine_types = Some(t.types.clone());
         if first {
-            info!(types = t.types.len(), "machine types known");
+            info!(types = t.types.len(), "machine types loaded");
             self.store_machine_types(token, t.types);
         }
     }
@@ -294,7 +294,7 @@
                 Machine::new(&item.id, &item.machine_type, &item.zone, item.spot, now - item.age_s)
             });
             if !known && !first {
-                info!(machine = %item.id, "unexpected machine in the list, adopted");
+                info!(machine = %item.id, "unknown machine in the cloud's list, registered");
             }
             (m.listed, m.unconfirmed_since) = (true, None);
             // A machine that was heard first is older than that. (After a takeover
@@ -337,7 +337,7 @@
         }
         leader.plan_needed = true;
         for id in gone {
-            info!(machine = %id, "machine is gone");
+            info!(machine = %id, "machine removed from the cloud's list");
             if let Role::Leader(leader) = &mut self.role {
                 leader.fleet.add_tombstone(&id);
             }
@@ -408,11 +408,11 @@
                         && now - since > lease_s
                         && !reach.is_unreachable(&m.zone) =>
                 {
-                    info!(machine = %m.id, "boot is stuck, giving it back");
+                    info!(machine = %m.id, "scaling in machine: boot timed out");
                     m.phase = MachinePhase::Terminating;
                 }
                 MachinePhase::Up if m.reachability.is_lost() => {
-                    info!(machine = %m.id, "hears nothing for too long, giving it back");
+                    info!(machine = %m.id, "scaling in machine: receives no responses");
                     m.phase = MachinePhase::Terminating;
                 }
                 MachinePhase::Up if m.quarantined && !used.contains(m.id.as_str()) => {
@@ -453,7 +453,7 @@
             let keep = if prompt { &leader.fleet.generous_capacity } else { &leader.fleet.desired_capacity };
             if *have > keep.get(&pool).copied().unwrap_or(0) {
                 *have -= 1;
-                info!(machine = %id, kind = %pool.0, spot = pool.1, "idle beyond the target, giving it back");
+                info!(machine = %id, kind = %pool.0, spot = pool.1, "scaling in idle machine");
                 m.phase = MachinePhase::Terminating;
             }
         }
@@ -618,7 +618,7 @@
         match reply {
             CloudReply::Machines(got) => {
                 info!(kind = %rent.machine_type, zone = %rent.zone, spot = rent.spot,
-                      asked = rent.count, got = got.machines.len(), "rented");
+                      asked = rent.count, got = got.machines.len(), "scale-out completed");
                 for id in &got.machines {
                     leader.machines.entry(id.clone()).or_insert_with(|| {
                         Machine::new(id, &rent.machine_type, &rent.zone, rent.spot, rental.requested_at)
@@ -641,11 +641,11 @@
             CloudReply::NoCapacity => {
                 let often = leader.fleet.exhausted_pools.get(&key).map_or(0, |b| b.1) + 1;
                 let pause = 5.0 * f64::from(often.min(4));
-                info!(kind = %rent.machine_type, zone = %rent.zone, spot = rent.spot, "no capacity");
+                info!(kind = %rent.machine_type, zone = %rent.zone, spot = rent.spot, "scale-out refused: no capacity");
                 leader.fleet.exhausted_pools.insert(key, (now + pause, often));
                 leader.plan_needed = true;
             }
-            CloudReply::Malformed => warn!("rental refused as malformed"),
+            CloudReply::Malformed => warn!("scale-out refused: malformed request"),
             // Refused or unknown: the same request again, under its name,
             // until its outcome is known.
             _ => {
--- a/crates/controller/src/heartbeat_proxying.rs
+++ b/crates/controller/src/heartbeat_proxying.rs
@@ -91,9 +91,9 @@
             self.was_proxying = serves;
             let (leader, token) = self.proxy.leader().cloned().unwrap_or_default();
             if serves {
-                info!(leader, token, "answering reports on the leader's leave");
+                info!(leader, token, "delegated lease granted, responding to heartbeats");
             } else {
-                warn!(leader, token, "no leave from the leader, workers are held or sent on");
+                warn!(leader, token, "delegated lease lost, heartbeats are held or redirected");
             }
         }
     }
@@ -422,7 +422,7 @@
         let there = leader.machines.values().filter(|m| m.phase != MachinePhase::Terminating).count() as u32;
         if ceiling != leader.logged_capacity && there + 50 >= ceiling {
             leader.logged_capacity = ceiling;
-            info!(ceiling, machines = there, "the nodes can take no more machines than that");
+            info!(ceiling, machines = there, "worker capacity of the controllers reached");
         }
         ceiling.saturating_sub(there)
     }
--- a/crates/controller/src/heartbeats.rs
+++ b/crates/controller/src/heartbeats.rs
@@ -142,7 +142,7 @@
             return false;
         }
         let m = leader.machines.entry(id.clone()).or_insert_with(|| {
-            info!(machine = %heartbeat.machine, "machine heard that nobody listed yet");
+            info!(machine = %heartbeat.machine, "heartbeat from a machine not in the list yet");
             let mut m = Machine::new(
                 &heartbeat.machine,
                 &heartbeat.machine_type,
@@ -223,7 +223,7 @@
         let unheard =
             beat && m.reachability.record(before, heartbeat.epoch, m.last_heartbeat_at, came, &pace);
         if unheard {
-            warn!(machine = %heartbeat.machine, "its reports come, but it hears no answer: no work for it");
+            warn!(machine = %heartbeat.machine, "machine does not receive responses, cordoned");
             leader.plan_needed = true;
         }
         // Its tasks ended with the session before, and what was launched in answers to that
@@ -238,7 +238,7 @@
             m.record_contact(came);
         }
         if m.spot_reclaim_at.is_some() && !noticed {
-            info!(machine = %heartbeat.machine, notice_s = heartbeat.notice_s, "spot notice");
+            info!(machine = %heartbeat.machine, notice_s = heartbeat.notice_s, "spot reclaim notice");
             leader.plan_needed = true;
             leaving = heartbeat.notice_s;
         }
@@ -299,7 +299,7 @@
             let proof = settled && launched || anew && !p.inherited && (p.launch_sent || unheard);
             if proof && !Self::heartbeat_lists(heartbeat, &id, task, p) {
                 if p.observed_state.is_some() {
-                    info!(job = %id, task, machine = %heartbeat.machine, "task is gone");
+                    info!(job = %id, task, machine = %heartbeat.machine, "task lost");
                 }
                 lose(job, task, now);
                 touched.push(id);
@@ -486,7 +486,7 @@
         // then, with growing pauses up to two leases, until one succeeds.
         if now >= job.not_before {
             if job.probes == 0 {
-                warn!(job = %id, machines = job.failed_on.len(), "suspected, it fails on different machines");
+                warn!(job = %id, machines = job.failed_on.len(), "job suspected: it fails on several machines");
             }
             job.probes += 1;
             job.not_before = now + (report_s * f64::from(1u32 << job.probes.min(16))).min(longest);
@@ -770,7 +770,7 @@
             let Some(m) = leader.machines.get_mut(id) else { continue };
             let lease_over = surely_over(&leader.forwarding, m.last_possible_response_at);
             if lease_over || (!many && m.last_heard_at.is_some()) {
-                warn!(machine = %id, lease_over, "silent, giving it up");
+                warn!(machine = %id, lease_over, "machine declared dead");
                 m.phase = MachinePhase::Terminating;
                 m.given_up = true;
                 leader.plan_needed = true;
@@ -811,7 +811,7 @@
         let heard = machines.map(|m| (m.zone.as_str(), m.is_heard(now, &d)));
         if leader.fleet.zones.update(now, heard) {
             let dark: Vec<&str> = leader.fleet.zones.unreachable().collect();
-            warn!(?dark, "zones out of reach");
+            warn!(?dark, "unreachable zones changed");
             leader.plan_needed = true;
         }
     }
--- a/crates/controller/src/hedged_requests.rs
+++ b/crates/controller/src/hedged_requests.rs
@@ -107,7 +107,7 @@
         let n = self.hedged_requests.next_id;
         self.hedged_requests.next_id += 1;
         let hedge = HedgedRequest {
-            context: context,
+            context,
             transaction: txn,
             copies_sent: 0,
             copies_open: 0,
--- a/crates/controller/src/job_dependencies.rs
+++ b/crates/controller/src/job_dependencies.rs
@@ -115,7 +115,7 @@
         for id in effects.ready {
             let Role::Leader(leader) = &mut self.role else { return };
             let Some(job) = leader.jobs.get_mut(&id).filter(|j| !j.is_final()) else { continue };
-            info!(job = %id, waited_s = now - job.submitted_at, "job waits for no other any more");
+            info!(job = %id, waited_s = now - job.submitted_at, "job dependencies finished");
             job.on_dependencies_done(now, wall);
             let spec = job.spec.clone();
             // At once, not with the next tick.
--- a/crates/controller/src/leader.rs
+++ b/crates/controller/src/leader.rs
@@ -83,12 +83,12 @@
         match (entitled, self.since) {
             (true, None) => {
                 if self.was_entitled {
-                    info!(token, "lease confirmed again, acting");
+                    info!(token, "leadership lease confirmed again, scheduling resumed");
                 }
                 (self.since, self.was_entitled) = (Some(now), true);
             }
             (false, Some(_)) => {
-                warn!(token, "lease not confirmed, no plans and no calls to the cloud until it is");
+                warn!(token, "leadership lease not confirmed, scheduling suspended");
                 self.since = None;
             }
             _ => {}
@@ -489,14 +489,14 @@
     pub(crate) fn observe_token(&mut self, token: u64, by: &str) {
         self.last_reported_token = self.last_reported_token.max(token);
         if matches!(&self.role, Role::Leader(leader) if leader.fencing_token < token) {
-            info!(newer = token, by, "another leader was heard of");
-            self.step_down("another leader was heard of");
+            info!(newer = token, by, "newer leader observed");
+            self.step_down("newer leader observed");
         }
     }
 
     pub(crate) fn step_down(&mut self, why: &str) {
         if let Role::Leader(mut leader) = std::mem::replace(&mut self.role, Role::Follower) {
-            warn!(token = leader.fencing_token, why, "no longer leading");
+            warn!(token = leader.fencing_token, why, "leadership lost");
             self.worker_count = 0;
             for request in leader.forwarding.take_waiting_requests() {
                 self.outputs.push(Output::ForwardReply(request, ForwardReply::default()));
@@ -786,7 +786,7 @@
                 leader.archive.discard_keys(abandoned);
                 leader.watch.revision = Some(leader.recovery_revision.unwrap_or(page.revision));
                 let placed: usize = leader.jobs.values().map(|j| j.placements.len()).sum();
-                info!(token, jobs = leader.jobs.len(), placed, "records read");
+                info!(token, jobs = leader.jobs.len(), placed, "recovery finished");
             }
         }
         for (id, over) in marked {
@@ -979,7 +979,7 @@
         let (took_s, late) = (self.now - job.submitted_at, self.now > self.due_by(job));
         let free_s = job.ready_at - job.submitted_at;
         let ran_s = job.first_start.map_or(0.0, |at| self.now - at);
-        info!(job = %id, class = %s.class, team = %s.team, status, took_s, free_s, ran_s, late, "job over");
+        info!(job = %id, class = %s.class, team = %s.team, status, took_s, free_s, ran_s, late, "job finished");
     }
 
     /// Drops what a final job still plans; forgets it once nothing is left.
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -638,7 +638,7 @@
     pub(crate) fn register_call(&mut self, context: CallContext) -> CallId {
         let id = self.next_call;
         self.next_call += 1;
-        self.calls.insert(id, PendingCall { sent_at: self.now, context: context });
+        self.calls.insert(id, PendingCall { sent_at: self.now, context });
         id
     }
 
--- a/crates/controller/src/machine.rs
+++ b/crates/controller/src/machine.rs
@@ -231,7 +231,7 @@
     /// It fails its tasks: no more work for it, and back to the cloud.
     pub fn quarantine(&mut self) {
         if !self.quarantined {
-            warn!(machine = %self.id, "quarantined, it fails its tasks");
+            warn!(machine = %self.id, "machine quarantined: its tasks fail");
         }
         self.quarantined = true;
     }
--- a/crates/controller/src/scheduling.rs
+++ b/crates/controller/src/scheduling.rs
@@ -579,7 +579,7 @@
                 .waiting_beside_capacity
                 .update(now, &made.waiting_beside_capacity.iter().map(|&i| ids[i].as_str()).collect());
             if leader.starving_groups != starving {
-                info!(?starving, "classes and teams under their floors");
+                info!(?starving, "starving classes and teams changed");
                 leader.starving_groups = starving;
             }
             leader.plan_after = now + effort.clamp(tick / 50.0, tick);
@@ -603,7 +603,7 @@
         leader.plan_needed = false;
         leader.planned_at = now;
         if !made.starts.is_empty() {
-            debug!(starts = made.starts.len(), reserved = made.reservations.len(), "planned");
+            debug!(starts = made.starts.len(), reserved = made.reservations.len(), "plan applied");
         }
         let mut gangs: BTreeMap<usize, u64> = BTreeMap::new();
         let mut filled: HashMap<(usize, usize), usize> = HashMap::new();
@@ -650,7 +650,7 @@
             leader.pending_kills.add_job(id);
         }
         for (job, tasks) in told {
-            info!(%job, tasks, "stopped for more urgent work");
+            info!(%job, tasks, "tasks preempted");
         }
     }
 
@@ -829,7 +829,7 @@
         leader.fleet.wanted_in_zone = zoned;
         leader.fleet.assembling_gang_machines = gathering;
         if wanted != leader.fleet.wanted && !wanted.is_empty() {
-            info!(?wanted, waiting = made.unmet.len(), "fleet wanted");
+            info!(?wanted, waiting = made.unmet.len(), "scale-out requested");
         }
         leader.fleet.reserve = types
             .iter()
--- a/crates/controller/src/store_limits.rs
+++ b/crates/controller/src/store_limits.rs
@@ -89,7 +89,7 @@
         if self.store_limits.on_rate_limited() {
             info!(
                 changes_per_s = self.store_limits.write_rps(),
-                "the state service takes fewer changes, slower from now on"
+                "state service rate limit reached, write rate lowered"
             );
         }
     }
@@ -98,7 +98,7 @@
     /// so every node has this version.
     pub(crate) fn on_size_refused(&mut self) {
         if self.store_limits.on_size_refused() {
-            info!(bytes = self.store_limits.value_bytes(), "the coming limits of the state service hold");
+            info!(bytes = self.store_limits.value_bytes(), "next state service limits are in force");
         }
         self.formats.confirm();
     }
--- a/crates/controller/src/undecodable.rs
+++ b/crates/controller/src/undecodable.rs
@@ -32,7 +32,7 @@
     /// The value of `key` cannot be read. Returns the job that it is of, if it is one's.
     pub fn record(&mut self, key: &str) -> Option<String> {
         let id = id_of(key).or_else(|| page_of_key(key).map(|p| p.0));
-        warn!(key, "cannot be read by this version, left alone");
+        warn!(key, "stored value cannot be decoded, left unchanged");
         let id = id?.to_string();
         self.jobs.entry(id.clone()).or_insert(None);
         Some(id)
--- a/crates/controller/src/write_queue.rs
+++ b/crates/controller/src/write_queue.rs
@@ -194,7 +194,7 @@
             }
             if !job.is_over() && !job.page_layout.is_changing() && job.needs_repagination() {
                 if newest {
-                    debug!(job = %id, per_page = job.page_layout.per_page, "divided anew");
+                    debug!(job = %id, per_page = job.page_layout.per_page, "job repaginated");
                     job.repaginate();
                 } else {
                     job.page_layout.grow(present);
@@ -295,9 +295,9 @@
             }
             StoreReply::Conflict(f) => {
                 if f.failed.iter().any(|k| k == LEADER_KEY) {
-                    return self.step_down("leader key is another's");
+                    return self.step_down("leader key is held by another node");
                 }
-                debug!(?f.failed, "records changed meanwhile");
+                debug!(?f.failed, "write conflict: records changed");
                 self.read_back_keys(token, f.failed);
             }
             StoreReply::Refused | StoreReply::Gone => leader.write_queue.retry_at = now + retry,
@@ -309,7 +309,7 @@
             _ => {
                 // It may have been applied, or may be later. The stored
                 // versions tell; a late application fails on them.
-                warn!(serial, "outcome of a write unknown, reading back");
+                warn!(serial, "write outcome unknown, reading back");
                 let keys = c
                     .entries
                     .iter()
@@ -397,7 +397,7 @@
         leader.write_queue.isolate_jobs = true;
         leader.write_queue.write_now = true;
         if let ([part], false) = (&parts[..], large) {
-            warn!(job = %part.job_id, present, "the state service takes this job's record for invalid, set aside");
+            warn!(job = %part.job_id, present, "state service refused the record of a job as invalid, its writes are suspended");
             if let Some(job) = leader.jobs.get_mut(&part.job_id) {
                 job.write_suspended_until = now + aside_s;
             }
--- a/crates/transport/src/peers.rs
+++ b/crates/transport/src/peers.rs
@@ -108,7 +108,7 @@
             Ok((s, _)) if open.get() < MOST_PEERS => s,
             Ok(_) => continue,
             Err(e) => {
-                warn!(error = %e, "cannot accept a peer");
+                warn!(error = %e, "cannot accept peer connection");
                 Timer::after(Duration::from_millis(200)).await;
                 continue;
             }
@@ -122,7 +122,7 @@
                 .serve_connection(FuturesIo::new(stream), service)
                 .await;
             if let Err(e) = served {
-                debug!(error = %e, "peer's connection ended");
+                debug!(error = %e, "peer connection closed");
             }
             open.set(open.get() - 1);
         });
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -24,7 +24,7 @@
         let stream = match listener.accept().await {
             Ok((s, _)) => s,
             Err(e) => {
-                warn!(error = %e, "cannot accept");
+                warn!(error = %e, "cannot accept connection");
                 Timer::after(Duration::from_millis(100)).await;
                 continue;
             }
@@ -37,7 +37,7 @@
         let (driver, open) = (driver.clone(), open.clone());
         driver.clone().spawn(async move {
             if let Err(e) = connection(driver, stream).await {
-                debug!(error = %e, "connection ended");
+                debug!(error = %e, "connection closed");
             }
             open.set(open.get() - 1);
         });
--- a/crates/transport/src/services.rs
+++ b/crates/transport/src/services.rs
@@ -26,7 +26,7 @@
     match protocol::decode(body) {
         Ok(v) => Some(v),
         Err(e) => {
-            warn!(what, error = %e, "malformed answer");
+            warn!(what, error = %e, "malformed response");
             None
         }
     }
@@ -145,7 +145,7 @@
         (CloudRequest::Delete(_), 200) => Some(CloudReply::Done),
         (CloudRequest::Rent(_), 503) => {
             let full = protocol::decode::<protocol::job::ErrorResponse>(&body)
-                .is_ok_and(|r| r.error == "no capacity");
+                .is_ok_and(|r| r.error == "scale-out refused: no capacity");
             Some(if full { CloudReply::NoCapacity } else { CloudReply::Refused })
         }
         (_, 400) => Some(CloudReply::Malformed),
