--- a/crates/controller/src/archive.rs
+++ b/crates/controller/src/archive.rs
@@ -271,7 +271,7 @@
         self.log_job_finished(id);
         let Role::Leader(leader) = &mut self.role else { return };
         leader.archive.archived.record(id, revision);
-        if let Some(job) = leader.jobs.remove(id) {
+        if let Some(job) = leader.cluster.jobs.remove(id) {
             self.terminal_states.insert(id, job.status, job.done_count);
         }
     }
@@ -376,7 +376,7 @@
         if shared.available_at(now) < rate / 2.0 {
             return;
         }
-        let held = leader.images_held(IMAGES_EACH);
+        let held = leader.cluster.images_held(IMAGES_EACH);
         let parts = parts(&held, room);
         let stored = &leader.archive.images;
         let differs = |(n, p): &(usize, ImagesRecord)| stored.get(n).map(|s| &s.0) != Some(p);
--- a/crates/controller/src/effective_priority.rs
+++ b/crates/controller/src/effective_priority.rs
@@ -58,14 +58,14 @@
 impl LeaderState {
     /// Job `id` is done: what was asked of it is what will be asked of its class.
     pub(crate) fn learn_inherited_priority(&mut self, id: &str) {
-        let Some(job) = self.jobs.get(id) else { return };
-        let known = self.classes.get(&job.spec.class);
+        let Some(job) = self.cluster.jobs.get(id) else { return };
+        let known = self.planning.classes.get(&job.spec.class);
         // Most classes have nothing to do with pipelines.
         if job.inherited_priority.is_none() && known.is_none_or(|c| c.inherited_demand.dependent_share == 0.0)
         {
             return;
         }
-        let stats = self.classes.entry(job.spec.class.clone()).or_default();
+        let stats = self.planning.classes.entry(job.spec.class.clone()).or_default();
         stats.inherited_demand.record(job.ready_at, job.inherited_priority.as_ref());
     }
 }
@@ -129,9 +129,9 @@
     /// What those that need them ask of the jobs before.
     pub(crate) fn inherited_priorities(&self) -> HashMap<String, InheritedPriority> {
         let Role::Leader(leader) = &self.role else { return HashMap::new() };
-        let ratio = |class: &str| leader.classes.get(class).map_or(1.0, ClassStats::run_time_ratio);
+        let ratio = |class: &str| leader.planning.classes.get(class).map_or(1.0, ClassStats::run_time_ratio);
         let own = |id: &str| {
-            let job = leader.jobs.get(id)?;
+            let job = leader.cluster.jobs.get(id)?;
             let s = &job.spec;
             // An aim at its start or end counts from when it is free, which is its own
             // affair: what is passed back is the pipeline's deadline.
@@ -167,7 +167,8 @@
         }
         let open_ended = s.deadline_s.is_none() && passed.is_none_or(|p| p.deadline > NEVER / 2.0);
         if let (Role::Leader(leader), true) = (&self.role, open_ended) {
-            let usual = leader.classes.get(&s.class).and_then(|c| c.inherited_demand.expect(job.ready_at));
+            let usual =
+                leader.planning.classes.get(&s.class).and_then(|c| c.inherited_demand.expect(job.ready_at));
             if let Some((band, deadline)) = usual {
                 u.priority = u.priority.max(band);
                 u.deadline = u.deadline.min(deadline);
--- a/crates/controller/src/fleet.rs
+++ b/crates/controller/src/fleet.rs
@@ -16,6 +16,12 @@
 
 #[derive(Default)]
 pub struct Fleet {
+    /// Number of scale-out requests so far: part of the next one's name.
+    pub scale_out_count: u64,
+    /// When the machine types were read from the cloud.
+    pub machine_types_read_at: Option<Time>,
+    /// The worker capacity when it was last logged.
+    pub logged_capacity: u32,
     cloud_calls: Option<RateLimiter>,
     leader_writes: Option<RateLimiter>,
     pub list_in_flight: bool,
@@ -155,13 +161,13 @@
         let lag = self.settings.params.cloud.list_lag_s;
         let Role::Leader(leader) = &self.role else { return };
         let token = leader.fencing_token;
-        let types_due =
-            !leader.fleet.types_in_flight && leader.machine_types_read_at.is_none_or(|t| now - t > 60.0);
+        let types_due = !leader.fleet.types_in_flight
+            && leader.fleet.machine_types_read_at.is_none_or(|t| now - t > 60.0);
         if types_due && self.try_acquire_cloud_call() {
             self.call_cloud(CallContext::CloudTypes { token }, CloudRequest::Types);
             if let Role::Leader(leader) = &mut self.role {
                 leader.fleet.types_in_flight = true;
-                leader.machine_types_read_at = Some(now);
+                leader.fleet.machine_types_read_at = Some(now);
             }
         }
         let Role::Leader(leader) = &mut self.role else { return };
@@ -213,7 +219,7 @@
         let Some(leader) = self.leader_state(token) else { return };
         leader.fleet.types_in_flight = false;
         let CloudReply::Types(t) = reply else {
-            leader.machine_types_read_at = Some(now - 58.0);
+            leader.fleet.machine_types_read_at = Some(now - 58.0);
             return;
         };
         let sane = |x: f64| x.is_finite() && x >= 0.0;
@@ -237,7 +243,7 @@
             warn!("machine type catalogue is invalid, ignored");
             return;
         }
-        leader.plan_needed = true;
+        leader.planning.needed = true;
         let first = self.machine_types.is_none();
         self.machine_types = Some(t.types.clone());
         if first {
@@ -289,8 +295,8 @@
             if leader.fleet.has_tombstone(&item.id) {
                 continue;
             }
-            let known = leader.machines.contains_key(&item.id);
-            let m = leader.machines.entry(item.id.clone()).or_insert_with(|| {
+            let known = leader.cluster.machines.contains_key(&item.id);
+            let m = leader.cluster.machines.entry(item.id.clone()).or_insert_with(|| {
                 Machine::new(&item.id, &item.machine_type, &item.zone, item.spot, now - item.age_s)
             });
             if !known && !first {
@@ -324,18 +330,19 @@
         let settle = 2.0 * lag + 2.0;
         let sent = leader.fleet.list_sent;
         let gone: Vec<String> = leader
+            .cluster
             .machines
             .values()
             .filter(|m| !names.contains(m.id.as_str()) && m.listed && sent - m.known_since > settle)
             .map(|m| m.id.clone())
             .collect();
         for id in &failed {
-            if let Some(m) = leader.machines.get_mut(id) {
+            if let Some(m) = leader.cluster.machines.get_mut(id) {
                 m.phase = MachinePhase::Terminating;
                 m.quarantined = true;
             }
         }
-        leader.plan_needed = true;
+        leader.planning.needed = true;
         for id in gone {
             info!(machine = %id, "machine removed from the cloud's list");
             if let Role::Leader(leader) = &mut self.role {
@@ -353,7 +360,7 @@
             && p.teams.iter().any(|t| t.cores > 0.0 || t.accelerators > 0.0);
         if guaranteed {
             if let Role::Leader(leader) = &self.role {
-                return leader.classes.keys().cloned().collect();
+                return leader.planning.classes.keys().cloned().collect();
             }
         }
         p.slos.iter().filter(|o| o.kind == "wait").filter_map(|o| o.class.clone()).collect()
@@ -372,29 +379,30 @@
         let (asleep, bound, d) =
             (self.checks.retain_silent_machines, self.checks.zonal_scale_out, self.timing);
         let Role::Leader(leader) = &mut self.role else { return };
-        let (since, reach) = (leader.elected_at, &leader.fleet.zones);
+        let (since, reach) = (leader.leadership.elected_at, &leader.fleet.zones);
         // Nobody could give it work before. (After an outage whatever stood idle was once given
         // back in the moment before the users came again.)
-        let acts_since = if asleep { leader.tenure.entitled_since() } else { 0.0 };
+        let acts_since = if asleep { leader.leadership.tenure.entitled_since() } else { 0.0 };
         if !entitled {
             return;
         }
-        let places = leader.jobs.values().flat_map(|j| j.placements.values());
+        let places = leader.cluster.jobs.values().flat_map(|j| j.placements.values());
         let used: HashSet<&str> = places.map(|p| p.machine.as_str()).collect();
         let mut count: BTreeMap<MachinePool, u32> = BTreeMap::new();
-        for m in leader.machines.values().filter(|m| m.accepts_work()) {
+        for m in leader.cluster.machines.values().filter(|m| m.accepts_work()) {
             *count.entry((m.machine_type.clone(), m.spot)).or_insert(0) += 1;
         }
         let mut idle: Vec<(Time, String, bool)> = Vec::new();
         // Where work has to start within seconds, a machine is worth keeping
         // until another could have booted in its place.
         let waited_for: BTreeSet<MachinePool> = leader
+            .planning
             .classes
             .iter()
             .filter(|(name, _)| prompt.contains(name.as_str()))
             .filter_map(|(_, c)| c.typical_demand.as_ref().map(|u| u.pool.clone()))
             .collect();
-        for m in leader.machines.values_mut() {
+        for m in leader.cluster.machines.values_mut() {
             let boot = types.iter().find(|t| t.name == m.machine_type).map_or(60.0, |t| t.boot_s);
             // Nor could it get work while it was not heard. (Of a zone that came back one machine was given
             // back in that moment, by a target of the time without it.)
@@ -436,7 +444,7 @@
         // Counted anew at each look, or it would hold for one only.
         let mut gathering = leader.fleet.assembling_gang_machines.clone();
         for (_, id, prompt) in idle {
-            let Some(m) = leader.machines.get_mut(&id) else { continue };
+            let Some(m) = leader.cluster.machines.get_mut(&id) else { continue };
             let waits = gathering.get_mut(&(m.machine_type.clone(), m.zone.clone()));
             // Not beyond the time in which the others would have come. (What could never be whole
             // once kept the last machines to be had from others for ever.)
@@ -467,6 +475,7 @@
             return;
         }
         let names: Vec<String> = leader
+            .cluster
             .machines
             .values()
             .filter(|m| m.phase == MachinePhase::Terminating)
@@ -528,8 +537,8 @@
             // ordinary machines once kept hundreds of spot machines waiting for half
             // a minute, and the largest call first kept gangs waiting for theirs.
             let mut choice: Option<(String, bool, String, u32)> = None;
-            let unsure = if now - leader.elected_at < timing.worker_failover_s {
-                unheard_zones(&leader.machines, now, &timing)
+            let unsure = if now - leader.leadership.elected_at < timing.worker_failover_s {
+                unheard_zones(&leader.cluster.machines, now, &timing)
             } else {
                 vec![]
             };
@@ -554,6 +563,7 @@
                     .filter(|z| rents_in(name, z, *spot))
                     .map(|z| {
                         let there = leader
+                            .cluster
                             .machines
                             .values()
                             .filter(|m| m.zone == **z && m.machine_type == *name && m.spot == *spot)
@@ -589,8 +599,8 @@
             }
             let Some((machine_type, spot, zone, count)) = choice else { return };
             leader.fleet.last_scale_out_pool = Some((machine_type.clone(), spot));
-            leader.scale_out_count += 1;
-            let request = format!("r-{token}-{}", leader.scale_out_count);
+            leader.fleet.scale_out_count += 1;
+            let request = format!("r-{token}-{}", leader.fleet.scale_out_count);
             leader.fleet.pending_scale_out = Some(PendingScaleOut {
                 request: RentRequest { request, machine_type, zone, spot, count },
                 requested_at: now,
@@ -620,7 +630,7 @@
                 info!(kind = %rent.machine_type, zone = %rent.zone, spot = rent.spot,
                       asked = rent.count, got = got.machines.len(), "scale-out completed");
                 for id in &got.machines {
-                    leader.machines.entry(id.clone()).or_insert_with(|| {
+                    leader.cluster.machines.entry(id.clone()).or_insert_with(|| {
                         Machine::new(id, &rent.machine_type, &rent.zone, rent.spot, rental.requested_at)
                     });
                 }
@@ -636,14 +646,14 @@
                 } else {
                     leader.fleet.exhausted_pools.remove(&key);
                 }
-                leader.plan_needed = true;
+                leader.planning.needed = true;
             }
             CloudReply::NoCapacity => {
                 let often = leader.fleet.exhausted_pools.get(&key).map_or(0, |b| b.1) + 1;
                 let pause = 5.0 * f64::from(often.min(4));
                 info!(kind = %rent.machine_type, zone = %rent.zone, spot = rent.spot, "scale-out refused: no capacity");
                 leader.fleet.exhausted_pools.insert(key, (now + pause, often));
-                leader.plan_needed = true;
+                leader.planning.needed = true;
             }
             CloudReply::Malformed => warn!("scale-out refused: malformed request"),
             // Refused or unknown: the same request again, under its name,
--- a/crates/controller/src/heartbeat_proxying.rs
+++ b/crates/controller/src/heartbeat_proxying.rs
@@ -128,7 +128,7 @@
             return self.outputs.push(Output::ForwardReply(request_id, ForwardReply::default()));
         };
         // What was meant for an earlier leadership may be minutes old.
-        let ready = leader.recovered && request.token == leader.fencing_token;
+        let ready = leader.recovery.finished && request.token == leader.fencing_token;
         if !known || !leader.forwarding.on_request(now, request_id, &request, ready) {
             return self.outputs.push(Output::ForwardReply(request_id, ForwardReply::default()));
         }
@@ -147,7 +147,7 @@
         let Role::Leader(leader) = &mut self.role else { return };
         let (token, held, place) = (leader.fencing_token, entry.held, (entry.session, entry.seq));
         let machine = entry.machine.clone();
-        let mut known = leader.machines.get_mut(&machine);
+        let mut known = leader.cluster.machines.get_mut(&machine);
         if let Some(m) = &mut known {
             // Its node may have answered it, whatever is known of what it says.
             m.record_heartbeat(place, came, true);
@@ -178,7 +178,7 @@
             return;
         }
         if let (Some(base), Role::Leader(leader)) = (base, &mut self.role) {
-            if let Some(m) = leader.machines.get_mut(&machine) {
+            if let Some(m) = leader.cluster.machines.get_mut(&machine) {
                 m.content_position = base;
             }
         }
@@ -217,10 +217,10 @@
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else { return };
         let mut stops = None;
-        let on = leader.tasks_on(machine);
+        let on = leader.cluster.tasks_on(machine);
         let places = on.len();
         for (id, task) in on {
-            let Some(job) = leader.jobs.get(&id) else { continue };
+            let Some(job) = leader.cluster.jobs.get(&id) else { continue };
             let Some(p) = job.placements.get(&task) else { continue };
             if p.stopping.is_some() {
                 stops = Some(true);
@@ -228,9 +228,9 @@
                 stops = Some(false);
             }
         }
-        if let Some(m) = leader.machines.get(machine) {
+        if let Some(m) = leader.cluster.machines.get(machine) {
             let placed = |id: &str, n: u32, attempt: u64| {
-                let place = leader.jobs.get(id).and_then(|j| j.placements.get(&n));
+                let place = leader.cluster.jobs.get(id).and_then(|j| j.placements.get(&n));
                 place.is_some_and(|p| p.machine == machine && p.attempt == attempt)
             };
             let live = m.tasks.iter().filter(|t| t.state != TaskState::Exited);
@@ -243,7 +243,7 @@
         }
         leader.forwarding.set_leader_only(machine, stops);
         let settled = |m: &Machine| m.content_token == leader.fencing_token && places == m.tasks.len();
-        if let Some(m) = leader.machines.get_mut(machine) {
+        if let Some(m) = leader.cluster.machines.get_mut(machine) {
             m.reconciled_at = (stops.is_none() && settled(m)).then_some(now);
         }
     }
@@ -254,8 +254,11 @@
         let (leave_s, hold) = (self.timing.delegated_lease_s, self.timing.forward_interval_s);
         let Role::Leader(leader) = &mut self.role else { return };
         // Their answers end with this leader's own, at the latest.
-        let own =
-            if self.checks.response_grace { leader.authority.may_respond_until() - now } else { leave_s };
+        let own = if self.checks.response_grace {
+            leader.leadership.authority.may_respond_until() - now
+        } else {
+            leave_s
+        };
         let token = leader.fencing_token;
         for due in leader.forwarding.take_due_replies(now, token, leave_s.min(own), hold) {
             self.outputs.push(Output::ForwardReply(due.request, due.reply));
@@ -295,7 +298,7 @@
             relevance_s: longest,
         };
         let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
-        for m in leader.machines.values().filter(|m| m.phase == MachinePhase::Up) {
+        for m in leader.cluster.machines.values().filter(|m| m.phase == MachinePhase::Up) {
             *zones.entry(&m.zone).or_default() += 1;
         }
         let patience = |(zone, up): (&str, usize)| {
@@ -345,6 +348,7 @@
         self.worker_count = match &self.role {
             Role::Leader(leader) => {
                 let here = leader
+                    .cluster
                     .machines
                     .values()
                     .filter(|m| m.reports_here && m.last_heartbeat_at.is_some_and(|t| t > since));
@@ -398,7 +402,7 @@
         if leader.forwarding.is_leader_only(&heartbeat.machine) {
             return None;
         }
-        if let Some(m) = leader.machines.get_mut(&heartbeat.machine) {
+        if let Some(m) = leader.cluster.machines.get_mut(&heartbeat.machine) {
             m.reports_here = false;
         }
         self.worker_count = self.worker_count.saturating_sub(1);
@@ -419,9 +423,10 @@
     pub(crate) fn machine_capacity_left(&mut self) -> u32 {
         let ceiling = self.worker_capacity();
         let Role::Leader(leader) = &mut self.role else { return 0 };
-        let there = leader.machines.values().filter(|m| m.phase != MachinePhase::Terminating).count() as u32;
-        if ceiling != leader.logged_capacity && there + 50 >= ceiling {
-            leader.logged_capacity = ceiling;
+        let there =
+            leader.cluster.machines.values().filter(|m| m.phase != MachinePhase::Terminating).count() as u32;
+        if ceiling != leader.fleet.logged_capacity && there + 50 >= ceiling {
+            leader.fleet.logged_capacity = ceiling;
             info!(ceiling, machines = there, "worker capacity of the controllers reached");
         }
         ceiling.saturating_sub(there)
--- a/crates/controller/src/heartbeats.rs
+++ b/crates/controller/src/heartbeats.rs
@@ -68,9 +68,9 @@
             self.observe_token(heartbeat.fencing_token, &heartbeat.machine);
             return self.respond_error(request_id, 503, "a newer leader exists");
         }
-        if !leader.recovered && self.checks.response_grace {
+        if !leader.recovery.finished && self.checks.response_grace {
             let older =
-                leader.early_heartbeats.insert(request_id, heartbeat, now + self.timing.recovery_hold_s);
+                leader.heartbeats.early.insert(request_id, heartbeat, now + self.timing.recovery_hold_s);
             if let Some(older) = older {
                 self.respond_error(older, 503, "a newer report came");
             }
@@ -78,10 +78,10 @@
         }
         // Past the grace a cancellation may have been told that this node
         // cannot see: the workers' leases have to run out in time for it.
-        if !leader.authority.may_respond(now) && self.checks.response_grace {
+        if !leader.leadership.authority.may_respond(now) && self.checks.response_grace {
             return self.respond_error(request_id, 503, "state service not reached");
         }
-        let known = leader.machines.get(&heartbeat.machine).is_some_and(|m| m.reports_here);
+        let known = leader.cluster.machines.get(&heartbeat.machine).is_some_and(|m| m.reports_here);
         match self.admit_worker(known) {
             WorkerAdmission::Accept => {}
             WorkerAdmission::Redirect(node) => return self.redirect(request_id, Some(node)),
@@ -90,7 +90,7 @@
             }
         }
         let Some(leader) = self.leader_state(token) else { return };
-        if !leader.recovered {
+        if !leader.recovery.finished {
             let answer = HeartbeatResponse { fencing_token: token, commands: Vec::new() };
             return self.respond(request_id, 200, protocol::encode(&answer));
         }
@@ -110,7 +110,7 @@
     /// The records are read: what came before is answered.
     pub(crate) fn process_early_heartbeats(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
-        for (request, report) in leader.early_heartbeats.take_all() {
+        for (request, report) in leader.heartbeats.early.take_all() {
             self.on_leader_heartbeat(request, &report);
         }
     }
@@ -118,7 +118,7 @@
     /// Reports whose workers wait no longer for the records to be read.
     pub(crate) fn expire_early_heartbeats(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
-        for request in leader.early_heartbeats.take_expired(self.now) {
+        for request in leader.heartbeats.early.take_expired(self.now) {
             self.respond_error(request, 503, "records are being read");
         }
     }
@@ -136,12 +136,12 @@
         let id = &heartbeat.machine;
         // Gateways that come back pass on all that they knew: what was given
         // back meanwhile once took work again until it fell silent.
-        let gone =
-            leader.fleet.has_tombstone(id) || !leader.machines.contains_key(id) && now - came > silent_s;
+        let gone = leader.fleet.has_tombstone(id)
+            || !leader.cluster.machines.contains_key(id) && now - came > silent_s;
         if gone {
             return false;
         }
-        let m = leader.machines.entry(id.clone()).or_insert_with(|| {
+        let m = leader.cluster.machines.entry(id.clone()).or_insert_with(|| {
             info!(machine = %heartbeat.machine, "heartbeat from a machine not in the list yet");
             let mut m = Machine::new(
                 &heartbeat.machine,
@@ -159,8 +159,8 @@
         if m.last_heard_at.is_none() {
             info!(machine = %id, kind = %heartbeat.machine_type, zone = %heartbeat.zone, spot = heartbeat.spot,
                   took_s = now - m.known_since, "machine up");
-            leader.plan_needed = true;
-            for (image, at, gb) in leader.cached_images.remove(id).unwrap_or_default() {
+            leader.planning.needed = true;
+            for (image, at, gb) in leader.cluster.cached_images.remove(id).unwrap_or_default() {
                 m.record_image(image, at, gb);
             }
         }
@@ -172,7 +172,7 @@
         }
         self.record_observation(via.as_ref(), &heartbeat.zone, came);
         if let Role::Leader(leader) = &mut self.role {
-            if let Some(m) = leader.machines.get_mut(id) {
+            if let Some(m) = leader.cluster.machines.get_mut(id) {
                 m.record_unsolicited_heartbeat(came);
                 m.reports_here = via.is_none();
                 m.proxy = via;
@@ -188,10 +188,10 @@
         let Role::Leader(leader) = &mut self.role else { return };
         let id = heartbeat.machine.clone();
         let idle = heartbeat.tasks.iter().all(|t| t.state == TaskState::Exited)
-            && leader.machines.get(&id).is_some_and(Machine::accepts_work);
+            && leader.cluster.machines.get(&id).is_some_and(Machine::accepts_work);
         let until = now + if idle { idle_hold } else { hold };
-        leader.heartbeats_to_check.insert(id.clone());
-        let older = leader.pending_heartbeats.insert(id, PendingHeartbeat { reply_route: way, until, idle });
+        leader.heartbeats.to_check.insert(id.clone());
+        let older = leader.heartbeats.pending.insert(id, PendingHeartbeat { reply_route: way, until, idle });
         // Its worker has given that one up.
         if let Some(PendingHeartbeat { reply_route: ReplyRoute::Direct(request), .. }) = older {
             self.respond_error(request, 503, "a newer report came");
@@ -206,7 +206,7 @@
         let (now, d) = (self.now, self.timing);
         let Role::Leader(leader) = &mut self.role else { return false };
         let token = leader.fencing_token;
-        let Some(m) = leader.machines.get_mut(&heartbeat.machine) else { return false };
+        let Some(m) = leader.cluster.machines.get_mut(&heartbeat.machine) else { return false };
         let noticed = m.spot_reclaim_at.is_some();
         let mut leaving = None;
         if self.checks.heartbeat_order && (heartbeat.epoch, heartbeat.sequence) <= m.newest_position {
@@ -214,7 +214,11 @@
         }
         let before = m.newest_position.0;
         // One gap of reports, and a try of another node in between.
-        let voice = if self.checks.retain_silent_machines { leader.responsiveness.since(now) } else { 0.0 };
+        let voice = if self.checks.retain_silent_machines {
+            leader.leadership.responsiveness.since(now)
+        } else {
+            0.0
+        };
         let pace = HeartbeatTiming {
             max_gap_s: d.max_heartbeat_gap_s + d.worker_failover_s,
             lease_expiry_s: d.lease_expiry_s,
@@ -224,7 +228,7 @@
             beat && m.reachability.record(before, heartbeat.epoch, m.last_heartbeat_at, came, &pace);
         if unheard {
             warn!(machine = %heartbeat.machine, "machine does not receive responses, cordoned");
-            leader.plan_needed = true;
+            leader.planning.needed = true;
         }
         // Its tasks ended with the session before, and what was launched in answers to that
         // one's reports is never carried out.
@@ -239,7 +243,7 @@
         }
         if m.spot_reclaim_at.is_some() && !noticed {
             info!(machine = %heartbeat.machine, notice_s = heartbeat.notice_s, "spot reclaim notice");
-            leader.plan_needed = true;
+            leader.planning.needed = true;
             leaving = heartbeat.notice_s;
         }
         // Only a worker that has seen this leader's token is past every
@@ -249,7 +253,7 @@
         let mut exits: Vec<(String, u32, TaskStatus)> = Vec::new();
         for t in &heartbeat.tasks {
             let Some((job_id, number)) = split_task(&t.task) else { continue };
-            let Some(job) = leader.jobs.get_mut(job_id) else { continue };
+            let Some(job) = leader.cluster.jobs.get_mut(job_id) else { continue };
             let mine = job
                 .placements
                 .get_mut(&number)
@@ -287,13 +291,13 @@
                     && job.done_tasks.get(number as usize) == Some(&false) =>
                 {
                     job.finish_task(number);
-                    leader.plan_needed = true;
+                    leader.planning.needed = true;
                 }
                 None => {}
             }
         }
-        for (id, task) in leader.tasks_on(&heartbeat.machine) {
-            let Some(job) = leader.jobs.get_mut(&id) else { continue };
+        for (id, task) in leader.cluster.tasks_on(&heartbeat.machine) {
+            let Some(job) = leader.cluster.jobs.get_mut(&id) else { continue };
             let Some(p) = job.placements.get(&task) else { continue };
             let launched = p.observed_state.is_some() || p.inherited || p.stopping.is_some() && p.launch_sent;
             let proof = settled && launched || anew && !p.inherited && (p.launch_sent || unheard);
@@ -306,7 +310,7 @@
             }
         }
         if !touched.is_empty() || !exits.is_empty() {
-            leader.plan_needed = true;
+            leader.planning.needed = true;
         }
         for (id, task, t) in exits {
             self.on_task_exit(&heartbeat.machine, &id, task, &t);
@@ -320,7 +324,7 @@
             self.checkpoint_gangs_before_reclaim(&heartbeat.machine, notice_s);
         }
         if let Role::Leader(leader) = &mut self.role {
-            if let Some(m) = leader.machines.get_mut(&heartbeat.machine) {
+            if let Some(m) = leader.cluster.machines.get_mut(&heartbeat.machine) {
                 if !heartbeat.tasks.is_empty() {
                     m.idle_since = now;
                 }
@@ -335,8 +339,8 @@
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else { return };
         let mut stopped = Vec::new();
-        for (id, task) in leader.tasks_on(machine) {
-            let Some(job) = leader.jobs.get_mut(&id) else { continue };
+        for (id, task) in leader.cluster.tasks_on(machine) {
+            let Some(job) = leader.cluster.jobs.get_mut(&id) else { continue };
             let grace = job.spec.save_s * 1.25;
             let here = job.placements.get(&task).is_some_and(|p| p.running_since.is_some());
             let can =
@@ -365,13 +369,13 @@
             return;
         }
         let Role::Leader(leader) = &mut self.role else { return };
-        let Some(job) = leader.jobs.get_mut(id) else { return };
+        let Some(job) = leader.cluster.jobs.get_mut(id) else { return };
         let Some(place) = job.placements.get(&task).cloned() else { return };
         let gang = job.spec.shape == Shape::Gang;
         match status.exit_cause {
             Some(ExitCause::Done) => {
                 if let Some(since) = place.running_since {
-                    let stats = leader.classes.entry(job.spec.class.clone()).or_default();
+                    let stats = leader.planning.classes.entry(job.spec.class.clone()).or_default();
                     if job.progress_s == 0.0 && job.spec.estimated_run_s > 0.0 {
                         stats.record_run((now - since).max(0.1) / job.spec.estimated_run_s);
                     }
@@ -384,13 +388,15 @@
                 for n in all {
                     job.finish_task(n);
                 }
-                if let Some(m) = leader.machines.get_mut(machine) {
+                if let Some(m) = leader.cluster.machines.get_mut(machine) {
                     m.failed_jobs.clear();
                     m.suspected_since = None;
                 }
                 // It is sound, so the machines it failed on were not.
                 for name in blamed {
-                    if let Some(m) = leader.machines.get_mut(&name).filter(|m| m.failed_jobs.contains(id)) {
+                    if let Some(m) =
+                        leader.cluster.machines.get_mut(&name).filter(|m| m.failed_jobs.contains(id))
+                    {
                         m.quarantine();
                     }
                 }
@@ -431,8 +437,8 @@
     fn gang_still_assembling(&mut self, id: &str, task: u32) -> bool {
         let (now, d) = (self.now, self.timing);
         let Role::Leader(leader) = &mut self.role else { return false };
-        let machines = &leader.machines;
-        let Some(job) = leader.jobs.get_mut(id) else { return false };
+        let machines = &leader.cluster.machines;
+        let Some(job) = leader.cluster.jobs.get_mut(id) else { return false };
         let whole = job.placements.len() == job.spec.tasks as usize && !job.gang_aborting && !job.is_final();
         let gathers = |p: &Placement| {
             let there = |m: &Machine| m.accepts_work() && m.is_heard(now, &d);
@@ -460,10 +466,10 @@
         let w = &self.settings.params.workers;
         let (report_s, longest) = (w.heartbeat_interval_s, w.lease_s * 2.0);
         let Role::Leader(leader) = &mut self.role else { return };
-        let Some(job) = leader.jobs.get_mut(id) else { return };
+        let Some(job) = leader.cluster.jobs.get_mut(id) else { return };
         let sound = job.done_count > 0;
         if !job.is_suspected() {
-            match leader.machines.get_mut(machine) {
+            match leader.cluster.machines.get_mut(machine) {
                 Some(m) if m.quarantined => {}
                 // Several tasks of one job on one machine are one failure.
                 Some(m) if sound => m.quarantine(),
@@ -492,7 +498,7 @@
             job.not_before = now + (report_s * f64::from(1u32 << job.probes.min(16))).min(longest);
         }
         for name in &job.failed_on {
-            if let Some(m) = leader.machines.get_mut(name) {
+            if let Some(m) = leader.cluster.machines.get_mut(name) {
                 m.failed_jobs.remove(id);
             }
         }
@@ -503,14 +509,15 @@
         let now = self.now;
         let scan_s = self.timing.planning_interval_s / 50.0;
         let Role::Leader(leader) = &mut self.role else { return };
-        let mut names = std::mem::take(&mut leader.heartbeats_to_check);
-        if now >= leader.check_all_heartbeats_at {
-            leader.check_all_heartbeats_at = now + scan_s;
+        let mut names = std::mem::take(&mut leader.heartbeats.to_check);
+        if now >= leader.heartbeats.check_all_at {
+            leader.heartbeats.check_all_at = now + scan_s;
             // Few wait for a plan or a commit at a time; the idle ones wait
             // for their time only, unless something was placed there.
             names.extend(
                 leader
-                    .pending_heartbeats
+                    .heartbeats
+                    .pending
                     .iter()
                     .filter(|(_, h)| !h.idle || now >= h.until)
                     .map(|(m, _)| m.clone()),
@@ -519,13 +526,13 @@
         for machine in names {
             self.update_leader_only(&machine);
             let Role::Leader(leader) = &mut self.role else { return };
-            let Some(h) = leader.pending_heartbeats.get(&machine) else { continue };
+            let Some(h) = leader.heartbeats.pending.get(&machine) else { continue };
             let (over, idle) = (now >= h.until, h.idle);
             if !over && self.should_keep_pending(&machine, idle) {
                 continue;
             }
             let Role::Leader(leader) = &mut self.role else { return };
-            let Some(h) = leader.pending_heartbeats.remove(&machine) else { continue };
+            let Some(h) = leader.heartbeats.pending.remove(&machine) else { continue };
             let answer = self.commands_for(&machine);
             self.respond_to_heartbeat(&machine, h, answer);
         }
@@ -537,18 +544,18 @@
         let write_ahead = self.checks.launch_after_commit;
         let Role::Leader(leader) = &mut self.role else { return false };
         let mut launch = false;
-        for (id, task) in leader.tasks_on(machine) {
-            let Some(job) = leader.jobs.get(&id) else { continue };
+        for (id, task) in leader.cluster.tasks_on(machine) {
+            let Some(job) = leader.cluster.jobs.get(&id) else { continue };
             let Some(p) = job.placements.get(&task) else { continue };
             if !p.committed && write_ahead {
                 return true;
             }
             launch |= p.observed_state.is_none() && !job.is_final() && entitled;
         }
-        let Some(m) = leader.machines.get(machine) else { return false };
+        let Some(m) = leader.cluster.machines.get(machine) else { return false };
         let mut forget = false;
         for t in m.tasks.iter().filter(|t| t.state == TaskState::Exited) {
-            let job = split_task(&t.task).and_then(|(id, n)| Some((leader.jobs.get(id)?, n)));
+            let job = split_task(&t.task).and_then(|(id, n)| Some((leader.cluster.jobs.get(id)?, n)));
             match job {
                 // Its end is about to be stored, and its place is then free
                 // for another attempt.
@@ -558,7 +565,7 @@
             }
         }
         // A place that has just come free may be given anew by the next plan.
-        let planning = leader.plan_needed && m.accepts_work();
+        let planning = leader.planning.needed && m.accepts_work();
         if idle {
             !(launch || forget)
         } else {
@@ -573,13 +580,13 @@
             return HeartbeatResponse { fencing_token: 0, commands: Vec::new() };
         };
         let mut commands = Vec::new();
-        let tasks = leader.machines.get(machine).map(|m| m.tasks.clone()).unwrap_or_default();
+        let tasks = leader.cluster.machines.get(machine).map(|m| m.tasks.clone()).unwrap_or_default();
         for t in &tasks {
             let Some((id, number)) = split_task(&t.task) else { continue };
             if leader.undecodable.contains_job(id) && self.terminal_states.get(id).is_none() {
                 continue;
             }
-            let job = leader.jobs.get(id);
+            let job = leader.cluster.jobs.get(id);
             let place = job
                 .and_then(|j| j.placements.get(&number))
                 .filter(|p| p.machine == machine && p.attempt == t.attempt);
@@ -607,8 +614,8 @@
             }
         }
         if entitled {
-            for (id, task) in leader.tasks_on(machine) {
-                let Some(job) = leader.jobs.get_mut(&id).filter(|j| !j.is_final()) else { continue };
+            for (id, task) in leader.cluster.tasks_on(machine) {
+                let Some(job) = leader.cluster.jobs.get_mut(&id).filter(|j| !j.is_final()) else { continue };
                 // Its end was told here, and the leader has yet to read it.
                 if self.terminal_states.get(&id).is_some() {
                     continue;
@@ -649,14 +656,14 @@
         let old_end = self.previous_lease_expiry();
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else { return };
-        if !leader.recovered {
+        if !leader.recovery.finished {
             return;
         }
-        for id in leader.jobs.keys().cloned().collect::<Vec<_>>() {
-            leader.index_job(&id);
+        for id in leader.cluster.jobs.keys().cloned().collect::<Vec<_>>() {
+            leader.cluster.index_job(&id);
         }
-        for p in leader.jobs.values().flat_map(|j| j.placements.values()) {
-            let m = leader.machines.entry(p.machine.clone()).or_insert_with(|| {
+        for p in leader.cluster.jobs.values().flat_map(|j| j.placements.values()) {
+            let m = leader.cluster.machines.entry(p.machine.clone()).or_insert_with(|| {
                 let mut m = Machine::new(&p.machine, "", "", false, now);
                 m.phase = MachinePhase::Up;
                 m
@@ -671,12 +678,13 @@
         let now = self.now;
         let heard_s = self.timing.heartbeat_validity_s;
         let Role::Leader(leader) = &self.role else { return };
-        let known = leader.machines.values().filter(|m| m.phase == MachinePhase::Up).count();
-        let settled = now - leader.elected_at > heard_s + self.timing.worker_timeout_s;
-        if known == 0 || !settled || !leader.authority.is_exclusive(now) {
+        let known = leader.cluster.machines.values().filter(|m| m.phase == MachinePhase::Up).count();
+        let settled = now - leader.leadership.elected_at > heard_s + self.timing.worker_timeout_s;
+        if known == 0 || !settled || !leader.leadership.authority.is_exclusive(now) {
             return;
         }
         let here = leader
+            .cluster
             .machines
             .values()
             .filter(|m| m.last_heartbeat_at.is_some_and(|t| now - t < heard_s))
@@ -696,7 +704,7 @@
         if !(better || here == 0 && !(asked && there == 0)) {
             return;
         }
-        let lease = leader.lease;
+        let lease = leader.leadership.lease;
         self.call_store(CallContext::Revoke, StoreRequest::Revoke(lease));
         self.step_down("workers do not reach this node");
         // The others get the first chance.
@@ -721,13 +729,13 @@
             relays.lease_surely_expired(answered, over, now)
         };
         let Role::Leader(leader) = &mut self.role else { return };
-        for m in leader.machines.values_mut() {
+        for m in leader.cluster.machines.values_mut() {
             if m.suspected_since.is_some_and(|at| now - at > silent_s) {
                 m.suspected_since = None;
                 if m.failed_jobs.len() > 1 {
                     m.quarantine();
                 }
-                leader.plan_needed = true;
+                leader.planning.needed = true;
             }
         }
         leader.forwarding.forget_expired(now, over);
@@ -747,9 +755,10 @@
         // see that the whole zone was silent.
         let patience = |m: &Machine| patience_s.get(&m.zone).copied().unwrap_or(silent_s);
         let silent = leader
+            .cluster
             .machines
             .values()
-            .filter(|m| m.silence_s(now).min(leader.tenure.entitled_for_s(now)) > patience(m));
+            .filter(|m| m.silence_s(now).min(leader.leadership.tenure.entitled_for_s(now)) > patience(m));
         let (dark, silent): (Vec<&Machine>, Vec<&Machine>) = silent.partition(|m| held(m));
         let ended = dark
             .iter()
@@ -762,18 +771,18 @@
         // that missed a report, not on those silent for long: these come one
         // by one, and a cut leader once gave up its whole fleet that way.
         let fresh = |m: &&Machine| m.last_heard_at.is_some_and(|h| now - h < silent_s / 2.0);
-        let fresh = leader.machines.values().filter(up).filter(fresh).count();
-        let up = leader.machines.values().filter(up).filter(|m| m.last_heard_at.is_some()).count();
+        let fresh = leader.cluster.machines.values().filter(up).filter(fresh).count();
+        let up = leader.cluster.machines.values().filter(up).filter(|m| m.last_heard_at.is_some()).count();
         let many = up > 2 && fresh * 3 < up * 2;
         let mut leave = Vec::new();
         for id in &silent {
-            let Some(m) = leader.machines.get_mut(id) else { continue };
+            let Some(m) = leader.cluster.machines.get_mut(id) else { continue };
             let lease_over = surely_over(&leader.forwarding, m.last_possible_response_at);
             if lease_over || (!many && m.last_heard_at.is_some()) {
                 warn!(machine = %id, lease_over, "machine declared dead");
                 m.phase = MachinePhase::Terminating;
                 m.given_up = true;
-                leader.plan_needed = true;
+                leader.planning.needed = true;
                 leave.push((id.clone(), lease_over));
             }
         }
@@ -784,6 +793,7 @@
         // A machine given up earlier whose lease has ended since.
         let Role::Leader(leader) = &mut self.role else { return };
         let ended: Vec<String> = leader
+            .cluster
             .machines
             .values()
             .filter(|m| {
@@ -804,15 +814,15 @@
         let Role::Leader(leader) = &mut self.role else { return };
         // At first a leader has not heard all nodes yet, and after an outage of the
         // state service the workers may have been sent on in vain.
-        if leader.tenure.entitled_for_s(now) < d.worker_failover_s {
+        if leader.leadership.tenure.entitled_for_s(now) < d.worker_failover_s {
             return;
         }
-        let machines = leader.machines.values().filter(|m| m.phase == MachinePhase::Up);
+        let machines = leader.cluster.machines.values().filter(|m| m.phase == MachinePhase::Up);
         let heard = machines.map(|m| (m.zone.as_str(), m.is_heard(now, &d)));
         if leader.fleet.zones.update(now, heard) {
             let dark: Vec<&str> = leader.fleet.zones.unreachable().collect();
             warn!(?dark, "unreachable zones changed");
-            leader.plan_needed = true;
+            leader.planning.needed = true;
         }
     }
 
@@ -821,18 +831,18 @@
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else { return };
         let mut touched = Vec::new();
-        for (id, task) in leader.tasks_on(machine) {
-            if let Some(job) = leader.jobs.get_mut(&id) {
+        for (id, task) in leader.cluster.tasks_on(machine) {
+            if let Some(job) = leader.cluster.jobs.get_mut(&id) {
                 lose(job, task, now);
                 touched.push(id);
             }
         }
         if remove {
-            leader.machines.remove(machine);
+            leader.cluster.machines.remove(machine);
             leader.forwarding.set_leader_only(machine, None);
         }
         if !touched.is_empty() {
-            leader.plan_needed = true;
+            leader.planning.needed = true;
         }
         for id in touched {
             self.settle_terminal(&id);
--- a/crates/controller/src/job_dependencies.rs
+++ b/crates/controller/src/job_dependencies.rs
@@ -32,10 +32,10 @@
 
 /// Tells the graph of live job `id`, with what is stored of those that it awaits.
 fn enter(leader: &mut LeaderState, finals: &TerminalStateCache, id: &str) -> GraphEffects {
-    let Some(job) = leader.jobs.get(id).filter(|j| j.ready_wall_s.is_none() && !j.is_final()) else {
+    let Some(job) = leader.cluster.jobs.get(id).filter(|j| j.ready_wall_s.is_none() && !j.is_final()) else {
         return GraphEffects::default();
     };
-    let (jobs, archive) = (&leader.jobs, &leader.archive);
+    let (jobs, archive) = (&leader.cluster.jobs, &leader.archive);
     // A job that is done in memory only counts as live: its end may not be stored yet.
     let cancelled = |a: &str| jobs.get(a).filter(|j| j.status == JobStatus::Cancelled).map(|j| j.status);
     let fate = |a: &str| {
@@ -63,6 +63,7 @@
     pub(crate) fn build_graph(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         let waiting: Vec<String> = leader
+            .cluster
             .jobs
             .iter()
             .filter(|(_, j)| !j.spec.dependencies.is_empty())
@@ -114,18 +115,19 @@
         let (now, wall) = (self.now, self.time_of_day);
         for id in effects.ready {
             let Role::Leader(leader) = &mut self.role else { return };
-            let Some(job) = leader.jobs.get_mut(&id).filter(|j| !j.is_final()) else { continue };
+            let Some(job) = leader.cluster.jobs.get_mut(&id).filter(|j| !j.is_final()) else { continue };
             info!(job = %id, waited_s = now - job.submitted_at, "job dependencies finished");
             job.on_dependencies_done(now, wall);
             let spec = job.spec.clone();
             // At once, not with the next tick.
-            (leader.plan_needed, leader.plan_after) = (true, leader.plan_after.min(now));
+            (leader.planning.needed, leader.planning.next_plan_at) =
+                (true, leader.planning.next_plan_at.min(now));
             self.record_arrival(&spec, now);
         }
         for id in effects.cancelled {
             self.terminal_states.insert(&id, JobStatus::Cancelled, 0);
             let Role::Leader(leader) = &mut self.role else { return };
-            if let Some(job) = leader.jobs.get_mut(&id) {
+            if let Some(job) = leader.cluster.jobs.get_mut(&id) {
                 job.cancel();
             }
             self.settle_terminal(&id);
--- a/crates/controller/src/leader.rs
+++ b/crates/controller/src/leader.rs
@@ -1,22 +1,31 @@
 //! Who leads: one key under a short lease. The revision of the write that
 //! created the key is the token of that leadership.
 
-use crate::archive::{over_record, TerminalJob};
+use crate::archive::{over_record, Archive, TerminalJob};
+use crate::cluster::ClusterState;
 use crate::election::ElectionAttempt;
 use crate::fleet::Fleet;
 use crate::heartbeat_proxying::ReplyRoute;
-use crate::heartbeats::PendingHeartbeat;
+use crate::heartbeat_queue::HeartbeatQueue;
 use crate::job::Job;
+use crate::job_dependencies::JobDependencies;
+use crate::leadership::Leadership;
 use crate::lease_authority::LeaseAuthority;
-use crate::machine::{Machine, MachinePhase};
+use crate::machine::MachinePhase;
+use crate::pending_kills::PendingKills;
+use crate::planning_state::PlanningState;
 use crate::records::*;
-use crate::{CallContext, CallId, Controller, Output, StoreReply, StoreRequest, Time};
+use crate::recovery::Recovery;
+use crate::undecodable::UndecodableRecords;
+use crate::write_queue::WriteQueue;
+use crate::{CallContext, Controller, Output, StoreReply, StoreRequest, Time};
 use protocol::job::{JobSpec, JobStatus};
 use protocol::peer::ForwardReply;
 use protocol::state::{Compare, Event, Item, Mutation, Transaction};
 use protocol::worker::TaskState;
 use rand::Rng;
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use sharding::HeartbeatForwarding;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tracing::{debug, info, warn};
 
 /// Older jobs tell nothing of a machine's images any more.
@@ -106,226 +115,87 @@
     }
 }
 
-/// What the leader knows. Rebuilt from records and reports at each takeover.
+/// What the leader knows and is doing: each part owns its own state. Rebuilt from the stored
+/// records and the workers' heartbeats at each failover.
 pub struct LeaderState {
+    /// The revision of the write that created the leader key.
     pub fencing_token: u64,
-    pub lease: u64,
-    pub elected_at: Time,
-    pub authority: LeaseAuthority,
-    pub tenure: LeadershipTenure,
-    pub responsiveness: crate::one_way_partition::LeaderResponsiveness,
-    pub renewal_in_flight: Option<CallId>,
-    pub renew_at: Time,
-    pub recovered: bool,
-    pub recovery_read_in_flight: bool,
-    pub recovery_prefix: &'static str,
-    pub recovery_cursor: Option<String>,
-    pub recovery_retry_at: Time,
-    pub recovery_revision: Option<u64>,
-    pub jobs: BTreeMap<String, Job>,
-    pub machines: BTreeMap<String, Machine>,
+    /// The lease of the leader key and what it entitles to.
+    pub leadership: Leadership,
+    /// Reading the stored records after an election.
+    pub recovery: Recovery,
+    /// Jobs, machines and placements.
+    pub cluster: ClusterState,
+    /// The watch on the stored jobs.
     pub watch: WatchCursor,
     /// Records seen by the watch while a write of the same job was in flight.
     pub deferred_records: VecDeque<(String, Value, u64)>,
-    pub write_queue: crate::write_queue::WriteQueue,
+    /// Changed jobs on their way to the store.
+    pub write_queue: WriteQueue,
     /// Jobs that wait for others.
-    pub dependencies: crate::job_dependencies::JobDependencies,
-    /// Reports that wait for their answer, by machine.
-    pub pending_heartbeats: BTreeMap<String, PendingHeartbeat>,
-    /// Reports that came before the records were read.
-    pub early_heartbeats: crate::early_heartbeats::HeartbeatsBeforeRecovery,
-    /// Machines whose held report may have become ready.
-    pub heartbeats_to_check: BTreeSet<String>,
-    pub check_all_heartbeats_at: Time,
-    /// Which tasks were placed on a machine. An entry may be outdated; looking
-    /// there is what removes it (`tasks_on`).
-    placements_by_machine: HashMap<String, BTreeSet<(String, u32)>>,
-    /// What is to be stopped and may not know it yet.
-    pub pending_kills: crate::pending_kills::PendingKills,
-    /// When the next line on tasks and machines is due.
-    log_summary_at: Time,
-    /// Last look after machines, fleet and cloud.
-    pub machines_checked_at: Time,
-    pub plan_needed: bool,
-    pub planned_at: Time,
-    /// No plan before then: the last one took its share of the processor.
-    pub plan_after: Time,
-    image_ids: HashMap<String, u32>,
-    /// Most machines that work which somebody waits for has had at a time.
-    pub peak_demanded_machines: usize,
-    /// Classes and teams under their floors at the last plan.
-    pub starving_groups: crate::starvation::StarvingGroups,
-    /// Whose machines gather.
-    pub gang_reservation: crate::starvation::GangReservation,
-    /// Jobs that wait beside free places.
-    pub waiting_beside_capacity: crate::work_conservation::WaitingBesideCapacity,
-    /// What is paid, as a multiple of what the work would cost where it is cheapest.
-    pub price_paid: f64,
+    pub dependencies: JobDependencies,
+    /// Heartbeats that wait for their responses.
+    pub heartbeats: HeartbeatQueue,
+    /// Tasks that are to be killed, until there is proof that they are gone.
+    pub pending_kills: PendingKills,
+    /// Results of the last plan and statistics of the job classes.
+    pub planning: PlanningState,
+    /// Machines at the cloud: the list, scale out and scale in.
     pub fleet: Fleet,
-    pub classes: BTreeMap<String, crate::scheduling::ClassStats>,
-    pub scale_out_count: u64,
-    /// Images that machines got by earlier leaders' work, by machine: image,
-    /// when the job was submitted, size.
-    pub cached_images: HashMap<String, Vec<(u32, Time, f64)>>,
-    pub machine_types_read_at: Option<Time>,
-    /// The nodes that answer reports on this leader's leave.
-    pub forwarding: sharding::HeartbeatForwarding,
-    pub archive: crate::archive::Archive,
-    /// Parts of specifications, while records are read.
-    pub spec_chunks: crate::spec_chunks::ChunkReader,
-    /// What cannot be read.
-    pub undecodable: crate::undecodable::UndecodableRecords,
-    /// Pages read whose jobs are not among those that run.
-    orphaned_pages: BTreeMap<String, Vec<String>>,
-    /// The ceiling on machines when it was last told.
-    pub logged_capacity: u32,
+    /// The nodes that respond to heartbeats on a lease delegated by this leader.
+    pub forwarding: HeartbeatForwarding,
+    /// Terminal jobs on their way out of the live records.
+    pub archive: Archive,
+    /// Stored values that this version cannot decode.
+    pub undecodable: UndecodableRecords,
+    /// Last failure detection and fleet check.
+    pub machines_checked_at: Time,
+    /// When the next summary line is due.
+    log_summary_at: Time,
 }
 
 impl LeaderState {
-    pub fn new(token: u64, lease: u64, now: Time, authority: LeaseAuthority) -> Self {
+    /// The state of a leader that was elected `now` with that token and lease.
+    pub fn new(fencing_token: u64, lease: u64, now: Time, authority: LeaseAuthority) -> Self {
         LeaderState {
-            fencing_token: token,
-            lease,
-            elected_at: now,
-            authority,
-            tenure: LeadershipTenure::default(),
-            responsiveness: crate::one_way_partition::LeaderResponsiveness::default(),
-            renewal_in_flight: None,
-            renew_at: now,
-            recovered: false,
-            recovery_read_in_flight: false,
-            recovery_prefix: IMAGES_PREFIX,
-            recovery_cursor: None,
-            recovery_retry_at: now,
-            recovery_revision: None,
-            jobs: BTreeMap::new(),
-            machines: BTreeMap::new(),
+            fencing_token,
+            leadership: Leadership::new(lease, now, authority),
+            recovery: Recovery::new(now),
+            cluster: ClusterState::default(),
             watch: WatchCursor::default(),
             deferred_records: VecDeque::new(),
-            write_queue: crate::write_queue::WriteQueue::new(now),
-            dependencies: crate::job_dependencies::JobDependencies::default(),
-            pending_heartbeats: BTreeMap::new(),
-            early_heartbeats: crate::early_heartbeats::HeartbeatsBeforeRecovery::default(),
-            heartbeats_to_check: BTreeSet::new(),
-            check_all_heartbeats_at: now,
-            placements_by_machine: HashMap::new(),
-            pending_kills: crate::pending_kills::PendingKills::default(),
-            log_summary_at: now,
-            machines_checked_at: now - 1.0,
-            plan_needed: true,
-            planned_at: now - 1.0,
-            plan_after: now,
-            image_ids: HashMap::new(),
-            peak_demanded_machines: 0,
-            starving_groups: crate::starvation::StarvingGroups::default(),
-            gang_reservation: crate::starvation::GangReservation::default(),
-            waiting_beside_capacity: crate::work_conservation::WaitingBesideCapacity::default(),
-            price_paid: 1.0,
+            write_queue: WriteQueue::new(now),
+            dependencies: JobDependencies::default(),
+            heartbeats: HeartbeatQueue::new(now),
+            pending_kills: PendingKills::default(),
+            planning: PlanningState::new(now),
             fleet: Fleet::default(),
-            classes: BTreeMap::new(),
-            scale_out_count: 0,
-            cached_images: HashMap::new(),
-            machine_types_read_at: None,
-            forwarding: sharding::HeartbeatForwarding::default(),
-            archive: crate::archive::Archive::default(),
-            spec_chunks: crate::spec_chunks::ChunkReader::default(),
-            undecodable: crate::undecodable::UndecodableRecords::default(),
-            orphaned_pages: BTreeMap::new(),
-            logged_capacity: 0,
-        }
-    }
-
-    /// The tasks that have a place on `machine`.
-    pub fn tasks_on(&mut self, machine: &str) -> Vec<(String, u32)> {
-        let Some(set) = self.placements_by_machine.get_mut(machine) else { return Vec::new() };
-        let jobs = &self.jobs;
-        set.retain(|(id, task)| {
-            jobs.get(id).and_then(|j| j.placements.get(task)).is_some_and(|p| p.machine == machine)
-        });
-        if set.is_empty() {
-            self.placements_by_machine.remove(machine);
-            return Vec::new();
-        }
-        set.iter().cloned().collect()
-    }
-
-    /// Takes in a job as its record shows it.
-    fn insert_job(&mut self, mut job: Job) {
-        job.image_id = self.image_id(&job.spec.image);
-        let id = job.spec.id.clone();
-        self.jobs.insert(id.clone(), job);
-        self.index_job(&id);
-    }
-
-    /// Notes where all tasks of a job are.
-    pub fn index_job(&mut self, id: &str) {
-        let Some(job) = self.jobs.get(id) else { return };
-        for (&task, p) in &job.placements {
-            self.placements_by_machine.entry(p.machine.clone()).or_default().insert((id.to_string(), task));
-        }
-    }
-
-    /// Gives `task` of job `id` its place on `machine`.
-    pub fn add_placement(&mut self, id: &str, task: u32, machine: &str, attempt: u64, now: Time) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        job.add_placement(task, machine, attempt, now);
-        if let Some(m) = self.machines.get_mut(machine) {
-            m.reconciled_at = None;
-        }
-        self.placements_by_machine.entry(machine.to_string()).or_default().insert((id.to_string(), task));
-    }
-
-    /// What the machines hold, by name, machines in order.
-    pub fn images_held(&self, most: usize) -> Vec<(String, Vec<(String, f64)>)> {
-        let mut names: Vec<&str> = vec![""; self.image_ids.len()];
-        for (name, &n) in &self.image_ids {
-            names[n as usize] = name;
+            forwarding: HeartbeatForwarding::default(),
+            archive: Archive::default(),
+            undecodable: UndecodableRecords::default(),
+            machines_checked_at: now - 1.0,
+            log_summary_at: now,
         }
-        let up = self.machines.values().filter(|m| m.phase == MachinePhase::Up);
-        up.map(|m| {
-            let images = m.latest_images(m.known_since, most);
-            (m.id.clone(), images.map(|(n, gb)| (names[n as usize].to_string(), gb)).collect())
-        })
-        .collect()
     }
 
     /// What an earlier leader knew of the machines' images.
     fn read_images(&mut self, key: &str, record: ImagesRecord, version: u64, now: Time) {
-        let numbers: Vec<(u32, f64)> = record.images.iter().map(|(n, gb)| (self.image_id(n), *gb)).collect();
-        for (machine, places) in &record.machines {
-            let held = self.cached_images.entry(machine.clone()).or_default();
-            for (age, place) in places.iter().enumerate() {
-                if let Some((image, gb)) = numbers.get(*place as usize) {
-                    held.push((*image, now - 1.0 - age as f64, *gb));
-                }
-            }
-        }
+        self.cluster.learn_cached_images(&record, now);
         if let Some(Ok(part)) = key.strip_prefix(IMAGES_PREFIX).map(str::parse) {
             self.archive.read_images(part, record, version);
         }
     }
 
-    /// Pages of jobs that are over go with them, or by themselves if their job's
-    /// record has moved. (Such a job was once held for done, whatever it was, and what
-    /// awaited it was let go.)
+    /// Pages of terminal jobs are deleted with them, or by themselves if their job's record was
+    /// archived already. (Such a job was once taken for done, and its dependents started.)
     fn assign_orphaned_pages(&mut self) {
-        for (id, keys) in std::mem::take(&mut self.orphaned_pages) {
+        for (id, keys) in std::mem::take(&mut self.recovery.orphaned_pages) {
             match self.archive.waiting.get_mut(&id) {
-                Some(f) => f.keys.extend(keys),
+                Some(terminal_job) => terminal_job.keys.extend(keys),
                 None => self.archive.discard_keys(keys),
             }
         }
     }
-
-    /// An image's number, by which the planner knows it.
-    pub fn image_id(&mut self, name: &str) -> u32 {
-        if let Some(&n) = self.image_ids.get(name) {
-            return n;
-        }
-        let n = self.image_ids.len() as u32;
-        self.image_ids.insert(name.to_string(), n);
-        n
-    }
 }
 
 impl Controller {
@@ -501,10 +371,10 @@
             for request in leader.forwarding.take_waiting_requests() {
                 self.outputs.push(Output::ForwardReply(request, ForwardReply::default()));
             }
-            for (request, _) in leader.early_heartbeats.take_all() {
+            for (request, _) in leader.heartbeats.early.take_all() {
                 self.respond_error(request, 503, "no longer leading");
             }
-            for h in leader.pending_heartbeats.into_values() {
+            for h in leader.heartbeats.pending.into_values() {
                 if let ReplyRoute::Direct(request) = h.reply_route {
                     self.respond_error(request, 503, "no longer leading");
                 }
@@ -522,25 +392,25 @@
     pub(crate) fn on_lease_renewed(&mut self, token: u64, sent: Time, reply: StoreReply) {
         let (now, renew_s) = (self.now, self.timing.renewal_interval_s);
         let Some(leader) = self.leader_state(token) else { return };
-        leader.renewal_in_flight = None;
+        leader.leadership.renewal_in_flight = None;
         match reply {
             StoreReply::Done => {
-                leader.authority.record_renewal(sent);
-                leader.renew_at = sent + renew_s;
-                if !leader.authority.may_act(now) {
+                leader.leadership.authority.record_renewal(sent);
+                leader.leadership.renew_at = sent + renew_s;
+                if !leader.leadership.authority.may_act(now) {
                     // It is served again: what it missed is read at once.
                     leader.watch.retry_at = leader.watch.retry_at.min(now);
                 }
             }
             StoreReply::Gone => self.step_down("lease ended"),
-            _ => leader.renew_at = now + renew_s / 4.0,
+            _ => leader.leadership.renew_at = now + renew_s / 4.0,
         }
     }
 
     /// Whether the lease may still be trusted for commands, and what is known for new enough.
     pub(crate) fn may_act(&self) -> bool {
         match &self.role {
-            Role::Leader(leader) => leader.authority.may_act(self.now),
+            Role::Leader(leader) => leader.leadership.authority.may_act(self.now),
             Role::Follower => false,
         }
     }
@@ -549,17 +419,17 @@
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else { return };
         let token = leader.fencing_token;
-        if leader.renewal_in_flight.is_none() && now >= leader.renew_at {
-            let lease = leader.lease;
+        if leader.leadership.renewal_in_flight.is_none() && now >= leader.leadership.renew_at {
+            let lease = leader.leadership.lease;
             let id = self.call_store(CallContext::Renew { token, sent: now }, StoreRequest::Renew(lease));
             if let Some(leader) = self.leader_state(token) {
-                leader.renewal_in_flight = Some(id);
+                leader.leadership.renewal_in_flight = Some(id);
             }
         }
         self.tick_recovery(token);
         self.expire_early_heartbeats();
         let Some(leader) = self.leader_state(token) else { return };
-        if leader.recovered {
+        if leader.recovery.finished {
             if !leader.watch.in_flight && now >= leader.watch.retry_at {
                 leader.watch.in_flight = true;
                 let after = leader.watch.revision.unwrap_or(0);
@@ -578,9 +448,9 @@
             let sweep_s = self.timing.planning_interval_s / 5.0;
             let entitled = self.may_act();
             if let Some(leader) = self.leader_state(token) {
-                leader.tenure.update(now, entitled, token);
-                let answers = leader.authority.may_respond(now);
-                leader.responsiveness.update(now, answers);
+                leader.leadership.tenure.update(now, entitled, token);
+                let answers = leader.leadership.authority.may_respond(now);
+                leader.leadership.responsiveness.update(now, answers);
             }
             let due = entitled
                 && matches!(&self.role, Role::Leader(leader) if now - leader.machines_checked_at >= sweep_s);
@@ -619,7 +489,7 @@
         let (mut unstored, mut unseen, mut fetching, mut gathering, mut running, mut stopping) =
             (0, 0, 0, 0, 0, 0);
         let (mut waiting, mut jobs) = (0, 0);
-        for job in leader.jobs.values().filter(|j| !j.is_final()) {
+        for job in leader.cluster.jobs.values().filter(|j| !j.is_final()) {
             let open = job.spec.tasks.saturating_sub(job.done_count + job.placements.len() as u32);
             waiting += open;
             jobs += u32::from(open > 0);
@@ -635,13 +505,18 @@
                 *count += 1;
             }
         }
-        let up = leader.machines.values().filter(|m| m.phase == MachinePhase::Up).count();
-        let booting = leader.machines.values().filter(|m| m.phase == MachinePhase::Booting).count();
-        let placed: BTreeSet<&str> =
-            leader.jobs.values().flat_map(|j| j.placements.values()).map(|p| p.machine.as_str()).collect();
+        let up = leader.cluster.machines.values().filter(|m| m.phase == MachinePhase::Up).count();
+        let booting = leader.cluster.machines.values().filter(|m| m.phase == MachinePhase::Booting).count();
+        let placed: BTreeSet<&str> = leader
+            .cluster
+            .jobs
+            .values()
+            .flat_map(|j| j.placements.values())
+            .map(|p| p.machine.as_str())
+            .collect();
         // Machines of each pool that are up, and how many of them are idle.
         let mut pools: BTreeMap<(&str, bool), (u32, u32)> = BTreeMap::new();
-        for m in leader.machines.values().filter(|m| m.phase == MachinePhase::Up) {
+        for m in leader.cluster.machines.values().filter(|m| m.phase == MachinePhase::Up) {
             let n = pools.entry((&m.machine_type, m.spot)).or_insert((0, 0));
             n.0 += 1;
             n.1 += u32::from(!placed.contains(m.id.as_str()));
@@ -667,13 +542,13 @@
     fn tick_recovery(&mut self, token: u64) {
         let now = self.now;
         let Some(leader) = self.leader_state(token) else { return };
-        if leader.recovered || leader.recovery_read_in_flight || now < leader.recovery_retry_at {
+        if leader.recovery.finished || leader.recovery.read_in_flight || now < leader.recovery.retry_at {
             return;
         }
-        leader.recovery_read_in_flight = true;
+        leader.recovery.read_in_flight = true;
         let op = StoreRequest::List {
-            prefix: leader.recovery_prefix.to_string(),
-            after: leader.recovery_cursor.clone(),
+            prefix: leader.recovery.prefix.to_string(),
+            after: leader.recovery.cursor.clone(),
         };
         self.call_store(CallContext::RecoveryPage { token, sent: now }, op);
     }
@@ -688,21 +563,21 @@
         let mut marked = Vec::new();
         let mut arrived = Vec::new();
         let Some(leader) = self.leader_state(token) else { return };
-        leader.recovery_read_in_flight = false;
+        leader.recovery.read_in_flight = false;
         let StoreReply::Page(page) = reply else {
-            leader.recovery_retry_at = now + renew_s / 4.0;
+            leader.recovery.retry_at = now + renew_s / 4.0;
             return;
         };
         // The watch starts from the first page's revision: whatever changed
         // after it is seen again.
-        if leader.recovery_revision.is_none() {
-            leader.recovery_revision = Some(page.revision);
-            leader.authority.record_read(sent);
+        if leader.recovery.revision.is_none() {
+            leader.recovery.revision = Some(page.revision);
+            leader.leadership.authority.record_read(sent);
         }
         for item in page.items {
-            leader.recovery_cursor = Some(item.key.clone());
+            leader.recovery.cursor = Some(item.key.clone());
             match item.value {
-                Value::SpecChunk(text) => leader.spec_chunks.add(&item.key, text),
+                Value::SpecChunk(text) => leader.recovery.spec_chunks.add(&item.key, text),
                 Value::Undecodable => {
                     let job = leader.quarantine_undecodable(&item.key, unseen_until);
                     if let Some(job) = job.filter(Job::is_final) {
@@ -713,19 +588,19 @@
                 Value::Job(mut record) => {
                     let id = record.spec.id.clone();
                     let ended = record.status.is_final();
-                    if !leader.spec_chunks.complete(&mut record) && !ended {
+                    if !leader.recovery.spec_chunks.complete(&mut record) && !ended {
                         // What was submitted since reading began the watch shows with its parts.
-                        if leader.recovery_revision.is_none_or(|began| item.version <= began) {
+                        if leader.recovery.revision.is_none_or(|began| item.version <= began) {
                             leader.undecodable.record(&item.key);
                         }
                         continue;
                     }
                     let since = now - (wall - record.submitted_wall_s).max(0.0);
                     if now - since < REMEMBERED_S {
-                        let image = leader.image_id(&record.spec.image);
+                        let image = leader.cluster.image_id(&record.spec.image);
                         for m in &record.machines_with_image {
                             let had = (image, since, record.spec.image_gb);
-                            leader.cached_images.entry(m.clone()).or_default().push(had);
+                            leader.cluster.cached_images.entry(m.clone()).or_default().push(had);
                         }
                     }
                     // Where there are more pages, these may have placements.
@@ -739,7 +614,12 @@
                         if record.dependencies().is_empty() {
                             arrived.push((record.spec.clone(), submitted));
                         }
-                        leader.insert_job(Job::from_record(&record, item.version, submitted, &limits));
+                        leader.cluster.insert_job(Job::from_record(
+                            &record,
+                            item.version,
+                            submitted,
+                            &limits,
+                        ));
                     }
                 }
                 Value::Page(record) => {
@@ -747,16 +627,18 @@
                         continue;
                     }
                     let Some((id, n, layout)) = page_of_key(&item.key) else { continue };
-                    match leader.jobs.get_mut(id) {
+                    match leader.cluster.jobs.get_mut(id) {
                         Some(job) => {
                             job.load_page(n, layout, &record, item.version, now);
                         }
-                        None => leader.orphaned_pages.entry(id.to_string()).or_default().push(item.key),
+                        None => {
+                            leader.recovery.orphaned_pages.entry(id.to_string()).or_default().push(item.key)
+                        }
                     }
                 }
                 Value::Terminal(over) => {
                     let Some(id) = item.key.strip_prefix(MARK_PREFIX) else { continue };
-                    match leader.jobs.get_mut(id) {
+                    match leader.cluster.jobs.get_mut(id) {
                         Some(job) => {
                             job.on_cancellation_mark(item.version);
                             marked.push((id.to_string(), over));
@@ -769,24 +651,25 @@
             }
         }
         if !page.more {
-            leader.recovery_cursor = None;
-            if leader.recovery_prefix == IMAGES_PREFIX {
-                leader.recovery_prefix = PARTS_PREFIX;
-            } else if leader.recovery_prefix == PARTS_PREFIX {
-                leader.recovery_prefix = JOB_PREFIX;
-            } else if leader.recovery_prefix == JOB_PREFIX {
-                leader.recovery_prefix = MARK_PREFIX;
-            } else if leader.recovery_prefix == MARK_PREFIX {
-                leader.recovery_prefix = PAGE_PREFIX;
+            leader.recovery.cursor = None;
+            if leader.recovery.prefix == IMAGES_PREFIX {
+                leader.recovery.prefix = PARTS_PREFIX;
+            } else if leader.recovery.prefix == PARTS_PREFIX {
+                leader.recovery.prefix = JOB_PREFIX;
+            } else if leader.recovery.prefix == JOB_PREFIX {
+                leader.recovery.prefix = MARK_PREFIX;
+            } else if leader.recovery.prefix == MARK_PREFIX {
+                leader.recovery.prefix = PAGE_PREFIX;
             } else {
-                leader.recovered = true;
-                leader.authority.record_applied();
+                leader.recovery.finished = true;
+                leader.leadership.authority.record_applied();
                 leader.assign_orphaned_pages();
-                let abandoned = std::mem::take(&mut leader.spec_chunks).abandoned_keys(wall - abandon_s);
+                let abandoned =
+                    std::mem::take(&mut leader.recovery.spec_chunks).abandoned_keys(wall - abandon_s);
                 leader.archive.discard_keys(abandoned);
-                leader.watch.revision = Some(leader.recovery_revision.unwrap_or(page.revision));
-                let placed: usize = leader.jobs.values().map(|j| j.placements.len()).sum();
-                info!(token, jobs = leader.jobs.len(), placed, "recovery finished");
+                leader.watch.revision = Some(leader.recovery.revision.unwrap_or(page.revision));
+                let placed: usize = leader.cluster.jobs.values().map(|j| j.placements.len()).sum();
+                info!(token, jobs = leader.cluster.jobs.len(), placed, "recovery finished");
             }
         }
         for (id, over) in marked {
@@ -796,7 +679,7 @@
             self.terminal_states.insert(&f.id, f.record.status, f.record.done);
             self.archive_job(f);
         }
-        if self.leader_state(token).is_some_and(|leader| leader.recovered) {
+        if self.leader_state(token).is_some_and(|leader| leader.recovery.finished) {
             self.settle_all_terminal();
             self.build_graph();
         }
@@ -805,7 +688,7 @@
             self.record_arrival(&spec, at);
         }
         self.register_machines_of_placements();
-        if self.leader_state(token).is_some_and(|leader| leader.recovered) {
+        if self.leader_state(token).is_some_and(|leader| leader.recovery.finished) {
             self.process_early_heartbeats();
         }
     }
@@ -828,7 +711,7 @@
                     }
                 }
                 if let Some(leader) = self.leader_state(token) {
-                    leader.authority.record_read(sent);
+                    leader.leadership.authority.record_read(sent);
                 }
                 self.record_applied();
             }
@@ -861,7 +744,7 @@
         if leader.write_queue.unsettled(id) {
             let cancelled = record.status == JobStatus::Cancelled;
             leader.deferred_records.push_back((key.to_string(), Value::Job(record), version));
-            if let Some(job) = leader.jobs.get_mut(id).filter(|_| cancelled) {
+            if let Some(job) = leader.cluster.jobs.get_mut(id).filter(|_| cancelled) {
                 // Whatever becomes of that write, its tasks are of no use. (They once went on
                 // until the outcome was known.)
                 job.cancel();
@@ -870,7 +753,8 @@
             return;
         }
         // Its own job's specification is known here, another's lies in parts.
-        let known = leader.jobs.contains_key(id) || record.status.is_final() || !record.spec.class.is_empty();
+        let known =
+            leader.cluster.jobs.contains_key(id) || record.status.is_final() || !record.spec.class.is_empty();
         if record.spec_chunks.is_some() && !known {
             let token = leader.fencing_token;
             return self.read_spec_chunks(Some(token), *record, version);
@@ -884,12 +768,12 @@
     fn apply_record(&mut self, id: &str, record: &JobRecord, version: u64, was_over: bool) {
         let (now, wall) = (self.now, self.time_of_day);
         let Role::Leader(leader) = &mut self.role else { return };
-        match leader.jobs.get_mut(id) {
+        match leader.cluster.jobs.get_mut(id) {
             Some(job) => {
                 if version > job.version {
                     debug!(id, version, "record changed by another node");
                     job.reconcile(record, version);
-                    leader.plan_needed = true;
+                    leader.planning.needed = true;
                     self.settle_terminal(id);
                 }
             }
@@ -906,8 +790,8 @@
                     return;
                 }
                 let submitted = now - (wall - record.submitted_wall_s).max(0.0);
-                leader.insert_job(Job::from_record(record, version, submitted, &self.store_limits));
-                leader.plan_needed = true;
+                leader.cluster.insert_job(Job::from_record(record, version, submitted, &self.store_limits));
+                leader.planning.needed = true;
                 if record.dependencies().is_empty() {
                     self.record_arrival(&record.spec, submitted);
                 } else {
@@ -924,9 +808,9 @@
     pub(crate) fn observe_cancellation_mark(&mut self, id: &str, status: JobStatus, version: u64) {
         self.terminal_states.insert(id, status, 0);
         let Role::Leader(leader) = &mut self.role else { return };
-        let Some(job) = leader.jobs.get_mut(id) else { return };
+        let Some(job) = leader.cluster.jobs.get_mut(id) else { return };
         job.on_cancellation_mark(version);
-        leader.plan_needed = true;
+        leader.planning.needed = true;
         self.record_outcome(id, status);
         self.settle_terminal(id);
     }
@@ -942,8 +826,8 @@
     /// What the watch showed is carried out, unless some of it waits for a write's outcome.
     fn record_applied(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
-        if leader.recovered && leader.deferred_records.is_empty() {
-            leader.authority.record_applied();
+        if leader.recovery.finished && leader.deferred_records.is_empty() {
+            leader.leadership.authority.record_applied();
             leader.archive.archived.forget_until(leader.watch.revision.unwrap_or(0));
         }
     }
@@ -952,7 +836,7 @@
     /// its watch, but it takes the record as stored.
     pub(crate) fn on_local_cancellation(&mut self, id: &str) {
         let Role::Leader(leader) = &mut self.role else { return };
-        if leader.jobs.contains_key(id) {
+        if leader.cluster.jobs.contains_key(id) {
             let token = leader.fencing_token;
             leader.write_queue.rereads_in_flight += 1;
             let key = job_key(id);
@@ -964,7 +848,7 @@
     fn settle_all_terminal(&mut self) {
         let Role::Leader(leader) = &self.role else { return };
         let over: Vec<String> =
-            leader.jobs.iter().filter(|(_, j)| j.is_final()).map(|(id, _)| id.clone()).collect();
+            leader.cluster.jobs.iter().filter(|(_, j)| j.is_final()).map(|(id, _)| id.clone()).collect();
         for id in over {
             self.settle_terminal(&id);
         }
@@ -973,7 +857,7 @@
     /// A line on a job that is over: how long it took, and whether that was late.
     pub(crate) fn log_job_finished(&self, id: &str) {
         let Role::Leader(leader) = &self.role else { return };
-        let Some(job) = leader.jobs.get(id) else { return };
+        let Some(job) = leader.cluster.jobs.get(id) else { return };
         let s = &job.spec;
         let status = if job.status == JobStatus::Done { "done" } else { "withdrawn" };
         let (took_s, late) = (self.now - job.submitted_at, self.now > self.due_by(job));
@@ -985,7 +869,7 @@
     /// Drops what a final job still plans; forgets it once nothing is left.
     pub(crate) fn settle_terminal(&mut self, id: &str) {
         let Role::Leader(leader) = &mut self.role else { return };
-        let Some(job) = leader.jobs.get_mut(id) else { return };
+        let Some(job) = leader.cluster.jobs.get_mut(id) else { return };
         if !job.is_final() {
             return;
         }
@@ -1009,7 +893,7 @@
             let f = TerminalJob::from_job(job);
             self.log_job_finished(id);
             let Role::Leader(leader) = &mut self.role else { return };
-            leader.jobs.remove(id);
+            leader.cluster.jobs.remove(id);
             self.terminal_states.insert(id, f.record.status, f.record.done);
             self.archive_job(f);
         } else {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -4,24 +4,29 @@
 mod archive;
 mod cancellation_lineage;
 mod client_requests;
+mod cluster;
 mod early_heartbeats;
 mod effective_priority;
 mod election;
 mod fleet;
 mod format_negotiation;
 mod heartbeat_proxying;
+mod heartbeat_queue;
 mod heartbeats;
 mod hedged_requests;
 mod job;
 mod job_dependencies;
 mod leader;
+mod leadership;
 mod lease_authority;
 mod machine;
 pub mod messages;
 mod one_way_partition;
 mod page_layout;
 mod pending_kills;
+mod planning_state;
 pub mod records;
+mod recovery;
 mod round_trip;
 mod scheduling;
 mod spec_chunks;
@@ -503,7 +508,7 @@
     pub fn view_for_peers(&self) -> protocol::peer::View {
         let since = self.now - self.timing.heartbeat_validity_s;
         let serves = match &self.role {
-            Role::Leader(leader) => leader.authority.may_respond(self.now),
+            Role::Leader(leader) => leader.leadership.authority.may_respond(self.now),
             Role::Follower => self.proxy.may_respond(self.now),
         };
         protocol::peer::View {
@@ -554,7 +559,7 @@
 
     fn default_wake_interval_s(&self) -> f64 {
         match &self.role {
-            Role::Leader(leader) if leader.pending_heartbeats.values().any(|h| !h.idle) => 0.02,
+            Role::Leader(leader) if leader.heartbeats.pending.values().any(|h| !h.idle) => 0.02,
             Role::Leader(leader) if leader.forwarding.has_open_request() => {
                 self.timing.forward_interval_s.min(0.1)
             }
@@ -569,7 +574,7 @@
             Role::Leader(leader) => Some(leader),
             Role::Follower => None,
         };
-        lead.into_iter().flat_map(|leader| leader.machines.values())
+        lead.into_iter().flat_map(|leader| leader.cluster.machines.values())
     }
 
     /// Machines that this leader takes for faulty.
@@ -597,7 +602,7 @@
     /// Placements that this leader knows of.
     pub fn placement_count(&self) -> usize {
         match &self.role {
-            Role::Leader(leader) => leader.jobs.values().map(|j| j.placements.len()).sum(),
+            Role::Leader(leader) => leader.cluster.jobs.values().map(|j| j.placements.len()).sum(),
             Role::Follower => 0,
         }
     }
@@ -605,7 +610,7 @@
     /// Tasks of live jobs that this leader knows to have ended.
     pub fn completed_task_count(&self) -> usize {
         match &self.role {
-            Role::Leader(leader) => leader.jobs.values().map(|j| j.done_count as usize).sum(),
+            Role::Leader(leader) => leader.cluster.jobs.values().map(|j| j.done_count as usize).sum(),
             Role::Follower => 0,
         }
     }
@@ -620,7 +625,7 @@
 
     /// Whether it leads and has read all records.
     pub fn has_recovered(&self) -> bool {
-        matches!(&self.role, Role::Leader(leader) if leader.recovered)
+        matches!(&self.role, Role::Leader(leader) if leader.recovery.finished)
     }
 
     /// The token with which it leads.
--- a/crates/controller/src/pending_kills.rs
+++ b/crates/controller/src/pending_kills.rs
@@ -94,7 +94,7 @@
         let Role::Leader(leader) = &mut self.role else { return };
         let mut new: BTreeSet<String> = BTreeSet::new();
         for id in std::mem::take(&mut leader.pending_kills.jobs) {
-            let Some(job) = leader.jobs.get_mut(&id) else { continue };
+            let Some(job) = leader.cluster.jobs.get_mut(&id) else { continue };
             for p in job.placements.values_mut().filter(|p| p.stopping.is_some()) {
                 leader.pending_kills.machines.insert(p.machine.clone());
                 // What was launched and not seen may be on its way there: it was once
@@ -121,8 +121,10 @@
         let Role::Leader(leader) = &mut self.role else { return };
         let token = leader.fencing_token;
         let mut commands = Vec::new();
-        for (id, task) in leader.tasks_on(machine) {
-            let Some(p) = leader.jobs.get(&id).and_then(|j| j.placements.get(&task)) else { continue };
+        for (id, task) in leader.cluster.tasks_on(machine) {
+            let Some(p) = leader.cluster.jobs.get(&id).and_then(|j| j.placements.get(&task)) else {
+                continue;
+            };
             let Some((_, grace)) = p.stopping.filter(|_| p.observed_state.is_some() || p.launch_sent) else {
                 continue;
             };
@@ -134,7 +136,7 @@
             return leader.pending_kills.remove(machine);
         }
         leader.pending_kills.schedule_retry(machine, now, pause, longest);
-        let Some(m) = leader.machines.get(machine) else { return };
+        let Some(m) = leader.cluster.machines.get(machine) else { return };
         // Its worker may have reported here before this node led.
         let before = self.worker_contacts.get(machine).map_or(0, |(_, place)| place.0);
         let (addr, session) = (m.addr.clone(), m.newest_position.0.max(before));
@@ -160,7 +162,7 @@
         }
         self.apply_heartbeat(&report, false, now);
         let Some(leader) = self.leader_state(token) else { return };
-        let known = leader.machines.get(machine).map_or(session, |m| m.newest_position.0);
+        let known = leader.cluster.machines.get(machine).map_or(session, |m| m.newest_position.0);
         if !executed && known != session {
             leader.pending_kills.retry_now(machine, now);
         }
--- a/crates/controller/src/scheduling.rs
+++ b/crates/controller/src/scheduling.rs
@@ -196,7 +196,7 @@
             }
         }
         let Role::Leader(leader) = &mut self.role else { return };
-        let stats = leader.classes.entry(spec.class.clone()).or_default();
+        let stats = leader.planning.classes.entry(spec.class.clone()).or_default();
         stats.record_arrival(at, best.map(|(_, pool, machines, boot)| (pool, machines, boot)));
     }
 
@@ -206,18 +206,18 @@
         let entitled = self.may_act();
         let Some(types) = self.machine_types.clone() else { return };
         let Role::Leader(leader) = &mut self.role else { return };
-        let due = leader.plan_needed || now - leader.planned_at >= tick;
-        if !due || now < leader.plan_after || !entitled || !leader.fleet.listed_once {
+        let due = leader.planning.needed || now - leader.planning.planned_at >= tick;
+        if !due || now < leader.planning.next_plan_at || !entitled || !leader.fleet.listed_once {
             return;
         }
         let zones = zones_of(&types);
         let Role::Leader(leader) = &self.role else { return };
-        let ratio = |class: &str| leader.classes.get(class).map_or(1.0, ClassStats::run_time_ratio);
+        let ratio = |class: &str| leader.planning.classes.get(class).map_or(1.0, ClassStats::run_time_ratio);
         // Machines: what their places take, and until when.
         let mut names: Vec<String> = Vec::new();
         let mut machines: Vec<planner::Machine> = Vec::new();
         let mut index: HashMap<&str, usize> = HashMap::new();
-        for m in leader.machines.values().filter(|m| m.accepts_work()) {
+        for m in leader.cluster.machines.values().filter(|m| m.accepts_work()) {
             let Some(kind) = types.iter().position(|t| t.name == m.machine_type) else { continue };
             let Some(zone) = zones.iter().position(|z| *z == m.zone) else { continue };
             if m.missed_heartbeats(now, &self.timing)
@@ -272,7 +272,7 @@
         let graph = &leader.dependencies.graph;
         let awaits = self.checks.dependency_order;
         let free = |(id, j): &(&String, &Job)| !(j.is_final() || awaits && graph.is_waiting(id));
-        let mut by_age: Vec<(&String, &Job)> = leader.jobs.iter().filter(free).collect();
+        let mut by_age: Vec<(&String, &Job)> = leader.cluster.jobs.iter().filter(free).collect();
         by_age.sort_by(|a, b| a.1.ready_at.total_cmp(&b.1.ready_at).then(a.0.cmp(b.0)));
         let passed = self.inherited_priorities();
         let urgency = |id: &str, job: &Job| self.effective_priority(job, passed.get(id));
@@ -304,7 +304,7 @@
         // Machines by what is on them: work that somebody waits for, or not.
         let mut serious: HashSet<&str> = HashSet::new();
         let mut spare: HashSet<&str> = HashSet::new();
-        for (id, job) in &leader.jobs {
+        for (id, job) in &leader.cluster.jobs {
             floors.add_usage(&job.spec, job.placements.len());
             let need = needs(&job.spec);
             let team = team_of(&job.spec.team);
@@ -379,7 +379,7 @@
         }
         // What nobody waits for takes half as many machines as other work has
         // had, unless there is no other work.
-        let others = serious.len().max(leader.peak_demanded_machines);
+        let others = serious.len().max(leader.planning.peak_demanded_machines);
         let alone = serious.is_empty()
             && open_jobs.iter().all(|j| self.is_best_effort(&j.3.spec) && !j.0.has_dependents);
         let mut spare_left = if alone { usize::MAX } else { others.saturating_sub(spare.len()) };
@@ -437,7 +437,8 @@
                 // Without a deadline the cheapest configuration is Cura's choice;
                 // others as far as they cost no more than work does on average.
                 let task = |k: usize, spot: bool| task_price(&types[k], &needs(s), spot);
-                let least = lowest_price(&types, s).unwrap_or(0.0) * leader.price_paid.max(1.0) + 1e-9;
+                let least =
+                    lowest_price(&types, s).unwrap_or(0.0) * leader.planning.price_paid.max(1.0) + 1e-9;
                 let spots = s.spot && types.iter().any(|t| t.spot_price > 0.0);
                 let fit = |spot: bool| -> Vec<usize> {
                     kinds.iter().copied().filter(|&k| task(k, spot).is_some_and(|p| p <= least)).collect()
@@ -459,8 +460,11 @@
             let mut zone_load = vec![0u32; zones.len()];
             let zoned = s.one_zone || s.spread;
             for p in job.placements.values().filter(|_| zoned) {
-                let at =
-                    leader.machines.get(&p.machine).and_then(|m| zones.iter().position(|z| *z == m.zone));
+                let at = leader
+                    .cluster
+                    .machines
+                    .get(&p.machine)
+                    .and_then(|m| zones.iter().position(|z| *z == m.zone));
                 if let Some(z) = at {
                     zone_load[z] += 1;
                 }
@@ -499,10 +503,10 @@
                 best_effort: leftover,
                 starvation_relief: false,
                 reserves_until: 0.0,
-                assembly_zone: leader.gang_reservation.zone_of(id),
+                assembly_zone: leader.planning.gang_reservation.zone_of(id),
                 waits_beside_capacity: self.checks.work_conservation
                     && job.placements.is_empty()
-                    && leader.waiting_beside_capacity.has_waited(
+                    && leader.planning.waiting_beside_capacity.has_waited(
                         id,
                         now,
                         self.timing.max_idle_capacity_wait_s,
@@ -523,11 +527,12 @@
             }
         }
         let starving = floors.apply(now, &mut ids, &mut jobs);
-        let spec = |owner: usize| leader.jobs.get(&owners[owner].0).map(|j| &j.spec);
+        let spec = |owner: usize| leader.cluster.jobs.get(&owners[owner].0).map(|j| &j.spec);
         starving.protect_from_preemption(machines.iter_mut().flat_map(|m| &mut m.running), spec);
         // What is paid in proportion to what the running work would cost where it
         // is cheapest, over the last leases.
         let bill: f64 = leader
+            .cluster
             .machines
             .values()
             .filter_map(|m| {
@@ -536,6 +541,7 @@
             })
             .sum();
         let worth: f64 = leader
+            .cluster
             .jobs
             .values()
             .map(|j| {
@@ -543,10 +549,10 @@
                 running as f64 * lowest_price(&types, &j.spec).unwrap_or(0.0)
             })
             .sum();
-        let weight =
-            ((now - leader.planned_at) / (self.settings.params.workers.lease_s * 3.0)).clamp(0.0, 1.0);
-        let paid = if worth > 0.0 { (bill / worth).min(10.0) } else { leader.price_paid };
-        let price_paid = leader.price_paid + (paid - leader.price_paid) * weight;
+        let weight = ((now - leader.planning.planned_at) / (self.settings.params.workers.lease_s * 3.0))
+            .clamp(0.0, 1.0);
+        let paid = if worth > 0.0 { (bill / worth).min(10.0) } else { leader.planning.price_paid };
+        let price_paid = leader.planning.price_paid + (paid - leader.planning.price_paid) * weight;
         let problem = Problem {
             now,
             instance_types: types
@@ -573,23 +579,24 @@
         let passed: Vec<(String, dependencies::InheritedPriority)> = passed.into_iter().collect();
         let effort = (made.steps + steps) as f64 / (PLAN_STEPS * self.settings.params.resources.cpu_share);
         if let Role::Leader(leader) = &mut self.role {
-            leader.gang_reservation =
+            leader.planning.gang_reservation =
                 GangReservation(made.gang_assembly.map(|(i, zone)| (ids[i].clone(), zone)));
             leader
+                .planning
                 .waiting_beside_capacity
                 .update(now, &made.waiting_beside_capacity.iter().map(|&i| ids[i].as_str()).collect());
-            if leader.starving_groups != starving {
+            if leader.planning.starving_groups != starving {
                 info!(?starving, "starving classes and teams changed");
-                leader.starving_groups = starving;
+                leader.planning.starving_groups = starving;
             }
-            leader.plan_after = now + effort.clamp(tick / 50.0, tick);
-            leader.peak_demanded_machines = others;
+            leader.planning.next_plan_at = now + effort.clamp(tick / 50.0, tick);
+            leader.planning.peak_demanded_machines = others;
             for (id, p) in passed {
-                if let Some(job) = leader.jobs.get_mut(&id) {
+                if let Some(job) = leader.cluster.jobs.get_mut(&id) {
                     job.inherited_priority = Some(p);
                 }
             }
-            leader.price_paid = price_paid;
+            leader.planning.price_paid = price_paid;
         }
         self.apply_starts(&problem, &made, &names, &ids);
         self.apply_preemptions(&made.preemptions, &owners);
@@ -600,8 +607,8 @@
         let now = self.now;
         let too_early = !self.checks.dependency_order;
         let Role::Leader(leader) = &mut self.role else { return };
-        leader.plan_needed = false;
-        leader.planned_at = now;
+        leader.planning.needed = false;
+        leader.planning.planned_at = now;
         if !made.starts.is_empty() {
             debug!(starts = made.starts.len(), reserved = made.reservations.len(), "plan applied");
         }
@@ -613,7 +620,7 @@
             if leader.dependencies.graph.is_waiting(&ids[s.job]) && !too_early {
                 continue;
             }
-            let Some(job) = leader.jobs.get(&ids[s.job]) else { continue };
+            let Some(job) = leader.cluster.jobs.get(&ids[s.job]) else { continue };
             let attempt = if job.spec.shape == Shape::Gang {
                 *gangs.entry(s.job).or_insert(job.attempt + 1)
             } else {
@@ -627,10 +634,10 @@
                 continue;
             }
             *fill += more;
-            leader.add_placement(&ids[s.job], s.task, &names[s.machine], attempt, now);
-            leader.heartbeats_to_check.insert(names[s.machine].clone());
+            leader.cluster.add_placement(&ids[s.job], s.task, &names[s.machine], attempt, now);
+            leader.heartbeats.to_check.insert(names[s.machine].clone());
             leader.write_queue.write_now = true;
-            if let Some(m) = leader.machines.get_mut(&names[s.machine]) {
+            if let Some(m) = leader.cluster.machines.get_mut(&names[s.machine]) {
                 m.record_image(problem.jobs[s.job].image, now, problem.jobs[s.job].image_gb);
                 m.idle_since = now;
             }
@@ -642,7 +649,7 @@
         let Role::Leader(leader) = &mut self.role else { return };
         let mut told: BTreeMap<&String, u32> = BTreeMap::new();
         for (id, task) in stops.iter().filter_map(|&s| owners.get(s)) {
-            let Some(job) = leader.jobs.get_mut(id) else { continue };
+            let Some(job) = leader.cluster.jobs.get_mut(id) else { continue };
             let grace = if job.spec.checkpoint_interval_s > 0.0 { job.spec.save_s * 1.25 } else { 0.0 };
             let Some(p) = job.placements.get_mut(task) else { continue };
             p.stopping = Some((now, grace));
@@ -668,6 +675,7 @@
         let mut rooms: BTreeMap<MachinePool, f64> = BTreeMap::new();
         // Machines without work, booting ones included, by type and zone.
         let placed: HashSet<&str> = leader
+            .cluster
             .jobs
             .values()
             .flat_map(|j| j.placements.values())
@@ -677,7 +685,7 @@
         // What is out of reach is not there.
         let reach = &leader.fleet.zones;
         let there = |m: &&Machine| m.accepts_work() && !reach.is_unreachable(&m.zone);
-        for m in leader.machines.values().filter(there).filter(|m| !placed.contains(m.id.as_str())) {
+        for m in leader.cluster.machines.values().filter(there).filter(|m| !placed.contains(m.id.as_str())) {
             at_hand.add(&m.machine_type, &m.zone, m.spot, 1);
             idle.add(&m.machine_type, &m.zone, m.spot, u32::from(m.last_heard_at.is_some()));
         }
@@ -759,12 +767,12 @@
             *need.entry(pool).or_insert(0.0) += n;
         }
         // A leader that acts again has not heard yet what was there before.
-        let back = leader.tenure.entitled_for_s(now) < d.reappearance_wait_s;
+        let back = leader.leadership.tenure.entitled_for_s(now) < d.reappearance_wait_s;
         let mut used: BTreeMap<MachinePool, f64> = BTreeMap::new();
         // Machines that will take work without being rented: they boot, or are not heard again yet.
         let mut booting: BTreeMap<MachinePool, u32> = BTreeMap::new();
         let mut have: BTreeMap<MachinePool, u32> = BTreeMap::new();
-        for m in leader.machines.values().filter(there) {
+        for m in leader.cluster.machines.values().filter(there) {
             let pool = (m.machine_type.clone(), m.spot);
             *have.entry(pool.clone()).or_insert(0) += 1;
             let unsure =
@@ -781,7 +789,7 @@
         // jobs come and end like throws of dice, the variance of how many
         // machines' worth come less how many end.
         let mut usual: BTreeMap<MachinePool, (f64, f64)> = BTreeMap::new();
-        for class in leader.classes.values() {
+        for class in leader.planning.classes.values() {
             if let Some(u) = &class.typical_demand {
                 let jobs = class.arrival_rate(now) * u.boot_s;
                 let sums = usual.entry(u.pool.clone()).or_insert((0.0, 0.0));
--- a/crates/controller/src/undecodable.rs
+++ b/crates/controller/src/undecodable.rs
@@ -51,7 +51,7 @@
     /// The value of `key` cannot be read. Returns its job, as far as that was known.
     pub fn quarantine_undecodable(&mut self, key: &str, unseen_until: Time) -> Option<Job> {
         let id = self.undecodable.record(key)?;
-        let job = self.jobs.remove(&id)?;
+        let job = self.cluster.jobs.remove(&id)?;
         let s = &job.spec;
         let claim = UndecodableJob {
             team: s.team.clone(),
@@ -68,7 +68,7 @@
     /// overshot.)
     pub fn undecodable_usage(&self, now: Time) -> Vec<(&str, Resources)> {
         let live = |id: &str| {
-            let tasks = self.machines.values().flat_map(|m| &m.tasks);
+            let tasks = self.cluster.machines.values().flat_map(|m| &m.tasks);
             let live = tasks.filter(|t| t.state != TaskState::Exited);
             live.filter(|t| split_task(&t.task).is_some_and(|(of, _)| of == id)).count() as u32
         };
--- a/crates/controller/src/write_queue.rs
+++ b/crates/controller/src/write_queue.rs
@@ -140,7 +140,7 @@
         // change, and leave half of the budget to what presses. (In the order
         // of ids, late jobs once starved under a backlog.)
         let mut due: Vec<(bool, u8, Time, String)> = Vec::new();
-        for (id, job) in &mut leader.jobs {
+        for (id, job) in &mut leader.cluster.jobs {
             if job.is_stored() {
                 continue;
             }
@@ -162,6 +162,7 @@
             // limits is divided, the most urgent first and one at a time.
             if newest && leader.fleet.write_budget(rate).available_at(now) >= rate / 2.0 {
                 let wide = leader
+                    .cluster
                     .jobs
                     .values_mut()
                     .filter(|j| j.page_layout.exceeds_next_limit() && j.is_stored() && !j.is_over());
@@ -185,7 +186,7 @@
         let mut parts = Vec::new();
         let mut size = 0;
         for (lazy, _, _, id) in due {
-            let Some(job) = leader.jobs.get_mut(&id) else { continue };
+            let Some(job) = leader.cluster.jobs.get_mut(&id) else { continue };
             let ripe = job.dirty_since.is_some_and(|s| now >= s + lazy_s);
             let all = job.is_complete() || ripe && budget.available_at(now) >= rate / 2.0;
             let room = most - txn.mutations.len();
@@ -314,7 +315,7 @@
                     .entries
                     .iter()
                     .flat_map(|p| {
-                        let layout = leader.jobs.get(&p.job_id).map_or(0, |j| j.page_layout.number);
+                        let layout = leader.cluster.jobs.get(&p.job_id).map_or(0, |j| j.page_layout.number);
                         let key = move |&n: &usize| {
                             if n == 0 {
                                 job_key(&p.job_id)
@@ -360,10 +361,10 @@
         let Some(leader) = self.leader_state(token) else { return };
         leader.write_queue.isolate_jobs = false;
         for part in &parts {
-            if let Some(job) = leader.jobs.get_mut(&part.job_id) {
+            if let Some(job) = leader.cluster.jobs.get_mut(&part.job_id) {
                 job.on_stored(part.mutation_count, &part.pages, part.covers_all, revision);
                 leader.archive.discard_keys(job.page_layout.take_obsolete_keys(&part.job_id));
-                leader.heartbeats_to_check.extend(job.placements.values().map(|p| p.machine.clone()));
+                leader.heartbeats.to_check.extend(job.placements.values().map(|p| p.machine.clone()));
             }
         }
         for part in &parts {
@@ -385,6 +386,7 @@
         let Some(leader) = self.leader_state(token) else { return };
         let larger = |p: &TransactionEntry| {
             leader
+                .cluster
                 .jobs
                 .get(&p.job_id)
                 .is_some_and(|j| j.needs_repagination() || j.page_layout.exceeds_next_limit())
@@ -398,7 +400,7 @@
         leader.write_queue.write_now = true;
         if let ([part], false) = (&parts[..], large) {
             warn!(job = %part.job_id, present, "state service refused the record of a job as invalid, its writes are suspended");
-            if let Some(job) = leader.jobs.get_mut(&part.job_id) {
+            if let Some(job) = leader.cluster.jobs.get_mut(&part.job_id) {
                 job.write_suspended_until = now + aside_s;
             }
         }
@@ -424,17 +426,18 @@
                 let done = leader.write_queue.rereads_in_flight == 0;
                 match value {
                     Value::Job(record) => {
-                        if let Some(job) = leader.jobs.get_mut(&record.spec.id) {
+                        if let Some(job) = leader.cluster.jobs.get_mut(&record.spec.id) {
                             job.reconcile(&record, version);
                         }
-                        leader.plan_needed = true;
+                        leader.planning.needed = true;
                         let id = record.spec.id.clone();
                         self.record_outcome(&id, record.status);
                         self.settle_terminal(&id);
                     }
                     Value::Page(record) => {
                         if let Some((id, n, layout)) = page_of_key(key) {
-                            let job = leader.jobs.get_mut(id).filter(|j| j.page_layout.number == layout);
+                            let job =
+                                leader.cluster.jobs.get_mut(id).filter(|j| j.page_layout.number == layout);
                             if let Some(job) = job {
                                 job.reconcile_page(n, &record);
                                 job.page_layout.record_stored(&BTreeSet::from([n]), version);
@@ -463,10 +466,11 @@
                 let done = leader.write_queue.rereads_in_flight == 0;
                 if let Some(id) = key.strip_prefix(JOB_PREFIX) {
                     leader.archive.archived.record(id, revision);
-                    if leader.jobs.remove(id).is_some() {
+                    if leader.cluster.jobs.remove(id).is_some() {
                         self.on_archived_unseen(id);
                     }
-                } else if let Some(job) = key.strip_prefix(MARK_PREFIX).and_then(|id| leader.jobs.get_mut(id))
+                } else if let Some(job) =
+                    key.strip_prefix(MARK_PREFIX).and_then(|id| leader.cluster.jobs.get_mut(id))
                 {
                     job.mark_version = None;
                 }
