--- a/crates/controller/src/heartbeat_queue.rs
+++ b/crates/controller/src/agents/heartbeat_queue.rs
@@ -1,7 +1,7 @@
 //! Heartbeats that wait for their responses.
 
-use crate::early_heartbeats::HeartbeatsBeforeRecovery;
-use crate::heartbeats::PendingHeartbeat;
+use crate::agents::early_heartbeats::HeartbeatsBeforeRecovery;
+use crate::agents::heartbeats::PendingHeartbeat;
 use crate::messages::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/controller/src/heartbeats.rs
+++ b/crates/controller/src/agents/heartbeats.rs
@@ -1,11 +1,11 @@
 //! Reports of workers: what they prove, and which commands they are answered.
 
-use crate::heartbeat_proxying::{ReplyRoute, WorkerAdmission};
-use crate::job::{Job, Placement};
-use crate::leader::Role;
-use crate::machine::{Machine, MachinePhase};
-use crate::one_way_partition::HeartbeatTiming;
-use crate::pending_kills::MOST_COMMANDS;
+use crate::agents::one_way_partition::HeartbeatTiming;
+use crate::agents::pending_kills::MOST_COMMANDS;
+use crate::leader::state::Role;
+use crate::model::job::{Job, Placement};
+use crate::model::machine::{Machine, MachinePhase};
+use crate::proxy::heartbeat_proxying::{ReplyRoute, WorkerAdmission};
 use crate::{CallContext, Controller, RequestId, StoreRequest, Time};
 use protocol::job::Shape;
 use protocol::worker::*;
--- a/crates/controller/src/pending_kills.rs
+++ b/crates/controller/src/agents/pending_kills.rs
@@ -3,7 +3,7 @@
 //! there is proof: the first call may be lost or refused, and a mute machine is told by
 //! nothing else.
 
-use crate::leader::Role;
+use crate::leader::state::Role;
 use crate::{CallContext, Controller, Time, WorkerReply};
 use protocol::worker::*;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/controller/src/fleet.rs
+++ b/crates/controller/src/autoscaling/fleet.rs
@@ -1,8 +1,8 @@
 //! Machines at the cloud: the list, rentals, returns.
 
-use crate::leader::Role;
-use crate::machine::{Machine, MachinePhase};
-use crate::records::*;
+use crate::leader::state::Role;
+use crate::model::machine::{Machine, MachinePhase};
+use crate::model::records::*;
 use crate::{CallContext, CloudReply, CloudRequest, Controller, RateLimiter, StoreRequest, Time};
 use protocol::cloud::*;
 use protocol::state::{Compare, Mutation, Transaction};
--- a/crates/controller/src/zonal_demand.rs
+++ b/crates/controller/src/autoscaling/zonal_demand.rs
@@ -1,7 +1,7 @@
 //! Machines for work that is bound to zones: rented where it may run. (For a job of one zone they
 //! were once rented where fewest stood, given back idle and rented there anew, for ever.)
 
-use crate::fleet::{Fleet, MachinePool};
+use crate::autoscaling::fleet::{Fleet, MachinePool};
 use crate::messages::Time;
 use protocol::cloud::MachineType;
 use std::collections::BTreeMap;
--- a/crates/controller/src/cancellation_lineage.rs
+++ b/crates/controller/src/client_api/cancellation_lineage.rs
@@ -5,7 +5,7 @@
 //! write of its own. So a node answers right however many jobs come after the
 //! cancelled one, and whoever leads, or nobody.
 
-use crate::status_queries::{Requester, StatusQuery};
+use crate::client_api::status_queries::{Requester, StatusQuery};
 use crate::{Controller, Time};
 use protocol::job::JobStatus;
 use std::collections::{BTreeSet, HashSet};
--- a/crates/controller/src/client_requests.rs
+++ b/crates/controller/src/client_api/client_requests.rs
@@ -1,7 +1,7 @@
 //! What users ask for. Every node serves them from the state service.
 
-use crate::records::*;
-use crate::spec_chunks::{new_job, nonce};
+use crate::model::records::*;
+use crate::storage::spec_chunks::{new_job, nonce};
 use crate::{CallContext, Controller, RequestId, StoreReply, StoreRequest};
 use planner::Resources;
 use protocol::cloud::MachineType;
@@ -318,7 +318,8 @@
                 self.client_writes.recover(rate * MOST_WRITES)
             }
             StoreReply::Refused | StoreReply::Limited => {
-                self.client_writes.halve(self.now, rate * (1.0 - crate::write_queue::LEADER_WRITES) / nodes);
+                self.client_writes
+                    .halve(self.now, rate * (1.0 - crate::storage::write_queue::LEADER_WRITES) / nodes);
             }
             _ => {}
         }
--- a/crates/controller/src/hedged_requests.rs
+++ b/crates/controller/src/client_api/hedged_requests.rs
@@ -8,7 +8,7 @@
 //! most, or, where it puts parts that no record names yet or only compares, it does not matter
 //! which.
 
-use crate::records::Value;
+use crate::model::records::Value;
 use crate::{CallContext, Controller, RateLimiter, StoreReply, StoreRequest, Time};
 use protocol::state::{CasConflict, Item, Mutation, Transaction};
 use settings::Timing;
--- a/crates/controller/src/status_queries.rs
+++ b/crates/controller/src/client_api/status_queries.rs
@@ -14,9 +14,9 @@
 //! record says yet: what is told of it follows from the records of those before it, as
 //! fresh as its own (`docs/pipelines.md`).
 
-use crate::cancellation_lineage::CancellationLineage;
-use crate::client_requests::DependencyLookup;
-use crate::records::*;
+use crate::client_api::cancellation_lineage::CancellationLineage;
+use crate::client_api::client_requests::DependencyLookup;
+use crate::model::records::*;
 use crate::{CallContext, Controller, RequestId, StoreReply, StoreRequest, Time};
 use protocol::job::{JobStatus, Shape};
 use protocol::state::{Compare, Event, Events, Item, Transaction};
--- a/crates/controller/src/leadership.rs
+++ b/crates/controller/src/election/leadership.rs
@@ -1,9 +1,9 @@
 //! The leader's lease and what it entitles to.
 
-use crate::leader::LeadershipTenure;
-use crate::lease_authority::LeaseAuthority;
+use crate::agents::one_way_partition::LeaderResponsiveness;
+use crate::election::lease_authority::LeaseAuthority;
+use crate::leader::state::LeadershipTenure;
 use crate::messages::{CallId, Time};
-use crate::one_way_partition::LeaderResponsiveness;
 
 /// The lease of the leader key, and since when this node has held it.
 pub struct Leadership {
--- a/crates/controller/src/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -1,8 +1,8 @@
 //! Progress of reading the stored records after an election.
 
 use crate::messages::Time;
-use crate::records::IMAGES_PREFIX;
-use crate::spec_chunks::ChunkReader;
+use crate::model::records::IMAGES_PREFIX;
+use crate::storage::spec_chunks::ChunkReader;
 use std::collections::BTreeMap;
 
 /// How far a new leader has read the stored records: prefix by prefix, page by page.
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,49 +1,24 @@
 //! The controller as a state machine: inputs in; what to send, write and
 //! answer out. It has no clock and does no I/O; randomness is seeded in.
 
-mod archive;
-mod cancellation_lineage;
-mod client_requests;
-mod cluster;
-mod early_heartbeats;
-mod effective_priority;
+mod agents;
+mod autoscaling;
+mod client_api;
 mod election;
-mod fleet;
-mod format_negotiation;
-mod heartbeat_proxying;
-mod heartbeat_queue;
-mod heartbeats;
-mod hedged_requests;
-mod job;
-mod job_dependencies;
 mod leader;
-mod leadership;
-mod lease_authority;
-mod machine;
 pub mod messages;
-mod one_way_partition;
-mod page_layout;
-mod pending_kills;
-mod planning_state;
-pub mod records;
-mod recovery;
-mod round_trip;
+mod model;
+mod proxy;
 mod scheduling;
-mod spec_chunks;
-mod starvation;
-mod status_queries;
-mod store_limits;
-mod undecodable;
-mod work_conservation;
-mod write_queue;
-mod zonal_demand;
-
-use leader::{LeaderState, Role};
+mod storage;
+
+use leader::state::{LeaderState, Role};
 pub use messages::*;
+pub use model::records;
+use model::records::JobRecord;
 use protocol::cloud::MachineType;
 use protocol::job::JobStatus;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
-use records::JobRecord;
 use settings::{Operator, Settings, Timing};
 pub use sharding::ProxySafetyChecks;
 use sharding::{EventLoopLag, HeartbeatProxy, PeerLiveness, ShardBalancer};
@@ -330,25 +305,25 @@
     pub(crate) role: Role,
     /// Leader as last read: node name and token.
     pub(crate) known_leader: Option<(String, u64)>,
-    pub(crate) previous_incarnation: leader::PreviousIncarnation,
-    pub(crate) leader_watch: leader::WatchCursor,
+    pub(crate) previous_incarnation: leader::state::PreviousIncarnation,
+    pub(crate) leader_watch: leader::state::WatchCursor,
     pub(crate) campaigning: bool,
     /// What is on its way.
-    pub(crate) election_attempt: Option<election::ElectionAttempt>,
+    pub(crate) election_attempt: Option<election::campaign::ElectionAttempt>,
     pub(crate) campaign_at: Time,
     pub(crate) machine_types: Option<Vec<MachineType>>,
     pub(crate) read_types_at: Time,
     pub(crate) terminal_states: TerminalStateCache,
-    pub(crate) client_requests: client_requests::ClientRequests,
-    pub(crate) status_queries: status_queries::StatusQueries,
+    pub(crate) client_requests: client_api::client_requests::ClientRequests,
+    pub(crate) status_queries: client_api::status_queries::StatusQueries,
     pub(crate) client_reads: RateLimiter,
     pub(crate) client_writes: RateLimiter,
     /// How long the state service takes, and users' transactions on their way to it.
-    pub(crate) store_latency: round_trip::RoundTripEstimator,
-    pub(crate) hedged_requests: hedged_requests::HedgedRequests,
+    pub(crate) store_latency: client_api::store_latency::RoundTripEstimator,
+    pub(crate) hedged_requests: client_api::hedged_requests::HedgedRequests,
     /// What the state service takes, and which version every node has.
-    pub(crate) store_limits: store_limits::StoreLimits,
-    pub(crate) formats: format_negotiation::FormatNegotiation,
+    pub(crate) store_limits: storage::store_limits::StoreLimits,
+    pub(crate) formats: storage::format_negotiation::FormatNegotiation,
     /// Records whose parts could not be read, with when that was tried.
     pub(crate) spec_chunk_retries: Vec<(Time, Box<JobRecord>, u64)>,
     /// Renewals and transactions confirmed by the service, for the logs.
@@ -384,7 +359,7 @@
         d.planning_interval_s = operator.tick_s.unwrap_or(d.planning_interval_s);
         let nodes = f64::from(settings.params.nodes.max(1));
         let reads = settings.params.store.rps * 0.8 / nodes;
-        let writes = settings.params.store.write_rps * client_requests::MOST_WRITES;
+        let writes = settings.params.store.write_rps * client_api::client_requests::MOST_WRITES;
         let mut rng = SmallRng::seed_from_u64(seed);
         Controller {
             checks: SafetyChecks::default(),
@@ -405,24 +380,24 @@
             outputs: Vec::new(),
             role: Role::Follower,
             known_leader: None,
-            previous_incarnation: leader::PreviousIncarnation::default(),
-            leader_watch: leader::WatchCursor::default(),
+            previous_incarnation: leader::state::PreviousIncarnation::default(),
+            leader_watch: leader::state::WatchCursor::default(),
             campaigning: false,
             election_attempt: None,
             campaign_at: 0.0,
             machine_types: None,
             read_types_at: 0.0,
             terminal_states: TerminalStateCache::default(),
-            client_requests: client_requests::ClientRequests::default(),
-            status_queries: status_queries::StatusQueries::default(),
+            client_requests: client_api::client_requests::ClientRequests::default(),
+            status_queries: client_api::status_queries::StatusQueries::default(),
             // Users' reads and writes at one node may take their share of
             // four fifths; the rest is for renewals, watches and the leader.
             client_reads: RateLimiter::new(reads),
             client_writes: RateLimiter::new(writes),
-            store_latency: round_trip::RoundTripEstimator::default(),
-            hedged_requests: hedged_requests::HedgedRequests::new(reads, writes),
-            store_limits: store_limits::StoreLimits::new(&settings.params.store),
-            formats: format_negotiation::FormatNegotiation::default(),
+            store_latency: client_api::store_latency::RoundTripEstimator::default(),
+            hedged_requests: client_api::hedged_requests::HedgedRequests::new(reads, writes),
+            store_limits: storage::store_limits::StoreLimits::new(&settings.params.store),
+            formats: storage::format_negotiation::FormatNegotiation::default(),
             spec_chunk_retries: Vec::new(),
             store_reached_at: 0.0,
             store_failing_since: None,
@@ -518,7 +493,7 @@
                 && self.now - self.store_reached_at < self.timing.leader_lease_s,
             workers_heard: self.worker_contacts.values().filter(|w| w.0 > since).count() as u32,
             workers: self.worker_count,
-            format: records::FORMAT,
+            format: model::records::FORMAT,
             newest: self.newest_token(),
             room: self.timing.worker_capacity,
             serves,
@@ -569,7 +544,7 @@
         }
     }
 
-    fn machines(&self) -> impl Iterator<Item = &machine::Machine> {
+    fn machines(&self) -> impl Iterator<Item = &model::machine::Machine> {
         let lead = match &self.role {
             Role::Leader(leader) => Some(leader),
             Role::Follower => None,
@@ -584,7 +559,7 @@
 
     /// Machines that this leader would give work to now, their workers heard.
     pub fn usable_machines(&self) -> impl Iterator<Item = &str> {
-        let up = |m: &&machine::Machine| m.accepts_work() && m.is_heard(self.now, &self.timing);
+        let up = |m: &&model::machine::Machine| m.accepts_work() && m.is_heard(self.now, &self.timing);
         self.machines().filter(up).map(|m| m.id.as_str())
     }
 
--- a/crates/controller/src/messages.rs
+++ b/crates/controller/src/messages.rs
@@ -1,6 +1,6 @@
 //! What goes into the core and what comes out of it.
 
-use crate::records::Value;
+use crate::model::records::Value;
 use protocol::cloud::{MachineList, MachineTypes, Machines, RentRequest};
 use protocol::peer::{ForwardReply, ForwardRequest, View};
 use protocol::state::{CasConflict, Events, Item, Page, Transaction};
--- a/crates/controller/src/cluster.rs
+++ b/crates/controller/src/model/cluster.rs
@@ -1,9 +1,9 @@
 //! The cluster as the leader knows it: jobs, machines, and which tasks are placed where.
 
-use crate::job::Job;
-use crate::machine::{Machine, MachinePhase};
 use crate::messages::Time;
-use crate::records::ImagesRecord;
+use crate::model::job::Job;
+use crate::model::machine::{Machine, MachinePhase};
+use crate::model::records::ImagesRecord;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Jobs, machines, and the index from a machine to the tasks placed on it.
--- a/crates/controller/src/job.rs
+++ b/crates/controller/src/model/job.rs
@@ -1,9 +1,9 @@
 //! A job as the leader holds it, kept in step with its stored record.
 
 use crate::messages::Time;
-use crate::page_layout::PageLayout;
-use crate::records::*;
-use crate::store_limits::StoreLimits;
+use crate::model::page_layout::PageLayout;
+use crate::model::records::*;
+use crate::storage::store_limits::StoreLimits;
 use protocol::job::{JobSpec, JobStatus, Shape};
 use protocol::state::Compare;
 use protocol::worker::TaskState;
--- a/crates/controller/src/machine.rs
+++ b/crates/controller/src/model/machine.rs
@@ -1,7 +1,7 @@
 //! A machine as the leader knows it.
 
+use crate::agents::one_way_partition::InboundReachability;
 use crate::messages::Time;
-use crate::one_way_partition::InboundReachability;
 use protocol::worker::{Heartbeat, TaskStatus};
 use settings::Timing;
 use sharding::ProxyId;
--- a/crates/controller/src/page_layout.rs
+++ b/crates/controller/src/model/page_layout.rs
@@ -5,8 +5,8 @@
 //! from the one that writes the record; until then, and if the leader ends meanwhile,
 //! the old one does. So a job of any size can be divided anew a few values at a time.
 
-use crate::records::{page_key, tasks_per_page};
-use crate::store_limits::StoreLimits;
+use crate::model::records::{page_key, tasks_per_page};
+use crate::storage::store_limits::StoreLimits;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
--- /dev/null
+++ b/crates/controller/src/proxy.rs
@@ -0,0 +1,3 @@
+//! Heartbeats through every node: this node as a proxy, and the leader towards its proxies.
+
+pub(crate) mod heartbeat_proxying;
--- a/crates/controller/src/heartbeat_proxying.rs
+++ b/crates/controller/src/proxy/heartbeat_proxying.rs
@@ -1,9 +1,9 @@
 //! Reports through every node: the gateway here while another leads, and the
 //! leader's dealings with the gateways. `docs/gateways.md` argues why it is safe.
 
-use crate::heartbeats::PendingHeartbeat;
-use crate::leader::Role;
-use crate::machine::{Machine, MachinePhase};
+use crate::agents::heartbeats::PendingHeartbeat;
+use crate::leader::state::Role;
+use crate::model::machine::{Machine, MachinePhase};
 use crate::{CallContext, Controller, Output, RequestId, Time};
 use protocol::job::Health;
 use protocol::peer::{ForwardReply, ForwardRequest, ForwardedHeartbeat, MachineCommands, TaskCommand};
--- a/crates/controller/src/effective_priority.rs
+++ b/crates/controller/src/scheduling/effective_priority.rs
@@ -1,9 +1,9 @@
 //! How urgent a job is, by itself and for those that need it: a pipeline's users set the
 //! deadline, and the priority that they care about, on its last job only.
 
-use crate::job::Job;
-use crate::leader::{LeaderState, Role};
-use crate::scheduling::{band, ClassStats};
+use crate::leader::state::{LeaderState, Role};
+use crate::model::job::Job;
+use crate::scheduling::planning::{band, ClassStats};
 use crate::Controller;
 use dependencies::{InheritedPriority, OwnPriority};
 use protocol::job::{JobSpec, Priority, Shape};
--- a/crates/controller/src/job_dependencies.rs
+++ b/crates/controller/src/scheduling/job_dependencies.rs
@@ -1,8 +1,8 @@
 //! Jobs that wait for others, at the leader: what the graph is told and what follows from
 //! it. `docs/pipelines.md` has the argument.
 
-use crate::leader::{LeaderState, Role};
-use crate::records::*;
+use crate::leader::state::{LeaderState, Role};
+use crate::model::records::*;
 use crate::{CallContext, Controller, StoreReply, StoreRequest, TerminalStateCache, Time};
 use dependencies::{DependencyGraph, GraphEffects, JobOutcome};
 use protocol::job::JobStatus;
--- a/crates/controller/src/planning_state.rs
+++ b/crates/controller/src/scheduling/planning_state.rs
@@ -1,9 +1,9 @@
 //! What planning remembers from one plan to the next.
 
 use crate::messages::Time;
-use crate::scheduling::ClassStats;
-use crate::starvation::{GangReservation, StarvingGroups};
-use crate::work_conservation::WaitingBesideCapacity;
+use crate::scheduling::planning::ClassStats;
+use crate::scheduling::starvation::{GangReservation, StarvingGroups};
+use crate::scheduling::work_conservation::WaitingBesideCapacity;
 use std::collections::BTreeMap;
 
 /// When to plan, and what the last plans found.
--- a/crates/controller/src/starvation.rs
+++ b/crates/controller/src/scheduling/starvation.rs
@@ -1,6 +1,6 @@
 //! Classes and teams under their floors, for one plan (see `planner::starvation`).
 
-use crate::scheduling::needs;
+use crate::scheduling::planning::needs;
 use planner::starvation::{grants, keeps_until, overdue, under, StarvationPolicy, WaitingDemand};
 use planner::{Job, Resources, RunningTask, Shape};
 use protocol::job::JobSpec;
--- a/crates/controller/src/archive.rs
+++ b/crates/controller/src/storage/archive.rs
@@ -7,9 +7,9 @@
 //! `j/` and then under `jo/`, in this order, knows that it did not exist at the
 //! first read.
 
-use crate::job::Job;
-use crate::leader::Role;
-use crate::records::*;
+use crate::leader::state::Role;
+use crate::model::job::Job;
+use crate::model::records::*;
 use crate::{CallContext, Controller, RateLimiter, StoreReply, StoreRequest, Time};
 use protocol::job::JobStatus;
 use protocol::state::{Compare, Item, Mutation, Transaction};
@@ -281,7 +281,7 @@
         let most = self.store_limits.mutations();
         let all = self.store_limits.write_rps();
         let Role::Leader(leader) = &mut self.role else { return };
-        let (token, rate) = (leader.fencing_token, all * crate::write_queue::LEADER_WRITES);
+        let (token, rate) = (leader.fencing_token, all * crate::storage::write_queue::LEADER_WRITES);
         let archive = &mut leader.archive;
         let nothing = archive.waiting.is_empty() && archive.stale_keys.is_empty();
         if !archive.is_enabled() || archive.in_flight.is_some() || nothing || now < archive.retry_at {
@@ -365,7 +365,7 @@
         let room = self.store_limits.value_bytes() * 3 / 4;
         let all = self.store_limits.write_rps();
         let Role::Leader(leader) = &mut self.role else { return };
-        let (token, rate) = (leader.fencing_token, all * crate::write_queue::LEADER_WRITES);
+        let (token, rate) = (leader.fencing_token, all * crate::storage::write_queue::LEADER_WRITES);
         let shared = leader.fleet.write_budget(rate);
         if !leader.archive.is_enabled()
             || leader.archive.images_in_flight.is_some()
--- a/crates/controller/src/format_negotiation.rs
+++ b/crates/controller/src/storage/format_negotiation.rs
@@ -2,7 +2,7 @@
 //! side by side. `docs/upgrade.md` argues each opening.
 
 use crate::messages::Time;
-use crate::records::FORMAT;
+use crate::model::records::FORMAT;
 use settings::Peer;
 use std::collections::BTreeMap;
 
--- a/crates/controller/src/spec_chunks.rs
+++ b/crates/controller/src/storage/spec_chunks.rs
@@ -1,7 +1,7 @@
 //! Jobs whose specification is too large for their record: it lies beside it in parts, which
 //! were stored before the record that names them.
 
-use crate::records::*;
+use crate::model::records::*;
 use crate::{CallContext, Controller, StoreReply, StoreRequest, Time};
 use protocol::state::{Compare, Mutation, Transaction};
 use std::collections::BTreeMap;
--- a/crates/controller/src/undecodable.rs
+++ b/crates/controller/src/storage/undecodable.rs
@@ -1,10 +1,10 @@
 //! Stored values that this version cannot read: a later one's, or damaged. They are told of
 //! once and left alone; what may stand in them is never taken for absent.
 
-use crate::job::Job;
-use crate::leader::LeaderState;
+use crate::leader::state::LeaderState;
 use crate::messages::Time;
-use crate::records::{id_of, page_of_key};
+use crate::model::job::Job;
+use crate::model::records::{id_of, page_of_key};
 use planner::Resources;
 use protocol::worker::{split_task, TaskState};
 use std::collections::BTreeMap;
--- a/crates/controller/src/write_queue.rs
+++ b/crates/controller/src/storage/write_queue.rs
@@ -1,10 +1,10 @@
 //! The leader's writes: one transaction in flight, each fenced by the leader
 //! key's version and by the version of every record it replaces.
 
-use crate::job::Job;
-use crate::leader::Role;
-use crate::records::*;
-use crate::scheduling::band;
+use crate::leader::state::Role;
+use crate::model::job::Job;
+use crate::model::records::*;
+use crate::scheduling::planning::band;
 use crate::{CallContext, Controller, StoreReply, StoreRequest, Time};
 use protocol::job::JobStatus;
 use protocol::state::{Compare, Event, Item, Mutation, Transaction, TXN_LIMIT};
@@ -215,7 +215,7 @@
                 if !job.is_final() {
                     job.status = JobStatus::Done;
                 }
-                let (conditions, changes) = crate::archive::moved(job);
+                let (conditions, changes) = crate::storage::archive::moved(job);
                 budget.try_acquire(now, changes.len() as f64);
                 size += 400 + 100 * keys;
                 txn.compares.extend(conditions);
