--- a/crates/controller/src/agents/heartbeats.rs
+++ b/crates/controller/src/agents/heartbeats.rs
@@ -34,21 +34,23 @@
         let now = self.now;
         // A copy that comes late, or a report that was held for long, is no hearing.
         let place = (report.epoch, report.sequence);
-        if self.worker_contacts.len() >= MOST_WORKERS && !self.worker_contacts.contains_key(&report.machine) {
+        if self.sharding.worker_contacts.len() >= MOST_WORKERS
+            && !self.sharding.worker_contacts.contains_key(&report.machine)
+        {
             // (Nobody ever left, and once so many had come no new worker was counted.)
             let since = now - self.settings.params.workers.lease_s * FORGOTTEN_LEASES;
-            self.worker_contacts.retain(|_, (at, _)| *at > since);
+            self.sharding.worker_contacts.retain(|_, (at, _)| *at > since);
         }
-        let room = self.worker_contacts.len() < MOST_WORKERS;
-        match self.worker_contacts.get_mut(&report.machine) {
+        let room = self.sharding.worker_contacts.len() < MOST_WORKERS;
+        match self.sharding.worker_contacts.get_mut(&report.machine) {
             Some(last) if place > last.1 => {
                 *last = (now, place);
-                self.balancer.on_heartbeat(now, &report.machine);
+                self.sharding.balancer.on_heartbeat(now, &report.machine);
             }
             Some(_) => {}
             None if room => {
-                self.worker_contacts.insert(report.machine.clone(), (now, place));
-                self.balancer.on_heartbeat(now, &report.machine);
+                self.sharding.worker_contacts.insert(report.machine.clone(), (now, place));
+                self.sharding.balancer.on_heartbeat(now, &report.machine);
             }
             None => {}
         }
@@ -708,7 +710,7 @@
         self.call_store(CallContext::Revoke, StoreRequest::Revoke(lease));
         self.step_down("workers do not reach this node");
         // The others get the first chance.
-        self.campaign_at = now + 3.0 * self.timing.leader_lease_s;
+        self.election.campaign_at = now + 3.0 * self.timing.leader_lease_s;
     }
 
     /// Releases what certainly ended with its machine's lease, and looks
--- a/crates/controller/src/agents/pending_kills.rs
+++ b/crates/controller/src/agents/pending_kills.rs
@@ -138,7 +138,7 @@
         leader.pending_kills.schedule_retry(machine, now, pause, longest);
         let Some(m) = leader.cluster.machines.get(machine) else { return };
         // Its worker may have reported here before this node led.
-        let before = self.worker_contacts.get(machine).map_or(0, |(_, place)| place.0);
+        let before = self.sharding.worker_contacts.get(machine).map_or(0, |(_, place)| place.0);
         let (addr, session) = (m.addr.clone(), m.newest_position.0.max(before));
         // A new leader hears most machines soon. One that it does not is asked: it refuses what
         // names no session of its own, and reports.
--- a/crates/controller/src/client_api/client_requests.rs
+++ b/crates/controller/src/client_api/client_requests.rs
@@ -359,7 +359,7 @@
             return self.respond_error(request_id, 404, "no such job");
         }
         // Polls are shed first. Never all of them: somebody who asks on is told.
-        let shed = self.event_loop_lag.shed_probability(POLL_PATIENCE_S);
+        let shed = self.sharding.event_loop_lag.shed_probability(POLL_PATIENCE_S);
         if shed > 0.0 && self.rng.gen_bool(shed) {
             return self.respond_error(request_id, 503, "too late for polls");
         }
--- a/crates/controller/src/client_api/hedged_requests.rs
+++ b/crates/controller/src/client_api/hedged_requests.rs
@@ -200,13 +200,13 @@
             return;
         }
         let Timing { store_timeout_s: state_timeout_s, hedge_after_s: overdue_s, .. } = self.timing;
-        let patience_s = self.store_latency.timeout_s(overdue_s);
+        let patience_s = self.store_health.latency.timeout_s(overdue_s);
         // So slow that the answer comes no later than what is read back.
         if patience_s > state_timeout_s / 2.0 {
             return;
         }
         // Nothing was answered for long: one look at a time shows when that has changed.
-        let doubt = self.store_failing_since.is_some_and(|since| self.now - since > state_timeout_s);
+        let doubt = self.store_health.failing_since.is_some_and(|since| self.now - since > state_timeout_s);
         let overdue = |h: &HedgedRequest| {
             h.copies_open > 0 && !h.read_back_in_flight && self.now - h.last_attempt_at >= patience_s
         };
--- /dev/null
+++ b/crates/controller/src/controller.rs
@@ -0,0 +1,144 @@
+//! The controller's state: one field for each part that owns some of it.
+
+use crate::calls::PendingCalls;
+use crate::client_api::client_requests::{ClientRequests, MOST_WRITES};
+use crate::client_api::hedged_requests::HedgedRequests;
+use crate::client_api::status_queries::StatusQueries;
+use crate::election::state::ElectionState;
+use crate::health::StoreHealth;
+use crate::leader::state::{LeaderState, Role};
+use crate::messages::{Output, Time};
+use crate::model::records::JobRecord;
+use crate::proxy::sharding_state::ShardingState;
+use crate::rate_limiter::RateLimiter;
+use crate::safety_checks::SafetyChecks;
+use crate::storage::format_negotiation::FormatNegotiation;
+use crate::storage::store_limits::StoreLimits;
+use crate::terminal_states::TerminalStateCache;
+use protocol::cloud::MachineType;
+use protocol::peer::View;
+use rand::{rngs::SmallRng, Rng, SeedableRng};
+use settings::{Operator, Settings, Timing};
+use sharding::PeerLiveness;
+use std::collections::BTreeMap;
+
+/// Part of the store's read rate that clients' requests may use at all nodes together; the rest is
+/// for lease renewals, watches and the leader.
+const CLIENT_READ_SHARE: f64 = 0.8;
+
+/// One node's controller.
+pub struct Controller {
+    /// Which safety checks are on.
+    pub(crate) checks: SafetyChecks,
+    /// The node's settings.
+    pub(crate) settings: Settings,
+    /// Durations derived from the settings.
+    pub(crate) timing: Timing,
+    /// The operator's overrides.
+    pub(crate) operator: Operator,
+    /// The only source of randomness.
+    pub(crate) rng: SmallRng,
+    /// Time of the current input on the steady clock.
+    pub(crate) now: Time,
+    /// Unix time of the current input, in seconds.
+    pub(crate) time_of_day: f64,
+    /// Calls that wait for a reply.
+    pub(crate) calls: PendingCalls,
+    /// Outputs of the current input.
+    pub(crate) outputs: Vec<Output>,
+    /// Whether this node leads, and the leader's state.
+    pub(crate) role: Role,
+    /// The leader key and this node's campaign.
+    pub(crate) election: ElectionState,
+    /// Which workers this node serves.
+    pub(crate) sharding: ShardingState,
+    /// Whether the store answers this node.
+    pub(crate) store_health: StoreHealth,
+    /// The store's limits, as learned from its refusals.
+    pub(crate) store_limits: StoreLimits,
+    /// Which record format every node reads.
+    pub(crate) formats: FormatNegotiation,
+    /// Records with specification chunks that could not be read: when the read was last tried,
+    /// the record, its version.
+    pub(crate) spec_chunk_retries: Vec<(Time, Box<JobRecord>, u64)>,
+    /// The cloud's machine types; none before they are read.
+    pub(crate) machine_types: Option<Vec<MachineType>>,
+    /// When the machine types were last read.
+    pub(crate) read_types_at: Time,
+    /// The other controllers' views, and when they were received.
+    pub(crate) peers: BTreeMap<String, (View, Time)>,
+    /// Failure detection between controllers.
+    pub(crate) peer_liveness: PeerLiveness,
+    /// Terminal states of jobs that this node has seen.
+    pub(crate) terminal_states: TerminalStateCache,
+    /// Submissions and cancellations in progress.
+    pub(crate) client_requests: ClientRequests,
+    /// Status queries in progress.
+    pub(crate) status_queries: StatusQueries,
+    /// Clients' transactions in flight.
+    pub(crate) hedged_requests: HedgedRequests,
+    /// Budget of reads for clients' requests.
+    pub(crate) client_reads: RateLimiter,
+    /// Budget of writes for clients' requests.
+    pub(crate) client_writes: RateLimiter,
+}
+
+impl Controller {
+    /// A follower that has read nothing; `seed` determines all its random choices.
+    pub fn new(settings: Settings, operator: Operator, seed: u64) -> Self {
+        let mut timing = Timing::from(&settings);
+        timing.planning_interval_s = operator.tick_s.unwrap_or(timing.planning_interval_s);
+        let store = &settings.params.store;
+        let nodes = f64::from(settings.params.nodes.max(1));
+        let client_read_rps = store.rps * CLIENT_READ_SHARE / nodes;
+        let client_write_rps = store.write_rps * MOST_WRITES;
+        let mut rng = SmallRng::seed_from_u64(seed);
+        Controller {
+            checks: SafetyChecks::default(),
+            sharding: ShardingState::new(&settings, rng.gen(), timing),
+            rng,
+            now: 0.0,
+            time_of_day: 0.0,
+            calls: PendingCalls::default(),
+            outputs: Vec::new(),
+            role: Role::Follower,
+            election: ElectionState::default(),
+            store_health: StoreHealth::default(),
+            store_limits: StoreLimits::new(store),
+            formats: FormatNegotiation::default(),
+            spec_chunk_retries: Vec::new(),
+            machine_types: None,
+            read_types_at: 0.0,
+            peers: BTreeMap::new(),
+            peer_liveness: PeerLiveness::default(),
+            terminal_states: TerminalStateCache::default(),
+            client_requests: ClientRequests::default(),
+            status_queries: StatusQueries::default(),
+            hedged_requests: HedgedRequests::new(client_read_rps, client_write_rps),
+            client_reads: RateLimiter::new(client_read_rps),
+            client_writes: RateLimiter::new(client_write_rps),
+            operator,
+            settings,
+            timing,
+        }
+    }
+
+    /// Turns safety checks off, for tests.
+    pub fn set_safety_checks(&mut self, checks: SafetyChecks) {
+        self.checks = checks;
+        self.sharding.proxy.checks = checks.proxy;
+    }
+
+    /// Records that a timer of this node fired `lag_s` seconds after it was due.
+    pub fn record_event_loop_lag(&mut self, lag_s: f64) {
+        self.sharding.event_loop_lag.record(lag_s);
+    }
+
+    /// The leader's state, if this node leads with that fencing token.
+    pub(crate) fn leader_state(&mut self, token: u64) -> Option<&mut LeaderState> {
+        match &mut self.role {
+            Role::Leader(leader) if leader.fencing_token == token => Some(leader),
+            _ => None,
+        }
+    }
+}
--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -3,3 +3,4 @@
 pub(crate) mod campaign;
 pub(crate) mod leadership;
 pub(crate) mod lease_authority;
+pub(crate) mod state;
--- a/crates/controller/src/election/campaign.rs
+++ b/crates/controller/src/election/campaign.rs
@@ -19,7 +19,7 @@
 
 impl Controller {
     pub(crate) fn on_campaign_reply(&mut self, lease: u64, reply: StoreReply) {
-        let Some(claim) = self.election_attempt.filter(|c| c.lease == lease) else { return };
+        let Some(claim) = self.election.attempt.filter(|c| c.lease == lease) else { return };
         match reply {
             StoreReply::Committed(token) => self.become_leader(claim, token),
             StoreReply::Unknown => {
@@ -34,7 +34,7 @@
 
     /// The leader key, read back after a claim without an answer.
     pub(crate) fn on_campaign_read(&mut self, lease: u64, reply: StoreReply) {
-        let Some(claim) = self.election_attempt.filter(|c| c.lease == lease) else { return };
+        let Some(claim) = self.election.attempt.filter(|c| c.lease == lease) else { return };
         match reply {
             StoreReply::Item(Item { value: Value::Leader(l), version, .. }) if l.lease == lease => {
                 self.become_leader(claim, version);
@@ -46,15 +46,15 @@
     /// The leader key was seen as `leader` in that version.
     pub(crate) fn observe_own_campaign(&mut self, leader: &LeaderRecord, token: u64) {
         let own = |c: &ElectionAttempt| c.lease == leader.lease && leader.node == self.settings.node;
-        if let Some(claim) = self.election_attempt.filter(own) {
+        if let Some(claim) = self.election.attempt.filter(own) {
             self.become_leader(claim, token);
         }
     }
 
     fn become_leader(&mut self, claim: ElectionAttempt, token: u64) {
         info!(token, "elected leader");
-        (self.campaigning, self.election_attempt) = (false, None);
-        self.known_leader = Some((self.settings.node.clone(), token));
+        (self.election.campaigning, self.election.attempt) = (false, None);
+        self.election.known_leader = Some((self.settings.node.clone(), token));
         let authority = LeaseAuthority::new(&self.timing, claim.requested_at);
         self.role = Role::Leader(Box::new(LeaderState::new(token, claim.lease, self.now, authority)));
         self.take_over_held_heartbeats();
@@ -62,10 +62,10 @@
 
     /// It failed, or is not known to be carried out. Without its lease it never will be.
     fn abandon_campaign(&mut self, claim: ElectionAttempt) {
-        (self.campaigning, self.election_attempt) = (false, None);
+        (self.election.campaigning, self.election.attempt) = (false, None);
         self.call_store(CallContext::Revoke, StoreRequest::Revoke(claim.lease));
-        self.campaign_at = self.now + self.timing.renewal_interval_s / 4.0;
-        if !self.leader_watch.in_flight {
+        self.election.campaign_at = self.now + self.timing.renewal_interval_s / 4.0;
+        if !self.election.leader_watch.in_flight {
             self.reread_leader(0.0);
         }
     }
--- a/crates/controller/src/leader/state.rs
+++ b/crates/controller/src/leader/state.rs
@@ -206,9 +206,9 @@
             self.read_types_at = now + self.timing.renewal_interval_s;
             self.call_store(CallContext::TypesRead, StoreRequest::Get(TYPES_KEY.to_string()));
         }
-        if !self.leader_watch.in_flight && now >= self.leader_watch.retry_at {
-            self.leader_watch.in_flight = true;
-            if let Some(after) = self.leader_watch.revision {
+        if !self.election.leader_watch.in_flight && now >= self.election.leader_watch.retry_at {
+            self.election.leader_watch.in_flight = true;
+            if let Some(after) = self.election.leader_watch.revision {
                 let wait_ms = (self.timing.leader_lease_s * 1000.0) as u64;
                 self.call_store(
                     CallContext::LeaderWatch,
@@ -219,12 +219,12 @@
             }
         }
         if self.claimable_version().is_some()
-            && !self.campaigning
+            && !self.election.campaigning
             && !self.is_leader()
-            && now >= self.campaign_at
+            && now >= self.election.campaign_at
         {
-            self.campaigning = true;
-            self.campaign_at = now;
+            self.election.campaigning = true;
+            self.election.campaign_at = now;
             let ttl_ms = (self.timing.leader_lease_s * 1000.0) as u64;
             self.call_store(CallContext::Grant, StoreRequest::Grant { ttl_ms });
         }
@@ -233,29 +233,30 @@
     /// The version that the leader key has to have for a claim of this node, with the
     /// count of its starts; None: another leads, or nothing is known yet.
     fn claimable_version(&self) -> Option<(u64, u32)> {
-        self.leader_watch.revision?;
-        match &self.known_leader {
+        self.election.leader_watch.revision?;
+        match &self.election.known_leader {
             None => Some((0, 0)),
             Some((node, _)) if *node == self.settings.node => {
-                self.previous_incarnation.succession(self.time_of_day, self.timing.leader_lease_s)
+                self.election.previous_incarnation.succession(self.time_of_day, self.timing.leader_lease_s)
             }
             Some(_) => None,
         }
     }
 
     pub(crate) fn reread_leader(&mut self, pause: f64) {
-        self.leader_watch = WatchCursor { in_flight: false, revision: None, retry_at: self.now + pause };
+        self.election.leader_watch =
+            WatchCursor { in_flight: false, revision: None, retry_at: self.now + pause };
     }
 
     pub(crate) fn on_leader_read(&mut self, reply: StoreReply) {
-        self.leader_watch.in_flight = false;
+        self.election.leader_watch.in_flight = false;
         match reply {
             StoreReply::Item(Item { value: Value::Leader(l), version, .. }) => {
-                self.leader_watch.revision = Some(version);
+                self.election.leader_watch.revision = Some(version);
                 self.observe_leader(Some((l, version)));
             }
             StoreReply::Missing(revision) => {
-                self.leader_watch.revision = Some(revision);
+                self.election.leader_watch.revision = Some(revision);
                 // Read before this node's claim was carried out, it says nothing of it.
                 if self.token().is_none_or(|own| own < revision) {
                     self.observe_leader(None);
@@ -269,7 +270,7 @@
         if let Some((l, token)) = &leader {
             self.observe_own_campaign(l, *token);
         }
-        self.previous_incarnation.observe_leader(&self.settings.node, leader.as_ref());
+        self.election.previous_incarnation.observe_leader(&self.settings.node, leader.as_ref());
         let leader = leader.map(|(l, token)| (l.node, token));
         if let Role::Leader(l) = &self.role {
             let ours = matches!(&leader, Some((n, t)) if *t == l.fencing_token && *n == self.settings.node);
@@ -281,11 +282,11 @@
                 self.step_down("another leader was seen, or none");
             }
         }
-        self.known_leader = leader;
+        self.election.known_leader = leader;
     }
 
     pub(crate) fn on_leader_watch(&mut self, reply: StoreReply) {
-        self.leader_watch.in_flight = false;
+        self.election.leader_watch.in_flight = false;
         match reply {
             StoreReply::Events(e) => {
                 for event in e.events {
@@ -295,7 +296,7 @@
                         }
                         Event::Put { value: Value::Types(t), .. } => self.machine_types = Some(t),
                         Event::Delete { key, version } if key == LEADER_KEY => {
-                            let stale = matches!(&self.known_leader, Some((_, t)) if *t > version);
+                            let stale = matches!(&self.election.known_leader, Some((_, t)) if *t > version);
                             if !stale {
                                 self.observe_leader(None);
                             }
@@ -303,7 +304,8 @@
                         _ => {}
                     }
                 }
-                self.leader_watch.revision = self.leader_watch.revision.max(Some(e.revision));
+                self.election.leader_watch.revision =
+                    self.election.leader_watch.revision.max(Some(e.revision));
             }
             _ => self.reread_leader(self.timing.renewal_interval_s / 4.0),
         }
@@ -330,8 +332,8 @@
 
     pub(crate) fn on_lease_granted(&mut self, reply: StoreReply) {
         let StoreReply::Granted(lease) = reply else {
-            self.campaigning = false;
-            self.campaign_at = self.now + self.timing.renewal_interval_s / 2.0;
+            self.election.campaigning = false;
+            self.election.campaign_at = self.now + self.timing.renewal_interval_s / 2.0;
             return;
         };
         // Somebody else may have claimed meanwhile: 0 fails then, as it should.
@@ -342,7 +344,7 @@
             quick_restarts: again,
             lease,
         };
-        self.election_attempt = Some(ElectionAttempt { lease, requested_at: self.campaign_at });
+        self.election.attempt = Some(ElectionAttempt { lease, requested_at: self.election.campaign_at });
         let txn = Transaction {
             compares: vec![Compare { key: LEADER_KEY.to_string(), version }],
             mutations: vec![Mutation::Put {
@@ -357,7 +359,7 @@
     /// Another node or a worker has seen that token: who leads with a lower one has
     /// been replaced.
     pub(crate) fn observe_token(&mut self, token: u64, by: &str) {
-        self.last_reported_token = self.last_reported_token.max(token);
+        self.election.last_reported_token = self.election.last_reported_token.max(token);
         if matches!(&self.role, Role::Leader(leader) if leader.fencing_token < token) {
             info!(newer = token, by, "newer leader observed");
             self.step_down("newer leader observed");
@@ -367,7 +369,7 @@
     pub(crate) fn step_down(&mut self, why: &str) {
         if let Role::Leader(mut leader) = std::mem::replace(&mut self.role, Role::Follower) {
             warn!(token = leader.fencing_token, why, "leadership lost");
-            self.worker_count = 0;
+            self.sharding.worker_count = 0;
             for request in leader.forwarding.take_waiting_requests() {
                 self.outputs.push(Output::ForwardReply(request, ForwardReply::default()));
             }
@@ -379,13 +381,13 @@
                     self.respond_error(request, 503, "no longer leading");
                 }
             }
-            self.known_leader = None;
-            if !self.leader_watch.in_flight {
+            self.election.known_leader = None;
+            if !self.election.leader_watch.in_flight {
                 self.reread_leader(0.0);
             }
             // Not all at once with the others.
             let jitter: f64 = self.rng.gen_range(0.5..1.0);
-            self.campaign_at = self.now + self.timing.renewal_interval_s * jitter;
+            self.election.campaign_at = self.now + self.timing.renewal_interval_s * jitter;
         }
     }
 
@@ -480,7 +482,7 @@
     fn log_summary(&mut self) {
         let now = self.now;
         let every = self.settings.params.workers.lease_s;
-        let (here, ceiling) = (self.worker_count, self.worker_capacity());
+        let (here, ceiling) = (self.sharding.worker_count, self.worker_capacity());
         let Role::Leader(leader) = &mut self.role else { return };
         if now < leader.log_summary_at {
             return;
--- a/crates/controller/src/proxy/heartbeat_proxying.rs
+++ b/crates/controller/src/proxy/heartbeat_proxying.rs
@@ -33,7 +33,7 @@
 
     /// A report at a node that does not lead.
     pub(crate) fn on_proxied_heartbeat(&mut self, request_id: RequestId, heartbeat: Heartbeat) {
-        let known = self.proxy.knows(&heartbeat.machine);
+        let known = self.sharding.proxy.knows(&heartbeat.machine);
         match self.admit_worker(known) {
             WorkerAdmission::Accept => {}
             WorkerAdmission::Redirect(node) => return self.redirect(request_id, Some(node)),
@@ -41,23 +41,25 @@
                 return self.respond_error(request_id, 503, "no room for more workers")
             }
         }
-        if self.proxy.may_be_moved(self.now, &heartbeat) {
+        if self.sharding.proxy.may_be_moved(self.now, &heartbeat) {
             let (own, others) = self.shard_members();
-            if let Some(node) = self.balancer.pick_better_node(self.now, &heartbeat.machine, &own, &others) {
-                self.proxy.on_worker_moved(self.now, &heartbeat.machine);
-                self.worker_count = self.worker_count.saturating_sub(1);
+            if let Some(node) =
+                self.sharding.balancer.pick_better_node(self.now, &heartbeat.machine, &own, &others)
+            {
+                self.sharding.proxy.on_worker_moved(self.now, &heartbeat.machine);
+                self.sharding.worker_count = self.sharding.worker_count.saturating_sub(1);
                 return self.redirect(request_id, Some(node));
             }
         }
-        self.proxy.on_heartbeat(self.now, request_id, heartbeat);
+        self.sharding.proxy.on_heartbeat(self.now, request_id, heartbeat);
         self.perform_proxy_actions();
     }
 
     /// This node leads from now on: what waits in its gateway is its own.
     pub(crate) fn take_over_held_heartbeats(&mut self) {
         // Counted anew as they report.
-        self.worker_count = 0;
-        for (request, report) in self.proxy.take_held_heartbeats() {
+        self.sharding.worker_count = 0;
+        for (request, report) in self.sharding.proxy.take_held_heartbeats() {
             self.on_leader_heartbeat(request, &report);
         }
     }
@@ -71,25 +73,26 @@
         let fresh = |at: f64| self.now - at < self.timing.leader_lease_s;
         let claims = self.peers.values().filter(|(v, at)| v.token > 0 && fresh(*at));
         let claimed = claims.map(|(v, _)| (v.node.clone(), v.token)).max_by_key(|(_, t)| *t);
-        let known = self.known_leader.clone().filter(|(n, _)| *n != self.settings.node);
+        let known = self.election.known_leader.clone().filter(|(n, _)| *n != self.settings.node);
         let leader = match (known, claimed) {
             (Some(k), Some(c)) if c.1 > k.1 => Some(c),
-            (None, Some(c)) if c.1 > self.last_stored_token => Some(c),
+            (None, Some(c)) if c.1 > self.election.last_stored_token => Some(c),
             (k, _) => k,
         };
-        self.last_stored_token = self.last_stored_token.max(self.known_leader.as_ref().map_or(0, |l| l.1));
-        self.proxy.set_leader(self.now, leader);
-        self.proxy.tick(self.now);
+        self.election.last_stored_token =
+            self.election.last_stored_token.max(self.election.known_leader.as_ref().map_or(0, |l| l.1));
+        self.sharding.proxy.set_leader(self.now, leader);
+        self.sharding.proxy.tick(self.now);
         self.perform_proxy_actions();
         self.log_delegated_lease();
     }
 
     /// A line when leave comes and goes.
     fn log_delegated_lease(&mut self) {
-        let serves = self.proxy.may_respond(self.now);
-        if serves != self.was_proxying {
-            self.was_proxying = serves;
-            let (leader, token) = self.proxy.leader().cloned().unwrap_or_default();
+        let serves = self.sharding.proxy.may_respond(self.now);
+        if serves != self.sharding.was_proxying {
+            self.sharding.was_proxying = serves;
+            let (leader, token) = self.sharding.proxy.leader().cloned().unwrap_or_default();
             if serves {
                 info!(leader, token, "delegated lease granted, responding to heartbeats");
             } else {
@@ -99,7 +102,7 @@
     }
 
     fn perform_proxy_actions(&mut self) {
-        for act in self.proxy.take_actions() {
+        for act in self.sharding.proxy.take_actions() {
             match act {
                 ProxyAction::Respond(req, answer) => self.respond(req, 200, protocol::encode(&answer)),
                 ProxyAction::Redirect(req, node) => self.redirect(req, node),
@@ -113,7 +116,7 @@
     }
 
     pub(crate) fn on_forward_reply(&mut self, reply: Option<ForwardReply>) {
-        self.proxy.on_reply(self.now, reply);
+        self.sharding.proxy.on_reply(self.now, reply);
         self.perform_proxy_actions();
     }
 
@@ -334,9 +337,9 @@
         });
         let own = ShardMember {
             node: self.settings.node.clone(),
-            workers: self.worker_count,
+            workers: self.sharding.worker_count,
             capacity: self.timing.worker_capacity,
-            weight: self.event_loop_lag.weight(),
+            weight: self.sharding.event_loop_lag.weight(),
         };
         (own, others.collect())
     }
@@ -344,8 +347,8 @@
     /// Counts the workers that stay here.
     pub(crate) fn count_workers(&mut self) {
         let since = self.now - self.timing.heartbeat_validity_s;
-        self.new_workers = 0;
-        self.worker_count = match &self.role {
+        self.sharding.new_workers = 0;
+        self.sharding.worker_count = match &self.role {
             Role::Leader(leader) => {
                 let here = leader
                     .cluster
@@ -354,7 +357,7 @@
                     .filter(|m| m.reports_here && m.last_heartbeat_at.is_some_and(|t| t > since));
                 here.count() as u32
             }
-            Role::Follower => self.proxy.count_workers_since(since),
+            Role::Follower => self.sharding.proxy.count_workers_since(since),
         };
     }
 
@@ -375,16 +378,16 @@
         if known {
             return WorkerAdmission::Accept;
         }
-        if self.worker_count >= self.timing.worker_capacity {
+        if self.sharding.worker_count >= self.timing.worker_capacity {
             let (_, others) = self.shard_members();
-            if let Some(m) = self.balancer.least_loaded(self.now, &others) {
+            if let Some(m) = self.sharding.balancer.least_loaded(self.now, &others) {
                 return WorkerAdmission::Redirect(m.node.clone());
             }
         }
-        if self.worker_count + self.new_workers >= self.timing.max_workers {
+        if self.sharding.worker_count + self.sharding.new_workers >= self.timing.max_workers {
             return WorkerAdmission::Reject;
         }
-        self.new_workers += 1;
+        self.sharding.new_workers += 1;
         WorkerAdmission::Accept
     }
 
@@ -396,7 +399,7 @@
             return None;
         }
         let (own, others) = self.shard_members();
-        let node = self.balancer.pick_better_node(self.now, &heartbeat.machine, &own, &others)?;
+        let node = self.sharding.balancer.pick_better_node(self.now, &heartbeat.machine, &own, &others)?;
         self.update_leader_only(&heartbeat.machine);
         let Role::Leader(leader) = &mut self.role else { return None };
         if leader.forwarding.is_leader_only(&heartbeat.machine) {
@@ -405,7 +408,7 @@
         if let Some(m) = leader.cluster.machines.get_mut(&heartbeat.machine) {
             m.reports_here = false;
         }
-        self.worker_count = self.worker_count.saturating_sub(1);
+        self.sharding.worker_count = self.sharding.worker_count.saturating_sub(1);
         Some(node)
     }
 
