--- a/crates/controller/src/scheduling/starvation.rs
+++ b/crates/controller/src/scheduling/starvation.rs
@@ -1,7 +1,9 @@
 //! Classes and teams under their floors, for one plan (see `planner::starvation`).
 
 use crate::scheduling::planning::needs;
-use planner::starvation::{grants, keeps_until, overdue, under, StarvationPolicy, WaitingDemand};
+use planner::starvation::{
+    guaranteed_tasks, overdue_tasks, reservation_expiry, starving_groups, StarvationPolicy, WaitingDemand,
+};
 use planner::{Job, Resources, RunningTask, Shape};
 use protocol::job::JobSpec;
 use std::collections::BTreeMap;
@@ -81,14 +83,14 @@
     /// Lets what is under its floor go first. Part of a job's tasks becomes a job of
     /// its own, which the plan has under the same name.
     pub fn apply(&mut self, now: f64, ids: &mut Vec<String>, jobs: &mut Vec<Job>) -> StarvingGroups {
-        let starving = under(now, &self.policy, &self.held_shares, &self.demands);
-        let mut granted = overdue(now, &self.policy, &self.demands);
+        let starving = starving_groups(now, &self.policy, &self.held_shares, &self.demands);
+        let mut granted = overdue_tasks(now, &self.policy, &self.demands);
         for ((c, &i), _) in self.demands.iter().zip(&self.job_indices).zip(&granted).filter(|(_, n)| **n > 0)
         {
-            jobs[i].reserves_until = keeps_until(&self.policy, c.submitted_at);
+            jobs[i].reserves_until = reservation_expiry(&self.policy, c.submitted_at);
         }
         if starving.contains(&true) {
-            let groups = grants(&self.policy, &starving, &self.held_shares, &self.demands);
+            let groups = guaranteed_tasks(&self.policy, &starving, &self.held_shares, &self.demands);
             granted.iter_mut().zip(groups).for_each(|(g, n)| *g = (*g).max(n));
         }
         if granted.iter().any(|n| *n > 0) {
--- /dev/null
+++ b/crates/planner/src/ordering.rs
@@ -0,0 +1,44 @@
+//! The order in which jobs are planned.
+
+use crate::cost::deferrals;
+use crate::feasibility::{feasibilities, Feasibility};
+use crate::problem::Problem;
+use std::cmp::Ordering;
+
+/// Jobs by falling priority. Starvation relief comes first, then the job's priority; inside a
+/// priority, work that a guaranteed quota covers, then jobs that can still meet their deadline,
+/// then the higher deferral cost, then the earlier deadline.
+pub fn order(problem: &Problem) -> Vec<usize> {
+    let jobs = &problem.jobs;
+    let mut order: Vec<usize> = (0..jobs.len()).collect();
+    order.sort_by(|&a, &b| jobs[a].deadline.total_cmp(&jobs[b].deadline).then(a.cmp(&b)));
+    let deferral_cost = deferrals(problem.now, &problem.instance_types, jobs);
+    let feasibility = feasibilities(problem, &order);
+    // Where a priority cannot do everything in time, the jobs that can be in time are served in
+    // the order by which that was judged.
+    let mut overloaded = [false; 1 + u8::MAX as usize];
+    for (job, feasibility) in jobs.iter().zip(&feasibility) {
+        overloaded[job.priority as usize] |= *feasibility != Feasibility::InTime;
+    }
+    order.sort_by(|&a, &b| {
+        let (left, right) = (&jobs[a], &jobs[b]);
+        let by_deadline = left.deadline.total_cmp(&right.deadline);
+        let by_load = if overloaded[left.priority as usize] {
+            by_deadline
+        } else {
+            deferral_cost[b].partial_cmp(&deferral_cost[a]).unwrap_or(Ordering::Equal)
+        };
+        right
+            .starvation_relief
+            .cmp(&left.starvation_relief)
+            .then(right.priority.cmp(&left.priority))
+            .then(left.probing.cmp(&right.probing))
+            .then(left.best_effort.cmp(&right.best_effort))
+            .then(right.guaranteed.cmp(&left.guaranteed))
+            .then(feasibility[a].cmp(&feasibility[b]))
+            .then(by_load)
+            .then(by_deadline)
+            .then(a.cmp(&b))
+    });
+    order
+}
--- /dev/null
+++ b/crates/planner/src/timeline.rs
@@ -0,0 +1,114 @@
+//! A machine's future while a plan is made.
+
+use crate::problem::{Machine, RunningTask};
+use crate::resources::Resources;
+
+/// Resources that a job has reserved from some time on.
+struct FutureUse {
+    starts_at: f64,
+    resources: Resources,
+}
+
+/// Running tasks and reservations of one machine.
+pub(crate) struct MachineTimeline {
+    /// Resources that are free now.
+    pub(crate) free: Resources,
+    /// Running tasks, the soonest end first.
+    pub(crate) running: Vec<RunningTask>,
+    /// Reservations of jobs that were planned before.
+    reserved: Vec<FutureUse>,
+    /// What remains for good once all running work has ended or was preempted.
+    unreserved: Resources,
+    /// The latest start of a reservation.
+    last_reserved_start: f64,
+}
+
+impl MachineTimeline {
+    /// The machine as it is now.
+    pub(crate) fn of(machine: &Machine) -> Self {
+        let mut running = machine.running.clone();
+        running.sort_by(|a, b| a.ends_at.total_cmp(&b.ends_at));
+        let mut unreserved = machine.free;
+        for task in &running {
+            unreserved.add(&task.resources);
+        }
+        MachineTimeline {
+            free: machine.free,
+            running,
+            reserved: Vec::new(),
+            unreserved,
+            last_reserved_start: 0.0,
+        }
+    }
+
+    /// Whether some job has a reservation here.
+    pub(crate) fn has_reservations(&self) -> bool {
+        !self.reserved.is_empty()
+    }
+
+    /// Whether nothing that needs `least` or more and runs `run_s` or longer fits here any more, now
+    /// or later.
+    pub(crate) fn is_full(&self, now: f64, least: &Resources, run_s: f64) -> bool {
+        !self.unreserved.fits(least) && (self.reserved.is_empty() || now + run_s > self.last_reserved_start)
+    }
+
+    /// Earliest time, at or after `not_before`, at which `need` fits for a run of `run_s` seconds.
+    pub(crate) fn earliest_start(&self, not_before: f64, need: &Resources, run_s: f64) -> Option<f64> {
+        let mut start = not_before;
+        if self.is_full(start, need, run_s) {
+            return None;
+        }
+        let mut free = self.free;
+        let mut upcoming = self.running.iter().peekable();
+        loop {
+            while let Some(task) = upcoming.next_if(|task| task.ends_at <= start || task.endless) {
+                if !task.endless {
+                    free.add(&task.resources);
+                }
+            }
+            if self.without_reservations(free, start + run_s).fits(need) {
+                return Some(start);
+            }
+            start = upcoming.peek()?.ends_at;
+        }
+    }
+
+    /// What of `free` no reservation needs before `end`.
+    fn without_reservations(&self, free: Resources, end: f64) -> Resources {
+        let mut left = free;
+        for reservation in self.reserved.iter().filter(|reservation| end > reservation.starts_at) {
+            left.subtract(&reservation.resources);
+        }
+        left
+    }
+
+    /// Starts a task now.
+    pub(crate) fn start(&mut self, task: RunningTask) {
+        self.free.subtract(&task.resources);
+        let position = self.running.partition_point(|other| other.ends_at <= task.ends_at);
+        self.running.insert(position, task);
+    }
+
+    /// Keeps `resources` free from `starts_at` on.
+    pub(crate) fn reserve(&mut self, starts_at: f64, resources: Resources) {
+        self.reserved.push(FutureUse { starts_at, resources });
+        self.unreserved.subtract(&resources);
+        self.last_reserved_start = self.last_reserved_start.max(starts_at);
+    }
+
+    /// Preempts the running tasks at `positions`: they end at `ends_at`. Returns their owners.
+    ///
+    /// The tasks are changed in place and sorted again afterwards. (They were once taken out and put
+    /// in front one by one, which moved the positions of the others: the wrong work was stopped.)
+    pub(crate) fn preempt(&mut self, positions: &[usize], ends_at: f64) -> Vec<usize> {
+        let mut owners = Vec::new();
+        for &position in positions {
+            let task = &mut self.running[position];
+            owners.extend(task.preemption.take().map(|candidate| candidate.owner));
+            task.ends_at = ends_at;
+            task.endless = false;
+        }
+        self.running.sort_by(|a, b| a.ends_at.total_cmp(&b.ends_at));
+        owners
+    }
+}
--- a/crates/planner/src/work_conservation.rs
+++ b/crates/planner/src/work_conservation.rs
@@ -1,48 +1,90 @@
-//! Room that is free now. A place may be free and yet be kept from a job: what is reserved for
-//! a more urgent one from later on must not be in its way, the job failed on that machine, or
-//! the machine is kept ready for what usually comes. None of that may keep a job for long: the
-//! caller counts how long it has been [`Plan::beside`], and lets it go first in the end.
+//! Work conservation: capacity that is free now must not stay idle beside a job for long.
+//!
+//! Free capacity may be kept from a job: a reservation of a more urgent job would overlap with it,
+//! the job failed on that machine, or the machine is kept ready for usual arrivals. The caller
+//! counts how long a job has been in [`crate::Plan::waiting_beside_capacity`] and, once that is too
+//! long, sets [`Job::waits_beside_capacity`], which gives it the capacity.
 
-use super::{Job, KnownMisfit, PlacementOption, Plan, Planner, Shape, Start, UnmetDemand, SLACK};
+use crate::misfit::KnownMisfit;
+use crate::placement::PlacementOption;
+use crate::plan::Start;
+use crate::planner::Planner;
+use crate::problem::{Job, Shape};
+use crate::zones::{zone_choices, ZoneLoad};
 
 impl Planner<'_> {
-    /// Machines with free places for `job`'s tasks, one for each: of a gang all or none, of others
-    /// as many as there are, up to `most`.
-    fn free_machines_for(&mut self, job: &Job, roomy: &[usize], most: usize) -> Vec<usize> {
-        let mut load = job.placed_per_zone.clone();
-        load.resize(self.problem.zones, 0);
-        let held = load.iter().position(|&n| n > 0);
-        let zones: Vec<Option<usize>> = match (job.one_zone, held) {
-            (true, Some(zone)) => vec![Some(zone)],
-            (true, None) => (0..self.problem.zones).map(Some).collect(),
-            (false, _) => vec![None],
+    /// Gives a job the capacity that is free now, whatever is reserved there. Returns how many of
+    /// its tasks start.
+    pub(crate) fn start_on_free_capacity(&mut self, job_index: usize) -> usize {
+        let problem = self.problem;
+        let job = &problem.jobs[job_index];
+        let max_tasks = self.tasks_within_quota(job);
+        if max_tasks == 0 {
+            return 0;
+        }
+        let all_machines: Vec<usize> = (0..problem.machines.len()).collect();
+        let chosen = self.free_machines_for(job, &all_machines, max_tasks);
+        for (&task, &machine) in job.pending_tasks.iter().zip(&chosen) {
+            self.plan.starts.push(Start { job: job_index, task, machine });
+            let run_s = self.fetch_s(job, machine) + job.run_s;
+            let ends_at = problem.now + run_s * problem.machines[machine].slowness;
+            self.occupy(job, machine, problem.now, ends_at);
+        }
+        if !chosen.is_empty() {
+            self.drop_full_machines();
+        }
+        chosen.len()
+    }
+
+    /// Those of the `waiting` jobs that could start tasks on capacity that is free now.
+    pub(crate) fn jobs_waiting_beside_capacity(&mut self, waiting: &[usize]) -> Vec<usize> {
+        let problem = self.problem;
+        let machines_with_room = self.machines_with_room();
+        if machines_with_room.is_empty() {
+            return Vec::new();
+        }
+        let mut beside_capacity = Vec::new();
+        // A job that found nothing speaks for all that ask for as much.
+        let mut misfits: Vec<KnownMisfit> = Vec::new();
+        for &job_index in waiting {
+            let job = &problem.jobs[job_index];
+            self.plan.steps += 1;
+            if self.tasks_within_quota(job) == 0 || misfits.iter().any(|misfit| misfit.covers(job)) {
+                continue;
+            }
+            let bound_to_its_zone = job.one_zone && job.shape != Shape::Gang;
+            if !self.free_machines_for(job, &machines_with_room, job.pending_tasks.len()).is_empty() {
+                beside_capacity.push(job_index);
+            } else if job.max_per_zone.is_none() && !bound_to_its_zone {
+                misfits.push(KnownMisfit::for_any_priority(job));
+            }
+        }
+        beside_capacity
+    }
+
+    /// Machines that are up and could run the smallest task now.
+    fn machines_with_room(&self) -> Vec<usize> {
+        let problem = self.problem;
+        let smallest = &self.smallest_need.resources;
+        (0..problem.machines.len())
+            .filter(|&machine| problem.machines[machine].ready_at <= problem.now)
+            .filter(|&machine| self.timelines[machine].free.fits(smallest))
+            .collect()
+    }
+
+    /// Those of `machines` that can start the job's tasks now, one entry for each task: a gang's
+    /// all or none, of others as many as possible, up to `max_tasks`.
+    fn free_machines_for(&mut self, job: &Job, machines: &[usize], max_tasks: usize) -> Vec<usize> {
+        let load = ZoneLoad::of(job, self.problem.zones);
+        let zones = match load.first_used() {
+            Some(zone) if job.one_zone => vec![Some(zone)],
+            _ => zone_choices(job, self.problem.zones),
         };
-        self.steps += (roomy.len() * zones.len()) as u64;
-        let mut options: Vec<PlacementOption> = roomy
-            .iter()
-            .filter(|&&m| self.can_host(job, m) && self.problem.machines[m].ready_at <= self.problem.now)
-            .filter(|&&m| self.timelines[m].free.fits(&job.resources))
-            .map(|&machine| PlacementOption {
-                machine,
-                starts_at: self.problem.now,
-                rank: self.rank(job, machine),
-            })
-            .collect();
-        options.sort_unstable();
+        self.plan.steps += (machines.len() * zones.len()) as u64;
+        let options = self.immediate_options(job, machines);
         let mut best = Vec::new();
         for zone in zones {
-            let (mut load, mut picked) = (load.clone(), Vec::new());
-            for o in &options {
-                let z = self.problem.machines[o.machine].zone;
-                if zone.is_some_and(|only| only != z) {
-                    continue;
-                }
-                let room = self.timelines[o.machine].free.instances_that_fit(&job.resources) as usize;
-                let cap = job.max_per_zone.map_or(usize::MAX, |c| c.saturating_sub(load[z]) as usize);
-                let n = room.min(cap).min(most - picked.len());
-                load[z] += n as u32;
-                picked.extend(std::iter::repeat_n(o.machine, n));
-            }
+            let picked = self.pick_machines(job, &options, zone, load.clone(), max_tasks);
             if picked.len() > best.len() {
                 best = picked;
             }
@@ -53,80 +95,41 @@
         best
     }
 
-    /// How many of the job's waiting tasks its team may have now; a gang's only all together.
-    fn tasks_within_quota(&self, job: &Job) -> usize {
-        let n = job.pending_tasks.len();
-        if job.shape == Shape::Gang {
-            return if self.fits_team_quota(job, n as u32) { n } else { 0 };
-        }
-        let t = &self.teams[job.team];
-        let part = |left: Option<f64>, need: f64| match left {
-            Some(x) if need > 0.0 => ((x + SLACK) / need).max(0.0) as usize,
-            _ => n,
-        };
-        n.min(part(t.cores_left, job.resources.cores))
-            .min(part(t.accelerators_left, job.resources.accelerators))
-    }
-
-    /// Gives job `i` the places that are free now, whatever is reserved there. Returns how many
-    /// of its tasks got one.
-    pub(crate) fn start_on_free_capacity(&mut self, i: usize, plan: &mut Plan) -> usize {
-        let p = self.problem;
-        let job = &p.jobs[i];
-        let most = self.tasks_within_quota(job);
-        let all: Vec<usize> = (0..p.machines.len()).collect();
-        let places = if most > 0 { self.free_machines_for(job, &all, most) } else { Vec::new() };
-        for (&task, &machine) in job.pending_tasks.iter().zip(&places) {
-            plan.starts.push(Start { job: i, task, machine });
-            let run = self.fetch_s(job, machine) + job.run_s;
-            self.occupy(job, machine, p.now, p.now + run * p.machines[machine].slowness);
-        }
-        if !places.is_empty() {
-            self.drop_full_machines();
-        }
-        places.len()
+    /// Options to start a task of the job now, the best first. Machines that it failed on count:
+    /// one more attempt there is better than none.
+    fn immediate_options(&self, job: &Job, machines: &[usize]) -> Vec<PlacementOption> {
+        let now = self.problem.now;
+        let mut options: Vec<PlacementOption> = machines
+            .iter()
+            .filter(|&&machine| self.can_host(job, machine) && self.problem.machines[machine].ready_at <= now)
+            .filter(|&&machine| self.timelines[machine].free.fits(&job.resources))
+            .map(|&machine| PlacementOption { machine, starts_at: now, rank: self.rank(job, machine) })
+            .collect();
+        options.sort_unstable();
+        options
     }
 
-    /// Those of `open`, jobs that go on waiting, that do so beside a free place of theirs.
-    pub(crate) fn jobs_waiting_beside_capacity(&mut self, open: &[usize]) -> Vec<usize> {
-        let p = self.problem;
-        let least = self.smallest_need.0;
-        let roomy: Vec<usize> = (0..p.machines.len())
-            .filter(|&m| p.machines[m].ready_at <= p.now && self.timelines[m].free.fits(&least))
-            .collect();
-        // What found nothing speaks for all that ask for as much.
-        let (mut beside, mut fruitless): (Vec<usize>, Vec<KnownMisfit>) = Default::default();
-        for &i in open.iter().filter(|_| !roomy.is_empty()) {
-            let job = &p.jobs[i];
-            self.steps += 1;
-            if self.tasks_within_quota(job) == 0 || fruitless.iter().any(|b| b.covers(job)) {
+    /// Fills the machines of the options in order, up to `max_tasks` tasks and the limit of each
+    /// zone.
+    fn pick_machines(
+        &self,
+        job: &Job,
+        options: &[PlacementOption],
+        zone: Option<usize>,
+        mut load: ZoneLoad,
+        max_tasks: usize,
+    ) -> Vec<usize> {
+        let mut picked = Vec::new();
+        for option in options {
+            let option_zone = self.problem.machines[option.machine].zone;
+            if zone.is_some_and(|only| only != option_zone) {
                 continue;
             }
-            let alike = job.max_per_zone.is_none() && (!job.one_zone || job.shape == Shape::Gang);
-            if !self.free_machines_for(job, &roomy, job.pending_tasks.len()).is_empty() {
-                beside.push(i);
-            } else if alike {
-                fruitless.push(KnownMisfit { priority: u8::MAX, ..KnownMisfit::of(job, 0.0) });
-            }
-        }
-        beside
-    }
-
-    /// Takes off `unmet` what the teams' limits let nobody run now: a machine more would be of no
-    /// use to it. (A team at its limit of two machines once had sixty rented, again and again.)
-    pub(crate) fn drop_demand_over_quota(&mut self, unmet: &mut Vec<UnmetDemand>) {
-        let kept = self.teams.clone();
-        // What is kept for a job comes free while its machines boot.
-        for u in unmet.iter_mut().filter(|u| !self.reserved_machines.contains(&u.job)) {
-            let job = &self.problem.jobs[u.job];
-            u.tasks = u.tasks.min(self.tasks_within_quota(job) as u32);
-            u.late_tasks = u.late_tasks.min(u.tasks);
-            let t = &mut self.teams[job.team];
-            let n = f64::from(u.tasks);
-            t.cores_left = t.cores_left.map(|x| x - n * job.resources.cores);
-            t.accelerators_left = t.accelerators_left.map(|x| x - n * job.resources.accelerators);
+            let instances = self.timelines[option.machine].free.instances_that_fit(&job.resources) as usize;
+            let tasks = instances.min(load.remaining(option_zone)).min(max_tasks - picked.len());
+            load.add(option_zone, tasks as u32);
+            picked.extend(std::iter::repeat_n(option.machine, tasks));
         }
-        unmet.retain(|u| u.tasks > 0);
-        self.teams = kept;
+        picked
     }
 }
--- a/crates/planner/tests/floor.rs
+++ b/crates/planner/tests/starvation.rs
@@ -1,6 +1,8 @@
 //! The floor under classes and teams, as pure functions.
 
-use anisecroft_planner::starvation::{grants, overdue, under, StarvationPolicy, WaitingDemand};
+use anisecroft_planner::starvation::{
+    guaranteed_tasks, overdue_tasks, starving_groups, StarvationPolicy, WaitingDemand,
+};
 use proptest::prelude::*;
 
 const FLOOR: StarvationPolicy =
@@ -28,8 +30,8 @@
         claims in prop::collection::vec(claim(), 0..30),
         held in prop::collection::vec(0.0..0.2f64, 6..7),
     ) {
-        let starving = under(200.0, &FLOOR, &held, &claims);
-        let granted = grants(&FLOOR, &starving, &held, &claims);
+        let starving = starving_groups(200.0, &FLOOR, &held, &claims);
+        let granted = guaranteed_tasks(&FLOOR, &starving, &held, &claims);
         let part: f64 = claims.iter().zip(&granted).map(|(c, n)| c.share_per_task * *n as f64).sum();
         prop_assert!(part <= FLOOR.guaranteed_share + 1e-6, "{part} granted");
         for (c, n) in claims.iter().zip(&granted) {
@@ -46,7 +48,7 @@
     /// gang, alone; nothing else.
     #[test]
     fn the_overdue_begin(claims in prop::collection::vec(claim(), 0..30)) {
-        let granted = overdue(200.0, &FLOOR, &claims);
+        let granted = overdue_tasks(200.0, &FLOOR, &claims);
         let due = |c: &WaitingDemand| !c.has_started && c.submitted_at < 200.0 - FLOOR.max_wait_s;
         let mut arrays = 0.0;
         for (c, n) in claims.iter().zip(&granted).filter(|(_, n)| **n > 0) {
