--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,18 +1,32 @@
-//! Operators' own settings, in protobuf text format.
+//! Operators' own settings, in protobuf text format (`proto/operator.proto`).
 
-use crate::SettingsError;
+use crate::error::{read_file, Position, SettingsError};
 use miette::Diagnostic;
-use prost_reflect::{DescriptorPool, DynamicMessage, Value};
+use prost_reflect::text_format::ParseError;
+use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor, Value};
+use std::ops::RangeInclusive;
+use std::path::Path;
 
+/// The compiled `operator.proto`.
 const DESCRIPTOR: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"));
 
+/// Full name of the message in `operator.proto`.
+const MESSAGE_NAME: &str = "anisecroft.operator.v1.Operator";
+
+/// Operators' own settings; each has a default.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Operator {
+    /// Machines kept ready beyond what is used, as a multiple of what usually arrives while one
+    /// boots. 0 to 10.
     pub reserve: f64,
+    /// An idle machine beyond the desired capacity is kept for this part of its boot time. 0 to 100.
     pub idle_hold: f64,
+    /// A boot that takes this many times the usual is considered stuck. 1.5 to 100.
     pub boot_stuck: f64,
+    /// Whether urgent jobs may preempt less urgent work.
     pub preempt: bool,
-    /// None: a third of `report_s`.
+    /// Seconds between two rounds of planning when nothing happens, 0.1 to 60; `None` stands for a
+    /// third of the heartbeat interval.
     pub tick_s: Option<f64>,
 }
 
@@ -23,55 +37,61 @@
 }
 
 impl Operator {
-    pub fn load(path: &std::path::Path) -> Result<Self, SettingsError> {
-        let text =
-            std::fs::read_to_string(path).map_err(|e| SettingsError::Read(path.display().to_string(), e))?;
-        Self::parse(&text)
+    /// Reads and checks a file.
+    ///
+    /// # Errors
+    /// If the file cannot be read, or for the reasons of [`Operator::parse`].
+    pub fn load(path: &Path) -> Result<Self, SettingsError> {
+        Self::parse(&read_file(path)?)
     }
 
+    /// Parses and checks the text of a file.
+    ///
+    /// # Errors
+    /// If it is not in text format, names an unknown field, or a value is out of range.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
-        let broken = |e: &dyn std::fmt::Display| SettingsError::Syntax(e.to_string().replace('\n', " "));
-        let pool = DescriptorPool::decode(DESCRIPTOR).map_err(|e| broken(&e))?;
-        let Some(kind) = pool.get_message_by_name("anisecroft.operator.v1.Operator") else {
-            return Err(broken(&"descriptor of the operators' settings is missing"));
-        };
-        let message = DynamicMessage::parse_text_format(kind, text).map_err(|e| {
-            let place = e.labels().and_then(|mut l| l.next()).map(|l| position(text, l.offset()));
-            match place {
-                Some((line, column)) => broken(&format!("line {line}, column {column}: {e}")),
-                None => broken(&e),
-            }
-        })?;
-        let mut own = Operator::default();
+        let message = DynamicMessage::parse_text_format(message_descriptor()?, text)
+            .map_err(|error| syntax_error(text, &error))?;
+        let mut operator = Operator::default();
         for (field, value) in message.fields() {
-            let name = field.name();
-            let number = value.as_f64();
-            let ranged = |low: f64, high: f64| match number {
-                Some(x) if x.is_finite() && (low..=high).contains(&x) => Ok(x),
-                _ => {
-                    let (line, column) = text.find(name).map_or((1, 1), |at| position(text, at));
-                    Err(SettingsError::Field {
-                        field: format!("line {line}, column {column}: {name}"),
-                        problem: format!("must lie between {low} and {high}"),
-                    })
-                }
-            };
-            match name {
-                "reserve" => own.reserve = ranged(0.0, 10.0)?,
-                "idle_hold" => own.idle_hold = ranged(0.0, 100.0)?,
-                "boot_stuck" => own.boot_stuck = ranged(1.5, 100.0)?,
-                "tick_s" => own.tick_s = Some(ranged(0.1, 60.0)?),
-                "preempt" => own.preempt = matches!(value, Value::Bool(true)),
+            let in_range = |range| number_in_range(text, field.name(), value, range);
+            match field.name() {
+                "reserve" => operator.reserve = in_range(0.0..=10.0)?,
+                "idle_hold" => operator.idle_hold = in_range(0.0..=100.0)?,
+                "boot_stuck" => operator.boot_stuck = in_range(1.5..=100.0)?,
+                "tick_s" => operator.tick_s = Some(in_range(0.1..=60.0)?),
+                "preempt" => operator.preempt = matches!(value, Value::Bool(true)),
                 _ => {}
             }
         }
-        Ok(own)
+        Ok(operator)
     }
 }
 
-/// Line and column, from 1, of a byte offset.
-fn position(text: &str, offset: usize) -> (usize, usize) {
-    let before = &text[..offset.min(text.len())];
-    let line = before.matches('\n').count() + 1;
-    (line, before.len() - before.rfind('\n').map_or(0, |n| n + 1) + 1)
+fn message_descriptor() -> Result<MessageDescriptor, SettingsError> {
+    let pool = DescriptorPool::decode(DESCRIPTOR).map_err(|error| SettingsError::syntax(None, &error))?;
+    pool.get_message_by_name(MESSAGE_NAME)
+        .ok_or_else(|| SettingsError::syntax(None, &"descriptor of the operators' settings is missing"))
+}
+
+fn syntax_error(text: &str, error: &ParseError) -> SettingsError {
+    let label = error.labels().and_then(|mut labels| labels.next());
+    let position = label.map(|label| Position::of_offset(text, label.offset()));
+    SettingsError::syntax(position, error)
+}
+
+fn number_in_range(
+    text: &str,
+    field: &str,
+    value: &Value,
+    range: RangeInclusive<f64>,
+) -> Result<f64, SettingsError> {
+    match value.as_f64() {
+        Some(number) if range.contains(&number) => Ok(number),
+        _ => Err(SettingsError::Field {
+            position: Some(Position::of_offset(text, text.find(field).unwrap_or(0))),
+            field: field.to_string(),
+            problem: format!("must lie between {} and {}", range.start(), range.end()),
+        }),
+    }
 }
--- /dev/null
+++ b/crates/settings/src/validation.rs
@@ -0,0 +1,160 @@
+//! Ranges of the platform's settings, and what one setting demands of another.
+
+use crate::error::SettingsError;
+use crate::platform::{Params, Peer, Settings, Slo, Team};
+use crate::timing::{Timing, DRIFT, GRACE_SHARE, MAX_EXPIRY_DELAY_S};
+
+/// Upper bound of all plain numbers.
+const MAX_NUMBER: f64 = 1e7;
+
+/// Smallest limit of mutations in a transaction that is accepted.
+const MIN_TRANSACTION_OPS: usize = 2;
+
+/// Smallest number of sockets that is accepted.
+const MIN_CONNECTIONS: usize = 16;
+
+type Check = Result<(), SettingsError>;
+
+/// Checks all settings; the first problem is reported.
+pub(crate) fn check(settings: &Settings) -> Check {
+    let params = &settings.params;
+    require(!settings.node.is_empty(), "label", "empty")?;
+    check_peers(&settings.node, &settings.peers)?;
+    require(params.nodes > 0, "params.size", "must be at least 1")?;
+    check_numbers(params)?;
+    check_worker_intervals(settings)?;
+    check_store_limits(params)?;
+    let has_sockets = params.resources.max_connections >= MIN_CONNECTIONS;
+    require(has_sockets, "params.resources.max_connections", "must be at least 16")?;
+    check_teams(&params.teams)?;
+    check_slos(&params.slos)
+}
+
+fn require(holds: bool, field: &str, problem: &str) -> Check {
+    if holds {
+        return Ok(());
+    }
+    Err(SettingsError::Field { position: None, field: field.to_string(), problem: problem.to_string() })
+}
+
+fn is_positive(number: f64) -> bool {
+    number.is_finite() && number > 0.0
+}
+
+fn is_positive_and_bounded(number: f64) -> bool {
+    is_positive(number) && number <= MAX_NUMBER
+}
+
+fn is_amount(number: f64) -> bool {
+    number.is_finite() && number >= 0.0
+}
+
+fn check_peers(own_node: &str, peers: &[Peer]) -> Check {
+    for (index, peer) in peers.iter().enumerate() {
+        let is_another = !peer.node.is_empty() && peer.node != own_node;
+        require(is_another, "seeds.label", "empty or this node's own")?;
+        let is_repeated = peers[..index].iter().any(|earlier| earlier.node == peer.node);
+        require(!is_repeated, "seeds.label", "named twice")?;
+    }
+    Ok(())
+}
+
+fn check_numbers(params: &Params) -> Check {
+    for (field, number) in [
+        ("params.workers.report_s", params.workers.heartbeat_interval_s),
+        ("params.workers.lease_s", params.workers.lease_s),
+        ("params.workers.gang_wait_s", params.workers.gang_wait_s),
+        ("params.workers.gang_peer_s", params.workers.gang_peer_s),
+        ("params.workers.cancel_s", params.workers.cancel_s),
+        ("params.state.rps", params.store.rps),
+        ("params.state.write_rps", params.store.write_rps),
+        ("params.state.value_kb", params.store.value_kb),
+        ("params.cloud.rps", params.cloud.rps),
+        ("params.resources.cpu_share", params.resources.cpu_share),
+        ("params.resources.memory_mb", params.resources.memory_mb),
+    ] {
+        require(is_positive_and_bounded(number), field, "must be a positive number")?;
+    }
+    for (field, number) in [
+        ("params.clock_error_ms", params.clock_error_ms),
+        ("params.cloud.list_lag_s", params.cloud.list_lag_s),
+    ] {
+        require((0.0..MAX_NUMBER).contains(&number), field, "must not be negative")?;
+    }
+    Ok(())
+}
+
+fn check_worker_intervals(settings: &Settings) -> Check {
+    let workers = &settings.params.workers;
+    let cancel_exceeds_lease = workers.cancel_s > workers.lease_s;
+    require(cancel_exceeds_lease, "params.workers.cancel_s", "must exceed lease_s")?;
+    let lease_exceeds_heartbeat = workers.lease_s > workers.heartbeat_interval_s;
+    require(lease_exceeds_heartbeat, "params.workers.lease_s", "must exceed report_s")?;
+    check_cancellation_time(settings)
+}
+
+/// Whether the workers of a leader that is cut off lose their leases in time for a cancellation,
+/// and whether a leader that is not cut off responds all the time (`docs/safety.md`).
+fn check_cancellation_time(settings: &Settings) -> Check {
+    let workers = &settings.params.workers;
+    let timing = Timing::from(settings);
+    let grace_and_lease_s = (timing.response_grace_s + workers.lease_s) * DRIFT;
+    let cancellation_slack_s = workers.cancel_s - grace_and_lease_s - MAX_EXPIRY_DELAY_S;
+    let renewal_slack_s = timing.response_grace_s - 2.0 * timing.renewal_interval_s - timing.store_timeout_s;
+    if cancellation_slack_s >= 0.0 && renewal_slack_s >= 0.0 {
+        return Ok(());
+    }
+    let for_renewals_s = (2.0 * timing.renewal_interval_s + timing.store_timeout_s) / GRACE_SHARE;
+    let lost_to_clocks_s = workers.lease_s * (DRIFT - 1.0) + MAX_EXPIRY_DELAY_S;
+    let for_cancellations_s = (lost_to_clocks_s / (1.0 - GRACE_SHARE * DRIFT)).ceil();
+    let needed_s = for_renewals_s.max(for_cancellations_s);
+    let actual_s = workers.cancel_s - workers.lease_s;
+    let problem = format!(
+        "leaves {actual_s:.1} s beyond lease_s, at least {needed_s:.1} are needed: \
+         raise it, or lower lease_s"
+    );
+    require(false, "params.workers.cancel_s", &problem)
+}
+
+fn check_store_limits(params: &Params) -> Check {
+    let store = &params.store;
+    let has_room = store.txn_ops >= MIN_TRANSACTION_OPS;
+    require(has_room, "params.state.txn_ops", "must be at least 2")?;
+    let Some(next) = &store.next else { return Ok(()) };
+    for (name, limit) in [("rps", next.rps), ("write_rps", next.write_rps), ("value_kb", next.value_kb)] {
+        let field = format!("params.state.next.{name}");
+        require(limit.is_none_or(is_positive_and_bounded), &field, "must be a positive number")?;
+    }
+    let has_room = next.txn_ops.is_none_or(|txn_ops| txn_ops >= MIN_TRANSACTION_OPS);
+    require(has_room, "params.state.next.txn_ops", "must be at least 2")
+}
+
+fn check_teams(teams: &[Team]) -> Check {
+    for (index, team) in teams.iter().enumerate() {
+        let field = format!("params.teams.{}", team.name);
+        require(!team.name.is_empty(), "params.teams.name", "empty")?;
+        let is_repeated = teams[..index].iter().any(|earlier| earlier.name == team.name);
+        require(!is_repeated, &field, "named twice")?;
+        check_quota(&field, team.cores, team.cores_max)?;
+        check_quota(&field, team.accelerators, team.accelerators_max)?;
+    }
+    Ok(())
+}
+
+/// A limit of 0 stands for none.
+fn check_quota(field: &str, guaranteed: f64, limit: f64) -> Check {
+    require(is_amount(guaranteed) && is_amount(limit), field, "amounts must not be negative")?;
+    require(limit <= 0.0 || guaranteed <= limit, field, "guarantee above the limit")
+}
+
+fn check_slos(slos: &[Slo]) -> Check {
+    for slo in slos {
+        let is_share = slo.target_share.is_none_or(|share| (0.0..=1.0).contains(&share));
+        require(is_share, "params.objectives.share", "must lie between 0 and 1")?;
+        for (name, number) in [("within_s", slo.threshold_s), ("times", slo.deadline_factor)] {
+            let field = format!("params.objectives.{name}");
+            require(number.is_none_or(is_positive), &field, "must be positive")?;
+        }
+    }
+    Ok(())
+}
