--- a/crates/controller/src/autoscaling/fleet.rs
+++ b/crates/controller/src/autoscaling/fleet.rs
@@ -480,7 +480,7 @@
             .values()
             .filter(|m| m.phase == MachinePhase::Terminating)
             .map(|m| m.id.clone())
-            .take(MOST_DELETED)
+            .take(MAX_DELETED)
             .collect();
         if names.is_empty() || !self.try_acquire_cloud_call() {
             return;
@@ -573,14 +573,14 @@
                     .collect();
                 zones.sort();
                 if let Some((_, zone)) = zones.first() {
-                    let mut part = n.div_ceil(zones.len() as u32).clamp(1, MOST_RENTED);
+                    let mut part = n.div_ceil(zones.len() as u32).clamp(1, MAX_RENTED);
                     let mut zone = *zone;
                     let together = zones.iter().find_map(|(_, z)| {
                         let n = leader.fleet.wanted_in_zone.get(&((name.clone(), *spot), (*z).clone()))?;
                         (*n > 0).then_some((*z, *n))
                     });
                     if let Some((z, n)) = together {
-                        (zone, part) = (z, n.min(MOST_RENTED));
+                        (zone, part) = (z, n.min(MAX_RENTED));
                     }
                     let lately = leader.fleet.was_exhausted_lately(now, name, zone, *spot);
                     let part = if lately { part.min(PROBE) } else { part }.min(room);
--- a/crates/controller/src/client_api/client_requests.rs
+++ b/crates/controller/src/client_api/client_requests.rs
@@ -119,7 +119,7 @@
     }
 
     pub(crate) fn on_submit(&mut self, request_id: RequestId, body: &[u8]) {
-        let parsed: Result<JobSpec, String> = if body.len() > protocol::BODY_LIMIT {
+        let parsed: Result<JobSpec, String> = if body.len() > protocol::MAX_BODY_BYTES {
             Err("body over 64 KiB".to_string())
         } else {
             protocol::decode::<JobSpec>(body).and_then(|s| s.check().map(|()| s)).map_err(|e| e.to_string())
--- a/crates/controller/src/proxy/heartbeat_proxying.rs
+++ b/crates/controller/src/proxy/heartbeat_proxying.rs
@@ -158,7 +158,7 @@
         // The report of which this one says the same, if it does.
         let base = entry.content.is_none().then_some((entry.session, entry.same_as));
         let report = match (base, known) {
-            (None, _) => entry.report(),
+            (None, _) => entry.into_heartbeat(),
             // Most of all: its tasks go on as they did.
             (Some(base), Some(m)) if m.content_position == base && !held && m.is_reconciled(now, close) => {
                 if place > m.newest_position {
--- a/crates/controller/src/storage/write_queue.rs
+++ b/crates/controller/src/storage/write_queue.rs
@@ -7,7 +7,7 @@
 use crate::scheduling::planning::band;
 use crate::{CallContext, Controller, StoreReply, StoreRequest, Time};
 use protocol::job::JobStatus;
-use protocol::state::{Compare, Event, Item, Mutation, Transaction, TXN_LIMIT};
+use protocol::state::{Compare, Event, Item, Mutation, Transaction, MAX_TRANSACTION_BYTES};
 use std::collections::BTreeSet;
 use tracing::{debug, warn};
 
@@ -491,7 +491,7 @@
 /// The pages of `job` that a transaction of `size` bytes so far takes, and what they add to
 /// it; None: nothing of it fits, or is due. `all`: also what does not press.
 fn share_of(job: &Job, all: bool, allowed: usize, size: usize) -> Option<(BTreeSet<usize>, usize)> {
-    let fits = |more: usize| size == 0 && more == 0 || size + more <= TXN_LIMIT * 7 / 8;
+    let fits = |more: usize| size == 0 && more == 0 || size + more <= MAX_TRANSACTION_BYTES * 7 / 8;
     let changing = job.page_layout.is_changing();
     let due_pages = job.pages_due(all || changing);
     if due_pages.is_empty() && !job.is_dirty(0) {
--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -1,27 +1,32 @@
-//! MessagePack bodies: always a map at the top, nothing after it.
+//! MessagePack bodies: a map with text keys, and nothing after it.
 
 use serde::{de::DeserializeOwned, Serialize};
 
 /// A body that is not what its path asks for.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum DecodeError {
+    /// The body does not begin with a map.
     #[error("not a MessagePack map")]
     NotAMap,
+    /// A field is missing, has the wrong type or is out of range; the text says which.
     #[error("{0}")]
     Field(String),
+    /// The body goes on after the map.
     #[error("bytes after the map")]
     Trailing,
 }
 
 /// Encodes `value` as a MessagePack map keyed by text.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // Serialising into memory fails only for types that refuse to be
-    // serialised; none of the wire types does.
+    // Serializing into memory fails only for types that refuse to be serialized; none of the wire
+    // types does.
     rmp_serde::to_vec_named(value).unwrap_or_default()
 }
 
-/// Decodes one map. A bare sequence is refused although serde would take it
-/// for a struct: the protocol knows only maps.
+/// Decodes one map.
+///
+/// # Errors
+/// If the body is not a map of the expected fields, or goes on after it.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
     match first_map(body)? {
         (value, []) => Ok(value),
@@ -29,15 +34,17 @@
     }
 }
 
-/// Decodes the map that `body` begins with, and returns what follows it.
+/// Decodes the map that `body` begins with, and returns what follows it. A sequence is refused
+/// although serde would accept it for a struct: the protocol has only maps.
+///
+/// # Errors
+/// If the body does not begin with a map of the expected fields.
 pub fn first_map<T: DeserializeOwned>(body: &[u8]) -> Result<(T, &[u8]), DecodeError> {
-    match body.first() {
-        Some(0x80..=0x8f | 0xde | 0xdf) => {}
-        _ => return Err(DecodeError::NotAMap),
-    }
+    // Markers of a map: of up to 15 entries, with a 16-bit and with a 32-bit size.
+    let Some(0x80..=0x8f | 0xde | 0xdf) = body.first() else { return Err(DecodeError::NotAMap) };
     let mut rest = body;
-    let mut reader = rmp_serde::Deserializer::new(&mut rest);
-    let value = T::deserialize(&mut reader).map_err(|e| DecodeError::Field(e.to_string()))?;
-    drop(reader);
+    let mut deserializer = rmp_serde::Deserializer::new(&mut rest);
+    let value = T::deserialize(&mut deserializer).map_err(|error| DecodeError::Field(error.to_string()))?;
+    drop(deserializer);
     Ok((value, rest))
 }
--- a/crates/protocol/src/forwarding.rs
+++ b/crates/protocol/src/forwarding.rs
@@ -1,4 +1,4 @@
-//! Reports and commands between the workers' format and the controllers' own.
+//! Conversions of heartbeats and commands between the workers' format and the controllers' own.
 
 use crate::peer::{
     Cause, ForwardedHeartbeat, HeartbeatContent, MachineCommands, Op, Phase, Task, TaskCommand,
@@ -6,8 +6,8 @@
 use crate::worker::{Command, CommandKind, ExitCause, Heartbeat, HeartbeatResponse, TaskState, TaskStatus};
 
 impl From<TaskState> for Phase {
-    fn from(s: TaskState) -> Self {
-        match s {
+    fn from(state: TaskState) -> Self {
+        match state {
             TaskState::Fetching => Phase::Fetching,
             TaskState::Waiting => Phase::Waiting,
             TaskState::Running => Phase::Running,
@@ -17,20 +17,21 @@
     }
 }
 
-fn state(p: Phase) -> Option<TaskState> {
-    Some(match p {
-        Phase::Unknown => return None,
-        Phase::Fetching => TaskState::Fetching,
-        Phase::Waiting => TaskState::Waiting,
-        Phase::Running => TaskState::Running,
-        Phase::Saving => TaskState::Saving,
-        Phase::Exited => TaskState::Exited,
-    })
+/// The state that a phase stands for; `None` for a phase that this version does not know.
+fn task_state(phase: Phase) -> Option<TaskState> {
+    match phase {
+        Phase::Unknown => None,
+        Phase::Fetching => Some(TaskState::Fetching),
+        Phase::Waiting => Some(TaskState::Waiting),
+        Phase::Running => Some(TaskState::Running),
+        Phase::Saving => Some(TaskState::Saving),
+        Phase::Exited => Some(TaskState::Exited),
+    }
 }
 
 impl From<ExitCause> for Cause {
-    fn from(c: ExitCause) -> Self {
-        match c {
+    fn from(cause: ExitCause) -> Self {
+        match cause {
             ExitCause::Done => Cause::Done,
             ExitCause::Stopped => Cause::Stopped,
             ExitCause::Peers => Cause::Peers,
@@ -43,95 +44,118 @@
     }
 }
 
-fn cause(c: Cause) -> Option<ExitCause> {
-    Some(match c {
-        Cause::None => return None,
-        Cause::Done => ExitCause::Done,
-        Cause::Stopped => ExitCause::Stopped,
-        Cause::Peers => ExitCause::Peers,
-        Cause::Alone => ExitCause::Alone,
-        Cause::Error => ExitCause::Error,
-        Cause::NoRoom => ExitCause::NoRoom,
-        Cause::Busy => ExitCause::Busy,
-        Cause::TaskUnknown => ExitCause::Unknown,
-    })
+/// The exit cause that a cause stands for; `None` for no cause or one that this version does not
+/// know.
+fn exit_cause(cause: Cause) -> Option<ExitCause> {
+    match cause {
+        Cause::None => None,
+        Cause::Done => Some(ExitCause::Done),
+        Cause::Stopped => Some(ExitCause::Stopped),
+        Cause::Peers => Some(ExitCause::Peers),
+        Cause::Alone => Some(ExitCause::Alone),
+        Cause::Error => Some(ExitCause::Error),
+        Cause::NoRoom => Some(ExitCause::NoRoom),
+        Cause::Busy => Some(ExitCause::Busy),
+        Cause::TaskUnknown => Some(ExitCause::Unknown),
+    }
+}
+
+impl From<&TaskStatus> for Task {
+    fn from(status: &TaskStatus) -> Self {
+        Task {
+            task: status.task.clone(),
+            attempt: status.attempt,
+            phase: Phase::from(status.state).into(),
+            cause: status.exit_cause.map_or(Cause::None, Cause::from).into(),
+            saved: status.checkpointed,
+        }
+    }
+}
+
+impl Task {
+    /// The status in the workers' format; `None` for a phase that this version does not know.
+    fn into_status(self) -> Option<TaskStatus> {
+        let state = task_state(self.phase())?;
+        let exit_cause = exit_cause(self.cause());
+        Some(TaskStatus {
+            task: self.task,
+            attempt: self.attempt,
+            state,
+            exit_cause,
+            checkpointed: self.saved,
+        })
+    }
 }
 
 impl From<&Heartbeat> for HeartbeatContent {
-    fn from(r: &Heartbeat) -> Self {
-        let tasks = r.tasks.iter().map(|t| Task {
-            task: t.task.clone(),
-            attempt: t.attempt,
-            phase: Phase::from(t.state).into(),
-            cause: t.exit_cause.map_or(Cause::None, Cause::from).into(),
-            saved: t.checkpointed,
-        });
+    fn from(heartbeat: &Heartbeat) -> Self {
         HeartbeatContent {
-            addr: r.addr.clone(),
-            machine_type: r.machine_type.clone(),
-            zone: r.zone.clone(),
-            spot: r.spot,
-            token: r.fencing_token,
-            notice_s: r.notice_s,
-            tasks: tasks.collect(),
+            addr: heartbeat.addr.clone(),
+            machine_type: heartbeat.machine_type.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
+            token: heartbeat.fencing_token,
+            notice_s: heartbeat.notice_s,
+            tasks: heartbeat.tasks.iter().map(Task::from).collect(),
         }
     }
 }
 
 impl ForwardedHeartbeat {
-    /// The report that an entry with content passes on. None without content,
-    /// or with a phase that a later version has added.
-    pub fn report(self) -> Option<Heartbeat> {
-        let c = self.content?;
-        let tasks = c.tasks.into_iter().map(|t| {
-            let (phase, exit) = (t.phase(), t.cause());
-            Some(TaskStatus {
-                task: t.task,
-                attempt: t.attempt,
-                state: state(phase)?,
-                exit_cause: cause(exit),
-                checkpointed: t.saved,
-            })
-        });
+    /// The heartbeat that an entry with content forwards. `None` without content, or if a later
+    /// version has added the phase of one of its tasks.
+    pub fn into_heartbeat(self) -> Option<Heartbeat> {
+        let content = self.content?;
+        let tasks = content.tasks.into_iter().map(Task::into_status);
         Some(Heartbeat {
             machine: self.machine,
-            addr: c.addr,
-            machine_type: c.machine_type,
-            zone: c.zone,
-            spot: c.spot,
+            addr: content.addr,
+            machine_type: content.machine_type,
+            zone: content.zone,
+            spot: content.spot,
             epoch: self.session,
             sequence: self.seq,
-            fencing_token: c.token,
-            notice_s: c.notice_s,
+            fencing_token: content.token,
+            notice_s: content.notice_s,
             tasks: tasks.collect::<Option<_>>()?,
         })
     }
 }
 
 impl From<&Command> for TaskCommand {
-    fn from(c: &Command) -> Self {
-        let op = match c.kind {
+    fn from(command: &Command) -> Self {
+        let op = match command.kind {
             CommandKind::Start => Op::Start,
             CommandKind::Stop => Op::Stop,
             CommandKind::Forget => Op::Forget,
         };
-        TaskCommand { op: op.into(), task: c.task.clone(), attempt: c.attempt, grace_s: c.grace_s }
+        TaskCommand {
+            op: op.into(),
+            task: command.task.clone(),
+            attempt: command.attempt,
+            grace_s: command.grace_s,
+        }
+    }
+}
+
+impl TaskCommand {
+    /// The command in the workers' format; `None` for one that this version does not know.
+    fn into_command(self) -> Option<Command> {
+        let kind = match self.op() {
+            Op::Unknown => return None,
+            Op::Start => CommandKind::Start,
+            Op::Stop => CommandKind::Stop,
+            Op::Forget => CommandKind::Forget,
+        };
+        Some(Command { kind, task: self.task, attempt: self.attempt, grace_s: self.grace_s })
     }
 }
 
 impl MachineCommands {
-    /// The answer to the worker. Commands that this version does not know are
-    /// left out; the leader repeats what is still due.
-    pub fn answer(self, token: u64) -> HeartbeatResponse {
-        let commands = self.orders.into_iter().filter_map(|o| {
-            let op = match o.op() {
-                Op::Unknown => return None,
-                Op::Start => CommandKind::Start,
-                Op::Stop => CommandKind::Stop,
-                Op::Forget => CommandKind::Forget,
-            };
-            Some(Command { kind: op, task: o.task, attempt: o.attempt, grace_s: o.grace_s })
-        });
-        HeartbeatResponse { fencing_token: token, commands: commands.collect() }
+    /// The response to the worker. Commands that this version does not know are left out; the leader
+    /// repeats what is still due.
+    pub fn into_response(self, fencing_token: u64) -> HeartbeatResponse {
+        let commands = self.orders.into_iter().filter_map(TaskCommand::into_command).collect();
+        HeartbeatResponse { fencing_token, commands }
     }
 }
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -1,13 +1,14 @@
-//! What users send and are told.
+//! The clients' API: submissions, status queries and cancellations.
 
 use crate::DecodeError;
 use serde::de::IntoDeserializer;
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::BTreeSet;
 
+/// How the tasks of a job belong together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Shape {
-    /// Independent tasks, each runs to completion.
+    /// Independent tasks, each of which runs to completion.
     #[serde(rename = "array")]
     Array,
     /// All tasks run at the same time or none does.
@@ -18,14 +19,19 @@
     Service,
 }
 
+/// Priority of a job, in rising order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
+    /// Work that nobody waits for.
     #[serde(rename = "idle")]
     Low,
+    /// Usual work.
     #[serde(rename = "standard")]
     Normal,
+    /// Urgent work.
     #[serde(rename = "high")]
     High,
+    /// Work that production depends on.
     #[serde(rename = "prod")]
     Production,
 }
@@ -33,84 +39,135 @@
 /// A submission. A job keeps it unchanged for life.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
+    /// Its id, chosen by the client (see [`valid_id`]); a submission with a known id is a repetition.
     pub id: String,
+    /// Class of jobs that it belongs to; objectives are set by class.
     #[serde(rename = "lane")]
     pub class: String,
+    /// The team whose quota it uses.
     #[serde(rename = "crew")]
     pub team: String,
-    #[serde(deserialize_with = "word")]
+    /// How its tasks belong together.
+    #[serde(deserialize_with = "deserialize_word")]
     pub shape: Shape,
-    #[serde(rename = "urgency", deserialize_with = "word")]
+    /// Its priority.
+    #[serde(rename = "urgency", deserialize_with = "deserialize_word")]
     pub priority: Priority,
+    /// Number of tasks, 1 to [`MAX_TASKS`].
     #[serde(rename = "legs")]
     pub tasks: u32,
+    /// Cores for each task.
     pub cores: f64,
+    /// Accelerators for each task.
     pub accelerators: f64,
+    /// Memory for each task, in GB.
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
+    /// Name of the image that its tasks run.
     #[serde(rename = "kit")]
     pub image: String,
+    /// Size of the image in GB.
     #[serde(rename = "sizeGb")]
     pub image_gb: f64,
+    /// Names of the allowed machine types; `None` allows all.
     #[serde(rename = "breeds", default, skip_serializing_if = "Option::is_none")]
     pub machine_types: Option<Vec<String>>,
+    /// The only allowed zone; `None` allows all.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
+    /// All tasks have to run in the same zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
+    /// Tasks have to be spread over the zones.
     pub spread: bool,
+    /// Spot machines are allowed.
     #[serde(rename = "loaners")]
     pub spot: bool,
+    /// Estimated run time of a task, in seconds.
     #[serde(rename = "etaS")]
     pub estimated_run_s: f64,
+    /// Interval between two checkpoints of a task, in seconds; 0 for none.
     #[serde(rename = "waypointS")]
     pub checkpoint_interval_s: f64,
+    /// Time that a task takes to save its progress when it is stopped, in seconds.
     #[serde(rename = "stashS")]
     pub save_s: f64,
+    /// When it has to be complete, in seconds after its submission; `None` for no deadline.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts, each named once.
-    /// Nodes without pipelines neither send nor keep this field.
-    #[serde(default, deserialize_with = "distinct", skip_serializing_if = "Vec::is_empty")]
+    /// Ids of jobs that have to be done before any task of this one starts, each named once. Nodes
+    /// of versions without dependencies neither send nor keep this field.
+    #[serde(default, deserialize_with = "deserialize_distinct", skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "awaits")]
     pub dependencies: Vec<String>,
 }
 
-/// One of the words that stand for `T`. (By itself serde takes a word's number as well: jobs
-/// were once accepted whose shape was 0.)
-fn word<'de, D: Deserializer<'de>, T: Deserialize<'de>>(d: D) -> Result<T, D::Error> {
-    T::deserialize(String::deserialize(d)?.into_deserializer())
+/// Reads one of the words that stand for `T`. (By itself serde accepts a variant's number as well:
+/// jobs with the shape 0 were once accepted.)
+fn deserialize_word<'de, D: Deserializer<'de>, T: Deserialize<'de>>(deserializer: D) -> Result<T, D::Error> {
+    T::deserialize(String::deserialize(deserializer)?.into_deserializer())
 }
 
-/// A list of names, or null for none; a name that comes again counts once.
-fn distinct<'de, D: Deserializer<'de>>(d: D) -> Result<Vec<String>, D::Error> {
-    let names = Option::<Vec<String>>::deserialize(d)?.unwrap_or_default();
+/// Reads a list of names, or null for none. Repeated names count once.
+fn deserialize_distinct<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<String>, D::Error> {
+    let names = Option::<Vec<String>>::deserialize(deserializer)?.unwrap_or_default();
     let mut seen = BTreeSet::new();
-    Ok(names.into_iter().filter(|n| seen.insert(n.clone())).collect())
+    Ok(names.into_iter().filter(|name| seen.insert(name.clone())).collect())
 }
 
-/// Most tasks a job may have.
-pub const MOST_TASKS: u32 = 100_000;
-const LONGEST_NAME: usize = 120;
+/// Maximum number of tasks of a job.
+pub const MAX_TASKS: u32 = 100_000;
 
-/// The one form of job ids: `req-` and digits.
+/// Maximum length of a class, team, image, machine type or zone, in bytes.
+const MAX_NAME_BYTES: usize = 120;
+
+/// Maximum number of machine types that a job may name.
+const MAX_MACHINE_TYPES: usize = 64;
+
+/// Maximum number of digits in a job's id.
+const MAX_ID_DIGITS: usize = 20;
+
+/// Amounts and durations have to be smaller than this.
+const AMOUNT_LIMIT: f64 = 1e9;
+
+/// Whether `id` has the only form of job ids: `req-` and 1 to 20 digits.
 pub fn valid_id(id: &str) -> bool {
-    id.strip_prefix("req-")
-        .is_some_and(|n| (1..=20).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_digit()))
+    let Some(digits) = id.strip_prefix("req-") else { return false };
+    (1..=MAX_ID_DIGITS).contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit())
+}
+
+fn is_valid_name(name: &str) -> bool {
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES
+}
+
+fn is_valid_amount(amount: f64) -> bool {
+    amount.is_finite() && (0.0..AMOUNT_LIMIT).contains(&amount)
+}
+
+/// An error that names `field`, as it is called on the wire, unless `is_valid`.
+fn require(is_valid: bool, field: &str) -> Result<(), DecodeError> {
+    if is_valid {
+        Ok(())
+    } else {
+        Err(DecodeError::Field(format!("invalid {field}")))
+    }
 }
 
 impl JobSpec {
     /// Checks what types cannot: ranges, finite amounts, forms of names.
+    ///
+    /// # Errors
+    /// [`DecodeError::Field`] with the name of the first invalid field.
     pub fn check(&self) -> Result<(), DecodeError> {
-        let bad = |field: &str| Err(DecodeError::Field(format!("invalid {field}")));
-        let amount = |x: f64| x.is_finite() && (0.0..1e9).contains(&x);
-        if !valid_id(&self.id) {
-            return bad("id");
-        }
-        if self.tasks == 0 || self.tasks > MOST_TASKS {
-            return bad("legs");
-        }
-        for (name, x) in [
+        require(valid_id(&self.id), "id")?;
+        require((1..=MAX_TASKS).contains(&self.tasks), "legs")?;
+        self.check_amounts()?;
+        self.check_names()?;
+        require(self.dependencies.iter().all(|id| valid_id(id)), "awaits")
+    }
+
+    fn check_amounts(&self) -> Result<(), DecodeError> {
+        for (field, amount) in [
             ("cores", self.cores),
             ("accelerators", self.accelerators),
             ("memGb", self.memory_gb),
@@ -120,68 +177,74 @@
             ("stashS", self.save_s),
             ("dueS", self.deadline_s.unwrap_or(0.0)),
         ] {
-            if !amount(x) {
-                return bad(name);
-            }
-        }
-        for (name, text) in [("lane", &self.class), ("crew", &self.team), ("kit", &self.image)] {
-            if text.is_empty() || text.len() > LONGEST_NAME {
-                return bad(name);
-            }
-        }
-        let listed = self.machine_types.iter().flatten().chain(self.zone.iter());
-        if listed.clone().any(|t| t.is_empty() || t.len() > LONGEST_NAME) {
-            return bad("breeds or yard");
-        }
-        if self.machine_types.as_ref().is_some_and(|t| t.len() > 64) {
-            return bad("breeds");
-        }
-        if self.dependencies.iter().any(|id| !valid_id(id)) {
-            return bad("awaits");
+            require(is_valid_amount(amount), field)?;
         }
         Ok(())
     }
+
+    fn check_names(&self) -> Result<(), DecodeError> {
+        for (field, name) in [("lane", &self.class), ("crew", &self.team), ("kit", &self.image)] {
+            require(is_valid_name(name), field)?;
+        }
+        let machine_types = self.machine_types.as_deref().unwrap_or_default();
+        let mut placement_names = machine_types.iter().chain(&self.zone);
+        require(placement_names.all(|name| is_valid_name(name)), "breeds or yard")?;
+        require(machine_types.len() <= MAX_MACHINE_TYPES, "breeds")
+    }
 }
 
+/// Status of a job as clients see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStatus {
+    /// It waits for machines.
     Pending,
+    /// Some of its tasks run.
     Running,
+    /// All tasks are done.
     Done,
+    /// It was cancelled.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
 
 impl JobStatus {
+    /// Whether the status never changes again.
     pub fn is_final(self) -> bool {
         matches!(self, JobStatus::Done | JobStatus::Cancelled)
     }
 }
 
-/// Answer to a submission, a poll or a cancellation.
+/// Response to a submission, a status query or a cancellation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobView {
+    /// Id of the job.
     pub id: String,
+    /// Its status.
     pub status: JobStatus,
+    /// Number of its tasks that are done, if it is known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
+    /// Number of its tasks that run, if it is known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
 
-/// Body of a healthy node's answer to `GET /up`: workers that it has and could
-/// have, and how many all nodes that answer reports could have.
+/// Body of a healthy node's response to `GET /up`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Health {
+    /// Workers that the node serves.
     pub workers: u32,
+    /// Workers that it could serve.
     #[serde(rename = "room")]
     pub capacity: u32,
+    /// Workers that all nodes that respond to heartbeats could serve together.
     pub ceiling: u32,
 }
 
 /// Body of every refusal.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ErrorResponse {
+    /// What is wrong.
     pub error: String,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,10 @@
-//! Wire formats of anisecroft: what users, workers, the cloud and the state
-//! service exchange with a controller. Rust names are the scheduling field's;
-//! `serde` renames map them to the words on the wire.
+//! Wire formats: what clients, workers, the cloud and the key-value store exchange with a
+//! controller, and the controllers' own protocol.
+//!
+//! Names in Rust are those of the field of scheduling; serde's attributes map them to the names on
+//! the wire, which are fixed.
+
+#![warn(missing_docs)]
 
 pub mod cloud;
 pub mod codec;
@@ -11,11 +15,11 @@
 
 pub use codec::{decode, encode, first_map, DecodeError};
 
-/// Largest request body a receiver has to take, in bytes.
-pub const BODY_LIMIT: usize = 64 * 1024;
+/// Largest request body that a receiver has to accept, in bytes.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// The controllers' own protocol, generated from `proto/peer.proto`.
-#[allow(clippy::all)]
+/// The controllers' own protocol, generated from `proto/peer.proto`, where it is documented.
+#[allow(clippy::all, missing_docs)]
 pub mod peer {
     tonic::include_proto!("anisecroft.peer.v1");
 }
--- a/crates/protocol/tests/formats.rs
+++ b/crates/protocol/tests/formats.rs
@@ -44,7 +44,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn specs_survive_the_wire(tasks in 1u32..=MOST_TASKS, cores in 0.0f64..1e6, due in proptest::option::of(0.0f64..1e6), id in "req-[0-9]{1,20}") {
+    fn specs_survive_the_wire(tasks in 1u32..=MAX_TASKS, cores in 0.0f64..1e6, due in proptest::option::of(0.0f64..1e6), id in "req-[0-9]{1,20}") {
         let s = JobSpec { id, tasks, cores, deadline_s: due, ..spec() };
         prop_assert!(s.check().is_ok());
         prop_assert_eq!(decode::<JobSpec>(&encode(&s)).unwrap(), s);
@@ -75,7 +75,7 @@
     }
 
     #[test]
-    fn reports_survive_the_wire(session in 1u64.., seq in any::<u64>(), token in any::<u64>(), n in 0u32..MOST_TASKS) {
+    fn reports_survive_the_wire(session in 1u64.., seq in any::<u64>(), token in any::<u64>(), n in 0u32..MAX_TASKS) {
         let r = Heartbeat {
             machine: "vm-000231".into(), addr: "10.1.0.232:9000".into(), machine_type: "g8".into(), zone: "a".into(),
             spot: true, epoch: session, sequence: seq, fencing_token: token, notice_s: None,
@@ -130,7 +130,7 @@
     assert_eq!(decode::<JobSpec>(&trailing).unwrap_err(), DecodeError::Trailing);
     for bad in [
         JobSpec { tasks: 0, ..spec() },
-        JobSpec { tasks: MOST_TASKS + 1, ..spec() },
+        JobSpec { tasks: MAX_TASKS + 1, ..spec() },
         JobSpec { cores: f64::NAN, ..spec() },
         JobSpec { memory_gb: -1.0, ..spec() },
         JobSpec { estimated_run_s: f64::INFINITY, ..spec() },
--- a/crates/sharding/src/heartbeat_proxy.rs
+++ b/crates/sharding/src/heartbeat_proxy.rs
@@ -517,7 +517,7 @@
         let Some(h) = w.held.take() else { return };
         self.hold_deadlines.remove(&(h.deadline_ms, orders.machine.clone()));
         self.actions.push(if live {
-            ProxyAction::Respond(h.request, orders.answer(token))
+            ProxyAction::Respond(h.request, orders.into_response(token))
         } else {
             ProxyAction::Redirect(h.request, self.leader_name())
         });
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -104,8 +104,8 @@
                     .map(|(_, l)| l.clone())
                     .unwrap_or_default();
                 machines.retain(|m| after.as_ref().is_none_or(|a| m.id > *a));
-                let more = machines.len() > MOST_LISTED;
-                machines.truncate(MOST_LISTED);
+                let more = machines.len() > MAX_LISTED;
+                machines.truncate(MAX_LISTED);
                 CloudReply::List(MachineList { machines, more })
             }
             CloudRequest::Rent(r) => {
--- a/crates/simulation/src/state.rs
+++ b/crates/simulation/src/state.rs
@@ -179,7 +179,7 @@
         let fits = txn.mutations.len() <= l.txn_ops
             && txn.compares.len() <= l.txn_ops.saturating_mul(4)
             && txn.mutations.iter().all(value_fits);
-        if !fits || protocol::encode(txn).len() > TXN_LIMIT {
+        if !fits || protocol::encode(txn).len() > MAX_TRANSACTION_BYTES {
             self.invalid += 1;
             return StoreReply::Invalid;
         }
--- a/crates/simulation/tests/takeover.rs
+++ b/crates/simulation/tests/takeover.rs
@@ -352,7 +352,7 @@
 /// begins anew. No end and no place is lost.
 #[test]
 fn the_largest_array_is_divided_a_few_values_at_a_time() {
-    let (per_page, tasks) = (1224, protocol::job::MOST_TASKS);
+    let (per_page, tasks) = (1224, protocol::job::MAX_TASKS);
     let page_of = |n: u32| {
         let first = n * per_page;
         let bits = if n % 3 == 0 { "f".repeat(200) } else { String::new() };
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -118,7 +118,7 @@
 /// Reads at most one byte over the limit: the core refuses what is longer.
 async fn body(driver: &Driver, request: &mut Request) -> Option<Vec<u8>> {
     let mut bytes = Vec::new();
-    let most = protocol::BODY_LIMIT as u64 + 1;
+    let most = protocol::MAX_BODY_BYTES as u64 + 1;
     let taken = request.take_body();
     let read = async {
         let mut limited = taken.take(most);
