--- a/crates/controller/src/agents/heartbeats.rs
+++ b/crates/controller/src/agents/heartbeats.rs
@@ -561,7 +561,7 @@
             match job {
                 // Its end is about to be stored, and its place is then free
                 // for another attempt.
-                Some((j, n)) if j.urgent_write && !j.outcome_stored(n) => return true,
+                Some((j, n)) if j.persistence.is_urgent() && !j.outcome_stored(n) => return true,
                 Some((j, n)) => forget |= j.outcome_stored(n),
                 None => forget = true,
             }
--- a/crates/controller/src/model/cluster.rs
+++ b/crates/controller/src/model/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster as the leader knows it: jobs, machines, and which tasks are placed where.
+//! The cluster as the leader knows it: jobs, machines, and which tasks are placed on which machine.
 
 use crate::messages::Time;
 use crate::model::job::Job;
@@ -15,29 +15,39 @@
     pub machines: BTreeMap<String, Machine>,
     /// Tasks placed on each machine. An entry may be outdated; `tasks_on` removes such entries.
     placements_by_machine: HashMap<String, BTreeSet<(String, u32)>>,
-    /// Numbers by which the planner knows images.
+    /// The planner's numbers of images, by name.
     image_ids: HashMap<String, u32>,
-    /// Images that machines fetched for earlier leaders' tasks, by machine: the image, when its
-    /// job was submitted, and its size in GB.
+    /// Images that machines fetched for earlier leaders' tasks, by machine: the image's number, when
+    /// its job was submitted, and its size in GB.
     pub cached_images: HashMap<String, Vec<(u32, Time, f64)>>,
 }
 
+/// The images that a machine holds.
+#[derive(Debug, Clone, PartialEq)]
+pub struct MachineImages {
+    /// The machine's id.
+    pub id: String,
+    /// Names and sizes in GB, the latest first.
+    pub images: Vec<(String, f64)>,
+}
+
 impl ClusterState {
-    /// The tasks that are placed on `machine`.
+    /// The tasks that are placed on `machine`: job ids and task indices, in order.
     pub fn tasks_on(&mut self, machine: &str) -> Vec<(String, u32)> {
-        let Some(set) = self.placements_by_machine.get_mut(machine) else { return Vec::new() };
+        let Some(tasks) = self.placements_by_machine.get_mut(machine) else { return Vec::new() };
         let jobs = &self.jobs;
-        set.retain(|(id, task)| {
-            jobs.get(id).and_then(|j| j.placements.get(task)).is_some_and(|p| p.machine == machine)
+        tasks.retain(|(id, task)| {
+            let placement = jobs.get(id).and_then(|job| job.placements.get(task));
+            placement.is_some_and(|placement| placement.machine == machine)
         });
-        if set.is_empty() {
+        if tasks.is_empty() {
             self.placements_by_machine.remove(machine);
             return Vec::new();
         }
-        set.iter().cloned().collect()
+        tasks.iter().cloned().collect()
     }
 
-    /// Adds a job as its record shows it.
+    /// Adds a job that was read from its record.
     pub fn insert_job(&mut self, mut job: Job) {
         job.image_id = self.image_id(&job.spec.image);
         let id = job.spec.id.clone();
@@ -48,8 +58,9 @@
     /// Adds all placements of a job to the index.
     pub fn index_job(&mut self, id: &str) {
         let Some(job) = self.jobs.get(id) else { return };
-        for (&task, p) in &job.placements {
-            self.placements_by_machine.entry(p.machine.clone()).or_default().insert((id.to_string(), task));
+        for (&task, placement) in &job.placements {
+            let tasks = self.placements_by_machine.entry(placement.machine.clone()).or_default();
+            tasks.insert((id.to_string(), task));
         }
     }
 
@@ -57,28 +68,37 @@
     pub fn add_placement(&mut self, id: &str, task: u32, machine: &str, attempt: u64, now: Time) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.add_placement(task, machine, attempt, now);
-        if let Some(m) = self.machines.get_mut(machine) {
-            m.reconciled_at = None;
+        if let Some(machine) = self.machines.get_mut(machine) {
+            machine.reconciled_at = None;
         }
         self.placements_by_machine.entry(machine.to_string()).or_default().insert((id.to_string(), task));
     }
 
-    /// The latest images of each machine that is up, `most` of each, with their sizes in GB; machines in
+    /// The latest images of each machine that is up, at most `max_images` of each; machines in
     /// order.
-    pub fn images_held(&self, most: usize) -> Vec<(String, Vec<(String, f64)>)> {
-        let mut names: Vec<&str> = vec![""; self.image_ids.len()];
-        for (name, &n) in &self.image_ids {
-            names[n as usize] = name;
-        }
-        let up = self.machines.values().filter(|m| m.phase == MachinePhase::Up);
-        up.map(|m| {
-            let images = m.latest_images(m.known_since, most);
-            (m.id.clone(), images.map(|(n, gb)| (names[n as usize].to_string(), gb)).collect())
+    pub fn images_held(&self, max_images: usize) -> Vec<MachineImages> {
+        let names = self.image_names();
+        let up = self.machines.values().filter(|machine| machine.phase == MachinePhase::Up);
+        up.map(|machine| {
+            let images = machine.latest_images(machine.known_since, max_images);
+            MachineImages {
+                id: machine.id.clone(),
+                images: images.map(|(image, gb)| (names[image as usize].to_string(), gb)).collect(),
+            }
         })
         .collect()
     }
 
-    /// Takes in what an earlier leader stored of the machines' images.
+    /// Names of images by their numbers.
+    fn image_names(&self) -> Vec<&str> {
+        let mut names = vec![""; self.image_ids.len()];
+        for (name, &image) in &self.image_ids {
+            names[image as usize] = name;
+        }
+        names
+    }
+
+    /// Adds what an earlier leader stored of the machines' images.
     pub fn learn_cached_images(&mut self, record: &ImagesRecord, now: Time) {
         let images: Vec<(u32, f64)> =
             record.images.iter().map(|(name, gb)| (self.image_id(name), *gb)).collect();
@@ -92,13 +112,13 @@
         }
     }
 
-    /// The number by which the planner knows an image.
+    /// The planner's number of an image; a new image gets the next one.
     pub fn image_id(&mut self, name: &str) -> u32 {
-        if let Some(&n) = self.image_ids.get(name) {
-            return n;
+        if let Some(&image) = self.image_ids.get(name) {
+            return image;
         }
-        let n = self.image_ids.len() as u32;
-        self.image_ids.insert(name.to_string(), n);
-        n
+        let image = self.image_ids.len() as u32;
+        self.image_ids.insert(name.to_string(), image);
+        image
     }
 }
--- a/crates/controller/src/storage.rs
+++ b/crates/controller/src/storage.rs
@@ -1,6 +1,9 @@
-//! How the leader keeps the store in step: writes, the archive, chunked specifications, limits and formats.
+//! How the leader keeps the store up to date: writes, the archive of terminal jobs, chunked
+//! specifications, limits and formats.
 
 pub(crate) mod archive;
+pub(crate) mod fencing;
+pub(crate) mod format_agreement;
 pub(crate) mod format_negotiation;
 pub(crate) mod spec_chunks;
 pub(crate) mod store_limits;
--- /dev/null
+++ b/crates/controller/src/storage/archive/machine_images.rs
@@ -0,0 +1,176 @@
+//! Which images the machines hold, stored for the next leader, which could not learn it otherwise.
+
+use crate::leader::state::Role;
+use crate::messages::Time;
+use crate::model::cluster::MachineImages;
+use crate::model::records::{images_key, ImagesRecord, Value};
+use crate::storage::fencing::{is_fenced, leader_compare, LEADERSHIP_LOST};
+use crate::storage::write_queue::LEADER_WRITES;
+use crate::{CallContext, Controller, StoreReply, StoreRequest};
+use protocol::state::{Compare, Item, Mutation, Transaction};
+use std::collections::BTreeMap;
+
+/// Images of a machine that are stored.
+const MAX_IMAGES_PER_MACHINE: usize = 6;
+/// Parts that the machines' images are stored in, at most.
+const MAX_PARTS: usize = 1024;
+/// Parts that are written in a machine's lease, at most.
+const MAX_PARTS_PER_LEASE: usize = 64;
+/// Bytes in JSON of a machine in a part, beside its name; of an image, beside its name; and of an
+/// index of an image. The last is an image and its index, generously.
+const MACHINE_OVERHEAD_BYTES: usize = 8;
+const IMAGE_OVERHEAD_BYTES: usize = 16;
+const INDEX_BYTES: usize = 4;
+const IMAGE_AND_INDEX_BYTES: usize = 24;
+
+/// A part as it is stored.
+struct StoredPart {
+    record: ImagesRecord,
+    version: u64,
+}
+
+/// A part that is being written.
+struct PartInFlight {
+    part: usize,
+    record: ImagesRecord,
+}
+
+/// The machines' images as last stored.
+#[derive(Default)]
+pub struct StoredImages {
+    parts: BTreeMap<usize, StoredPart>,
+    /// When to compare with what the machines hold next.
+    check_at: Time,
+    in_flight: Option<PartInFlight>,
+}
+
+impl StoredImages {
+    /// A part is stored so, in that version.
+    pub fn record(&mut self, part: usize, record: ImagesRecord, version: u64) {
+        self.parts.insert(part, StoredPart { record, version });
+    }
+
+    fn is_check_due(&self, now: Time) -> bool {
+        self.in_flight.is_none() && now >= self.check_at
+    }
+
+    /// The first part that differs from what is stored, with its number.
+    fn first_changed(&self, records: Vec<ImagesRecord>) -> Option<(usize, ImagesRecord)> {
+        let is_stored = |part: &usize, record: &ImagesRecord| {
+            self.parts.get(part).is_some_and(|stored| stored.record == *record)
+        };
+        let mut parts = records.into_iter().enumerate().take(MAX_PARTS);
+        parts.find(|(part, record)| !is_stored(part, record))
+    }
+
+    /// The transaction that writes a part, which is in flight from now on.
+    fn begin_write(&mut self, fencing_token: u64, part: usize, record: ImagesRecord) -> Transaction<Value> {
+        let key = images_key(part);
+        let version = self.parts.get(&part).map_or(0, |stored| stored.version);
+        self.in_flight = Some(PartInFlight { part, record: record.clone() });
+        Transaction {
+            compares: vec![leader_compare(fencing_token), Compare { key: key.clone(), version }],
+            mutations: vec![Mutation::Put { key, value: Value::Images(record), lease: None }],
+        }
+    }
+}
+
+/// What the machines hold in parts of at most about `max_bytes` each in JSON.
+fn split_into_parts(machines: &[MachineImages], max_bytes: usize) -> Vec<ImagesRecord> {
+    let mut parts: Vec<ImagesRecord> = Vec::new();
+    let mut size = usize::MAX;
+    for machine in machines {
+        if size.saturating_add(max_size(machine)) > max_bytes {
+            parts.push(ImagesRecord::default());
+            size = 0;
+        }
+        if let Some(part) = parts.last_mut() {
+            size += add_machine(part, machine);
+        }
+    }
+    parts
+}
+
+/// Bytes that a machine adds to a part, at most.
+fn max_size(machine: &MachineImages) -> usize {
+    let images: usize = machine.images.iter().map(|(name, _)| name.len() + IMAGE_AND_INDEX_BYTES).sum();
+    machine.id.len() + MACHINE_OVERHEAD_BYTES + images
+}
+
+/// Adds a machine to a part. Returns the bytes that it takes.
+fn add_machine(part: &mut ImagesRecord, machine: &MachineImages) -> usize {
+    let mut size = machine.id.len() + MACHINE_OVERHEAD_BYTES;
+    let mut indices = Vec::new();
+    for (name, gb) in &machine.images {
+        let known = part.images.iter().position(|(known_name, _)| known_name == name);
+        let index = known.unwrap_or_else(|| {
+            size += name.len() + IMAGE_OVERHEAD_BYTES;
+            part.images.push((name.clone(), *gb));
+            part.images.len() - 1
+        });
+        indices.push(index as u32);
+    }
+    size += indices.len() * INDEX_BYTES;
+    part.machines.push((machine.id.clone(), indices));
+    size
+}
+
+impl Controller {
+    /// Once in a machine's lease, stores the parts of the machines' images that differ from
+    /// what is stored, one at a time.
+    pub(super) fn store_images(&mut self) {
+        let now = self.now;
+        let interval_s = self.settings.params.workers.lease_s;
+        let max_bytes = self.store_limits.value_bytes() * 3 / 4;
+        let rate = self.store_limits.write_rps() * LEADER_WRITES;
+        let Role::Leader(leader) = &mut self.role else { return };
+        let token = leader.fencing_token;
+        let budget = leader.fleet.write_budget(rate);
+        if !leader.archive.is_enabled() || !leader.archive.images.is_check_due(now) {
+            return;
+        }
+        if budget.available_at(now) < rate / 2.0 {
+            return;
+        }
+        let held = leader.cluster.images_held(MAX_IMAGES_PER_MACHINE);
+        let images = &mut leader.archive.images;
+        let Some((part, record)) = images.first_changed(split_into_parts(&held, max_bytes)) else {
+            images.check_at = now + interval_s;
+            return;
+        };
+        budget.try_acquire(now, 1.0);
+        // Spread over the time until the next check.
+        images.check_at = now + interval_s / MAX_PARTS_PER_LEASE as f64;
+        let txn = images.begin_write(token, part, record);
+        self.call_store(CallContext::ImagesWrite { token }, StoreRequest::Commit(txn));
+    }
+
+    /// The reply to the write of a part.
+    pub(crate) fn on_images_write(&mut self, token: u64, reply: StoreReply) {
+        let next_check_at = self.now + self.settings.params.workers.lease_s;
+        let Some(leader) = self.leader_state(token) else { return };
+        let images = &mut leader.archive.images;
+        let Some(PartInFlight { part, record }) = images.in_flight.take() else { return };
+        match reply {
+            StoreReply::Committed(revision) => images.record(part, record, revision),
+            StoreReply::Conflict(conflict) if is_fenced(&conflict) => self.step_down(LEADERSHIP_LOST),
+            // An earlier write may have been applied without a reply. (The version known
+            // here then failed for ever, and no other part had its turn.)
+            StoreReply::Conflict(_) | StoreReply::Unknown => {
+                images.check_at = next_check_at;
+                let context = CallContext::ImagesRead { token, part };
+                self.call_store(context, StoreRequest::Get(images_key(part)));
+            }
+            // Not urgent: it only helps the next leader.
+            _ => images.check_at = next_check_at,
+        }
+    }
+
+    /// The reply to the read of a part.
+    pub(crate) fn on_images_read(&mut self, token: u64, part: usize, reply: StoreReply) {
+        let Some(leader) = self.leader_state(token) else { return };
+        if let StoreReply::Item(Item { value: Value::Images(record), version, .. }) = reply {
+            leader.archive.read_images(part, record, version);
+        }
+    }
+}
--- a/crates/controller/src/storage/spec_chunks.rs
+++ b/crates/controller/src/storage/spec_chunks.rs
@@ -2,6 +2,7 @@
 //! were stored before the record that names them.
 
 use crate::model::records::*;
+use crate::storage::store_limits::TARGET_TRANSACTION_BYTES;
 use crate::{CallContext, Controller, StoreReply, StoreRequest, Time};
 use protocol::state::{Compare, Mutation, Transaction};
 use std::collections::BTreeMap;
@@ -57,7 +58,7 @@
     /// Stores the next parts of a submission, or at last its record.
     pub(crate) fn store_next_chunks(&mut self, id: &str) {
         let most = self.store_limits.mutations();
-        let (mut room, mut changes) = (protocol::state::MAX_TRANSACTION_BYTES * 7 / 8, Vec::new());
+        let (mut room, mut changes) = (TARGET_TRANSACTION_BYTES, Vec::new());
         let left = self.client_requests.pending_chunks(id);
         while let Some((key, value)) = left.pop() {
             let size = json_size(&value) + key.len() + 40;
--- a/crates/controller/src/storage/store_limits.rs
+++ b/crates/controller/src/storage/store_limits.rs
@@ -2,9 +2,14 @@
 //! will hold some time, and which of the two a refusal has shown to be in force.
 
 use crate::Controller;
+use protocol::state::MAX_TRANSACTION_BYTES;
 use settings::StateLimits;
 use tracing::info;
 
+/// Bytes in JSON that a transaction is filled up to. An eighth of the store's limit is left free, since
+/// sizes are estimates.
+pub const TARGET_TRANSACTION_BYTES: usize = MAX_TRANSACTION_BYTES * 7 / 8;
+
 /// Sizes fit both limits from the start. The rate is the present one until a refusal
 /// speaks against it: the coming one is not used before it has to be.
 #[derive(Debug, Clone)]
--- /dev/null
+++ b/crates/controller/src/storage/write_queue/due_jobs.rs
@@ -0,0 +1,65 @@
+//! Which jobs are to be written, and in what order.
+
+use crate::messages::Time;
+use crate::model::job::Job;
+use crate::scheduling::planning::band;
+use std::cmp::Ordering;
+use std::collections::BTreeMap;
+
+/// A job that is to be written.
+#[derive(Debug, Clone, PartialEq)]
+pub struct DueJob {
+    pub id: String,
+    /// Nobody waits for the write: it leaves half of the budget to writes that somebody waits for.
+    pub is_lazy: bool,
+    /// Rank by priority, the most urgent first; 0 for lazy writes.
+    rank: u8,
+    /// Of urgent writes when the job was ready, of lazy ones since when it is dirty.
+    since: Time,
+}
+
+/// The jobs that are to be written, the most urgent first. Placements and completed jobs are due at
+/// once. Other ends and counts wait for `lazy_delay_s`, so that many of a job share one
+/// write. (In the order of ids, late jobs were once starved by a backlog.)
+pub fn due_jobs(jobs: &mut BTreeMap<String, Job>, now: Time, lazy_delay_s: Time) -> Vec<DueJob> {
+    let mut due = Vec::new();
+    for (id, job) in jobs {
+        if job.is_stored() {
+            continue;
+        }
+        let dirty_since = *job.persistence.dirty_since.get_or_insert(now);
+        if now >= job.persistence.write_suspended_until {
+            due.extend(due_job(id, job, dirty_since, now, lazy_delay_s));
+        }
+    }
+    due.sort_by(DueJob::compare);
+    due
+}
+
+fn due_job(id: &str, job: &Job, dirty_since: Time, now: Time, lazy_delay_s: Time) -> Option<DueJob> {
+    if needs_urgent_write(job) {
+        let rank = u8::MAX - band(&job.spec);
+        return Some(DueJob { id: id.to_string(), is_lazy: false, rank, since: job.ready_at });
+    }
+    if now >= dirty_since + lazy_delay_s {
+        return Some(DueJob { id: id.to_string(), is_lazy: true, rank: 0, since: dirty_since });
+    }
+    None
+}
+
+/// Whether the write should not wait. The end of a job that was cancelled with its dependency may:
+/// until then it follows from the dependency's record.
+fn needs_urgent_write(job: &Job) -> bool {
+    let follows_from_dependency = job.is_final() && job.placements.is_empty() && !job.is_complete();
+    job.persistence.is_urgent() || job.is_final() && !follows_from_dependency
+}
+
+impl DueJob {
+    fn compare(&self, other: &Self) -> Ordering {
+        self.is_lazy
+            .cmp(&other.is_lazy)
+            .then(self.rank.cmp(&other.rank))
+            .then(self.since.total_cmp(&other.since))
+            .then_with(|| self.id.cmp(&other.id))
+    }
+}
--- /dev/null
+++ b/crates/controller/src/storage/write_queue/outcome.rs
@@ -0,0 +1,149 @@
+//! What became of a transaction.
+
+use super::TransactionEntry;
+use crate::leader::state::LeaderState;
+use crate::model::job::Job;
+use crate::model::records::{job_key, page_key, Value};
+use crate::storage::fencing::{is_fenced, LEADERSHIP_LOST};
+use crate::{Controller, StoreReply};
+use protocol::job::JobStatus;
+use protocol::state::Event;
+use tracing::{debug, warn};
+
+/// Retries of a failed write in a renewal interval of the lease.
+const RETRIES_PER_RENEWAL_INTERVAL: f64 = 4.0;
+
+impl Controller {
+    /// The reply to the transaction with that serial number.
+    pub(crate) fn on_committed(&mut self, token: u64, serial: u64, reply: StoreReply) {
+        let Some(leader) = self.leader_state(token) else { return };
+        let Some(txn) = leader.write_queue.in_flight.take_if(|txn| txn.serial == serial) else { return };
+        match reply {
+            StoreReply::Committed(revision) => {
+                self.store_limits.on_write_served();
+                self.on_transaction_applied(token, txn.entries, revision);
+            }
+            StoreReply::Conflict(conflict) => {
+                if is_fenced(&conflict) {
+                    return self.step_down(LEADERSHIP_LOST);
+                }
+                debug!(failed = ?conflict.failed, "write conflict: records changed");
+                self.read_back_keys(token, conflict.failed);
+            }
+            StoreReply::Refused | StoreReply::Gone => self.delay_writes(token),
+            StoreReply::Limited => {
+                self.delay_writes(token);
+                self.on_rate_limited();
+            }
+            StoreReply::Invalid => self.on_transaction_invalid(token, &txn.entries),
+            _ => {
+                // It may have been applied, or may be later. The stored
+                // versions tell; a late application fails on them.
+                warn!(serial, "write outcome unknown, reading back");
+                let keys = leader.written_keys(&txn.entries);
+                self.read_back_keys(token, keys);
+            }
+        }
+        // What is read back keeps its events waiting.
+        self.replay_deferred_records();
+    }
+
+    /// Nothing is written or read back again for a while.
+    pub(super) fn delay_writes(&mut self, token: u64) {
+        let retry_at = self.now + self.timing.renewal_interval_s / RETRIES_PER_RENEWAL_INTERVAL;
+        if let Some(leader) = self.leader_state(token) {
+            leader.write_queue.retry_at = retry_at;
+        }
+    }
+
+    /// The watch may show the transaction in flight before the reply comes, which may be lost.
+    /// (Without this all writes once stopped until the call timed out.)
+    pub(crate) fn observe_own_write(&mut self, token: u64, events: &[Event<Value>]) {
+        let Some(leader) = self.leader_state(token) else { return };
+        let Some(revision) = leader.write_queue.in_flight.as_ref().and_then(|txn| txn.stored_at(events))
+        else {
+            return;
+        };
+        let Some(txn) = leader.write_queue.in_flight.take() else { return };
+        self.store_limits.on_write_served();
+        self.on_transaction_applied(token, txn.entries, revision);
+        self.replay_deferred_records();
+    }
+
+    /// A transaction with these entries was applied at that revision.
+    fn on_transaction_applied(&mut self, token: u64, entries: Vec<TransactionEntry>, revision: u64) {
+        if let Some(leader) = self.leader_state(token) {
+            for entry in entries.iter().filter(|entry| entry.final_status == Some(JobStatus::Done)) {
+                leader.learn_inherited_priority(&entry.job_id);
+            }
+        }
+        for entry in entries.iter().filter(|entry| entry.archives) {
+            self.on_job_archived(&entry.job_id, revision);
+        }
+        let Some(leader) = self.leader_state(token) else { return };
+        leader.write_queue.isolate_jobs = false;
+        for entry in &entries {
+            leader.on_job_stored(entry, revision);
+        }
+        for entry in &entries {
+            if entry.marks_ready {
+                self.on_ready_stored(&entry.job_id);
+            }
+            if let Some(status) = entry.final_status {
+                self.record_outcome(&entry.job_id, status);
+            }
+            self.settle_terminal(&entry.job_id);
+        }
+    }
+
+    /// The store refused a transaction as invalid. The jobs are written one by one, which shows
+    /// whose record it was: only that job's writes are suspended, never everybody's.
+    fn on_transaction_invalid(&mut self, token: u64, entries: &[TransactionEntry]) {
+        let suspended_until = self.now + self.settings.params.workers.lease_s;
+        let present = self.store_limits.current_value_bytes();
+        let Some(leader) = self.leader_state(token) else { return };
+        let exceeds_next_limit = entries.iter().any(|entry| leader.may_exceed_next_limit(&entry.job_id));
+        if exceeds_next_limit {
+            self.on_size_refused();
+        }
+        let Some(leader) = self.leader_state(token) else { return };
+        leader.write_queue.isolate_jobs = true;
+        leader.write_queue.write_now = true;
+        if exceeds_next_limit {
+            return;
+        }
+        let [entry] = entries else { return };
+        warn!(job = %entry.job_id, present, "state service refused the record of a job as invalid, its writes are suspended");
+        if let Some(job) = leader.cluster.jobs.get_mut(&entry.job_id) {
+            job.persistence.write_suspended_until = suspended_until;
+        }
+    }
+}
+
+impl LeaderState {
+    fn on_job_stored(&mut self, entry: &TransactionEntry, revision: u64) {
+        let Some(job) = self.cluster.jobs.get_mut(&entry.job_id) else { return };
+        job.on_stored(&entry.write, revision);
+        self.archive.discard_keys(job.page_layout.take_obsolete_keys(&entry.job_id));
+        let machines = job.placements.values().map(|placement| placement.machine.clone());
+        self.heartbeats.to_check.extend(machines);
+    }
+
+    fn may_exceed_next_limit(&self, id: &str) -> bool {
+        let exceeds = |job: &Job| job.needs_repagination() || job.page_layout.exceeds_next_limit();
+        self.cluster.jobs.get(id).is_some_and(exceeds)
+    }
+
+    /// The keys that a transaction with these entries writes.
+    fn written_keys(&self, entries: &[TransactionEntry]) -> Vec<String> {
+        let mut keys = Vec::new();
+        for entry in entries {
+            let layout = self.cluster.jobs.get(&entry.job_id).map_or(0, |job| job.page_layout.number);
+            keys.extend(entry.write.pages.iter().map(|&page| match page {
+                0 => job_key(&entry.job_id),
+                _ => page_key(&entry.job_id, page, layout),
+            }));
+        }
+        keys
+    }
+}
