--- a/crates/simulation/src/bin/explore.rs
+++ b/crates/simulation/src/bin/explore.rs
@@ -1,4 +1,4 @@
-//! `explore`: goes through scripts with each kind of trouble at each message.
+//! `explore`: goes through scripts with each kind of fault at each message.
 
 use anisecroft_simulation::explore::*;
 use clap::Parser;
@@ -6,6 +6,12 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
+/// The exit code of bad input.
+const BAD_INPUT: u8 = 2;
+
+/// The largest number of threads.
+const MAX_THREADS: usize = 256;
+
 #[derive(Parser)]
 #[command(about = "Plays short scripts with each kind of trouble at each message.")]
 struct Cli {
@@ -40,131 +46,153 @@
     replay: Option<String>,
 }
 
-/// Bad input, in one line.
-fn bad(problem: &str) -> ExitCode {
+/// Reports bad input in one line.
+fn bad_input(problem: impl std::fmt::Display) -> ExitCode {
     eprintln!("explore: {problem}");
-    ExitCode::from(2)
+    ExitCode::from(BAD_INPUT)
 }
 
 impl Cli {
-    fn options(&self) -> Result<Options, String> {
-        let mut scripts = Vec::new();
-        for name in &self.script {
-            scripts.push(find_script(name)?);
-        }
-        if scripts.is_empty() {
-            scripts = SCRIPTS.iter().collect();
-        }
+    fn options(&self) -> Result<Options, InputError> {
+        let named = self.script.iter().map(|name| find_script(name)).collect::<Result<Vec<_>, _>>()?;
+        let scripts = if named.is_empty() { SCRIPTS.iter().collect() } else { named };
         if !(1..=2).contains(&self.depth) {
-            return Err(format!("depth {} is not known; use --depth 1 or --depth 2", self.depth));
+            return Err(InputError::InvalidDepth { depth: self.depth });
         }
-        if self.jobs == 0 || self.jobs > 256 {
-            return Err(format!("{} threads are not possible; use --jobs 1 to 256", self.jobs));
+        if !(1..=MAX_THREADS).contains(&self.jobs) {
+            return Err(InputError::InvalidThreads { jobs: self.jobs });
         }
         if self.every == 0 {
-            return Err("one in 0 runs is none; use --every 1 for all".into());
+            return Err(InputError::InvalidFraction);
+        }
+        Ok(Options {
+            scripts,
+            depth: self.depth,
+            jobs: self.jobs,
+            seed: self.seed,
+            time_limit: self.time_limit()?,
+            every: self.every,
+            only: self.only.iter().map(|word| find_fault_word(word)).collect::<Result<_, _>>()?,
+            without: self.without.as_deref().map(find_check).transpose()?,
+            stop_at_first: self.first,
+        })
+    }
+
+    fn time_limit(&self) -> Result<Option<Duration>, InputError> {
+        match self.most_s.map(Duration::try_from_secs_f64) {
+            Some(Ok(limit)) if !limit.is_zero() => Ok(Some(limit)),
+            Some(_) => Err(InputError::InvalidTimeLimit),
+            None => Ok(None),
         }
-        let most = match self.most_s.map(Duration::try_from_secs_f64) {
-            Some(Ok(most)) if !most.is_zero() => Some(most),
-            None => None,
-            Some(_) => return Err("--most-s needs a number of seconds above 0, like --most-s 60".into()),
-        };
-        let only = self.only.iter().map(|k| kind_of_trouble(k)).collect::<Result<_, _>>()?;
-        let without = self.without.as_deref().map(guard).transpose()?;
-        let (depth, jobs, seed, every, first) = (self.depth, self.jobs, self.seed, self.every, self.first);
-        Ok(Options { scripts, depth, jobs, seed, without, most, every, only, first })
     }
 }
 
 fn main() -> ExitCode {
     let cli = match Cli::try_parse() {
         Ok(cli) => cli,
-        Err(e) if e.use_stderr() => {
-            let text = e.to_string();
+        Err(error) if error.use_stderr() => {
+            let text = error.to_string();
             let line = text.lines().next().unwrap_or_default().trim_start_matches("error: ");
-            return bad(&format!("{line}; see --help"));
+            return bad_input(format_args!("{line}; see --help"));
         }
-        Err(e) => {
-            print!("{e}");
+        Err(help) => {
+            print!("{help}");
             return ExitCode::SUCCESS;
         }
     };
-    // A core that panics is a failure that is reported; the text comes with it.
+    // A controller that panics is a failure that is reported; the text comes with it.
     std::panic::set_hook(Box::new(|_| {}));
     if let Some(text) = &cli.replay {
-        return match text.parse::<Line>() {
-            Ok(line) => played(&line),
-            Err(problem) => bad(&problem),
+        return match text.parse::<ReplayLine>() {
+            Ok(line) => replay_one(&line),
+            Err(problem) => bad_input(problem),
         };
     }
     match cli.options() {
-        Ok(options) => explored(&options),
-        Err(problem) => bad(&problem),
+        Ok(options) => explore_all(&options),
+        Err(problem) => bad_input(problem),
     }
 }
 
-fn played(line: &Line) -> ExitCode {
-    let (outcome, told) = replay(line);
-    told.iter().for_each(|t| println!("{t}"));
-    if outcome.struck < line.plan.len() {
-        println!("{} of {} troubles came about", outcome.struck, line.plan.len());
+fn replay_one(line: &ReplayLine) -> ExitCode {
+    let Replay { outcome, lines } = replay(line);
+    lines.iter().for_each(|text| println!("{text}"));
+    if outcome.faults_injected < line.plan.len() {
+        println!("{} of {} troubles came about", outcome.faults_injected, line.plan.len());
     }
-    ExitCode::from(u8::from(outcome.broken.is_some()))
+    ExitCode::from(u8::from(outcome.failure.is_some()))
 }
 
-fn explored(options: &Options) -> ExitCode {
-    let mut broken = 0;
+fn explore_all(options: &Options) -> ExitCode {
     let began = Instant::now();
-    let (mut points, mut runs) = (0, 0);
+    let mut failed = 0;
+    let mut points = 0;
+    let mut runs = 0;
     for script in &options.scripts {
-        let bar = ProgressBar::new(0);
-        let style = "{prefix:9} {bar:30} {pos}/{len} runs, {per_sec}, {eta} left";
-        if let Ok(style) = ProgressStyle::with_template(style) {
-            bar.set_style(style);
-        }
-        bar.set_prefix(script.name);
-        let tell = |planned: usize| match planned {
-            0 => bar.inc(1),
-            n => bar.set_length(n as u64),
+        let bar = progress_bar(script.name);
+        let on_progress = |progress: Progress| match progress {
+            Progress::Planned(runs) => bar.set_length(runs as u64),
+            Progress::Played => bar.inc(1),
         };
-        let from = Instant::now();
-        let e = explore(script, options, &tell);
+        let script_began = Instant::now();
+        let explored = explore(script, options, &on_progress);
         bar.finish_and_clear();
-        show(script, &e, from.elapsed().as_secs_f64());
-        broken += e.broken.values().sum::<usize>();
-        points += e.points;
-        runs += e.runs;
+        print_script(script, &explored, script_began.elapsed().as_secs_f64());
+        failed += explored.failed_runs.values().sum::<usize>();
+        points += explored.points;
+        runs += explored.runs;
     }
-    let took = began.elapsed().as_secs_f64();
+    let took_s = began.elapsed().as_secs_f64();
     println!(
-        "{points} points, {runs} runs in {took:.0} s, {:.0} a second; {broken} broke a rule",
-        runs as f64 / took
+        "{points} points, {runs} runs in {took_s:.0} s, {:.0} a second; {failed} broke a rule",
+        runs as f64 / took_s
     );
-    ExitCode::from(u8::from(broken > 0))
+    ExitCode::from(u8::from(failed > 0))
 }
 
-fn show(script: &Script, e: &Explored, took: f64) {
+fn progress_bar(name: &'static str) -> ProgressBar {
+    let bar = ProgressBar::new(0);
+    let style = "{prefix:9} {bar:30} {pos}/{len} runs, {per_sec}, {eta} left";
+    if let Ok(style) = ProgressStyle::with_template(style) {
+        bar.set_style(style);
+    }
+    bar.set_prefix(name);
+    bar
+}
+
+fn print_script(script: &Script, explored: &Explored, took_s: f64) {
     println!(
-        "{}: {} points of {} kinds in meaning, {} runs possible, {} thinned, {} played in {took:.0} s ({:.0} a second), {} not played",
-        script.name, e.points, e.labels, e.possible, e.thinned, e.runs, e.runs as f64 / took.max(1e-9), e.left
+        "{}: {} points of {} kinds in meaning, {} runs possible, {} thinned, {} played in {took_s:.0} s ({:.0} a second), {} not played",
+        script.name,
+        explored.points,
+        explored.labels,
+        explored.possible,
+        explored.thinned,
+        explored.runs,
+        explored.runs as f64 / took_s.max(1e-9),
+        explored.left
     );
-    let kinds: Vec<String> = e.kinds.iter().map(|(kind, n)| format!("{kind} {n}")).collect();
+    let kinds: Vec<String> = explored.kinds.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
     println!("  messages: {}", kinds.join(", "));
     println!(
         "  troubles that did not come about: {}; starts after a told cancellation: {}",
-        e.missed, e.late_starts
+        explored.missed, explored.late_starts
     );
-    if e.firsts_left > 0 {
+    if explored.firsts_left > 0 {
         println!(
             "  first troubles whose second ones were not planned, since time was over: {}",
-            e.firsts_left
+            explored.firsts_left
         );
     }
-    for (rule, n) in &e.broken {
-        println!("  broken: {rule} in {n} runs");
+    for (rule, runs) in &explored.failed_runs {
+        println!("  broken: {rule} in {runs} runs");
     }
-    for f in &e.failures {
-        println!("  run {}: {} at {:.1} s: {} (at: {})", f.after, f.rule, f.at, f.what, f.label);
-        println!("    explore --replay {:?}", f.line.to_string());
+    for failure in &explored.failures {
+        let cause = &failure.cause;
+        println!(
+            "  run {}: {} at {:.1} s: {} (at: {})",
+            failure.after, cause.rule, cause.at, cause.what, failure.label
+        );
+        println!("    explore --replay {:?}", failure.line.to_string());
     }
 }
--- /dev/null
+++ b/crates/simulation/src/explore.rs
@@ -0,0 +1,228 @@
+//! Goes through what could go wrong instead of drawing it: each script is recorded without faults,
+//! and then played once for each message and each kind of fault that can strike there
+//! (`docs/explore.md`).
+
+mod error;
+mod plan;
+mod play;
+mod replay_line;
+mod script;
+
+pub use error::InputError;
+pub use play::{faults_at, play, reduce, Outcome, RunFailure};
+pub use replay_line::{check_names, checks_without, find_check, find_fault_word, find_script, ReplayLine};
+pub use script::{Script, SCRIPTS};
+
+use crate::sim::{MessageFault, RecordedMessage};
+use plan::PlannedRun;
+use rayon::prelude::*;
+use replay_line::FaultWord;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::{Duration, Instant};
+
+/// Runs a thread plays before the time and the failures so far are looked at.
+const BATCH_RUNS: usize = 64;
+/// The same if the first failure ends the script.
+const FIRST_FAILURE_BATCH_RUNS: usize = 8;
+
+/// Failures that are reduced and shown for each script and rule.
+const MAX_SHOWN_FAILURES: usize = 3;
+
+/// What is explored.
+#[derive(Debug, Clone)]
+pub struct Options {
+    /// The scripts to play.
+    pub scripts: Vec<&'static Script>,
+    /// Faults in one run: 1 or 2.
+    pub depth: usize,
+    /// The number of threads.
+    pub jobs: usize,
+    /// Seed of the scripts and of the order of runs.
+    pub seed: u64,
+    /// A safety check that is switched off.
+    pub without: Option<&'static str>,
+    /// No new run of a script begins after that time.
+    pub time_limit: Option<Duration>,
+    /// Of the runs, one in so many is played.
+    pub every: usize,
+    /// Words of the kinds of fault; all if none is named.
+    pub only: Vec<&'static str>,
+    /// Whether the first failure ends a script.
+    pub stop_at_first: bool,
+}
+
+/// A rule that broke, and the line that replays it.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Failure {
+    /// The line that replays it.
+    pub line: ReplayLine,
+    /// How many runs it took, in the order of the plan.
+    pub after: usize,
+    /// The rule that broke, when, and how.
+    pub cause: RunFailure,
+    /// The message that the last fault struck at.
+    pub label: String,
+}
+
+/// What came of one script.
+#[derive(Debug, Clone, Default)]
+pub struct Explored {
+    /// Messages and timers of the run without faults.
+    pub points: usize,
+    /// Runs that the plan had before it was thinned.
+    pub possible: usize,
+    /// Runs that are not planned, since runs alike are.
+    pub thinned: usize,
+    /// Planned runs that were not played: time was over, or a failure ended the script.
+    pub left: usize,
+    /// First faults whose second ones were not planned: time was over.
+    pub firsts_left: usize,
+    /// Runs played.
+    pub runs: usize,
+    /// Runs whose last fault did not come about.
+    pub missed: usize,
+    /// Tasks that began after users were told of a cancellation, over all runs.
+    pub late_starts: usize,
+    /// Points by kind of message.
+    pub kinds: BTreeMap<String, usize>,
+    /// Different messages, by kind, purpose and state of the record.
+    pub labels: usize,
+    /// Runs that broke a rule, by rule.
+    pub failed_runs: BTreeMap<String, usize>,
+    /// Some of them, reduced.
+    pub failures: Vec<Failure>,
+}
+
+/// How far a script's exploration is.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Progress {
+    /// So many runs are planned.
+    Planned(usize),
+    /// One more run has been played.
+    Played,
+}
+
+/// Who is told of the progress, on any thread.
+type OnProgress<'a> = &'a (dyn Fn(Progress) + Sync);
+
+/// Explores one script.
+pub fn explore(script: &'static Script, options: &Options, on_progress: OnProgress<'_>) -> Explored {
+    let began = Instant::now();
+    let is_over = || options.time_limit.is_some_and(|limit| began.elapsed() >= limit);
+    let faultless =
+        ReplayLine { script: script.name, plan: Vec::new(), seed: options.seed, without: options.without };
+    let messages = play(&faultless, true).messages;
+    let mut explored = Explored { points: messages.len(), ..Explored::default() };
+    for message in &messages {
+        *explored.kinds.entry(message.kind.as_str().to_string()).or_default() += 1;
+    }
+    explored.labels = messages.iter().map(|message| &message.label).collect::<BTreeSet<_>>().len();
+    let plan = if options.depth == 1 {
+        let plan = plan::single_faults(faultless, &messages, options);
+        explored.possible = plan.len();
+        plan
+    } else {
+        let pairs = plan::fault_pairs(&faultless, &messages, options, &is_over);
+        explored.possible = pairs.possible;
+        explored.thinned = pairs.possible - pairs.runs.len();
+        explored.firsts_left = pairs.firsts_left;
+        pairs.runs
+    };
+    let kept = plan::thin(plan, options, &mut explored.thinned);
+    play_all(&kept, options, &is_over, on_progress, &mut explored);
+    explored
+}
+
+/// Plays what is planned and sums up what came of it.
+fn play_all(
+    plan: &[PlannedRun],
+    options: &Options,
+    is_over: &(dyn Fn() -> bool + Sync),
+    on_progress: OnProgress<'_>,
+    explored: &mut Explored,
+) {
+    on_progress(Progress::Planned(plan.len()));
+    let pool = plan::thread_pool(options);
+    let batch_runs = if options.stop_at_first { FIRST_FAILURE_BATCH_RUNS } else { BATCH_RUNS };
+    for batch in plan.chunks(batch_runs * options.jobs) {
+        if is_over() || (options.stop_at_first && !explored.failed_runs.is_empty()) {
+            break;
+        }
+        let play_one = |run: &PlannedRun| {
+            let outcome = play(&run.line, false);
+            on_progress(Progress::Played);
+            outcome
+        };
+        let outcomes: Vec<Outcome> = pool.install(|| batch.par_iter().map(play_one).collect());
+        for (run, outcome) in batch.iter().zip(outcomes) {
+            explored.add(run, outcome);
+        }
+    }
+    explored.left = plan.len() - explored.runs;
+    explored.failures = pool.install(|| explored.failures.par_iter().map(reduced).collect());
+}
+
+impl Explored {
+    fn add(&mut self, run: &PlannedRun, outcome: Outcome) {
+        self.runs += 1;
+        self.missed += usize::from(outcome.faults_injected < run.line.plan.len());
+        self.late_starts += outcome.late_starts;
+        let Some(cause) = outcome.failure else { return };
+        *self.failed_runs.entry(cause.rule.clone()).or_default() += 1;
+        let shown = self.failures.iter().filter(|failure| failure.cause.rule == cause.rule).count();
+        if shown < MAX_SHOWN_FAILURES {
+            let (line, label) = (run.line.clone(), run.label.clone());
+            self.failures.push(Failure { line, after: self.runs, cause, label });
+        }
+    }
+}
+
+fn reduced(failure: &Failure) -> Failure {
+    let line = reduce(&failure.line, &failure.cause.rule);
+    let mut cause = failure.cause.clone();
+    if let Some(reduced) = play(&line, false).failure {
+        cause.at = reduced.at;
+        cause.what = reduced.what;
+    }
+    Failure { line, cause, ..failure.clone() }
+}
+
+/// A line's run, and what a person reads of it.
+pub struct Replay {
+    /// What came of it.
+    pub outcome: Outcome,
+    /// The faults and how it ended.
+    pub lines: Vec<String>,
+}
+
+/// Plays a line and describes its run.
+pub fn replay(line: &ReplayLine) -> Replay {
+    let outcome = play(line, true);
+    let faults_of = |message: &RecordedMessage| -> Vec<MessageFault> {
+        let planned = line.plan.iter().filter(|planned| planned.message == message.number);
+        planned.map(|planned| planned.fault).collect()
+    };
+    let mut lines = Vec::new();
+    for message in &outcome.messages {
+        let faults = faults_of(message);
+        if !faults.is_empty() {
+            let (at, number, label) = (message.at, message.number, &message.label);
+            let kind = message.kind.as_str();
+            let faults = faults.into_iter().map(printed).collect::<Vec<_>>().join(", ");
+            lines.push(format!("{at:.3} s, message {number}: {label} ({kind}): [{faults}]"));
+        }
+    }
+    lines.push(match &outcome.failure {
+        Some(failure) => format!("{} at {:.3} s: {}", failure.rule, failure.at, failure.what),
+        None => format!("no rule broke until {:.1} s", outcome.ended_s),
+    });
+    Replay { outcome, lines }
+}
+
+/// A fault as replays print it: the words of its kind, capitalised, and its time.
+fn printed(fault: MessageFault) -> String {
+    let FaultWord { word, time_s } = FaultWord::from(fault);
+    let capitalised = word.split('-').map(|part| part[..1].to_uppercase() + &part[1..]);
+    let time = time_s.map(|time_s| format!("({time_s:?})"));
+    capitalised.collect::<String>() + &time.unwrap_or_default()
+}
--- a/crates/simulation/src/explore/play.rs
+++ b/crates/simulation/src/explore/play.rs
@@ -1,166 +1,223 @@
-//! Plays one line, judges it, and makes what fails smaller.
+//! Plays one line, judges it, and reduces what fails.
 
-use super::line::{guards, word, Line};
+use super::replay_line::{checks_without, parse_fault, FaultWord, ReplayLine};
 use super::script::{script, workers, Script};
-use crate::sim::{Border, Crossing, Trouble};
+use crate::rules::Violation;
+use crate::sim::{MessageFault, MessageKind, RecordedMessage};
 use crate::Simulation;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// How long after the last trouble everything has to be over: what waits beside room breaks its
-/// rule before that.
-const PATIENCE_S: f64 = 110.0;
+/// How long after the last fault all jobs have to be over, in seconds: what waits beside room breaks
+/// its rule before that.
+const MAX_COMPLETION_S: f64 = 110.0;
 
-/// Users ask on that long after the end, and what is stored is put away.
-const AFTER_S: f64 = 11.0;
+/// How long a run goes on after the end, in seconds: users ask on, and what is stored is archived.
+const AFTER_END_S: f64 = 11.0;
+
+/// How a run failed.
+#[derive(Debug, Clone, PartialEq)]
+pub struct RunFailure {
+    /// The rule that broke, `Unfinished` or `Panicked`.
+    pub rule: String,
+    /// When, in simulated seconds.
+    pub at: f64,
+    /// What happened.
+    pub what: String,
+}
+
+impl From<&Violation> for RunFailure {
+    fn from(violation: &Violation) -> Self {
+        let rule = format!("{:?}", violation.rule);
+        RunFailure { rule, at: violation.at, what: violation.what.clone() }
+    }
+}
 
 /// What came of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
-    /// The first rule that broke, when, and how.
-    pub broken: Option<(String, f64, String)>,
-    /// How many of its troubles came about.
-    pub struck: usize,
-    /// Tasks that began after their job's cancellation had been told.
+    /// The first rule that broke.
+    pub failure: Option<RunFailure>,
+    /// How many of its faults came about.
+    pub faults_injected: usize,
+    /// Tasks that began after users were told of their job's cancellation.
     pub late_starts: usize,
+    /// When the run ended, in simulated seconds.
     pub ended_s: f64,
-    /// What crossed a border before the script's end, if that was asked for.
-    pub crossings: Vec<Crossing>,
+    /// The messages before the script's end, if they were recorded.
+    pub messages: Vec<RecordedMessage>,
 }
 
-/// Plays a line to its end.
-pub fn play(line: &Line, record: bool) -> Outcome {
-    let played = catch_unwind(AssertUnwindSafe(|| play_on(line, record)));
+/// Plays a line to its end; `record`: with its messages.
+pub fn play(line: &ReplayLine, record: bool) -> Outcome {
+    let played = catch_unwind(AssertUnwindSafe(|| play_to_end(line, record)));
     played.unwrap_or_else(|cause| {
         let text = cause.downcast_ref::<String>().cloned();
-        let text = text.or_else(|| cause.downcast_ref::<&str>().map(|s| s.to_string())).unwrap_or_default();
-        let broken = Some(("Panicked".to_string(), 0.0, text));
-        Outcome { broken, struck: 0, late_starts: 0, ended_s: 0.0, crossings: Vec::new() }
+        let text = text.or_else(|| cause.downcast_ref::<&str>().map(|text| text.to_string()));
+        let rule = "Panicked".to_string();
+        let failure = Some(RunFailure { rule, at: 0.0, what: text.unwrap_or_default() });
+        Outcome { failure, faults_injected: 0, late_starts: 0, ended_s: 0.0, messages: Vec::new() }
     })
 }
 
-fn play_on(line: &Line, record: bool) -> Outcome {
-    let s = script(line.script).expect("a line names a script that there is");
-    let mut sim = Simulation::new(s.setup(line.seed, guards(line.without)));
-    sim.interfere(line.plan.clone(), record);
-    let broken = run_out(&mut sim, s, line.plan.len());
-    let crossings = sim.crossings().iter().filter(|c| c.at < s.until_s).cloned().collect();
-    Outcome { broken, struck: sim.struck(), late_starts: sim.late_starts.len(), ended_s: sim.now, crossings }
+fn play_to_end(line: &ReplayLine, record: bool) -> Outcome {
+    let script = script(line.script).expect("a line names a script that there is");
+    let mut sim = Simulation::new(script.setup(line.seed, checks_without(line.without)));
+    sim.intercept(line.plan.clone(), record);
+    let failure = run_to_end(&mut sim, script, line.plan.len());
+    let recorded = sim.recorded_messages().iter();
+    let messages = recorded.filter(|message| message.at < script.until_s).cloned().collect();
+    Outcome {
+        failure,
+        faults_injected: sim.faults_injected(),
+        late_starts: sim.late_starts.len(),
+        ended_s: sim.now,
+        messages,
+    }
 }
 
-/// Runs until all is over after the last of so many troubles, or a rule is broken.
-fn run_out(sim: &mut Simulation, script: &Script, troubles: usize) -> Option<(String, f64, String)> {
-    let mut over_at = f64::MAX;
+/// Runs until all jobs are over after the last of so many faults, or a rule is broken.
+fn run_to_end(sim: &mut Simulation, script: &Script, faults: usize) -> Option<RunFailure> {
+    let mut finished_at = f64::MAX;
     loop {
         sim.run(sim.now + 1.0);
-        if let Some(b) = sim.ledger.broken.first() {
-            return Some((format!("{:?}", b.rule), b.at, b.what.clone()));
+        if let Some(violation) = sim.ledger.violations.first() {
+            return Some(violation.into());
         }
-        if sim.struck() < troubles && sim.now < script.until_s {
+        if sim.faults_injected() < faults && sim.now < script.until_s {
             continue;
         }
-        if sim.all_over() {
-            over_at = over_at.min(sim.now);
+        if sim.all_finished() {
+            finished_at = finished_at.min(sim.now);
         }
-        if sim.now >= sim.quiet_from().max(over_at) + AFTER_S {
+        if sim.now >= sim.faults_end().max(finished_at) + AFTER_END_S {
             return None;
         }
-        if over_at == f64::MAX && sim.now >= sim.quiet_from().max(script.until_s) + PATIENCE_S {
-            return Some(("Unfinished".into(), sim.now, sim.unfinished().join(" ")));
+        let deadline = sim.faults_end().max(script.until_s) + MAX_COMPLETION_S;
+        if finished_at == f64::MAX && sim.now >= deadline {
+            let what = sim.unfinished().join(" ");
+            return Some(RunFailure { rule: "Unfinished".into(), at: sim.now, what });
         }
     }
 }
 
-/// Times of "a short while, a lease, longer than `cancel_s`".
-fn spells() -> [f64; 3] {
-    let w = workers();
-    [w.heartbeat_interval_s, w.lease_s + 1.0, w.cancel_s + 4.0]
+/// How long faults last, in seconds: for a heartbeat, a lease, or longer than `cancel_s`.
+fn durations() -> [f64; 3] {
+    let workers = workers();
+    [workers.heartbeat_interval_s, workers.lease_s + 1.0, workers.cancel_s + 4.0]
 }
 
-/// When who ended is back: at once, or after a lease.
-fn returns() -> [f64; 2] {
-    [0.2, spells()[1]]
+/// When a process that ended is back, in seconds: at once, or after a lease.
+fn restart_times() -> [f64; 2] {
+    [0.2, durations()[1]]
 }
 
-/// Every kind of trouble that can strike at such a message.
-pub fn troubles(border: &Border) -> Vec<Trouble> {
-    use Trouble::*;
-    let lease = spells()[1];
-    let mut all = match border {
-        Border::Timer => vec![],
-        Border::State { writes: true } => vec![Lost, Late(2.0), Late(6.0), Late(12.0)],
-        Border::State { writes: false } | Border::StateReply => vec![Lost, Late(1.2)],
-        Border::Cloud => vec![Lost, Late(6.0)],
-        Border::CloudReply => vec![Lost, Late(4.0)],
-        Border::Relay | Border::Direct => vec![Lost, Late(1.0), Late(8.0)],
-        Border::RelayReply | Border::DirectReply => vec![Lost, Late(1.0)],
-        Border::Report => vec![Lost, Late(3.0), Copied(2.0), Copied(lease + 5.0)],
-        Border::ReportAnswer => vec![Lost, Late(3.0)],
-        Border::User => vec![Lost, Late(3.0), Copied(0.5), Copied(lease + 5.0)],
-        Border::UserAnswer => vec![Lost, Late(3.0)],
-    };
-    let cut: fn(f64) -> Trouble = if *border == Border::Timer { Late } else { Cut };
-    if !matches!(border, Border::UserAnswer | Border::CloudReply) {
-        all.extend(spells().map(cut));
+/// Every kind of fault that can strike at such a message.
+pub fn faults_at(kind: &MessageKind) -> Vec<MessageFault> {
+    use MessageFault::*;
+    let mut faults = delivery_faults(kind);
+    let cut: fn(f64) -> MessageFault =
+        if *kind == MessageKind::Timer { Delayed } else { ReceiverPartitioned };
+    if !matches!(kind, MessageKind::UserResponse | MessageKind::CloudReply) {
+        faults.extend(durations().map(cut));
+    }
+    if matches!(kind, MessageKind::StoreRequest { .. }) {
+        faults.extend(durations().map(SenderRefused));
     }
-    if matches!(border, Border::State { .. }) {
-        all.extend(spells().map(Refused));
+    if concerns_machine(kind) {
+        faults.extend(durations().map(MachineHangs));
     }
-    if matches!(border, Border::Report | Border::ReportAnswer | Border::Direct) {
-        all.extend(spells().map(Hangs));
+    if matches!(kind, MessageKind::Heartbeat) {
+        faults.push(SenderEndsAfter(durations()[1]));
     }
-    if matches!(border, Border::Report) {
-        all.push(EndsAfter(lease));
+    if is_sent_by_controller(kind) {
+        faults.extend(restart_times().map(SenderEndsBefore));
+        if *kind != MessageKind::Timer {
+            faults.extend(restart_times().map(SenderEndsAfter));
+        }
     }
-    if sent_by_node(border) {
-        all.extend(returns().map(EndsBefore));
-        if *border != Border::Timer {
-            all.extend(returns().map(EndsAfter));
+    faults.extend([JobsCancelled, JobsQueried]);
+    faults
+}
+
+/// Losses, delays and duplicates.
+fn delivery_faults(kind: &MessageKind) -> Vec<MessageFault> {
+    use MessageFault::*;
+    let longer_than_lease = durations()[1] + 5.0;
+    match kind {
+        MessageKind::Timer => vec![],
+        MessageKind::StoreRequest { writes: true } => {
+            vec![Lost, Delayed(2.0), Delayed(6.0), Delayed(12.0)]
+        }
+        MessageKind::StoreRequest { writes: false } | MessageKind::StoreReply => vec![Lost, Delayed(1.2)],
+        MessageKind::CloudRequest => vec![Lost, Delayed(6.0)],
+        MessageKind::CloudReply => vec![Lost, Delayed(4.0)],
+        MessageKind::ForwardRequest | MessageKind::DirectCommands => {
+            vec![Lost, Delayed(1.0), Delayed(8.0)]
         }
+        MessageKind::ForwardReply | MessageKind::DirectReply => vec![Lost, Delayed(1.0)],
+        MessageKind::Heartbeat => {
+            vec![Lost, Delayed(3.0), Duplicated(2.0), Duplicated(longer_than_lease)]
+        }
+        MessageKind::HeartbeatResponse => vec![Lost, Delayed(3.0)],
+        MessageKind::UserRequest => {
+            vec![Lost, Delayed(3.0), Duplicated(0.5), Duplicated(longer_than_lease)]
+        }
+        MessageKind::UserResponse => vec![Lost, Delayed(3.0)],
     }
-    all.extend([Cancel, Ask]);
-    all
 }
 
-fn sent_by_node(border: &Border) -> bool {
-    use Border::*;
-    !matches!(border, StateReply | CloudReply | DirectReply | Report | User)
+fn concerns_machine(kind: &MessageKind) -> bool {
+    matches!(kind, MessageKind::Heartbeat | MessageKind::HeartbeatResponse | MessageKind::DirectCommands)
+}
+
+fn is_sent_by_controller(kind: &MessageKind) -> bool {
+    !matches!(
+        kind,
+        MessageKind::StoreReply
+            | MessageKind::CloudReply
+            | MessageKind::DirectReply
+            | MessageKind::Heartbeat
+            | MessageKind::UserRequest
+    )
 }
 
-/// The same failure with fewer and shorter troubles.
-pub fn smaller(line: &Line, rule: &str) -> Line {
+/// The same failure with fewer and shorter faults.
+pub fn reduce(line: &ReplayLine, rule: &str) -> ReplayLine {
     let mut best = line.clone();
-    let fails = |l: &Line| play(l, false).broken.is_some_and(|b| b.0 == rule);
+    let fails = |line: &ReplayLine| play(line, false).failure.is_some_and(|failure| failure.rule == rule);
     // What could not be left out may be once another one is.
-    while let Some(less) = one_less(&best).find(fails) {
-        best = less;
+    while let Some(fewer) = without_one(&best).find(fails) {
+        best = fewer;
     }
     for n in 0..best.plan.len() {
-        for trouble in shorter(best.plan[n].1) {
-            let mut less = best.clone();
-            less.plan[n].1 = trouble;
-            if fails(&less) {
-                best = less;
-                break;
-            }
+        let with_shorter = |fault| {
+            let mut line = best.clone();
+            line.plan[n].fault = fault;
+            line
+        };
+        let mut candidates = shorter(best.plan[n].fault).into_iter().map(with_shorter);
+        let found = candidates.find(fails);
+        if let Some(shorter) = found {
+            best = shorter;
         }
     }
     best
 }
 
-/// The same line without one of its troubles.
-fn one_less(line: &Line) -> impl Iterator<Item = Line> {
+/// The same line without one of its faults.
+fn without_one(line: &ReplayLine) -> impl Iterator<Item = ReplayLine> {
     let line = line.clone();
     (0..line.plan.len()).rev().map(move |n| {
-        let mut less = line.clone();
-        less.plan.remove(n);
-        less
+        let mut fewer = line.clone();
+        fewer.plan.remove(n);
+        fewer
     })
 }
 
-/// The same trouble for shorter times, the shortest first.
-fn shorter(trouble: Trouble) -> Vec<Trouble> {
-    let (name, Some(time)) = word(trouble) else { return Vec::new() };
-    let less = [0.2, 1.0, 2.0, 3.0, 6.0, 12.0, 20.0, 30.0].into_iter().filter(|s| *s < time);
-    let text = less.map(|s| format!("{name}:{s}"));
-    text.filter_map(|t| super::line::trouble(&t).ok()).collect()
+/// The same fault for shorter times, the shortest first.
+fn shorter(fault: MessageFault) -> Vec<MessageFault> {
+    let FaultWord { word, time_s: Some(time_s) } = FaultWord::from(fault) else { return Vec::new() };
+    let times = [0.2, 1.0, 2.0, 3.0, 6.0, 12.0, 20.0, 30.0].into_iter();
+    let shorter = times.filter(|shorter| *shorter < time_s);
+    shorter.filter_map(|time_s| parse_fault(&format!("{word}:{time_s}")).ok()).collect()
 }
--- a/crates/simulation/src/explore/script.rs
+++ b/crates/simulation/src/explore/script.rs
@@ -1,6 +1,6 @@
-//! Short fixed runs of a few jobs, in which each message is a point for trouble.
+//! Short fixed runs of a few jobs, in which a fault may strike at each message.
 
-use crate::{Fault, Setup};
+use crate::{Fault, ScheduledFault, Setup, Submission};
 use controller::SafetyChecks;
 use protocol::cloud::MachineType;
 use protocol::job::*;
@@ -11,21 +11,20 @@
 /// A fixed run.
 #[derive(Debug, Clone, Copy)]
 pub struct Script {
+    /// Its name in replay lines.
     pub name: &'static str,
+    /// What happens, in one line.
     pub about: &'static str,
-    /// Messages from then on are no points: all jobs are over, or should be.
+    /// When all jobs should be over, in simulated seconds. No fault strikes at later messages.
     pub until_s: f64,
-    jobs: fn() -> Vec<Wish>,
-    faults: fn() -> Vec<(f64, Fault)>,
-    /// Machines, at most.
+    jobs: fn() -> Vec<Submission>,
+    faults: fn() -> Vec<ScheduledFault>,
+    /// The number of machines that there can be.
     capacity: usize,
-    /// Accelerators that the first team may use.
+    /// Accelerators that the first team may use; 0: any number.
     limit: f64,
 }
 
-/// When a job is submitted, what it is, and when its user cancels it.
-type Wish = (f64, JobSpec, Option<f64>);
-
 /// All scripts, in the order in which they are played.
 pub const SCRIPTS: [Script; 12] = [
     Script {
@@ -33,7 +32,7 @@
         about: "jobs are accepted, placed, launched and end",
         until_s: 45.0,
         jobs: arrays,
-        faults: none,
+        faults: no_faults,
         capacity: 3,
         limit: 0.0,
     },
@@ -41,8 +40,8 @@
         name: "cancel",
         about: "running jobs are cancelled, others take their room",
         until_s: 60.0,
-        jobs: cancelled,
-        faults: none,
+        jobs: cancelled_jobs,
+        faults: no_faults,
         capacity: 2,
         limit: 0.0,
     },
@@ -50,8 +49,8 @@
         name: "gang",
         about: "a gang takes the machines of less urgent work",
         until_s: 70.0,
-        jobs: gang,
-        faults: none,
+        jobs: urgent_gang,
+        faults: no_faults,
         capacity: 2,
         limit: 0.0,
     },
@@ -59,8 +58,8 @@
         name: "handover",
         about: "the lead goes from node to node while jobs run, end and are cancelled",
         until_s: 60.0,
-        jobs: handed_over,
-        faults: all_end,
+        jobs: jobs_across_failovers,
+        faults: crash_each,
         capacity: 2,
         limit: 0.0,
     },
@@ -69,7 +68,7 @@
         about: "machines are rented, given back and rented again",
         until_s: 90.0,
         jobs: bursts,
-        faults: none,
+        faults: no_faults,
         capacity: 3,
         limit: 0.0,
     },
@@ -77,8 +76,8 @@
         name: "await",
         about: "jobs await others, one of which is cancelled",
         until_s: 60.0,
-        jobs: awaiting,
-        faults: none,
+        jobs: dependent_jobs,
+        faults: no_faults,
         capacity: 2,
         limit: 0.0,
     },
@@ -86,8 +85,8 @@
         name: "limit",
         about: "a team at its limit, whose jobs are cancelled while others wait",
         until_s: 60.0,
-        jobs: limited,
-        faults: none,
+        jobs: jobs_at_quota,
+        faults: no_faults,
         capacity: 3,
         limit: 4.0,
     },
@@ -96,7 +95,7 @@
         about: "replicas run until they are cancelled, in one zone or spread",
         until_s: 60.0,
         jobs: services,
-        faults: none,
+        faults: no_faults,
         capacity: 3,
         limit: 0.0,
     },
@@ -105,8 +104,8 @@
         about:
             "small jobs come to machines with room, which report to a node after the other; the cloud is out",
         until_s: 50.0,
-        jobs: steady,
-        faults: cloud_out,
+        jobs: steady_jobs,
+        faults: cloud_outage,
         capacity: 3,
         limit: 0.0,
     },
@@ -114,8 +113,8 @@
         name: "leaderless",
         about: "one node or another ends all the time, while what others await is cancelled",
         until_s: 90.0,
-        jobs: awaiting,
-        faults: always_ending,
+        jobs: dependent_jobs,
+        faults: crash_all_the_time,
         capacity: 2,
         limit: 0.0,
     },
@@ -123,8 +122,8 @@
         name: "zone",
         about: "a zone is cut off with a gateway inside, and the cloud is out",
         until_s: 80.0,
-        jobs: long_work,
-        faults: zone_cut,
+        jobs: long_jobs,
+        faults: zone_partition,
         capacity: 4,
         limit: 8.0,
     },
@@ -132,8 +131,8 @@
         name: "gap",
         about: "jobs are cancelled, and then the state service is out for longer than cancel_s",
         until_s: 90.0,
-        jobs: cancelled_late,
-        faults: outage,
+        jobs: jobs_cancelled_before_outage,
+        faults: store_outage,
         capacity: 3,
         limit: 0.0,
     },
@@ -146,19 +145,19 @@
 
 impl Script {
     /// The run, ready to be played by three controllers.
-    pub fn setup(&self, seed: u64, guards: SafetyChecks) -> Setup {
+    pub fn setup(&self, seed: u64, checks: SafetyChecks) -> Setup {
         Setup {
             nodes: 3,
             settings: settings(self.limit),
             types: types(),
             capacity: self.capacity,
             jobs: (self.jobs)(),
-            broken: BTreeSet::new(),
+            failing_jobs: BTreeSet::new(),
             faults: (self.faults)(),
             seed,
             loss: 0.0,
-            relay_timeout_s: None,
-            guards,
+            forward_timeout_s: None,
+            checks,
         }
     }
 }
@@ -168,16 +167,17 @@
     Settings::parse(include_str!("../../../../docs/example.toml")).expect("the documented example is read")
 });
 
-/// The same with a limit for its first team only.
+/// The same with a limit for its first team only; 0: none.
 fn settings(limit: f64) -> Settings {
-    let mut s = EXAMPLE.clone();
-    for (n, t) in s.params.teams.iter_mut().enumerate() {
-        (t.accelerators, t.accelerators_max) = (0.0, if n == 0 { limit } else { 0.0 });
+    let mut settings = EXAMPLE.clone();
+    for (n, team) in settings.params.teams.iter_mut().enumerate() {
+        team.accelerators = 0.0;
+        team.accelerators_max = if n == 0 { limit } else { 0.0 };
     }
-    s
+    settings
 }
 
-/// How workers report and for how long their leases last, in every script.
+/// The workers' heartbeats, leases and other times, in every script.
 pub fn workers() -> &'static Workers {
     &EXAMPLE.params.workers
 }
@@ -197,14 +197,14 @@
     }]
 }
 
-fn none() -> Vec<(f64, Fault)> {
+fn no_faults() -> Vec<ScheduledFault> {
     Vec::new()
 }
 
-/// An array of the first team without bounds.
-fn array(n: u32, tasks: u32, estimate_s: f64) -> JobSpec {
+/// An array of the first team that may run anywhere.
+fn array(number: u32, tasks: u32, estimate_s: f64) -> JobSpec {
     JobSpec {
-        id: format!("req-{n}"),
+        id: format!("req-{number}"),
         class: "work".into(),
         team: "dispatch".into(),
         shape: Shape::Array,
@@ -232,114 +232,133 @@
     JobSpec { team: "clinics".into(), ..spec }
 }
 
-fn arrays() -> Vec<Wish> {
-    vec![(2.0, array(1, 2, 6.0), None), (12.0, array(2, 1, 4.0), None), (20.0, array(3, 3, 7.0), None)]
+fn arrays() -> Vec<Submission> {
+    vec![
+        Submission::new(2.0, array(1, 2, 6.0)),
+        Submission::new(12.0, array(2, 1, 4.0)),
+        Submission::new(20.0, array(3, 3, 7.0)),
+    ]
 }
 
-fn cancelled() -> Vec<Wish> {
+fn cancelled_jobs() -> Vec<Submission> {
     vec![
-        (2.0, array(1, 4, 400.0), Some(28.0)),
-        (3.0, array(2, 4, 400.0), Some(34.0)),
-        (24.0, array(3, 3, 6.0), None),
-        (30.0, array(4, 1, 5.0), Some(30.3)),
+        Submission::new(2.0, array(1, 4, 400.0)).cancelled_at(28.0),
+        Submission::new(3.0, array(2, 4, 400.0)).cancelled_at(34.0),
+        Submission::new(24.0, array(3, 3, 6.0)),
+        Submission::new(30.0, array(4, 1, 5.0)).cancelled_at(30.3),
     ]
 }
 
-fn gang() -> Vec<Wish> {
+fn urgent_gang() -> Vec<Submission> {
     let urgent =
         JobSpec { shape: Shape::Gang, accelerators: 4.0, priority: Priority::High, ..array(2, 2, 8.0) };
-    vec![(2.0, JobSpec { priority: Priority::Low, ..array(1, 8, 25.0) }, None), (24.0, urgent, None)]
+    vec![
+        Submission::new(2.0, JobSpec { priority: Priority::Low, ..array(1, 8, 25.0) }),
+        Submission::new(24.0, urgent),
+    ]
 }
 
-fn handed_over() -> Vec<Wish> {
+fn jobs_across_failovers() -> Vec<Submission> {
     vec![
-        (2.0, array(1, 2, 10.0), None),
-        (3.0, array(2, 3, 400.0), Some(33.0)),
-        (24.0, array(3, 2, 6.0), None),
-        (26.0, array(4, 1, 400.0), Some(40.0)),
+        Submission::new(2.0, array(1, 2, 10.0)),
+        Submission::new(3.0, array(2, 3, 400.0)).cancelled_at(33.0),
+        Submission::new(24.0, array(3, 2, 6.0)),
+        Submission::new(26.0, array(4, 1, 400.0)).cancelled_at(40.0),
     ]
 }
 
-/// Each node ends once, so each leader does; the last is away for longer.
-fn all_end() -> Vec<(f64, Fault)> {
+/// Each node crashes once, so each leader does; the last is away for longer.
+fn crash_each() -> Vec<ScheduledFault> {
     [(25.0, 0, 0.2), (32.0, 1, 0.2), (39.0, 2, 8.0)]
-        .map(|(at, node, for_s)| (at, Fault::Crash { node, for_s }))
+        .map(|(at, node, duration_s)| ScheduledFault::new(at, Fault::ControllerCrash { node, duration_s }))
         .to_vec()
 }
 
-fn bursts() -> Vec<Wish> {
-    vec![(2.0, array(1, 8, 4.0), None), (55.0, array(2, 8, 4.0), None)]
+fn bursts() -> Vec<Submission> {
+    vec![Submission::new(2.0, array(1, 8, 4.0)), Submission::new(55.0, array(2, 8, 4.0))]
 }
 
-fn awaiting() -> Vec<Wish> {
+fn dependent_jobs() -> Vec<Submission> {
     let after = |n, first: &str| JobSpec { dependencies: vec![first.into()], ..array(n, 1, 4.0) };
     vec![
-        (2.0, array(1, 2, 5.0), None),
-        (3.0, after(2, "req-1"), None),
-        (4.0, after(3, "req-2"), None),
-        (5.0, array(4, 1, 400.0), Some(35.0)),
-        (6.0, after(5, "req-4"), None),
+        Submission::new(2.0, array(1, 2, 5.0)),
+        Submission::new(3.0, after(2, "req-1")),
+        Submission::new(4.0, after(3, "req-2")),
+        Submission::new(5.0, array(4, 1, 400.0)).cancelled_at(35.0),
+        Submission::new(6.0, after(5, "req-4")),
     ]
 }
 
-fn limited() -> Vec<Wish> {
+fn jobs_at_quota() -> Vec<Submission> {
     vec![
-        (2.0, array(1, 4, 400.0), Some(28.0)),
-        (20.0, array(2, 4, 6.0), None),
-        (22.0, JobSpec { one_zone: true, ..array(3, 2, 6.0) }, None),
-        (24.0, of_other_team(array(4, 4, 6.0)), None),
+        Submission::new(2.0, array(1, 4, 400.0)).cancelled_at(28.0),
+        Submission::new(20.0, array(2, 4, 6.0)),
+        Submission::new(22.0, JobSpec { one_zone: true, ..array(3, 2, 6.0) }),
+        Submission::new(24.0, of_other_team(array(4, 4, 6.0))),
     ]
 }
 
-fn services() -> Vec<Wish> {
+fn services() -> Vec<Submission> {
     let service = |n, tasks| JobSpec { shape: Shape::Service, ..array(n, tasks, 0.0) };
     vec![
-        (2.0, JobSpec { spread: true, ..service(1, 4) }, Some(40.0)),
-        (3.0, JobSpec { one_zone: true, ..service(2, 2) }, Some(44.0)),
-        (25.0, array(3, 2, 6.0), None),
+        Submission::new(2.0, JobSpec { spread: true, ..service(1, 4) }).cancelled_at(40.0),
+        Submission::new(3.0, JobSpec { one_zone: true, ..service(2, 2) }).cancelled_at(44.0),
+        Submission::new(25.0, array(3, 2, 6.0)),
     ]
 }
 
-fn long_work() -> Vec<Wish> {
+fn long_jobs() -> Vec<Submission> {
     vec![
-        (2.0, array(1, 8, 28.0), None),
-        (3.0, of_other_team(JobSpec { one_zone: true, ..array(2, 4, 20.0) }), None),
-        (4.0, JobSpec { zone: Some("b".into()), accelerators: 2.0, ..array(4, 1, 400.0) }, Some(29.0)),
-        (30.0, array(3, 4, 6.0), None),
+        Submission::new(2.0, array(1, 8, 28.0)),
+        Submission::new(3.0, of_other_team(JobSpec { one_zone: true, ..array(2, 4, 20.0) })),
+        Submission::new(4.0, JobSpec { zone: Some("b".into()), accelerators: 2.0, ..array(4, 1, 400.0) })
+            .cancelled_at(29.0),
+        Submission::new(30.0, array(3, 4, 6.0)),
     ]
 }
 
 /// Three machines half full, and a small job every three seconds.
-fn steady() -> Vec<Wish> {
-    let small = |n: u32| (21.0 + 3.0 * f64::from(n), array(n, 1, 5.0), None);
+fn steady_jobs() -> Vec<Submission> {
+    let small = |n: u32| Submission::new(21.0 + 3.0 * f64::from(n), array(n, 1, 5.0));
     let long = JobSpec { accelerators: 2.0, ..array(100, 4, 400.0) };
     let spread = JobSpec { accelerators: 2.0, ..array(101, 2, 400.0) };
-    [(2.0, long, Some(44.0)), (2.5, spread, Some(44.0))].into_iter().chain((1..7).map(small)).collect()
+    [Submission::new(2.0, long).cancelled_at(44.0), Submission::new(2.5, spread).cancelled_at(44.0)]
+        .into_iter()
+        .chain((1..7).map(small))
+        .collect()
 }
 
-fn cloud_out() -> Vec<(f64, Fault)> {
-    vec![(18.0, Fault::Wander { for_s: 40.0 }), (20.0, Fault::CloudOutage { for_s: 60.0 })]
+fn cloud_outage() -> Vec<ScheduledFault> {
+    vec![
+        ScheduledFault::new(18.0, Fault::RotatingHeartbeatTargets { duration_s: 40.0 }),
+        ScheduledFault::new(20.0, Fault::CloudOutage { duration_s: 60.0 }),
+    ]
 }
 
-fn always_ending() -> Vec<(f64, Fault)> {
-    let end = |i: usize| (30.0 + 1.2 * i as f64, Fault::Crash { node: i % 3, for_s: 2.0 });
+fn crash_all_the_time() -> Vec<ScheduledFault> {
+    let end = |i: usize| {
+        ScheduledFault::new(30.0 + 1.2 * i as f64, Fault::ControllerCrash { node: i % 3, duration_s: 2.0 })
+    };
     (0..45).map(end).collect()
 }
 
-fn zone_cut() -> Vec<(f64, Fault)> {
-    vec![(25.0, Fault::CloudOutage { for_s: 60.0 }), (28.0, Fault::ZoneCut { zone: "b", for_s: 50.0 })]
+fn zone_partition() -> Vec<ScheduledFault> {
+    vec![
+        ScheduledFault::new(25.0, Fault::CloudOutage { duration_s: 60.0 }),
+        ScheduledFault::new(28.0, Fault::ZonePartition { zone: "b", duration_s: 50.0 }),
+    ]
 }
 
-fn cancelled_late() -> Vec<Wish> {
+fn jobs_cancelled_before_outage() -> Vec<Submission> {
     vec![
-        (2.0, array(1, 4, 400.0), Some(27.0)),
-        (3.0, array(2, 4, 400.0), Some(28.0)),
-        (4.0, array(3, 2, 400.0), Some(29.5)),
-        (10.0, array(4, 2, 8.0), None),
+        Submission::new(2.0, array(1, 4, 400.0)).cancelled_at(27.0),
+        Submission::new(3.0, array(2, 4, 400.0)).cancelled_at(28.0),
+        Submission::new(4.0, array(3, 2, 400.0)).cancelled_at(29.5),
+        Submission::new(10.0, array(4, 2, 8.0)),
     ]
 }
 
 /// Longer than `cancel_s`.
-fn outage() -> Vec<(f64, Fault)> {
-    vec![(30.0, Fault::StateOutage { for_s: 48.0 })]
+fn store_outage() -> Vec<ScheduledFault> {
+    vec![ScheduledFault::new(30.0, Fault::StoreOutage { duration_s: 48.0 })]
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,6 +1,10 @@
-//! Stand-ins for the state service, the cloud, workers and users, and a seeded
-//! simulation that runs several cores against them, checking the protocol's
-//! rules after every step.
+//! Stand-ins for the key-value store, the cloud, workers and users, and a seeded simulation that
+//! runs several controllers against them and checks the protocol's rules after every step.
+//!
+//! - [`sim`]: the simulation, its faults and its network
+//! - [`state`], [`cloud`], [`worker`]: the stand-ins
+//! - [`rules`]: the rules, judged on what really happens
+//! - [`explore`]: plays short scripts with each kind of fault at each message
 
 pub mod cloud;
 pub mod explore;
@@ -10,4 +14,6 @@
 pub mod worker;
 
 pub use rules::{Rule, Violation};
-pub use sim::{Border, Digest, Fault, Setup, Simulation, Trouble};
+pub use sim::{
+    Digest, Fault, MessageFault, MessageKind, PlannedFault, ScheduledFault, Setup, Simulation, Submission,
+};
--- a/crates/simulation/src/sim/digest.rs
+++ b/crates/simulation/src/sim/digest.rs
@@ -1,6 +1,6 @@
-//! A digest of every message that goes into a core or comes out of it, in the form that it has
-//! on the wire: two versions of the code behave alike on a day if their digests are equal,
-//! whatever their types and fields are called.
+//! A digest of every message that goes into a controller or comes out of it, in its wire form. Two
+//! versions of the code behave alike on a day if their digests are equal, whatever their types and
+//! fields are called.
 
 use super::Simulation;
 use controller::*;
@@ -9,45 +9,52 @@
 use protocol::state::{Committed, GrantLease, Lease, Missing};
 use serde::Serialize;
 
-/// How many messages crossed so far, and the FNV-1a hash (64 bits) of all of them.
+/// The hash of no byte.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// The factor of each byte.
+const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
+
+/// The number of messages so far, and a hash of all of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Digest {
+    /// Messages so far.
     pub messages: u64,
+    /// Their FNV-1a hash of 64 bits.
     pub value: u64,
 }
 
 impl Default for Digest {
     fn default() -> Self {
-        Digest { messages: 0, value: 0xcbf2_9ce4_8422_2325 }
+        Digest { messages: 0, value: FNV_OFFSET_BASIS }
     }
 }
 
-/// Which way and over which border a message goes. The numbers are part of the digests.
+/// Between whom a message goes, and in which direction. The numbers are part of the digests.
 #[derive(Clone, Copy)]
-enum Way {
+enum Channel {
     Request = 1,
-    Answer = 2,
-    State = 3,
-    StateReply = 4,
+    Response = 2,
+    Store = 3,
+    StoreReply = 4,
     Cloud = 5,
     CloudReply = 6,
-    Direct = 7,
-    DirectReply = 8,
-    RelaySent = 9,
-    RelayReplyReceived = 10,
-    RelayReceived = 11,
-    RelayReplySent = 12,
-    View = 13,
+    Commands = 7,
+    CommandsReply = 8,
+    ForwardSent = 9,
+    ForwardReplyReceived = 10,
+    ForwardReceived = 11,
+    ForwardReplySent = 12,
+    PeerView = 13,
 }
 
-/// The bytes of one message, each part with its length or of a fixed length.
+/// The bytes of one message, each field with its length or of a fixed length.
 #[derive(Default)]
-struct Parts(Vec<u8>);
+struct WireForm(Vec<u8>);
 
-impl Parts {
-    /// What kind of message it is.
+impl WireForm {
+    /// Begins with the kind of message.
     fn kind(kind: u8) -> Self {
-        Parts(vec![kind])
+        WireForm(vec![kind])
     }
 
     fn number(mut self, number: u64) -> Self {
@@ -56,9 +63,9 @@
     }
 
     fn bytes(self, bytes: &[u8]) -> Self {
-        let mut parts = self.number(bytes.len() as u64);
-        parts.0.extend(bytes);
-        parts
+        let mut form = self.number(bytes.len() as u64);
+        form.0.extend(bytes);
+        form
     }
 
     fn text(self, text: &str) -> Self {
@@ -66,11 +73,11 @@
     }
 
     fn optional(self, text: Option<&str>) -> Self {
-        let parts = self.number(u64::from(text.is_some()));
-        parts.text(text.unwrap_or_default())
+        let form = self.number(u64::from(text.is_some()));
+        form.text(text.unwrap_or_default())
     }
 
-    /// What is MessagePack on the wire.
+    /// A body that is MessagePack on the wire.
     fn body<T: Serialize>(self, body: &T) -> Self {
         let bytes = protocol::encode(body);
         assert!(!bytes.is_empty(), "a message has no wire form");
@@ -78,129 +85,133 @@
     }
 }
 
-fn request(request: &Request) -> Parts {
+fn request(request: &Request) -> WireForm {
     match request {
-        Request::Submit(body) => Parts::kind(1).bytes(body),
-        Request::QueryStatus(id) => Parts::kind(2).text(id),
-        Request::Cancel(id) => Parts::kind(3).text(id),
-        Request::Heartbeat(body) => Parts::kind(4).bytes(body),
-        Request::HealthCheck => Parts::kind(5),
+        Request::Submit(body) => WireForm::kind(1).bytes(body),
+        Request::QueryStatus(id) => WireForm::kind(2).text(id),
+        Request::Cancel(id) => WireForm::kind(3).text(id),
+        Request::Heartbeat(body) => WireForm::kind(4).bytes(body),
+        Request::HealthCheck => WireForm::kind(5),
     }
 }
 
-fn answer(answer: &HttpResponse) -> Parts {
-    let retry = answer.retry_after_s.map_or(u64::MAX, u64::from);
-    Parts::default().number(answer.status.into()).bytes(&answer.body).number(retry)
+fn response(response: &HttpResponse) -> WireForm {
+    let retry = response.retry_after_s.map_or(u64::MAX, u64::from);
+    WireForm::default().number(response.status.into()).bytes(&response.body).number(retry)
 }
 
-fn state(op: &StoreRequest) -> Parts {
-    match op {
-        StoreRequest::Get(key) => Parts::kind(1).text(key),
-        StoreRequest::List { prefix, after } => Parts::kind(2).text(prefix).optional(after.as_deref()),
-        StoreRequest::Commit(txn) => Parts::kind(3).body(txn),
-        StoreRequest::Grant { ttl_ms } => Parts::kind(4).body(&GrantLease { ttl_ms: *ttl_ms }),
-        StoreRequest::Renew(id) => Parts::kind(5).number(*id),
-        StoreRequest::Revoke(id) => Parts::kind(6).number(*id),
+fn store_request(request: &StoreRequest) -> WireForm {
+    match request {
+        StoreRequest::Get(key) => WireForm::kind(1).text(key),
+        StoreRequest::List { prefix, after } => WireForm::kind(2).text(prefix).optional(after.as_deref()),
+        StoreRequest::Commit(txn) => WireForm::kind(3).body(txn),
+        StoreRequest::Grant { ttl_ms } => WireForm::kind(4).body(&GrantLease { ttl_ms: *ttl_ms }),
+        StoreRequest::Renew(id) => WireForm::kind(5).number(*id),
+        StoreRequest::Revoke(id) => WireForm::kind(6).number(*id),
         StoreRequest::Watch { prefix, after, wait_ms } => {
-            Parts::kind(7).text(prefix).number(*after).number(*wait_ms)
+            WireForm::kind(7).text(prefix).number(*after).number(*wait_ms)
         }
     }
 }
 
-fn state_reply(reply: &StoreReply) -> Parts {
+fn store_reply(reply: &StoreReply) -> WireForm {
     match reply {
-        StoreReply::Item(item) => Parts::kind(1).body(item),
-        StoreReply::Missing(revision) => Parts::kind(2).body(&Missing { revision: *revision }),
-        StoreReply::Page(page) => Parts::kind(3).body(page),
-        StoreReply::Committed(revision) => Parts::kind(4).body(&Committed { revision: *revision }),
-        StoreReply::Conflict(conflict) => Parts::kind(5).body(conflict),
-        StoreReply::Granted(lease) => Parts::kind(6).body(&Lease { lease: *lease }),
-        StoreReply::Done => Parts::kind(7),
-        StoreReply::Events(events) => Parts::kind(8).body(events),
-        StoreReply::Gone => Parts::kind(9),
-        StoreReply::Invalid => Parts::kind(10),
-        StoreReply::Limited => Parts::kind(11),
-        StoreReply::Refused => Parts::kind(12),
-        StoreReply::Unknown => Parts::kind(13),
+        StoreReply::Item(item) => WireForm::kind(1).body(item),
+        StoreReply::Missing(revision) => WireForm::kind(2).body(&Missing { revision: *revision }),
+        StoreReply::Page(page) => WireForm::kind(3).body(page),
+        StoreReply::Committed(revision) => WireForm::kind(4).body(&Committed { revision: *revision }),
+        StoreReply::Conflict(conflict) => WireForm::kind(5).body(conflict),
+        StoreReply::Granted(lease) => WireForm::kind(6).body(&Lease { lease: *lease }),
+        StoreReply::Done => WireForm::kind(7),
+        StoreReply::Events(events) => WireForm::kind(8).body(events),
+        StoreReply::Gone => WireForm::kind(9),
+        StoreReply::Invalid => WireForm::kind(10),
+        StoreReply::Limited => WireForm::kind(11),
+        StoreReply::Refused => WireForm::kind(12),
+        StoreReply::Unknown => WireForm::kind(13),
     }
 }
 
-fn cloud(op: &CloudRequest) -> Parts {
-    match op {
-        CloudRequest::Types => Parts::kind(1),
-        CloudRequest::List { after } => Parts::kind(2).optional(after.as_deref()),
-        CloudRequest::Rent(rent) => Parts::kind(3).body(rent),
-        CloudRequest::Delete(names) => Parts::kind(4).body(&Machines { machines: names.clone() }),
+fn cloud_request(request: &CloudRequest) -> WireForm {
+    match request {
+        CloudRequest::Types => WireForm::kind(1),
+        CloudRequest::List { after } => WireForm::kind(2).optional(after.as_deref()),
+        CloudRequest::Rent(rent) => WireForm::kind(3).body(rent),
+        CloudRequest::Delete(names) => WireForm::kind(4).body(&Machines { machines: names.clone() }),
     }
 }
 
-fn cloud_reply(reply: &CloudReply) -> Parts {
+fn cloud_reply(reply: &CloudReply) -> WireForm {
     match reply {
-        CloudReply::Types(types) => Parts::kind(1).body(types),
-        CloudReply::List(list) => Parts::kind(2).body(list),
-        CloudReply::Machines(machines) => Parts::kind(3).body(machines),
-        CloudReply::NoCapacity => Parts::kind(4),
-        CloudReply::Done => Parts::kind(5),
-        CloudReply::Malformed => Parts::kind(6),
-        CloudReply::Refused => Parts::kind(7),
-        CloudReply::Unknown => Parts::kind(8),
+        CloudReply::Types(types) => WireForm::kind(1).body(types),
+        CloudReply::List(list) => WireForm::kind(2).body(list),
+        CloudReply::Machines(machines) => WireForm::kind(3).body(machines),
+        CloudReply::NoCapacity => WireForm::kind(4),
+        CloudReply::Done => WireForm::kind(5),
+        CloudReply::Malformed => WireForm::kind(6),
+        CloudReply::Refused => WireForm::kind(7),
+        CloudReply::Unknown => WireForm::kind(8),
     }
 }
 
-fn direct_reply(reply: &WorkerReply) -> Parts {
+fn direct_reply(reply: &WorkerReply) -> WireForm {
     match reply {
-        WorkerReply::Heartbeat { executed, report } => Parts::kind(1).number((*executed).into()).body(report),
-        WorkerReply::Failed => Parts::kind(2),
+        WorkerReply::Heartbeat { executed, report } => {
+            WireForm::kind(1).number((*executed).into()).body(report)
+        }
+        WorkerReply::Failed => WireForm::kind(2),
     }
 }
 
 impl Digest {
-    fn add(&mut self, now: f64, way: Way, node: usize, id: u64, parts: Parts) {
-        let head = Parts::kind(way as u8).number(now.to_bits()).number(node as u64).number(id);
-        for byte in head.bytes(&parts.0).0 {
-            self.value = (self.value ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+    fn add(&mut self, now: f64, channel: Channel, node: usize, id: u64, form: WireForm) {
+        let head = WireForm::kind(channel as u8).number(now.to_bits()).number(node as u64).number(id);
+        for byte in head.bytes(&form.0).0 {
+            self.value = (self.value ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
         }
         self.messages += 1;
     }
 
-    /// What goes into the core of node `n`; a call's own failure counts as its reply, a timer not.
-    pub(super) fn input(&mut self, now: f64, n: usize, input: &Input) {
-        let (way, id, parts) = match input {
+    /// An input of a node's controller. The failure of a call counts as its reply; timers don't count.
+    pub(super) fn add_input(&mut self, now: f64, node: usize, input: &Input) {
+        let (channel, id, form) = match input {
             Input::Tick => return,
-            Input::Request(id, r) => (Way::Request, *id, request(r)),
-            Input::Store(call, r) => (Way::StateReply, *call, state_reply(r)),
-            Input::Cloud(call, r) => (Way::CloudReply, *call, cloud_reply(r)),
-            Input::Worker(call, r) => (Way::DirectReply, *call, direct_reply(r)),
-            Input::PeerView(view) => (Way::View, 0, Parts::default().bytes(&view.encode_to_vec())),
+            Input::Request(id, r) => (Channel::Request, *id, request(r)),
+            Input::Store(call, r) => (Channel::StoreReply, *call, store_reply(r)),
+            Input::Cloud(call, r) => (Channel::CloudReply, *call, cloud_reply(r)),
+            Input::Worker(call, r) => (Channel::CommandsReply, *call, direct_reply(r)),
+            Input::PeerView(view) => (Channel::PeerView, 0, WireForm::default().bytes(&view.encode_to_vec())),
             Input::ForwardRequest(id, r) => {
-                (Way::RelayReceived, *id, Parts::default().bytes(&r.encode_to_vec()))
+                (Channel::ForwardReceived, *id, WireForm::default().bytes(&r.encode_to_vec()))
             }
             Input::ForwardReply(call, r) => {
-                let parts = match r {
-                    Some(r) => Parts::kind(1).bytes(&r.encode_to_vec()),
-                    None => Parts::kind(0),
+                let form = match r {
+                    Some(r) => WireForm::kind(1).bytes(&r.encode_to_vec()),
+                    None => WireForm::kind(0),
                 };
-                (Way::RelayReplyReceived, *call, parts)
+                (Channel::ForwardReplyReceived, *call, form)
             }
         };
-        self.add(now, way, n, id, parts);
-    }
-
-    /// What comes out of the core of node `n`.
-    pub(super) fn output(&mut self, now: f64, n: usize, output: &Output) {
-        let (way, id, parts) = match output {
-            Output::Response(id, a) => (Way::Answer, *id, answer(a)),
-            Output::Store(call, op) => (Way::State, *call, state(op)),
-            Output::Cloud(call, op) => (Way::Cloud, *call, cloud(op)),
-            Output::Worker(call, addr, body) => (Way::Direct, *call, Parts::default().text(addr).body(body)),
-            Output::Forward(call, node, r) => {
-                (Way::RelaySent, *call, Parts::default().text(node).bytes(&r.encode_to_vec()))
+        self.add(now, channel, node, id, form);
+    }
+
+    /// An output of a node's controller.
+    pub(super) fn add_output(&mut self, now: f64, node: usize, output: &Output) {
+        let (channel, id, form) = match output {
+            Output::Response(id, a) => (Channel::Response, *id, response(a)),
+            Output::Store(call, op) => (Channel::Store, *call, store_request(op)),
+            Output::Cloud(call, op) => (Channel::Cloud, *call, cloud_request(op)),
+            Output::Worker(call, addr, body) => {
+                (Channel::Commands, *call, WireForm::default().text(addr).body(body))
+            }
+            Output::Forward(call, peer, request) => {
+                (Channel::ForwardSent, *call, WireForm::default().text(peer).bytes(&request.encode_to_vec()))
             }
             Output::ForwardReply(id, r) => {
-                (Way::RelayReplySent, *id, Parts::default().bytes(&r.encode_to_vec()))
+                (Channel::ForwardReplySent, *id, WireForm::default().bytes(&r.encode_to_vec()))
             }
         };
-        self.add(now, way, n, id, parts);
+        self.add(now, channel, node, id, form);
     }
 }
 
@@ -210,7 +221,7 @@
         self.digest = Some(Digest::default());
     }
 
-    /// The digest of what crossed since then; None: it is not taken.
+    /// The digest since then; None: it is not taken.
     pub fn digest(&self) -> Option<Digest> {
         self.digest
     }
--- /dev/null
+++ b/crates/simulation/src/sim/invariants.rs
@@ -0,0 +1,110 @@
+//! Rules on starts of tasks, and on everything that is on a machine at a moment.
+
+use super::*;
+use protocol::cloud::ListedMachine;
+
+/// Once all faults are over, a job about which no question is answered for that long, in seconds,
+/// counts as forgotten (set by the operators).
+const MAX_UNANSWERED_S: f64 = 75.0;
+
+/// Rounding of sums of accelerators that are compared.
+pub(super) const ACCELERATOR_TOLERANCE: f64 = 1e-6;
+
+impl Simulation {
+    /// Rules on the start of a task: not on two machines, after its dependencies, and where it may run.
+    pub(super) fn check_start(&mut self, machine: &str, key: &TaskKey) {
+        let now = self.now;
+        let runs = |worker: &Worker| worker.tasks.get(key).is_some_and(|task| task.on_machine());
+        let mut others = self.workers.iter().filter(|(id, _)| *id != machine);
+        let elsewhere = others.find(|(_, worker)| runs(worker)).map(|(id, _)| id.clone());
+        if let Some(other) = elsewhere {
+            self.ledger.violate(Rule::RanTwice, now, format!("{key:?} on {machine} and {other}"));
+        }
+        let dependencies = &self.ledger.specs[&key.job].dependencies;
+        let missing = dependencies.iter().find(|job| !self.ledger.is_done(job)).cloned();
+        if let Some(job) = missing {
+            self.ledger.violate(Rule::TooEarly, now, format!("{key:?} before {job}"));
+        }
+        if !self.may_run_on(machine, &key.job) {
+            let zone = &self.workers[machine].machine.zone;
+            let what = format!("{key:?} on {machine} in {zone}");
+            self.ledger.violate(Rule::WrongPlace, now, what);
+        }
+    }
+
+    /// Whether a job's task may run there: type, zone, kind, and the zones of its other tasks.
+    fn may_run_on(&self, machine: &str, job: &str) -> bool {
+        let spec = &self.ledger.specs[job];
+        let listed = &self.workers[machine].machine;
+        if !is_eligible(spec, listed) {
+            return false;
+        }
+        let mut tasks_here = 0;
+        let mut tasks_elsewhere = 0;
+        for worker in self.workers.values() {
+            let tasks = worker.tasks.iter().filter(|(key, task)| key.job == job && task.on_machine());
+            let count = tasks.count() as u32;
+            if worker.machine.zone == listed.zone {
+                tasks_here += count;
+            } else {
+                tasks_elsewhere += count;
+            }
+        }
+        let together = !spec.one_zone || tasks_elsewhere == 0;
+        let apart = !spec.spread || tasks_here <= spec.tasks.div_ceil(2);
+        together && apart
+    }
+
+    /// Rules on everything that is on a machine right now, and on what users are told.
+    pub(super) fn check_rules(&mut self) {
+        self.check_cancelled_tasks();
+        self.check_unanswered();
+        self.check_quota();
+    }
+
+    fn check_cancelled_tasks(&mut self) {
+        let now = self.now;
+        let cancel_s = self.settings.params.workers.cancel_s;
+        let mut overdue = Vec::new();
+        for worker in self.workers.values() {
+            for (key, _) in worker.tasks.iter().filter(|(_, task)| task.on_machine()) {
+                if self.ledger.cancelled_at.get(&key.job).is_some_and(|at| now - at > cancel_s) {
+                    overdue.push(format!("{key:?} on {}", worker.machine.id));
+                }
+            }
+        }
+        for what in overdue {
+            self.ledger.violate(Rule::RanCancelled, now, what);
+        }
+    }
+
+    fn check_unanswered(&mut self) {
+        let now = self.now;
+        let is_unanswered = |job: &&String| {
+            let answered_at = self.ledger.answered_at.get(*job).copied().unwrap_or(0.0);
+            now - answered_at.max(self.faults_end) > MAX_UNANSWERED_S
+        };
+        let forgotten: Vec<String> = self.ledger.accepted.iter().filter(is_unanswered).cloned().collect();
+        for job in forgotten {
+            self.ledger.violate(Rule::Forgotten, now, format!("{job} is not answered"));
+        }
+    }
+
+    fn check_quota(&mut self) {
+        let used = self.accelerators_in_use();
+        for team in &self.settings.params.teams {
+            let in_use = used.get(&team.name).copied().unwrap_or(0.0);
+            let limit = team.accelerators_max;
+            if limit > 0.0 && in_use > limit + ACCELERATOR_TOLERANCE {
+                self.ledger.violate(Rule::Quota, self.now, format!("{} uses {in_use}", team.name));
+            }
+        }
+    }
+}
+
+/// Whether a job may use a machine by its type, zone and kind.
+pub(super) fn is_eligible(spec: &JobSpec, machine: &ListedMachine) -> bool {
+    spec.machine_types.as_ref().is_none_or(|types| types.contains(&machine.machine_type))
+        && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
+        && (spec.spot || !machine.spot)
+}
--- /dev/null
+++ b/crates/simulation/src/sim/queries.rs
@@ -0,0 +1,255 @@
+//! What users ask beside their own course: at all nodes at once, invalid jobs, and cancellations at
+//! the moment of an end.
+
+use super::fault_injection::Disturbance;
+use super::*;
+
+/// These requests are numbered from there on.
+pub(super) const FIRST_QUERY: u64 = 1 << 40;
+
+/// Within that time of a change, in seconds, users ask at all nodes.
+const CONCURRENT_S: f64 = 0.01;
+
+/// The number of machines that hang, at most, when running jobs are cancelled.
+const MAX_HANGING_MACHINES: usize = 8;
+
+/// A running task that has at least that long to go, in seconds, is cancelled by
+/// `Fault::CancelRunningJobs`.
+const MIN_REMAINING_S: f64 = 20.0;
+
+/// A request beside a user's own course.
+struct Query {
+    job: String,
+    sent_at: f64,
+    /// It submits a job that no node may accept.
+    invalid: bool,
+}
+
+/// Requests beside the users' own course.
+#[derive(Default)]
+pub(super) struct Queries {
+    open: BTreeMap<u64, Query>,
+    sent: u64,
+    invalid_sent: u64,
+    /// Until when users ask at all nodes at once.
+    pub(super) concurrent_until: f64,
+    /// Until when users send invalid requests.
+    pub(super) invalid_until: f64,
+    /// Until when a share of the jobs is cancelled as it ends.
+    pub(super) cancel_at_completion: Disturbance,
+    counts: QueryCounts,
+}
+
+/// How often such requests were sent and answered.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub struct QueryCounts {
+    /// Requests sent within 10 ms of a change, at any node.
+    pub concurrent: u64,
+    /// Those of them that were answered with a state.
+    pub concurrent_answered: u64,
+    /// Cancellations that were sent at the moment of acceptance.
+    pub cancelled_at_acceptance: u64,
+    /// Cancellations that were sent at the moment of the last task's end.
+    pub cancelled_at_completion: u64,
+    /// Jobs that can't run or lack a field that were refused for it.
+    pub invalid_refused: u64,
+}
+
+impl Simulation {
+    /// How often users asked beside their own course.
+    pub fn query_counts(&self) -> QueryCounts {
+        self.queries.counts
+    }
+
+    /// Sends a request of a job's user to a node, `after_s` from now.
+    fn query(&mut self, job: &str, node: usize, after_s: f64, request: Request) {
+        self.send_query(job, node, after_s, request, false);
+    }
+
+    fn send_query(&mut self, job: &str, node: usize, after_s: f64, request: Request, invalid: bool) {
+        self.queries.sent += 1;
+        let number = FIRST_QUERY + self.queries.sent;
+        let sent_at = self.now + after_s;
+        let job = job.to_string();
+        self.queries.open.insert(number, Query { job: job.clone(), sent_at, invalid });
+        let at = sent_at + self.delay();
+        self.send(at, None, Event::UserRequestArrives { job, number, node, request });
+    }
+
+    /// A user cancels its job at any node; its own course repeats that until it is answered.
+    fn cancel_job(&mut self, job: &str, after_s: f64) {
+        let node = self.rng.gen_range(0..self.nodes.len());
+        if let Some(user) = self.users.get_mut(job) {
+            user.cancel_at = Some(self.now + after_s);
+        }
+        self.ledger.cancel_requested.insert(job.to_string());
+        self.query(job, node, after_s, Request::Cancel(job.to_string()));
+    }
+
+    /// A user that had asked at `sent_at` was told a status, or that there is no such job. A change
+    /// may make it ask everywhere.
+    pub(super) fn record_status(&mut self, job: &str, sent_at: f64, status: Option<JobStatus>) {
+        let is_known =
+            |ledger: &Ledger| (ledger.accepted_at.contains_key(job), ledger.finished.contains_key(job));
+        let before = is_known(&self.ledger);
+        self.ledger.record_status(self.now, sent_at, job, status);
+        if is_known(&self.ledger) != before && self.now < self.queries.concurrent_until {
+            let newly_accepted = before == (false, false);
+            self.query_all_nodes(job, newly_accepted);
+        }
+    }
+
+    fn query_all_nodes(&mut self, job: &str, newly_accepted: bool) {
+        if newly_accepted && self.rng.gen_bool(0.1) {
+            self.queries.counts.cancelled_at_acceptance += 1;
+            self.cancel_job(job, 0.0);
+        }
+        let spec = protocol::encode(&self.ledger.specs[job]);
+        for node in 0..self.nodes.len() {
+            for _ in 0..2 {
+                let request = if self.rng.gen_bool(0.4) {
+                    Request::Submit(spec.clone())
+                } else {
+                    Request::QueryStatus(job.to_string())
+                };
+                let after_s = self.rng.gen_range(0.0..CONCURRENT_S);
+                self.queries.counts.concurrent += 1;
+                self.query(job, node, after_s, request);
+            }
+        }
+    }
+
+    pub(super) fn query_answered(&mut self, number: u64, response: &HttpResponse) {
+        let Some(query) = self.queries.open.remove(&number) else { return };
+        if query.invalid {
+            return self.invalid_answered(query.job, response.status);
+        }
+        let job = query.job;
+        match response.status {
+            200 | 201 => {
+                if let Ok(view) = protocol::decode::<JobView>(&response.body) {
+                    self.queries.counts.concurrent_answered += 1;
+                    self.record_status(&job, query.sent_at, Some(view.status));
+                }
+            }
+            404 => self.record_status(&job, query.sent_at, None),
+            400 | 422 if self.ledger.accepted.contains(&job) => {
+                let what = format!("{job} got {}", response.status);
+                self.ledger.violate(Rule::Forgotten, self.now, what);
+            }
+            _ => {}
+        }
+    }
+
+    fn invalid_answered(&mut self, job: String, status: u16) {
+        match status {
+            200 | 201 => self.ledger.violate(Rule::Unfit, self.now, job),
+            400 | 422 => self.queries.counts.invalid_refused += 1,
+            _ => {}
+        }
+    }
+
+    /// The last task of a job has just ended.
+    pub(super) fn cancel_at_completion(&mut self, job: &str) {
+        let fault = self.queries.cancel_at_completion;
+        if fault.is_active(self.now) && self.rng.gen_bool(fault.strength) {
+            self.queries.counts.cancelled_at_completion += 1;
+            self.cancel_job(job, 0.0);
+        }
+    }
+
+    /// Cancels `count` jobs that have long to go, and has up to eight of their machines hang.
+    pub(super) fn cancel_running_jobs(&mut self, count: usize, hang_s: f64) {
+        let running = self.long_running();
+        let mut jobs: Vec<String> = running.iter().map(|task| task.job.clone()).collect();
+        jobs.sort();
+        jobs.dedup();
+        while jobs.len() > count {
+            let dropped = self.rng.gen_range(0..jobs.len());
+            jobs.remove(dropped);
+        }
+        for job in &jobs {
+            let after_s = self.rng.gen_range(0.0..0.2);
+            self.cancel_job(job, after_s);
+        }
+        if hang_s > 0.0 {
+            let cancelled = running.into_iter().filter(|task| jobs.contains(&task.job));
+            let machines: BTreeSet<String> = cancelled.map(|task| task.machine).collect();
+            for machine in machines.iter().take(MAX_HANGING_MACHINES) {
+                if let Some(worker) = self.workers.get_mut(machine) {
+                    worker.hung_until = self.now + hang_s;
+                }
+            }
+        }
+    }
+
+    /// Tasks of accepted jobs that have long to go and that nobody has cancelled.
+    fn long_running(&self) -> Vec<RunningTask> {
+        let earliest = self.now + MIN_REMAINING_S;
+        let mut running = Vec::new();
+        for (machine, worker) in &self.workers {
+            for (key, task) in &worker.tasks {
+                let long = matches!(task.phase, TaskPhase::Running { until } if until > earliest);
+                let accepted = self.ledger.accepted.contains(&key.job);
+                if long && accepted && !self.ledger.cancel_requested.contains(&key.job) {
+                    running.push(RunningTask { job: key.job.clone(), machine: machine.clone() });
+                }
+            }
+        }
+        running
+    }
+
+    /// Users cancel every accepted job that is not known to be over.
+    pub(super) fn cancel_all(&mut self) {
+        let statuses = &self.ledger.last_status;
+        let is_over = |job: &&String| statuses.get(*job).is_some_and(|status| status.is_final());
+        let open = self.ledger.accepted.iter().filter(|job| !is_over(job));
+        for job in open.cloned().collect::<Vec<_>>() {
+            self.cancel_job(&job, 0.0);
+        }
+    }
+
+    /// Users ask for every job that was submitted at every node, and repeat their submissions.
+    pub(super) fn query_all_jobs(&mut self) {
+        for job in self.ledger.submitted.iter().cloned().collect::<Vec<_>>() {
+            let again = Request::Submit(protocol::encode(&self.ledger.specs[&job]));
+            for node in 0..self.nodes.len() {
+                self.query(&job, node, 0.0, Request::QueryStatus(job.clone()));
+                self.query(&job, node, 0.0, again.clone());
+            }
+        }
+    }
+
+    /// Requests of a user that make no sense, at any node.
+    pub(super) fn send_invalid_requests(&mut self, job: &str) {
+        if self.now >= self.queries.invalid_until || !self.rng.gen_bool(0.3) {
+            return;
+        }
+        let node = self.rng.gen_range(0..self.nodes.len());
+        let spec = self.ledger.specs[job].clone();
+        match self.ledger.last_status.get(job) {
+            Some(JobStatus::Done) => self.query(job, node, 0.0, Request::Cancel(job.to_string())),
+            Some(_) => self.query(job, node, 0.0, Request::Submit(protocol::encode(&spec))),
+            None => {}
+        }
+        self.queries.invalid_sent += 1;
+        let id = format!("req-{}", 9_000_000 + self.queries.invalid_sent);
+        let body = self.invalid_submission(JobSpec { id: id.clone(), dependencies: Vec::new(), ..spec });
+        self.send_query(&id, node, 0.0, Request::Submit(body), true);
+    }
+
+    /// A submission that can't run or lacks fields.
+    fn invalid_submission(&mut self, spec: JobSpec) -> Vec<u8> {
+        match self.rng.gen_range(0..4) {
+            0 => protocol::encode(&JobSpec { cores: 1e6, ..spec }),
+            1 => protocol::encode(&JobSpec { team: "nobody".into(), ..spec }),
+            2 => protocol::encode(&JobSpec { machine_types: Some(vec!["none".into()]), ..spec }),
+            _ => protocol::encode(&BTreeMap::from([("id", spec.id), ("lane", spec.class)])),
+        }
+    }
+}
+
+struct RunningTask {
+    job: String,
+    machine: String,
+}
--- /dev/null
+++ b/crates/simulation/src/sim/work_conservation.rs
@@ -0,0 +1,111 @@
+//! The rule that no job waits for long while a machine that fits it has room.
+
+use super::invariants::{is_eligible, ACCELERATOR_TOLERANCE};
+use super::*;
+
+/// Once all faults are over, no job waits that long, in seconds, beside room (set by the operators).
+const MAX_WAIT_BESIDE_CAPACITY_S: f64 = 90.0;
+/// How often that is checked, in seconds.
+const CHECK_INTERVAL_S: f64 = 1.0;
+
+/// Since when each job has waited beside room.
+#[derive(Default)]
+pub(super) struct WaitingJobs {
+    since: BTreeMap<String, f64>,
+    checked_at: f64,
+}
+
+impl Simulation {
+    pub(super) fn check_work_conservation(&mut self) {
+        let now = self.now;
+        if now < self.faults_end {
+            return self.waiting_jobs.since.clear();
+        }
+        if now < self.waiting_jobs.checked_at + CHECK_INTERVAL_S {
+            return;
+        }
+        self.waiting_jobs.checked_at = now;
+        let waiting = self.jobs_beside_capacity();
+        self.waiting_jobs.since.retain(|job, _| waiting.contains(job));
+        for job in waiting {
+            let since = *self.waiting_jobs.since.entry(job.clone()).or_insert(now);
+            if now - since > MAX_WAIT_BESIDE_CAPACITY_S {
+                self.ledger.violate(Rule::LeftWaiting, now, format!("{job} since {since}"));
+            }
+        }
+    }
+
+    /// Accepted jobs of which nothing is on a machine although there is room.
+    fn jobs_beside_capacity(&self) -> Vec<String> {
+        let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
+        let active: BTreeSet<&String> =
+            tasks.filter(|(_, task)| !task.has_exited()).map(|(key, _)| &key.job).collect();
+        let waits = |job: &&String| {
+            !active.contains(job) && !self.never_runs(job) && self.has_capacity(&self.ledger.specs[*job])
+        };
+        self.ledger.accepted.iter().filter(waits).cloned().collect()
+    }
+
+    /// Whether nothing of a job will run any more: it is done, fails everywhere, or it or one that it
+    /// depends on is being cancelled.
+    fn never_runs(&self, job: &str) -> bool {
+        let mut lineage = self.ledger.with_dependencies(job).into_iter();
+        lineage.any(|job| self.ledger.cancel_requested.contains(job))
+            || self.ledger.is_done(job)
+            || self.failing_jobs.contains(job)
+    }
+
+    /// Whether a job could begin now: its dependencies are done, its team is under its limit, and
+    /// machines that fit have room.
+    fn has_capacity(&self, spec: &JobSpec) -> bool {
+        if !spec.dependencies.iter().all(|job| self.ledger.is_done(job)) {
+            return false;
+        }
+        let at_once = if spec.shape == Shape::Array { 1 } else { spec.tasks };
+        if self.is_over_quota(spec, at_once) {
+            return false;
+        }
+        let mut slots: BTreeMap<&str, u32> = BTreeMap::new();
+        for worker in self.workers.values() {
+            *slots.entry(&worker.machine.zone).or_default() += self.free_slots(worker, spec);
+        }
+        if spec.one_zone {
+            return slots.values().any(|slots| *slots >= at_once);
+        }
+        let max_per_zone = if spec.spread { spec.tasks.div_ceil(2) } else { u32::MAX };
+        slots.values().map(|slots| (*slots).min(max_per_zone)).sum::<u32>() >= at_once
+    }
+
+    /// Whether so many tasks more would take a job's team over its limit.
+    fn is_over_quota(&self, spec: &JobSpec, tasks: u32) -> bool {
+        let team = self.settings.params.teams.iter().find(|team| team.name == spec.team);
+        let limit = team.map_or(0.0, |team| team.accelerators_max);
+        let used = self.accelerators_in_use().get(&spec.team).copied().unwrap_or(0.0);
+        limit > 0.0 && used + spec.accelerators * f64::from(tasks) > limit + ACCELERATOR_TOLERANCE
+    }
+
+    /// How many tasks of a job a machine has room for.
+    fn free_slots(&self, worker: &Worker, spec: &JobSpec) -> u32 {
+        let types = &self.cloud.types;
+        let found = types.iter().find(|kind| kind.name == worker.machine.machine_type);
+        let Some(machine_type) = found else { return 0 };
+        if !is_eligible(spec, &worker.machine) || worker.faulty || self.now < worker.hung_until {
+            return 0;
+        }
+        let mut free = [machine_type.cores, machine_type.accelerators, machine_type.memory_gb];
+        for (key, _) in worker.tasks.iter().filter(|(_, task)| !task.has_exited()) {
+            let taken = &self.ledger.specs[&key.job];
+            free = [free[0] - taken.cores, free[1] - taken.accelerators, free[2] - taken.memory_gb];
+        }
+        let needed = [spec.cores, spec.accelerators, spec.memory_gb];
+        let count = |(free, needed): (&f64, f64)| {
+            if needed > 0.0 {
+                (free + ACCELERATOR_TOLERANCE) / needed
+            } else {
+                f64::MAX
+            }
+        };
+        let fits = free.iter().zip(needed).map(count);
+        fits.fold(f64::from(spec.tasks), f64::min).max(0.0) as u32
+    }
+}
--- /dev/null
+++ b/crates/simulation/src/sim/world.rs
@@ -0,0 +1,88 @@
+//! The periodic step of everything that is not a message.
+
+use super::*;
+
+/// How often it happens, in seconds.
+pub(super) const TICK_S: f64 = 0.1;
+
+impl Simulation {
+    pub(super) fn tick_world(&mut self) {
+        let now = self.now;
+        if now >= self.faults.store_down_until {
+            self.store.expire_leases(now);
+        }
+        self.answer_watches();
+        self.cloud.record_listing(now);
+        self.start_booted_workers();
+        let ids: Vec<String> = self.workers.keys().cloned().collect();
+        for id in ids {
+            self.schedule(now, Event::WorkerTurn(id));
+        }
+        self.advance_tasks();
+        self.check_rules();
+        self.check_work_conservation();
+        self.deliver_replayed_heartbeats();
+        for controller in self.nodes.iter().filter_map(|node| node.controller.as_ref()) {
+            self.quarantined.extend(controller.quarantined().map(String::from));
+        }
+        self.judge_failure_detection();
+        self.measure_leadership();
+    }
+
+    /// Machines that have booted since the last step get a worker, which knows some node.
+    fn start_booted_workers(&mut self) {
+        let now = self.now;
+        let is_new = |id: &String| !self.workers.contains_key(id);
+        let booted = self.cloud.running(now).filter(|machine| is_new(&machine.id));
+        for machine in booted.cloned().collect::<Vec<_>>() {
+            let id = machine.id.clone();
+            let node = self.rng.gen_range(0..self.nodes.len());
+            self.workers.insert(id.clone(), Worker::new(machine, now, node));
+            self.schedule(now, Event::WorkerTurn(id));
+        }
+    }
+
+    /// Machines that leaders take for alive and are gone, and those that they declare dead and live.
+    fn judge_failure_detection(&mut self) {
+        let now = self.now;
+        let lease_s = self.settings.params.workers.lease_s;
+        let suspicion_s = Timing::from(&self.settings).failure_suspicion_s;
+        for (n, node) in self.nodes.iter().enumerate() {
+            let Some(controller) = &node.controller else { continue };
+            // A replaced leader gives no work, and may hear a heartbeat that was held for it.
+            let replaced = self.is_replaced(n);
+            let long_gone =
+                |id: &&str| !replaced && self.lost_at.get(*id).is_some_and(|at| now - at > suspicion_s);
+            self.usable_after_loss.extend(controller.usable_machines().filter(long_gone).map(String::from));
+            let is_alive = |id: &str| {
+                self.workers.get(id).is_some_and(|worker| {
+                    now < worker.renewed_at + lease_s && now - worker.hung_until > suspicion_s
+                })
+            };
+            // Each is judged once, when it is declared dead: what hangs may come back later.
+            for id in controller.machines_given_up() {
+                let fencing_token = controller.token().unwrap_or(0);
+                let verdict = DeathVerdict { node: n, fencing_token, machine: id.to_string() };
+                if self.judged.insert(verdict) && is_alive(id) {
+                    self.declared_dead_alive.insert(id.to_string());
+                }
+            }
+        }
+    }
+
+    /// For how long nobody leads, or a replaced leader leads on.
+    fn measure_leadership(&mut self) {
+        let now = self.now;
+        if (0..self.nodes.len()).any(|node| self.is_replaced(node)) {
+            let since = *self.dual_leadership_since.get_or_insert(now);
+            self.metrics.max_dual_leadership_s = self.metrics.max_dual_leadership_s.max(now - since);
+        } else {
+            self.dual_leadership_since = None;
+        }
+        if self.controllers().any(Controller::is_leader) {
+            self.last_leader_at = now;
+        }
+        let leaderless_s = now - self.last_leader_at;
+        self.metrics.max_leaderless_s = self.metrics.max_leaderless_s.max(leaderless_s);
+    }
+}
--- a/crates/simulation/src/state.rs
+++ b/crates/simulation/src/state.rs
@@ -1,34 +1,25 @@
-//! The state service.
+//! A stand-in for the key-value store: versions, compare-and-swap transactions, leases, watches and
+//! limits.
 
 use controller::records::{json_size, Value};
 use controller::{StoreReply, StoreRequest};
 use protocol::state::*;
 use std::collections::BTreeMap;
 
-#[derive(Default)]
-pub struct Store {
-    pub revision: u64,
-    items: BTreeMap<String, (Value, u64, Option<u64>)>,
-    leases: BTreeMap<u64, (f64, f64)>,
-    next_lease: u64,
-    log: Vec<(u64, Event<Value>, String)>,
-    limits: Limits,
-    /// Changes that may be made now, as of then.
-    room: (f64, f64),
-    /// Commits refused for their size, for their number, and all changes asked for.
-    pub invalid: u64,
-    pub limited: u64,
-    /// Looks at every value that is written, with its key.
-    pub inspect: Option<fn(&str, &Value)>,
-    /// When the changes of each revision were made.
-    times: BTreeMap<u64, f64>,
-}
+/// Items in one page of a list: few, so that paging is exercised.
+const PAGE_ITEMS: usize = 7;
+
+/// Times as many conditions as mutations fit into one transaction.
+const COMPARES_PER_MUTATION: usize = 4;
 
-/// What the service takes.
+/// What the store accepts.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
+    /// Bytes of a value.
     pub value_bytes: usize,
+    /// Mutations in a transaction.
     pub txn_ops: usize,
+    /// Mutations a second.
     pub write_rps: f64,
 }
 
@@ -38,106 +29,160 @@
     }
 }
 
+/// How a key was written.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct WriteHistory {
+    /// When a matching value was first stored, in simulated seconds.
+    pub first_match_at: Option<f64>,
+    /// How often the key was written in all.
+    pub writes: usize,
+}
+
+#[derive(Clone)]
+struct StoredItem {
+    value: Value,
+    version: u64,
+    /// The lease that it is deleted with.
+    lease: Option<u64>,
+}
+
+struct Lease {
+    expires_at: f64,
+    ttl_s: f64,
+}
+
+/// A change of a key, as watches see it.
+struct LogEntry {
+    revision: u64,
+    key: String,
+    event: Event<Value>,
+}
+
+/// Mutations that may be made at a time.
+#[derive(Default)]
+struct WriteBudget {
+    available: f64,
+    updated_at: f64,
+}
+
+/// The store.
+#[derive(Default)]
+pub struct Store {
+    /// Rises with every transaction that changes something.
+    pub revision: u64,
+    /// Transactions refused for their size.
+    pub invalid: u64,
+    /// Transactions refused for their rate.
+    pub limited: u64,
+    /// Sees every value that is written, with its key.
+    pub inspect: Option<fn(&str, &Value)>,
+    items: BTreeMap<String, StoredItem>,
+    leases: BTreeMap<u64, Lease>,
+    last_lease: u64,
+    log: Vec<LogEntry>,
+    limits: Limits,
+    budget: WriteBudget,
+    /// When the mutations of each revision were made.
+    written_at: BTreeMap<u64, f64>,
+}
+
 impl Store {
     /// A store that holds `items` from long ago.
     pub fn holding(items: impl IntoIterator<Item = (String, Value)>) -> Self {
-        let items = items.into_iter().map(|(key, value)| (key, (value, 1, None))).collect();
-        Store { revision: 1, items, ..Store::default() }
+        let stored = |(key, value)| (key, StoredItem { value, version: 1, lease: None });
+        Store { revision: 1, items: items.into_iter().map(stored).collect(), ..Store::default() }
     }
 
-    /// What `key` holds is from now on what nobody can read.
+    /// Replaces what a key holds by something that nobody can decode.
     pub fn damage(&mut self, key: &str) {
-        let change = Mutation::Put { key: key.to_string(), value: Value::Undecodable, lease: None };
-        self.commit(&Transaction { compares: Vec::new(), mutations: vec![change] });
+        let mutation = Mutation::Put { key: key.to_string(), value: Value::Undecodable, lease: None };
+        self.commit(&Transaction { compares: Vec::new(), mutations: vec![mutation] });
     }
 
-    /// How many keys begin with `prefix`.
+    /// The number of keys that begin with `prefix`.
     pub fn count(&self, prefix: &str) -> usize {
-        self.items.keys().filter(|k| k.starts_with(prefix)).count()
+        self.items.keys().filter(|key| key.starts_with(prefix)).count()
+    }
+
+    /// Bytes of the largest value under `prefix`.
+    pub fn largest(&self, prefix: &str) -> usize {
+        let held = self.items.iter().filter(|(key, _)| key.starts_with(prefix));
+        held.map(|(_, item)| json_size(&item.value)).max().unwrap_or(0)
+    }
+
+    /// The format that is recorded as readable by all controllers.
+    pub fn format(&self) -> Option<u32> {
+        match self.items.get(controller::records::FORMAT_KEY).map(|item| &item.value) {
+            Some(Value::Format(format)) => Some(*format),
+            _ => None,
+        }
+    }
+
+    /// When a value under `key` that matches was first stored, and how often the key was written.
+    pub fn history(&self, key: &str, matches: impl Fn(&Value) -> bool) -> WriteHistory {
+        let mut history = WriteHistory { first_match_at: None, writes: 0 };
+        let mut found = false;
+        for entry in self.log.iter().filter(|entry| entry.key == key) {
+            let Event::Put { value, .. } = &entry.event else { continue };
+            history.writes += 1;
+            if !found && matches(value) {
+                found = true;
+                history.first_match_at = self.written_at.get(&entry.revision).copied();
+            }
+        }
+        history
+    }
+
+    /// Other limits from now on. What is stored stays.
+    pub fn limit(&mut self, limits: Limits) {
+        self.limits = limits;
+        self.budget.available = self.budget.available.min(limits.write_rps);
     }
 
-    /// Ends leases whose time is over. True if a key went with one.
-    pub fn expire(&mut self, now: f64) -> bool {
-        let over: Vec<u64> = self.leases.iter().filter(|(_, l)| l.0 <= now).map(|(&id, _)| id).collect();
-        let before = self.revision;
-        for id in over {
+    /// Ends leases whose time is over. Whether a key went with one.
+    pub fn expire_leases(&mut self, now: f64) -> bool {
+        let expired = self.leases.iter().filter(|(_, lease)| lease.expires_at <= now);
+        let expired: Vec<u64> = expired.map(|(&id, _)| id).collect();
+        let revision_before = self.revision;
+        for id in expired {
             self.end_lease(id);
         }
-        self.revision != before
+        self.revision != revision_before
     }
 
     /// After an outage every lease has its full time again.
     pub fn refresh(&mut self, now: f64) {
-        for l in self.leases.values_mut() {
-            l.0 = now + l.1;
+        for lease in self.leases.values_mut() {
+            lease.expires_at = now + lease.ttl_s;
         }
     }
 
     fn end_lease(&mut self, id: u64) {
         self.leases.remove(&id);
-        let keys: Vec<String> =
-            self.items.iter().filter(|(_, i)| i.2 == Some(id)).map(|(k, _)| k.clone()).collect();
+        let attached = self.items.iter().filter(|(_, item)| item.lease == Some(id));
+        let keys: Vec<String> = attached.map(|(key, _)| key.clone()).collect();
         if !keys.is_empty() {
             self.revision += 1;
         }
         for key in keys {
-            self.items.remove(&key);
-            let event = Event::Delete { key: key.clone(), version: self.revision };
-            self.log.push((self.revision, event, key));
+            self.delete(&key);
         }
     }
 
-    /// Executes a request; None for a watch that has to wait.
-    pub fn execute(&mut self, now: f64, op: &StoreRequest) -> Option<StoreReply> {
-        Some(match op {
-            StoreRequest::Get(key) => match self.items.get(key) {
-                Some((value, version, _)) => {
-                    StoreReply::Item(Item { key: key.clone(), value: value.clone(), version: *version })
-                }
-                None => StoreReply::Missing(self.revision),
-            },
-            StoreRequest::List { prefix, after } => {
-                let items: Vec<Item<Value>> = self
-                    .items
-                    .range(after.clone().unwrap_or_else(|| prefix.clone())..)
-                    .take_while(|(k, _)| k.starts_with(prefix.as_str()))
-                    .filter(|(k, _)| after.as_ref().is_none_or(|a| *k > a))
-                    .take(8)
-                    .map(|(k, i)| Item { key: k.clone(), value: i.0.clone(), version: i.1 })
-                    .collect();
-                // Small pages, so that paging is exercised.
-                let more = items.len() > 7;
-                StoreReply::Page(Page {
-                    items: items.into_iter().take(7).collect(),
-                    more,
-                    revision: self.revision,
-                })
-            }
-            StoreRequest::Grant { ttl_ms } => {
-                self.next_lease += 1;
-                let ttl = *ttl_ms as f64 / 1000.0;
-                self.leases.insert(self.next_lease, (now + ttl, ttl));
-                StoreReply::Granted(self.next_lease)
-            }
-            StoreRequest::Renew(id) => match self.leases.get_mut(id) {
-                Some(l) => {
-                    l.0 = now + l.1;
-                    StoreReply::Done
-                }
-                None => StoreReply::Gone,
-            },
+    /// Executes a request; None: a watch has to wait.
+    pub fn execute(&mut self, now: f64, request: &StoreRequest) -> Option<StoreReply> {
+        Some(match request {
+            StoreRequest::Get(key) => self.get(key),
+            StoreRequest::List { prefix, after } => self.list(prefix, after.as_deref()),
+            StoreRequest::Grant { ttl_ms } => self.grant(now, *ttl_ms as f64 / 1000.0),
+            StoreRequest::Renew(id) => self.renew(now, *id),
             StoreRequest::Revoke(id) => {
                 self.end_lease(*id);
                 StoreReply::Done
             }
-            StoreRequest::Commit(txn) => self.limited_commit(now, txn),
+            StoreRequest::Commit(transaction) => self.limited_commit(now, transaction),
             StoreRequest::Watch { prefix, after, wait_ms } => {
-                let events: Vec<Event<Value>> = self
-                    .log
-                    .iter()
-                    .filter(|(r, _, k)| r > after && k.starts_with(prefix.as_str()))
-                    .map(|(_, e, _)| e.clone())
-                    .collect();
+                let events = self.events_after(prefix, *after);
                 if events.is_empty() && *wait_ms > 0 {
                     return None;
                 }
@@ -146,103 +191,132 @@
         })
     }
 
-    pub fn quiet(&self) -> StoreReply {
+    /// The answer to a watch that saw no change.
+    pub fn no_events(&self) -> StoreReply {
         StoreReply::Events(Events { revision: self.revision, events: Vec::new() })
     }
 
-    /// Other limits from now on. What is stored stays.
-    pub fn limit(&mut self, limits: Limits) {
-        self.limits = limits;
-        self.room.0 = self.room.0.min(limits.write_rps);
+    fn get(&self, key: &str) -> StoreReply {
+        match self.items.get(key) {
+            Some(item) => StoreReply::Item(listed(key, item)),
+            None => StoreReply::Missing(self.revision),
+        }
     }
 
-    /// The format that is noted as read by all.
-    pub fn format(&self) -> Option<u32> {
-        match self.items.get(controller::records::FORMAT_KEY) {
-            Some((Value::Format(f), ..)) => Some(*f),
-            _ => None,
-        }
+    fn list(&self, prefix: &str, after: Option<&str>) -> StoreReply {
+        let from = after.unwrap_or(prefix);
+        let mut items: Vec<Item<Value>> = self
+            .items
+            .range(from.to_string()..)
+            .take_while(|(key, _)| key.starts_with(prefix))
+            .filter(|(key, _)| after.is_none_or(|after| key.as_str() > after))
+            .take(PAGE_ITEMS + 1)
+            .map(|(key, item)| listed(key, item))
+            .collect();
+        let more = items.len() > PAGE_ITEMS;
+        items.truncate(PAGE_ITEMS);
+        StoreReply::Page(Page { items, more, revision: self.revision })
     }
 
-    /// Bytes of the largest value under `prefix`.
-    pub fn largest(&self, prefix: &str) -> usize {
-        let held = self.items.iter().filter(|(k, _)| k.starts_with(prefix));
-        held.map(|(_, i)| json_size(&i.0)).max().unwrap_or(0)
+    fn events_after(&self, prefix: &str, revision: u64) -> Vec<Event<Value>> {
+        let newer = self.log.iter().filter(|entry| entry.revision > revision);
+        let wanted = newer.filter(|entry| entry.key.starts_with(prefix));
+        wanted.map(|entry| entry.event.clone()).collect()
     }
 
-    fn limited_commit(&mut self, now: f64, txn: &Transaction<Value>) -> StoreReply {
-        let l = self.limits;
-        let value_fits = |c: &Mutation<Value>| match c {
-            Mutation::Put { value, .. } => l.value_bytes == usize::MAX || json_size(value) <= l.value_bytes,
-            Mutation::Delete { .. } => true,
-        };
-        let fits = txn.mutations.len() <= l.txn_ops
-            && txn.compares.len() <= l.txn_ops.saturating_mul(4)
-            && txn.mutations.iter().all(value_fits);
-        if !fits || protocol::encode(txn).len() > MAX_TRANSACTION_BYTES {
+    fn grant(&mut self, now: f64, ttl_s: f64) -> StoreReply {
+        self.last_lease += 1;
+        self.leases.insert(self.last_lease, Lease { expires_at: now + ttl_s, ttl_s });
+        StoreReply::Granted(self.last_lease)
+    }
+
+    fn renew(&mut self, now: f64, id: u64) -> StoreReply {
+        let Some(lease) = self.leases.get_mut(&id) else { return StoreReply::Gone };
+        lease.expires_at = now + lease.ttl_s;
+        StoreReply::Done
+    }
+
+    fn limited_commit(&mut self, now: f64, transaction: &Transaction<Value>) -> StoreReply {
+        if !self.fits_limits(transaction) {
             self.invalid += 1;
             return StoreReply::Invalid;
         }
-        let (room, at) = self.room;
-        let room = (room + (now - at) * l.write_rps).min(l.write_rps);
-        self.room = (room, now);
-        if l.write_rps < f64::MAX && room < txn.mutations.len() as f64 {
+        let count = transaction.mutations.len() as f64;
+        let rate = self.limits.write_rps;
+        let refilled = self.budget.available + (now - self.budget.updated_at) * rate;
+        self.budget = WriteBudget { available: refilled.min(rate), updated_at: now };
+        if rate < f64::MAX && self.budget.available < count {
             self.limited += 1;
             return StoreReply::Limited;
         }
-        self.room.0 -= txn.mutations.len() as f64;
-        let reply = self.commit(txn);
-        self.times.insert(self.revision, now);
+        self.budget.available -= count;
+        let reply = self.commit(transaction);
+        self.written_at.insert(self.revision, now);
         reply
     }
 
-    /// When a value under `key` was first stored that is such, and how often the key was
-    /// written in all.
-    pub fn first(&self, key: &str, such: impl Fn(&Value) -> bool) -> (Option<f64>, usize) {
-        let puts = self.log.iter().filter(|(_, _, k)| k == key).filter_map(|(r, e, _)| match e {
-            Event::Put { value, .. } => Some((r, value)),
-            Event::Delete { .. } => None,
-        });
-        let puts: Vec<_> = puts.collect();
-        let first = puts.iter().find(|(_, v)| such(v)).and_then(|(r, _)| self.times.get(r));
-        (first.copied(), puts.len())
+    fn fits_limits(&self, transaction: &Transaction<Value>) -> bool {
+        let limits = self.limits;
+        let value_fits = |mutation: &Mutation<Value>| match mutation {
+            Mutation::Put { value, .. } => {
+                limits.value_bytes == usize::MAX || json_size(value) <= limits.value_bytes
+            }
+            Mutation::Delete { .. } => true,
+        };
+        transaction.mutations.len() <= limits.txn_ops
+            && transaction.compares.len() <= limits.txn_ops.saturating_mul(COMPARES_PER_MUTATION)
+            && transaction.mutations.iter().all(value_fits)
+            && protocol::encode(transaction).len() <= MAX_TRANSACTION_BYTES
     }
 
-    fn commit(&mut self, txn: &Transaction<Value>) -> StoreReply {
-        for c in &txn.mutations {
-            if let Mutation::Put { lease: Some(id), .. } = c {
-                if !self.leases.contains_key(id) {
-                    return StoreReply::Gone;
-                }
-            }
+    fn commit(&mut self, transaction: &Transaction<Value>) -> StoreReply {
+        let lease_gone = |mutation: &Mutation<Value>| match mutation {
+            Mutation::Put { lease: Some(id), .. } => !self.leases.contains_key(id),
+            _ => false,
+        };
+        if transaction.mutations.iter().any(lease_gone) {
+            return StoreReply::Gone;
         }
-        let failed: Vec<String> = txn
-            .compares
-            .iter()
-            .filter(|c| self.items.get(&c.key).map_or(0, |i| i.1) != c.version)
-            .map(|c| c.key.clone())
-            .collect();
+        let version_of = |key: &String| self.items.get(key).map_or(0, |item| item.version);
+        let conflicts =
+            transaction.compares.iter().filter(|compare| version_of(&compare.key) != compare.version);
+        let failed: Vec<String> = conflicts.map(|compare| compare.key.clone()).collect();
         if !failed.is_empty() {
             return StoreReply::Conflict(CasConflict { failed, revision: self.revision });
         }
         self.revision += 1;
-        let revision = self.revision;
-        for c in &txn.mutations {
-            let (key, event) = match c {
-                Mutation::Put { key, value, lease } => {
-                    if let Some(inspect) = self.inspect {
-                        inspect(key, value);
-                    }
-                    self.items.insert(key.clone(), (value.clone(), revision, *lease));
-                    (key, Event::Put { key: key.clone(), value: value.clone(), version: revision })
-                }
-                Mutation::Delete { key } => {
-                    self.items.remove(key);
-                    (key, Event::Delete { key: key.clone(), version: revision })
-                }
-            };
-            self.log.push((revision, event, key.clone()));
+        for mutation in &transaction.mutations {
+            match mutation {
+                Mutation::Put { key, value, lease } => self.put(key, value, *lease),
+                Mutation::Delete { key } => self.delete(key),
+            }
         }
-        StoreReply::Committed(revision)
+        StoreReply::Committed(self.revision)
+    }
+
+    /// Stores a value at the current revision.
+    fn put(&mut self, key: &str, value: &Value, lease: Option<u64>) {
+        if let Some(inspect) = self.inspect {
+            inspect(key, value);
+        }
+        let item = StoredItem { value: value.clone(), version: self.revision, lease };
+        self.items.insert(key.to_string(), item);
+        let event = Event::Put { key: key.to_string(), value: value.clone(), version: self.revision };
+        self.log_event(key, event);
+    }
+
+    /// Deletes a key at the current revision.
+    fn delete(&mut self, key: &str) {
+        self.items.remove(key);
+        let event = Event::Delete { key: key.to_string(), version: self.revision };
+        self.log_event(key, event);
+    }
+
+    fn log_event(&mut self, key: &str, event: Event<Value>) {
+        self.log.push(LogEntry { revision: self.revision, key: key.to_string(), event });
     }
 }
+
+fn listed(key: &str, item: &StoredItem) -> Item<Value> {
+    Item { key: key.to_string(), value: item.value.clone(), version: item.version }
+}
--- a/crates/simulation/tests/answers.rs
+++ b/crates/simulation/tests/answers.rs
@@ -4,8 +4,8 @@
 mod anyorder;
 mod common;
 
-use anisecroft_simulation::sim::LookCounts;
-use anisecroft_simulation::{Fault, Setup, Simulation};
+use anisecroft_simulation::sim::QueryCounts;
+use anisecroft_simulation::{Fault, ScheduledFault, Setup, Simulation, Submission};
 use anyorder::*;
 use common::{setup, unlimited};
 use controller::records::*;
@@ -311,45 +311,53 @@
         .map(|n| {
             let at = 25.0 + f64::from(n) * 0.25;
             let cancel = rng.gen_bool(0.2).then(|| at + rng.gen_range(0.0..8.0));
-            (at, job(n, rng), cancel)
+            Submission::new(at, job(n, rng)).cancelled_at(cancel)
         })
         .collect();
-    let for_s = 60.0;
+    let duration_s = 60.0;
     let node = rng.gen_range(0..3);
     s.faults = vec![
-        (20.0, Fault::CloseLooks { for_s: 100.0 }),
-        (20.0, Fault::OddRequests { for_s }),
-        (20.0, Fault::CancelAtEnd { share: 0.4, for_s: 100.0 }),
+        ScheduledFault::new(20.0, Fault::ConcurrentQueries { duration_s: 100.0 }),
+        ScheduledFault::new(20.0, Fault::InvalidRequests { duration_s }),
+        ScheduledFault::new(20.0, Fault::CancelAtCompletion { share: 0.4, duration_s: 100.0 }),
     ];
     let at = rng.gen_range(26.0..48.0);
     s.faults.extend(match seed / 2 % 8 {
         0 => vec![],
-        1 => vec![(at, Fault::SlowState { by_s: 0.4, for_s: 30.0 })],
-        2 => vec![(at, Fault::LostAnswers { share: 0.3, for_s: 30.0 })],
-        3 => vec![(at, Fault::LateWrites { share: 0.3, for_s: 30.0 })],
-        4 => {
-            (0..12).map(|n| (at + f64::from(n), Fault::Crash { node: n as usize % 3, for_s: 0.2 })).collect()
-        }
+        1 => vec![ScheduledFault::new(at, Fault::SlowStore { max_delay_s: 0.4, duration_s: 30.0 })],
+        2 => vec![ScheduledFault::new(at, Fault::LostWriteResponses { share: 0.3, duration_s: 30.0 })],
+        3 => vec![ScheduledFault::new(at, Fault::DelayedWrites { share: 0.3, duration_s: 30.0 })],
+        4 => (0..12)
+            .map(|n| {
+                ScheduledFault::new(
+                    at + f64::from(n),
+                    Fault::ControllerCrash { node: n as usize % 3, duration_s: 0.2 },
+                )
+            })
+            .collect(),
         5 => vec![
-            (at, Fault::StateRefuses { node, for_s: 12.0 }),
-            (at + 20.0, Fault::StateOutage { for_s: 8.0 }),
+            ScheduledFault::new(at, Fault::StoreRefusesNode { node, duration_s: 12.0 }),
+            ScheduledFault::new(at + 20.0, Fault::StoreOutage { duration_s: 8.0 }),
         ],
-        6 => vec![(at, Fault::Cut { node, state: true, workers: false, for_s: 9.0 })],
+        6 => vec![ScheduledFault::new(
+            at,
+            Fault::NodePartition { node, store: true, workers: false, duration_s: 9.0 },
+        )],
         _ => vec![
-            (at, Fault::Polls { factor: 8.0, for_s: 30.0 }),
-            (at + 5.0, Fault::Silent { node, for_s: 7.0 }),
+            ScheduledFault::new(at, Fault::QueryFlood { factor: 8.0, duration_s: 30.0 }),
+            ScheduledFault::new(at + 5.0, Fault::ControllerPause { node, duration_s: 7.0 }),
         ],
     });
     Setup { nodes: 3 + seed as usize % 2 * 2, capacity: 20, ..s }
 }
 
 /// Plays so many crowds; what was asked in each.
-fn crowds(seeds: Range<u64>) -> Vec<LookCounts> {
+fn crowds(seeds: Range<u64>) -> Vec<QueryCounts> {
     let play = |seed| {
         let mut sim = Simulation::new(crowd(seed));
         assert_eq!(sim.run(400.0), [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
-        sim.looks()
+        sim.query_counts()
     };
     seeds.map(play).collect()
 }
@@ -357,10 +365,13 @@
 #[test]
 fn close_looks_odd_requests_and_cancellations_at_the_end_break_no_rule() {
     let looks = crowds(0..16);
-    assert!(looks.iter().all(|l| l.close_answered > 500 && l.unfit_refused > 50), "{looks:?}");
-    assert!(looks.iter().all(|l| l.cancelled_at_once > 0 && l.cancelled_at_end > 10), "{looks:?}");
+    assert!(looks.iter().all(|l| l.concurrent_answered > 500 && l.invalid_refused > 50), "{looks:?}");
+    assert!(
+        looks.iter().all(|l| l.cancelled_at_acceptance > 0 && l.cancelled_at_completion > 10),
+        "{looks:?}"
+    );
     // A tenth of those that are accepted, of a hundred each.
-    let at_once: u64 = looks.iter().map(|l| l.cancelled_at_once).sum();
+    let at_once: u64 = looks.iter().map(|l| l.cancelled_at_acceptance).sum();
     assert!(at_once > 16 * 5, "{looks:?}");
 }
 
--- a/crates/simulation/tests/anyorder/machines.rs
+++ b/crates/simulation/tests/anyorder/machines.rs
@@ -1,74 +1,92 @@
 //! The cloud and the workers of a world whose nodes lead themselves.
 
 use anisecroft_simulation::cloud::Cloud;
-use anisecroft_simulation::worker::{Launch, Phase, Task, TaskKey, Worker};
+use anisecroft_simulation::worker::{HeartbeatInFlight, Launch, Task, TaskKey, TaskPhase, Worker};
 use controller::*;
 use protocol::cloud::{MachineType, RentRequest};
 use protocol::job::JobSpec;
-use protocol::worker::HeartbeatResponse;
+use protocol::worker::{ExitCause, HeartbeatResponse};
 use rand::{rngs::SmallRng, Rng};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Requests of workers are numbered from there on.
-pub const FIRST: RequestId = 1 << 40;
-/// A worker waits that long for an answer (fixed by the protocol).
-const PATIENCE_S: f64 = 4.0;
+pub const FIRST_WORKER_REQUEST: RequestId = 1 << 40;
+/// A worker waits that long for a response, in seconds (fixed by the protocol).
+const HEARTBEAT_TIMEOUT_S: f64 = 4.0;
+/// The number of machines that there can be.
+const CAPACITY: usize = 3;
 
 pub struct Machines {
     cloud: Cloud,
     workers: BTreeMap<String, Worker>,
-    /// Reports that have no answer yet, by node and request.
-    open: BTreeMap<(usize, RequestId), (String, u64)>,
-    next: RequestId,
+    /// Heartbeats without a response, by node and request.
+    open: BTreeMap<(usize, RequestId), OpenHeartbeat>,
+    last_request: RequestId,
     lease_s: f64,
-    /// Results of tasks, which are kept.
-    results: BTreeSet<TaskKey>,
+    /// Tasks that completed.
+    completed: BTreeSet<TaskKey>,
+}
+
+struct OpenHeartbeat {
+    machine: String,
+    sequence: u64,
 }
 
 impl Machines {
     /// One machine that has all tasks of `job`, and room for more to be rented.
-    pub fn with(job: &JobSpec, kind: MachineType, lease_s: f64, rng: &mut SmallRng) -> Self {
-        let (machine_type, zone) = (kind.name.clone(), kind.zones[0].clone());
-        let mut cloud = Cloud::new(vec![kind], 3, 1.0);
-        let rent = RentRequest { request: "first".into(), machine_type, zone, spot: false, count: 1 };
+    pub fn running(job: &JobSpec, machine_type: MachineType, lease_s: f64, rng: &mut SmallRng) -> Self {
+        let rent = RentRequest {
+            request: "first".into(),
+            machine_type: machine_type.name.clone(),
+            zone: machine_type.zones[0].clone(),
+            spot: false,
+            count: 1,
+        };
+        let mut cloud = Cloud::new(vec![machine_type], CAPACITY, 1.0);
         cloud.execute(0.0, &CloudRequest::Rent(rent), 1.0, 0.0);
-        let (open, next, results) = (BTreeMap::new(), FIRST, BTreeSet::new());
-        let mut m = Machines { cloud, workers: BTreeMap::new(), open, next, lease_s, results };
-        m.go_on(0.0, rng);
-        let end: f64 = rng.gen_range(1.0..20.0);
-        for w in m.workers.values_mut() {
-            let run = |_| Task { attempt: 1, phase: Phase::Running { until: end } };
-            w.tasks = (0..job.tasks).map(|task| ((job.id.clone(), task), run(task))).collect();
+        let mut machines = Machines {
+            cloud,
+            workers: BTreeMap::new(),
+            open: BTreeMap::new(),
+            last_request: FIRST_WORKER_REQUEST,
+            lease_s,
+            completed: BTreeSet::new(),
+        };
+        machines.advance(0.0, rng);
+        let until: f64 = rng.gen_range(1.0..20.0);
+        for worker in machines.workers.values_mut() {
+            let running = Task { attempt: 1, phase: TaskPhase::Running { until } };
+            worker.tasks = task_keys(job).map(|key| (key, running.clone())).collect();
         }
-        m
+        machines
     }
 
     /// A call to the cloud.
-    pub fn call(&mut self, now: f64, op: &CloudRequest) -> CloudReply {
-        let r = self.cloud.execute(now, op, 1.0, 0.5);
+    pub fn call(&mut self, now: f64, request: &CloudRequest) -> CloudReply {
+        let reply = self.cloud.execute(now, request, 1.0, 0.5);
         for id in std::mem::take(&mut self.cloud.deleted) {
             self.workers.remove(&id);
         }
-        r
+        reply
     }
 
-    /// What has become of tasks, and which machines are up.
-    pub fn go_on(&mut self, now: f64, rng: &mut SmallRng) {
-        self.cloud.snapshot(now);
-        let up = self.cloud.machines.values().filter(|m| now >= m.up_at).map(|m| m.listed.clone());
-        for place in up.collect::<Vec<_>>() {
-            self.workers.entry(place.id.clone()).or_insert_with(|| Worker::new(place, now, 0));
+    /// Boots machines, and has tasks go on.
+    pub fn advance(&mut self, now: f64, rng: &mut SmallRng) {
+        self.cloud.record_listing(now);
+        for machine in self.cloud.running(now) {
+            let new = || Worker::new(machine.clone(), now, 0);
+            self.workers.entry(machine.id.clone()).or_insert_with(new);
         }
-        for w in self.workers.values_mut() {
-            w.expire(now, self.lease_s);
-            for (key, task) in &mut w.tasks {
+        for worker in self.workers.values_mut() {
+            worker.expire_lease(now, self.lease_s);
+            for (key, task) in &mut worker.tasks {
                 match task.phase {
-                    Phase::Fetching { until } if now >= until && !self.results.contains(key) => {
-                        task.phase = Phase::Running { until: now + rng.gen_range(0.1..4.0) };
+                    TaskPhase::Fetching { until } if now >= until && !self.completed.contains(key) => {
+                        task.phase = TaskPhase::Running { until: now + rng.gen_range(0.1..4.0) };
                     }
-                    Phase::Fetching { until } | Phase::Running { until } if now >= until => {
-                        self.results.insert(key.clone());
-                        task.phase = Phase::Exited(protocol::worker::ExitCause::Done);
+                    TaskPhase::Fetching { until } | TaskPhase::Running { until } if now >= until => {
+                        self.completed.insert(key.clone());
+                        task.phase = TaskPhase::Exited(ExitCause::Done);
                     }
                     _ => {}
                 }
@@ -76,42 +94,50 @@
         }
     }
 
-    /// Some worker's report to node `n`, if it has none on its way.
-    pub fn report(&mut self, now: f64, n: usize, rng: &mut SmallRng) -> Option<(RequestId, Request)> {
-        let nth = rng.gen_range(0..self.workers.len().max(1));
-        let (id, w) = self.workers.iter_mut().nth(nth)?;
-        if w.in_flight.is_some_and(|f| now - f.2 <= PATIENCE_S) {
+    /// Some worker's heartbeat to `node`, if it has none on its way.
+    pub fn heartbeat(&mut self, now: f64, node: usize, rng: &mut SmallRng) -> Option<(RequestId, Request)> {
+        let index = rng.gen_range(0..self.workers.len().max(1));
+        let (id, worker) = self.workers.iter_mut().nth(index)?;
+        if worker.in_flight.is_some_and(|sent| !has_timed_out(&sent, now)) {
             return None;
         }
-        let report = w.report();
-        w.in_flight = Some((w.seq, w.session, now));
-        self.next += 1;
-        self.open.insert((n, self.next), (id.clone(), w.seq));
-        Some((self.next, Request::Heartbeat(protocol::encode(&report))))
+        let heartbeat = worker.send_heartbeat(now);
+        self.last_request += 1;
+        let open = OpenHeartbeat { machine: id.clone(), sequence: heartbeat.sequence };
+        self.open.insert((node, self.last_request), open);
+        Some((self.last_request, Request::Heartbeat(protocol::encode(&heartbeat))))
     }
 
-    /// The answer to a report.
-    pub fn answered(&mut self, now: f64, n: usize, request: RequestId, a: &HttpResponse) {
-        let Some((id, seq)) = self.open.remove(&(n, request)) else { return };
-        let Some(w) = self.workers.get_mut(&id) else { return };
-        let Some((_, session, sent)) = w.in_flight.filter(|f| f.0 == seq && now - f.2 <= PATIENCE_S) else {
+    /// The response to a heartbeat.
+    pub fn response_arrives(&mut self, now: f64, node: usize, request: RequestId, response: &HttpResponse) {
+        let Some(OpenHeartbeat { machine, sequence }) = self.open.remove(&(node, request)) else { return };
+        let Some(worker) = self.workers.get_mut(&machine) else { return };
+        let in_time = |sent: &HeartbeatInFlight| sent.sequence == sequence && !has_timed_out(sent, now);
+        let Some(sent) = worker.in_flight.filter(in_time) else { return };
+        worker.in_flight = None;
+        worker.expire_lease(now, self.lease_s);
+        let Ok(accepted) = protocol::decode::<HeartbeatResponse>(&response.body) else { return };
+        let outdated = sent.epoch != worker.epoch || accepted.fencing_token < worker.fencing_token;
+        if response.status != 200 || outdated {
             return;
-        };
-        w.in_flight = None;
-        w.expire(now, self.lease_s);
-        let answer = protocol::decode::<HeartbeatResponse>(&a.body).ok();
-        let Some(answer) =
-            answer.filter(|r| a.status == 200 && session == w.session && r.fencing_token >= w.token)
-        else {
-            return;
-        };
-        w.see_token(answer.fencing_token, now, self.lease_s);
-        w.renewed = w.renewed.max(sent);
-        answer.commands.iter().for_each(|c| w.command(now, c, Some(Launch { fetch_s: 0.1 })));
+        }
+        worker.observe_token(accepted.fencing_token, now, self.lease_s);
+        worker.renewed_at = worker.renewed_at.max(sent.sent_at);
+        for command in &accepted.commands {
+            worker.execute(now, command, Some(Launch { fetch_s: 0.1 }));
+        }
     }
 
-    /// Whether all tasks of a job have a result.
+    /// Whether all tasks of a job have completed.
     pub fn is_done(&self, job: &JobSpec) -> bool {
-        (0..job.tasks).all(|task| self.results.contains(&(job.id.clone(), task)))
+        task_keys(job).all(|key| self.completed.contains(&key))
     }
 }
+
+fn has_timed_out(sent: &HeartbeatInFlight, now: f64) -> bool {
+    now - sent.sent_at > HEARTBEAT_TIMEOUT_S
+}
+
+fn task_keys(job: &JobSpec) -> impl Iterator<Item = TaskKey> + '_ {
+    (0..job.tasks).map(|index| TaskKey { job: job.id.clone(), index })
+}
--- a/crates/simulation/tests/anyorder/mod.rs
+++ b/crates/simulation/tests/anyorder/mod.rs
@@ -175,7 +175,7 @@
         let machines = course.lead.then(|| {
             let record = large()[seed as usize / 3 % 2].clone();
             let lease_s = settings(0, course.nodes).params.workers.lease_s;
-            let machines = Machines::with(&record.spec, big(), lease_s, &mut rng);
+            let machines = Machines::running(&record.spec, big(), lease_s, &mut rng);
             first.push(put(job_key("req-0"), Value::Job(Box::new(record))));
             machines
         });
@@ -279,8 +279,8 @@
     }
 
     pub fn answered(&mut self, n: usize, id: RequestId, a: &HttpResponse) {
-        if let (true, Some(m)) = (id >= machines::FIRST, &mut self.machines) {
-            return m.answered(self.now, n, id, a);
+        if let (true, Some(m)) = (id >= machines::FIRST_WORKER_REQUEST, &mut self.machines) {
+            return m.response_arrives(self.now, n, id, a);
         }
         let Some((job, then)) = self.open.remove(&(n, id)) else { return };
         self.statuses.entry(job.clone()).or_default().push(a.status);
@@ -435,8 +435,8 @@
         let leader = (0..self.cores.len()).max_by_key(|n| self.cores[*n].token());
         let n = leader.filter(|_| self.rng.gen_bool(0.9)).unwrap_or(n);
         let Some(m) = &mut self.machines else { return };
-        m.go_on(self.now, &mut self.rng);
-        if let Some((id, r)) = m.report(self.now, n, &mut self.rng) {
+        m.advance(self.now, &mut self.rng);
+        if let Some((id, r)) = m.heartbeat(self.now, n, &mut self.rng) {
             self.feed(n, Input::Request(id, r));
         }
     }
@@ -471,7 +471,7 @@
             self.met.gone += 1;
             return self.replies.push((n, start, Input::Store(call, StoreReply::Gone)));
         }
-        let r = self.store.execute(self.now, &op).unwrap_or_else(|| self.store.quiet());
+        let r = self.store.execute(self.now, &op).unwrap_or_else(|| self.store.no_events());
         self.replies.push((n, start, Input::Store(call, r)));
     }
 
@@ -531,16 +531,16 @@
 }
 
 impl World {
-    /// Carries all out at once for `for_s` seconds, but for what is held.
-    pub fn settle(&mut self, for_s: f64, held: impl Fn(&StoreRequest) -> bool) {
-        let end = self.now + for_s;
+    /// Carries all out at once for `duration_s` seconds, but for what is held.
+    pub fn settle(&mut self, duration_s: f64, held: impl Fn(&StoreRequest) -> bool) {
+        let end = self.now + duration_s;
         while self.now < end {
             self.now += 0.02;
             let (held, due): (Vec<_>, _) =
                 std::mem::take(&mut self.calls).into_iter().partition(|c| held(&c.3));
             self.calls = held;
             for (n, _, call, op) in due {
-                let r = self.store.execute(self.now, &op).unwrap_or_else(|| self.store.quiet());
+                let r = self.store.execute(self.now, &op).unwrap_or_else(|| self.store.no_events());
                 self.feed(n, Input::Store(call, r));
             }
             (0..self.cores.len()).for_each(|n| self.feed(n, Input::Tick));
--- a/crates/simulation/tests/at_limits.rs
+++ b/crates/simulation/tests/at_limits.rs
@@ -7,7 +7,7 @@
 mod by_hand;
 
 use anisecroft_simulation::state::Store;
-use anisecroft_simulation::{Fault, Setup, Simulation};
+use anisecroft_simulation::{Fault, Setup, Simulation, Submission};
 use by_hand::*;
 use common::*;
 use controller::records::*;
@@ -273,13 +273,12 @@
     let mut w = ByHand::leading(Store::holding(items), &["vm-1", "vm-2", "vm-3"], 100.0);
     let mut hands = ["vm-1", "vm-2", "vm-3"].map(Hand::new);
     for (hand, tasks) in hands.iter_mut().zip([0..4, 4..8, 0..0]) {
-        let (state, cause, saved) = (TaskState::Running, None, None);
         let runs = |n| TaskStatus {
             task: task_name("req-1", n),
             attempt: 1,
-            state,
-            exit_cause: cause,
-            checkpointed: saved,
+            state: TaskState::Running,
+            exit_cause: None,
+            checkpointed: None,
         };
         hand.report.tasks = tasks.map(runs).collect();
         w.turn(hand);
@@ -292,8 +291,8 @@
 fn what_cannot_be_read_counts_for_its_team() {
     let (mut w, mut hands) = half_read();
     w.submit(&JobSpec { team: "dispatch".into(), ..one("req-2") });
-    let turns = |w: &mut ByHand, hands: &mut [Hand; 3], for_s: f64| {
-        let end = w.now + for_s;
+    let turns = |w: &mut ByHand, hands: &mut [Hand; 3], duration_s: f64| {
+        let end = w.now + duration_s;
         while w.now < end && !hands.iter().any(|h| h.has("req-2")) {
             hands.iter_mut().for_each(|h| drop(w.turn(h)));
             w.run(0.5);
@@ -342,23 +341,27 @@
         estimated_run_s: 60.0 + (n % 5) as f64 * 20.0,
         ..long_array()
     };
-    let jobs = (0..36).map(|n| (1.0 + n as f64 * 0.2, job(n), None)).collect();
+    let jobs = (0..36).map(|n| Submission::new(1.0 + n as f64 * 0.2, job(n))).collect();
     Setup { nodes, capacity: 10, jobs, ..s }
 }
 
 /// What becomes of the machines whose jobs are cancelled, as troubles of that length.
 const WAYS: usize = 6;
 
-fn way(n: usize, for_s: f64) -> Vec<Fault> {
-    let cancel = |hang_s| Fault::CancelNow { count: 8, hang_s };
-    let mute = |zone| Fault::MuteZone { zone, for_s };
+fn way(n: usize, duration_s: f64) -> Vec<Fault> {
+    let cancel = |hang_s| Fault::CancelRunningJobs { count: 8, hang_s };
+    let mute = |zone| Fault::HeartbeatsLostInZone { zone, duration_s };
     match n {
-        0 => vec![cancel(for_s)],
+        0 => vec![cancel(duration_s)],
         1 => vec![mute("a"), cancel(0.0)],
-        2 => vec![Fault::DeafZone { zone: "a", for_s }, cancel(0.0)],
-        3 => vec![Fault::ZoneCut { zone: "b", for_s }, cancel(0.0)],
-        4 => vec![mute("a"), mute("b"), cancel(for_s / 2.0)],
-        _ => vec![Fault::HeldAnswers { by_s: 6.0, for_s }, Fault::Wander { for_s }, cancel(for_s)],
+        2 => vec![Fault::ResponsesLostInZone { zone: "a", duration_s }, cancel(0.0)],
+        3 => vec![Fault::ZonePartition { zone: "b", duration_s }, cancel(0.0)],
+        4 => vec![mute("a"), mute("b"), cancel(duration_s / 2.0)],
+        _ => vec![
+            Fault::SlowWorkerResponses { max_delay_s: 6.0, duration_s },
+            Fault::RotatingHeartbeatTargets { duration_s },
+            cancel(duration_s),
+        ],
     }
 }
 
@@ -373,13 +376,13 @@
 
 /// Every team is at its limit, jobs are cancelled on machines that hang or are out of reach in one
 /// way or another, and the leader changes before, just after, or later. Twice.
-fn limits_full(seed: u64, nodes: usize, n: usize, for_s: f64, after: f64) -> Shown {
-    let what = format!("seed {seed}: way {n} for {for_s} s, {after} s after, {nodes} nodes");
+fn limits_full(seed: u64, nodes: usize, n: usize, duration_s: f64, after: f64) -> Shown {
+    let what = format!("seed {seed}: way {n} for {duration_s} s, {after} s after, {nodes} nodes");
     let mut sim = Simulation::new(full(seed, nodes));
     let mut shown = Shown::default();
     for at in [60.0, 150.0] {
         sim.run(at);
-        let (mut steps, change) = (way(n, for_s), at + after);
+        let (mut steps, change) = (way(n, duration_s), at + after);
         let leader = sim.leader().unwrap_or(0);
         let back = if seed / WAYS as u64 % 2 == 0 { 0.2 } else { 9.0 };
         let told = sim.ledger.cancelled_at.len();
@@ -387,19 +390,19 @@
             sim.run(at - after);
         }
         if after >= 0.0 {
-            steps.drain(..).for_each(|f| sim.strike(f));
+            steps.drain(..).for_each(|f| sim.inject(f));
             sim.run(change);
         }
-        let limit = sim.used().values().filter(|u| **u > 7.5).count();
+        let limit = sim.accelerators_in_use().values().filter(|u| **u > 7.5).count();
         shown.full += limit;
-        sim.strike(Fault::Crash { node: leader, for_s: back });
+        sim.inject(Fault::ControllerCrash { node: leader, duration_s: back });
         if after < 0.0 {
             sim.run(sim.now - after);
-            steps.drain(..).for_each(|f| sim.strike(f));
+            steps.drain(..).for_each(|f| sim.inject(f));
         }
         sim.run(at + 20.0);
         shown.told += sim.ledger.cancelled_at.len() - told;
-        assert_eq!(sim.ledger.broken, [], "{what}");
+        assert_eq!(sim.ledger.violations, [], "{what}");
     }
     assert_eq!(sim.run(700.0), [], "{what}");
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "{what}");
@@ -411,10 +414,10 @@
 fn all_full(part: usize, parts: usize, first_seed: u64) -> Shown {
     let mut sum = Shown::default();
     for n in (0..WAYS * 16).filter(|n| n % parts == part) {
-        let for_s = [6.0, 17.0, 30.0, 48.0][n / WAYS % 4];
+        let duration_s = [6.0, 17.0, 30.0, 48.0][n / WAYS % 4];
         let after = [-1.0, 0.1, 0.5, 6.0][(n + n / (WAYS * 4)) % 4];
         let nodes = 3 + (n + n / WAYS) % 2 * 2;
-        let s = limits_full(first_seed + n as u64, nodes, n % WAYS, for_s, after);
+        let s = limits_full(first_seed + n as u64, nodes, n % WAYS, duration_s, after);
         (sum.full, sum.told) = (sum.full + s.full, sum.told + s.told);
         sum.late_starts += s.late_starts;
     }
--- a/crates/simulation/tests/common/by_hand.rs
+++ b/crates/simulation/tests/common/by_hand.rs
@@ -157,7 +157,7 @@
     pub fn next_leader(mut self) -> Self {
         let listed = self.listed.clone();
         self.now += 30.0;
-        self.store.expire(self.now);
+        self.store.expire_leases(self.now);
         let listed: Vec<&str> = listed.iter().map(String::as_str).collect();
         ByHand::leading(self.store, &listed, self.now)
     }
@@ -239,9 +239,9 @@
         let end = self.now + seconds;
         while self.now < end && !done(self) {
             self.now += 0.05;
-            self.store.expire(self.now);
+            self.store.expire_leases(self.now);
             for (until, call, op) in std::mem::take(&mut self.watches) {
-                let quiet = (self.now >= until).then(|| self.store.quiet());
+                let quiet = (self.now >= until).then(|| self.store.no_events());
                 match self.store.execute(self.now, &op).or(quiet) {
                     Some(reply) => self.feed(Input::Store(call, reply)),
                     None => self.watches.push((until, call, op)),
--- a/crates/simulation/tests/common/mod.rs
+++ b/crates/simulation/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! What the simulated days have in common.
 
-use anisecroft_simulation::{Fault, Setup};
+use anisecroft_simulation::{Fault, ScheduledFault, Setup, Submission};
 use controller::SafetyChecks;
 use protocol::cloud::MachineType;
 use protocol::job::*;
@@ -61,7 +61,7 @@
     }
 }
 
-pub fn setup(seed: u64, faults: Vec<(f64, Fault)>) -> Setup {
+pub fn setup(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
     let jobs = (0..40)
         .map(|n| {
@@ -75,7 +75,7 @@
             // Together and spread contradict each other beyond one task.
             let spec = if spec.one_zone { JobSpec { spread: false, ..spec } } else { spec };
             let spec = if spec.zone.is_some() { JobSpec { spread: false, ..spec } } else { spec };
-            (at, spec, cancel)
+            Submission::new(at, spec).cancelled_at(cancel)
         })
         .collect();
     Setup {
@@ -84,12 +84,12 @@
         types: types(),
         capacity: 6,
         jobs,
-        broken: BTreeSet::new(),
+        failing_jobs: BTreeSet::new(),
         faults,
         seed,
         loss: 0.002,
-        relay_timeout_s: None,
-        guards: SafetyChecks::default(),
+        forward_timeout_s: None,
+        checks: SafetyChecks::default(),
     }
 }
 
@@ -162,38 +162,38 @@
 
 /// Eight troubles of all kinds.
 #[allow(dead_code)]
-pub fn troubles(seed: u64) -> Vec<(f64, Fault)> {
+pub fn troubles(seed: u64) -> Vec<ScheduledFault> {
     troubles_with(seed, returns(seed))
 }
 
 /// The same with processes that are back after 8 s, as the seeds below were found.
 #[allow(dead_code)]
-pub fn late_returns(seed: u64) -> Vec<(f64, Fault)> {
+pub fn late_returns(seed: u64) -> Vec<ScheduledFault> {
     troubles_with(seed, || 8.0)
 }
 
 #[allow(dead_code)]
-fn troubles_with(seed: u64, mut back: impl FnMut() -> f64) -> Vec<(f64, Fault)> {
+fn troubles_with(seed: u64, mut back: impl FnMut() -> f64) -> Vec<ScheduledFault> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0xfa17);
     (0..8)
         .map(|_| {
             let at = rng.gen_range(5.0..160.0);
             let node = rng.gen_range(0..3);
-            let for_s: f64 = rng.gen_range(2.0..35.0);
-            let nth = rng.gen_range(0..6);
+            let duration_s: f64 = rng.gen_range(2.0..35.0);
+            let machine = rng.gen_range(0..6);
             let fault = match rng.gen_range(0..10) {
-                0 => Fault::Crash { node, for_s: back() },
-                1 => Fault::StateOutage { for_s: for_s.min(25.0) },
-                2 => Fault::StateRefuses { node, for_s },
-                3 => Fault::Cut { node, state: rng.gen(), workers: rng.gen(), for_s },
-                4 => Fault::CloudOutage { for_s },
-                5 => Fault::Silent { node, for_s: for_s * 2.0 },
-                6 => Fault::Polls { factor: 8.0, for_s },
-                7 => Fault::Hang { nth, for_s },
-                8 => Fault::Take { nth },
-                _ => Fault::Sick { nth },
+                0 => Fault::ControllerCrash { node, duration_s: back() },
+                1 => Fault::StoreOutage { duration_s: duration_s.min(25.0) },
+                2 => Fault::StoreRefusesNode { node, duration_s },
+                3 => Fault::NodePartition { node, store: rng.gen(), workers: rng.gen(), duration_s },
+                4 => Fault::CloudOutage { duration_s },
+                5 => Fault::ControllerPause { node, duration_s: duration_s * 2.0 },
+                6 => Fault::QueryFlood { factor: 8.0, duration_s },
+                7 => Fault::MachineHang { machine, duration_s },
+                8 => Fault::MachineLost { machine },
+                _ => Fault::FaultyMachine { machine },
             };
-            (at, fault)
+            ScheduledFault::new(at, fault)
         })
         .collect()
 }
@@ -201,25 +201,25 @@
 /// The same with the operators' newest: a controller with its workers only, late copies, a
 /// machine that hears nothing.
 #[allow(dead_code)]
-pub fn newest_troubles(seed: u64) -> Vec<(f64, Fault)> {
-    let for_s = [5.0, 40.0, 120.0][seed as usize % 3];
-    let alone = Fault::Alone { node: seed as usize % 3, for_s: 30.0 };
+pub fn newest_troubles(seed: u64) -> Vec<ScheduledFault> {
+    let duration_s = [5.0, 40.0, 120.0][seed as usize % 3];
+    let alone = Fault::IsolatedWithWorkers { node: seed as usize % 3, duration_s: 30.0 };
     let mut faults = troubles(seed);
-    faults.push((30.0 + (seed % 11) as f64 * 7.0, alone));
-    faults.push((20.0, Fault::Copies { late_s: 60.0, for_s }));
-    faults.push((60.0, Fault::Deaf { nth: seed as usize % 5, for_s }));
+    faults.push(ScheduledFault::new(30.0 + (seed % 11) as f64 * 7.0, alone));
+    faults.push(ScheduledFault::new(20.0, Fault::DuplicatedHeartbeats { max_delay_s: 60.0, duration_s }));
+    faults.push(ScheduledFault::new(60.0, Fault::ResponsesLost { machine: seed as usize % 5, duration_s }));
     faults
 }
 
 /// The usual day, with every job but the services made part of something: chains, diamonds,
 /// ancestors in common, other teams' jobs and ordinary ones.
 #[allow(dead_code)]
-pub fn linked(seed: u64, faults: Vec<(f64, Fault)>) -> Setup {
+pub fn linked(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
     let mut s = setup(seed, faults);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x11a6);
-    s.jobs.sort_by(|a, b| a.0.total_cmp(&b.0));
+    s.jobs.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut earlier: Vec<String> = Vec::new();
-    for (_, spec, cancel) in &mut s.jobs {
+    for Submission { spec, cancel_at: cancel, .. } in &mut s.jobs {
         if spec.shape == Shape::Service {
             continue;
         }
--- a/crates/simulation/tests/digests.rs
+++ b/crates/simulation/tests/digests.rs
@@ -8,8 +8,10 @@
 
 mod common;
 
-use anisecroft_simulation::explore::{guards, SCRIPTS};
-use anisecroft_simulation::{Fault, Setup, Simulation, Trouble};
+use anisecroft_simulation::explore::{checks_without, SCRIPTS};
+use anisecroft_simulation::{
+    Fault, MessageFault, PlannedFault, ScheduledFault, Setup, Simulation, Submission,
+};
 use common::*;
 use protocol::cloud::MachineType;
 use protocol::job::*;
@@ -39,47 +41,47 @@
 }
 
 /// Eight troubles of those that the other helpers have not.
-fn further_troubles(seed: u64) -> Vec<(f64, Fault)> {
+fn further_troubles(seed: u64) -> Vec<ScheduledFault> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0xd19e);
     let trouble = |_| {
         let at = rng.gen_range(5.0..160.0);
-        let for_s: f64 = rng.gen_range(5.0..40.0);
-        let (node, nth) = (rng.gen_range(0..3), rng.gen_range(0..6));
-        let zone = ["a", "b"][nth % 2];
+        let duration_s: f64 = rng.gen_range(5.0..40.0);
+        let (node, machine) = (rng.gen_range(0..3), rng.gen_range(0..6));
+        let zone = ["a", "b"][machine % 2];
         let fault = match rng.gen_range(0..24) {
-            0 | 1 => Fault::ZoneCut { zone, for_s },
-            2 => Fault::WorkersCut { node, zone, for_s },
-            3 => Fault::PeersRefuse { for_s },
-            4 => Fault::PeersCut { node, for_s },
-            5 => Fault::Wander { for_s },
-            6 => Fault::LateWrites { share: 0.2, for_s },
-            7 => Fault::LostAnswers { share: 0.3, for_s },
-            8 => Fault::SlowState { by_s: 1.5, for_s },
-            9 => Fault::HeldAnswers { by_s: 6.0, for_s },
-            10 => Fault::Copies { late_s: 40.0, for_s },
-            11 => Fault::CopiesForNext { after_s: 4.0, for_s },
-            12 => Fault::Alone { node, for_s },
-            13 => Fault::Deaf { nth, for_s },
-            14 => Fault::DeafZone { zone, for_s },
-            15 => Fault::Mute { nth, for_s },
-            16 => Fault::MuteZone { zone, for_s },
-            17 => Fault::FastBoots { for_s },
-            18 => Fault::CancelNow { count: 8, hang_s: for_s },
-            19 => Fault::CancelAtEnd { share: 0.5, for_s },
-            20 => Fault::OddRequests { for_s },
-            21 => Fault::CloseLooks { for_s },
-            22 => Fault::SlowFetch { nth, fetch_s: for_s },
-            _ => Fault::CrashLeader { for_s: for_s / 8.0 },
+            0 | 1 => Fault::ZonePartition { zone, duration_s },
+            2 => Fault::ZoneWorkersPartition { node, zone, duration_s },
+            3 => Fault::PeerConnectionsRefused { duration_s },
+            4 => Fault::PeerPartition { node, duration_s },
+            5 => Fault::RotatingHeartbeatTargets { duration_s },
+            6 => Fault::DelayedWrites { share: 0.2, duration_s },
+            7 => Fault::LostWriteResponses { share: 0.3, duration_s },
+            8 => Fault::SlowStore { max_delay_s: 1.5, duration_s },
+            9 => Fault::SlowWorkerResponses { max_delay_s: 6.0, duration_s },
+            10 => Fault::DuplicatedHeartbeats { max_delay_s: 40.0, duration_s },
+            11 => Fault::HeartbeatsReplayedAfterFailover { delay_s: 4.0, duration_s },
+            12 => Fault::IsolatedWithWorkers { node, duration_s },
+            13 => Fault::ResponsesLost { machine, duration_s },
+            14 => Fault::ResponsesLostInZone { zone, duration_s },
+            15 => Fault::HeartbeatsLost { machine, duration_s },
+            16 => Fault::HeartbeatsLostInZone { zone, duration_s },
+            17 => Fault::FastBoots { duration_s },
+            18 => Fault::CancelRunningJobs { count: 8, hang_s: duration_s },
+            19 => Fault::CancelAtCompletion { share: 0.5, duration_s },
+            20 => Fault::InvalidRequests { duration_s },
+            21 => Fault::ConcurrentQueries { duration_s },
+            22 => Fault::SlowImageFetch { machine, fetch_s: duration_s },
+            _ => Fault::LeaderCrash { duration_s: duration_s / 8.0 },
         };
-        (at, fault)
+        ScheduledFault::new(at, fault)
     };
     (0..8).map(trouble).collect()
 }
 
 /// Jobs that fail everywhere until their users cancel them.
 fn with_broken_jobs(mut s: Setup) -> Setup {
-    for (at, spec, cancel) in s.jobs.iter_mut().step_by(5) {
-        s.broken.insert(spec.id.clone());
+    for Submission { at, spec, cancel_at: cancel } in s.jobs.iter_mut().step_by(5) {
+        s.failing_jobs.insert(spec.id.clone());
         *cancel = Some(*at + 60.0);
     }
     s
@@ -87,7 +89,7 @@
 
 /// Jobs of every kind on machines of three types that hold a part of them: with checkpoints,
 /// deadlines, chosen types and all priorities, so that running work is stopped for other work.
-fn varied(seed: u64, faults: Vec<(f64, Fault)>) -> Setup {
+fn varied(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
     let mut s = setup(seed, faults);
     unlimited(&mut s);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x7a61);
@@ -100,7 +102,7 @@
         ..big.clone()
     });
     s.types.push(MachineType { name: "fast".into(), fetch_gb_per_s: 3.0, price: 6.0, boot_s: 4.0, ..big });
-    for (_, spec, _) in s.jobs.iter_mut() {
+    for Submission { spec, .. } in s.jobs.iter_mut() {
         spec.priority =
             [Priority::Low, Priority::Normal, Priority::High, Priority::Production][rng.gen_range(0..4)];
         spec.deadline_s = rng.gen_bool(0.4).then(|| rng.gen_range(20.0..200.0));
@@ -124,11 +126,11 @@
         txn_ops: Some(8),
         ..settings::NextLimits::default()
     });
-    for (_, spec, _) in s.jobs.iter_mut().step_by(5).filter(|j| j.1.shape == Shape::Array) {
+    for Submission { spec, .. } in s.jobs.iter_mut().step_by(5).filter(|j| j.spec.shape == Shape::Array) {
         (spec.tasks, spec.cores, spec.accelerators, spec.memory_gb) = (200, 0.25, 0.0, 0.25);
     }
-    s.faults.push((60.0 + seed as f64 % 30.0, Fault::LimitsFall));
-    s.faults.push((70.0, Fault::Polls { factor: 8.0, for_s: 20.0 }));
+    s.faults.push(ScheduledFault::new(60.0 + seed as f64 % 30.0, Fault::StoreLimitsReduced));
+    s.faults.push(ScheduledFault::new(70.0, Fault::QueryFlood { factor: 8.0, duration_s: 20.0 }));
     Setup { capacity: 12, ..s }
 }
 
@@ -139,37 +141,40 @@
     sim.record_digest();
     sim.run(69.0 + seed as f64 % 7.0);
     if let Some(node) = sim.leader() {
-        sim.strike(Fault::StateRefuses { node, for_s: 25.0 });
+        sim.inject(Fault::StoreRefusesNode { node, duration_s: 25.0 });
     }
-    sim.strike(Fault::CancelNow { count: 6, hang_s: 10.0 });
+    sim.inject(Fault::CancelRunningJobs { count: 6, hang_s: 10.0 });
     sim.run(sim.now + 3.0);
-    sim.strike(Fault::StateOutage { for_s: 5.0 });
+    sim.inject(Fault::StoreOutage { duration_s: 5.0 });
     sim.run(sim.now + 12.0 + (seed % 5) as f64);
-    sim.strike(Fault::StateOutage { for_s: 40.0 });
+    sim.inject(Fault::StoreOutage { duration_s: 40.0 });
     sim.run(DAY_S);
     sim
 }
 
 /// A script of the explorer's with a trouble of each of some kinds, at messages that the seed draws.
-fn scripted(nth: usize, seed: u64) -> Simulation {
-    let script = &SCRIPTS[nth];
+fn scripted(machine: usize, seed: u64) -> Simulation {
+    let script = &SCRIPTS[machine];
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5c71);
     let kinds = [
-        Trouble::Lost,
-        Trouble::Late(6.0),
-        Trouble::Copied(2.0),
-        Trouble::EndsBefore(0.2),
-        Trouble::EndsAfter(12.0),
-        Trouble::Cut(8.0),
-        Trouble::Refused(8.0),
-        Trouble::Hangs(12.0),
-        Trouble::Cancel,
-        Trouble::Ask,
+        MessageFault::Lost,
+        MessageFault::Delayed(6.0),
+        MessageFault::Duplicated(2.0),
+        MessageFault::SenderEndsBefore(0.2),
+        MessageFault::SenderEndsAfter(12.0),
+        MessageFault::ReceiverPartitioned(8.0),
+        MessageFault::SenderRefused(8.0),
+        MessageFault::MachineHangs(12.0),
+        MessageFault::JobsCancelled,
+        MessageFault::JobsQueried,
     ];
     // None of these on the first seed.
-    let plan = (0..seed % 3).map(|_| (rng.gen_range(50..900), kinds[rng.gen_range(0..kinds.len())]));
-    let mut sim = Simulation::new(script.setup(seed, guards(None)));
-    sim.interfere(plan.collect(), false);
+    let plan = (0..seed % 3).map(|_| PlannedFault {
+        message: rng.gen_range(50..900),
+        fault: kinds[rng.gen_range(0..kinds.len())],
+    });
+    let mut sim = Simulation::new(script.setup(seed, checks_without(None)));
+    sim.intercept(plan.collect(), false);
     sim.record_digest();
     sim.run(script.until_s + 20.0);
     sim
@@ -196,9 +201,9 @@
     days.extend((608..624).map(|n| day("varied", n, move || run(varied(n, troubles(n)), DAY_S))));
     days.extend((400..410).map(|n| day("limits", n, move || run(at_limits(n), DAY_S))));
     days.extend((500..512).map(|n| day("meeting", n, move || meeting(n))));
-    for (nth, script) in SCRIPTS.iter().enumerate() {
+    for (machine, script) in SCRIPTS.iter().enumerate() {
         let kind = format!("script-{}", script.name);
-        days.extend((0..3).map(|n| day(&kind, n, move || scripted(nth, n))));
+        days.extend((0..3).map(|n| day(&kind, n, move || scripted(machine, n))));
     }
     days
 }
@@ -206,7 +211,7 @@
 /// A day's line. A day that breaks a rule is none to compare with.
 fn line(day: &Day) -> String {
     let sim = (day.play)();
-    assert_eq!(sim.ledger.broken, [], "{}", day.name);
+    assert_eq!(sim.ledger.violations, [], "{}", day.name);
     let digest = sim.digest().expect("it was taken");
     assert!(digest.messages > 1000, "{}: {} messages", day.name, digest.messages);
     format!("{} {} {:016x}", day.name, digest.messages, digest.value)
--- a/crates/simulation/tests/explore.rs
+++ b/crates/simulation/tests/explore.rs
@@ -1,8 +1,8 @@
-//! The explorer: what it plays repeats exactly, it finds what the guards keep, and bad input is
+//! The explorer: what it plays repeats exactly, it finds what the checks keep, and bad input is
 //! refused in one line.
 
 use anisecroft_simulation::explore::*;
-use anisecroft_simulation::{Border, Simulation, Trouble};
+use anisecroft_simulation::{MessageFault, MessageKind, PlannedFault, Simulation};
 use std::process::Command;
 
 fn options(every: usize) -> Options {
@@ -12,14 +12,14 @@
         jobs: 2,
         seed: 1,
         without: None,
-        most: None,
+        time_limit: None,
         every,
         only: Vec::new(),
-        first: false,
+        stop_at_first: false,
     }
 }
 
-fn line(text: &str) -> Line {
+fn line(text: &str) -> ReplayLine {
     text.parse().expect("the line is one that a run printed")
 }
 
@@ -29,7 +29,7 @@
 fn a_selection_of_all_scripts_breaks_no_rule() {
     for script in &SCRIPTS {
         let e = explore(script, &options(SELECTED), &|_| {});
-        let lines: Vec<String> = e.failures.iter().map(|f| format!("{}: {}", f.rule, f.line)).collect();
+        let lines: Vec<String> = e.failures.iter().map(|f| format!("{}: {}", f.cause.rule, f.line)).collect();
         assert!(lines.is_empty(), "{lines:#?}");
         assert!(e.points > 400 && e.runs > 10, "{}: {} points, {} runs", script.name, e.points, e.runs);
         assert_eq!(e.possible, e.runs + e.thinned, "{}", script.name);
@@ -43,14 +43,18 @@
 /// Without a guard the plan of a script comes to a run that breaks one of `rules`, and with it the
 /// same run does not. Of the plan one run in `every` may be played, with one kind of trouble if it is named.
 fn found(guard_name: &'static str, rules: &[&str], script: &str, only: &[&'static str], every: usize) {
-    let o = Options { without: Some(guard_name), first: true, only: only.to_vec(), ..options(every) };
+    let o = Options { without: Some(guard_name), stop_at_first: true, only: only.to_vec(), ..options(every) };
     let e = explore(find_script(script).expect("it is there"), &o, &|_| {});
     let failure = e.failures.first().unwrap_or_else(|| panic!("{guard_name}: none in {} runs", e.runs));
     let without = line(&failure.line.to_string());
-    assert!(rules.contains(&failure.rule.as_str()), "{}: {without}", failure.rule);
-    assert_eq!(play(&without, false).broken.map(|b| b.0).as_ref(), Some(&failure.rule), "{without}");
-    let with = Line { without: None, ..without };
-    assert_eq!(play(&with, false).broken, None, "{with}");
+    assert!(rules.contains(&failure.cause.rule.as_str()), "{}: {without}", failure.cause.rule);
+    assert_eq!(
+        play(&without, false).failure.map(|failure| failure.rule).as_ref(),
+        Some(&failure.cause.rule),
+        "{without}"
+    );
+    let with = ReplayLine { without: None, ..without };
+    assert_eq!(play(&with, false).failure, None, "{with}");
 }
 
 #[test]
@@ -64,9 +68,9 @@
 /// Each guard of the core has a name here that switches it off, and only it.
 #[test]
 fn every_guard_has_a_name() {
-    let on = |without| format!("{:?}", guards(without)).matches("true").count();
-    assert_eq!(on(None), guard_names().count());
-    assert!(guard_names().all(|name| on(Some(name)) == on(None) - 1));
+    let on = |without| format!("{:?}", checks_without(without)).matches("true").count();
+    assert_eq!(on(None), check_names().count());
+    assert!(check_names().all(|name| on(Some(name)) == on(None) - 1));
 }
 
 /// The others take hundreds or thousands of runs: `cargo test --release -p anisecroft-simulation --test explore --
@@ -84,10 +88,10 @@
 #[test]
 fn a_failure_is_made_smaller() {
     let large = line("await 30:late:2 40:ask 50:cancel seed:1 without:awaits");
-    let rule = play(&large, false).broken.expect("it breaks a rule").0;
-    let small = smaller(&large, &rule);
+    let rule = play(&large, false).failure.expect("it breaks a rule").rule;
+    let small = reduce(&large, &rule);
     assert!(small.plan.is_empty(), "{small}");
-    assert_eq!(play(&small, false).broken.map(|b| b.0), Some(rule), "{small}");
+    assert_eq!(play(&small, false).failure.map(|failure| failure.rule), Some(rule), "{small}");
 }
 
 /// Nothing is drawn for the record: the run is the same with and without.
@@ -95,12 +99,19 @@
 fn a_record_changes_nothing() {
     for script in SCRIPTS.iter().step_by(3) {
         let run = |recorded: Option<bool>| {
-            let mut sim = Simulation::new(script.setup(5, guards(None)));
+            let mut sim = Simulation::new(script.setup(5, checks_without(None)));
             if let Some(record) = recorded {
-                sim.interfere(Vec::new(), record);
+                sim.intercept(Vec::new(), record);
             }
             sim.run(50.0);
-            (sim.starts, sim.changes, sim.reports, sim.relay_bytes, sim.store().revision, sim.ledger.told)
+            (
+                sim.metrics.task_starts,
+                sim.metrics.mutations,
+                sim.metrics.heartbeats,
+                sim.metrics.forward_bytes,
+                sim.store().revision,
+                sim.ledger.last_status,
+            )
         };
         let quiet = run(None);
         assert_eq!(run(Some(true)), quiet, "{}", script.name);
@@ -113,23 +124,26 @@
 #[test]
 fn every_trouble_strikes() {
     let quiet = line("cancel");
-    let crossings = play(&quiet, true).crossings;
-    let borders: std::collections::BTreeSet<&Border> = crossings.iter().map(|c| &c.border).collect();
+    let crossings = play(&quiet, true).messages;
+    let borders: std::collections::BTreeSet<&MessageKind> = crossings.iter().map(|c| &c.kind).collect();
     assert_eq!(borders.len(), 14, "{borders:?}");
     for border in borders {
         // Late enough that machines are there, and others where one changes nothing: the answer to a
         // stop may be lost unnoticed, since the next report says the same.
-        let alike: Vec<_> = crossings.iter().filter(|c| c.border == *border).collect();
+        let alike: Vec<_> = crossings.iter().filter(|c| c.kind == *border).collect();
         let points = [2, 4, 1].map(|part| alike[(alike.len() / part).min(alike.len() - 1)].number);
-        for trouble in troubles(border) {
-            let mut changed = matches!(trouble, Trouble::Cancel);
+        for trouble in faults_at(border) {
+            let mut changed = matches!(trouble, MessageFault::JobsCancelled);
             for number in points {
-                let one = Line { plan: vec![(number, trouble)], ..quiet.clone() };
+                let one = ReplayLine {
+                    plan: vec![PlannedFault { message: number, fault: trouble }],
+                    ..quiet.clone()
+                };
                 let outcome = play(&one, true);
-                assert_eq!((outcome.struck, outcome.broken), (1, None), "{one}");
+                assert_eq!((outcome.faults_injected, outcome.failure), (1, None), "{one}");
                 let before = crossings.iter().take_while(|c| c.number <= number);
-                assert!(before.eq(outcome.crossings.iter().take_while(|c| c.number <= number)), "{one}");
-                changed |= outcome.crossings != crossings;
+                assert!(before.eq(outcome.messages.iter().take_while(|c| c.number <= number)), "{one}");
+                changed |= outcome.messages != crossings;
                 if changed {
                     break;
                 }
--- a/crates/simulation/tests/explored.rs
+++ b/crates/simulation/tests/explored.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Setup, Simulation};
+use anisecroft_simulation::{Fault, Setup, Simulation, Submission};
 use common::*;
 use protocol::job::*;
 
@@ -15,12 +15,15 @@
         let mut s = setup(seed, vec![]);
         unlimited(&mut s);
         let idle = JobSpec { priority: Priority::Low, tasks: 2, estimated_run_s: 110.0, ..long_array() };
-        s.jobs = vec![(1.0, idle, None)];
+        s.jobs = vec![Submission::new(1.0, idle)];
         let mut sim = Simulation::new(Setup { capacity: 2, loss: 0.0, ..s });
         assert_eq!(sim.run(70.0), [], "seed {seed}");
-        assert!(sim.starts > 0 && !sim.unfinished().is_empty(), "seed {seed}: it is not running");
+        assert!(
+            sim.metrics.task_starts > 0 && !sim.unfinished().is_empty(),
+            "seed {seed}: it is not running"
+        );
         let rented = sim.rented();
-        (0..2).for_each(|nth| sim.strike(Fault::Take { nth }));
+        (0..2).for_each(|machine| sim.inject(Fault::MachineLost { machine }));
         assert_eq!(sim.run(160.0), [], "seed {seed}");
         assert!(sim.rented() > rented, "seed {seed}: nothing was rented for what is left");
         assert_eq!(sim.run(480.0), [], "seed {seed}");
--- a/crates/simulation/tests/floors.rs
+++ b/crates/simulation/tests/floors.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use anisecroft_simulation::{Setup, Simulation};
+use anisecroft_simulation::{Setup, Simulation, Submission};
 use common::*;
 use protocol::job::*;
 
@@ -11,7 +11,7 @@
     JobSpec { id, class, team, shape, priority, tasks, estimated_run_s: 30.0, ..long_array() }
 }
 
-fn day(seed: u64, jobs: Vec<(f64, JobSpec, Option<f64>)>, capacity: usize) -> Simulation {
+fn day(seed: u64, jobs: Vec<Submission>, capacity: usize) -> Simulation {
     let mut s = setup(seed, vec![]);
     unlimited(&mut s);
     Simulation::new(Setup { jobs, capacity, loss: 0.0, ..s })
@@ -25,13 +25,13 @@
     for seed in 0..3 {
         let rush = (0..150).map(|n| {
             let id = format!("req-{n}");
-            (f64::from(n) * 2.0, spec(id, "rush", "dispatch", Shape::Array, Priority::High, 8), None)
+            Submission::new(f64::from(n) * 2.0, spec(id, "rush", "dispatch", Shape::Array, Priority::High, 8))
         });
         let report = spec("req-900".into(), "reports", "fleet", Shape::Array, Priority::Normal, 6);
-        let jobs = rush.chain([(20.0, report, None)]).collect();
+        let jobs = rush.chain([Submission::new(20.0, report)]).collect();
         let mut sim = day(seed, jobs, 20);
         assert_eq!(sim.run(260.0), [], "seed {seed}");
-        let done = |id: &str| sim.ledger.done.get(id).map_or(0, |d| d.len());
+        let done = |id: &str| sim.ledger.completed.get(id).map_or(0, |d| d.len());
         assert_eq!(done("req-900"), 6, "seed {seed}");
         let rush: usize = (0..150).map(|n| done(&format!("req-{n}"))).sum();
         assert!(rush > 300, "seed {seed}: {rush} urgent tasks done");
@@ -46,11 +46,11 @@
         let gangs = (0..10).map(|n| {
             let mut s = spec(format!("req-{n}"), "train", "dispatch", Shape::Gang, Priority::High, 8);
             s.accelerators = 4.0;
-            (f64::from(n) * 10.0, s, None)
+            Submission::new(f64::from(n) * 10.0, s)
         });
         let arrays = (20..40).map(|n| {
             let id = format!("req-{n}");
-            (f64::from(n) * 4.0, spec(id, "tiles", "fleet", Shape::Array, Priority::Normal, 8), None)
+            Submission::new(f64::from(n) * 4.0, spec(id, "tiles", "fleet", Shape::Array, Priority::Normal, 8))
         });
         let mut sim = day(seed, gangs.chain(arrays).collect(), 6);
         assert_eq!(sim.run(400.0), [], "seed {seed}");
--- a/crates/simulation/tests/gateways.rs
+++ b/crates/simulation/tests/gateways.rs
@@ -2,54 +2,54 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Rule, Setup, Simulation};
+use anisecroft_simulation::{Fault, Rule, ScheduledFault, Setup, Simulation, Submission};
 use common::*;
 use controller::{ProxySafetyChecks, SafetyChecks};
 use protocol::job::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 
 /// Troubles of gateways above all, and the older ones among them.
-fn troubles(seed: u64) -> Vec<(f64, Fault)> {
+fn troubles(seed: u64) -> Vec<ScheduledFault> {
     troubles_with(seed, returns(seed))
 }
 
 /// The same with processes that are back after 8 s, as the seeds below were found.
-fn late_returns(seed: u64) -> Vec<(f64, Fault)> {
+fn late_returns(seed: u64) -> Vec<ScheduledFault> {
     troubles_with(seed, || 8.0)
 }
 
-fn troubles_with(seed: u64, mut back: impl FnMut() -> f64) -> Vec<(f64, Fault)> {
+fn troubles_with(seed: u64, mut back: impl FnMut() -> f64) -> Vec<ScheduledFault> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x9a7e);
     (0..10)
         .map(|_| {
             let at = rng.gen_range(5.0..160.0);
             let node = rng.gen_range(0..3);
-            let for_s: f64 = rng.gen_range(2.0..40.0);
-            let nth = rng.gen_range(0..6);
+            let duration_s: f64 = rng.gen_range(2.0..40.0);
+            let machine = rng.gen_range(0..6);
             let fault = match rng.gen_range(0..12) {
-                0 => Fault::PeersRefuse { for_s },
-                1 | 2 => Fault::PeersCut { node, for_s: for_s * 2.0 },
-                3 => Fault::ZoneCut { zone: ["a", "b"][nth % 2], for_s },
-                4 | 5 => Fault::Wander { for_s },
-                6 => Fault::Silent { node, for_s },
-                7 => Fault::Crash { node, for_s: back() },
-                8 => Fault::Cut { node, state: rng.gen(), workers: rng.gen(), for_s },
-                9 => Fault::StateRefuses { node, for_s },
-                10 => Fault::Hang { nth, for_s },
-                _ => Fault::StateOutage { for_s: for_s.min(25.0) },
+                0 => Fault::PeerConnectionsRefused { duration_s },
+                1 | 2 => Fault::PeerPartition { node, duration_s: duration_s * 2.0 },
+                3 => Fault::ZonePartition { zone: ["a", "b"][machine % 2], duration_s },
+                4 | 5 => Fault::RotatingHeartbeatTargets { duration_s },
+                6 => Fault::ControllerPause { node, duration_s },
+                7 => Fault::ControllerCrash { node, duration_s: back() },
+                8 => Fault::NodePartition { node, store: rng.gen(), workers: rng.gen(), duration_s },
+                9 => Fault::StoreRefusesNode { node, duration_s },
+                10 => Fault::MachineHang { machine, duration_s },
+                _ => Fault::StoreOutage { duration_s: duration_s.min(25.0) },
             };
-            (at, fault)
+            ScheduledFault::new(at, fault)
         })
         .collect()
 }
 
-fn holds(seeds: std::ops::Range<u64>, troubles: impl Fn(u64) -> Vec<(f64, Fault)>) {
+fn holds(seeds: std::ops::Range<u64>, troubles: impl Fn(u64) -> Vec<ScheduledFault>) {
     for seed in seeds {
         let faults = troubles(seed);
         let mut sim = Simulation::new(setup(seed, faults.clone()));
         assert_eq!(sim.run(700.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
-        assert!(sim.relayed > 0, "seed {seed} relayed nothing");
+        assert!(sim.metrics.forwarded_heartbeats > 0, "seed {seed} relayed nothing");
     }
 }
 
@@ -79,9 +79,9 @@
 }
 
 /// Runs many seeds with a guard off until a rule breaks.
-fn caught(rules: &[Rule], guards: SafetyChecks, setup: impl Fn(u64) -> Setup) -> bool {
+fn caught(rules: &[Rule], checks: SafetyChecks, setup: impl Fn(u64) -> Setup) -> bool {
     (0..200).any(|seed| {
-        let broken = Simulation::new(Setup { guards, ..setup(seed) }).run(300.0).to_vec();
+        let broken = Simulation::new(Setup { checks, ..setup(seed) }).run(300.0).to_vec();
         broken.iter().any(|b| rules.contains(&b.rule))
     })
 }
@@ -92,9 +92,12 @@
 fn cut_zones(seed: u64) -> Setup {
     let cut = |i: u64| {
         let zone = ["a", "b"][((seed + i) % 2) as usize];
-        (30.0 + 90.0 * i as f64 + (seed % 9) as f64, Fault::ZoneCut { zone, for_s: 75.0 })
+        ScheduledFault::new(
+            30.0 + 90.0 * i as f64 + (seed % 9) as f64,
+            Fault::ZonePartition { zone, duration_s: 75.0 },
+        )
     };
-    let cloud = (25.0, Fault::CloudOutage { for_s: 250.0 });
+    let cloud = ScheduledFault::new(25.0, Fault::CloudOutage { duration_s: 250.0 });
     setup(seed, (0..2).map(cut).chain([cloud]).collect())
 }
 
@@ -109,7 +112,7 @@
 /// What a gateway answered before it was lost is not known to the leader.
 #[test]
 fn without_the_wait_for_a_lost_gateway_a_task_runs_twice() {
-    let guards = SafetyChecks { wait_for_lost_proxies: false, ..SafetyChecks::default() };
+    let checks = SafetyChecks { wait_for_lost_proxies: false, ..SafetyChecks::default() };
     let long_leave = |seed| {
         // Most seeds find no free machine within the few seconds that are missing.
         let mut s = cut_zones(200 + seed);
@@ -117,33 +120,43 @@
         s.settings.params.workers.cancel_s = 90.0;
         s
     };
-    assert!(caught(&[Rule::RanTwice, Rule::Quota, Rule::WrongPlace], guards, long_leave));
+    assert!(caught(&[Rule::RanTwice, Rule::Quota, Rule::WrongPlace], checks, long_leave));
 }
 
 /// An old report by way of a held relay, taken for the newest, shows tasks as
 /// gone that run.
 #[test]
 fn without_the_order_of_reports_a_rule_breaks() {
-    let guards = SafetyChecks { heartbeat_order: false, ..SafetyChecks::default() };
+    let checks = SafetyChecks { heartbeat_order: false, ..SafetyChecks::default() };
     let wandering = |seed: u64| {
-        let cut = |i: u64| Fault::PeersCut { node: ((seed + i) % 3) as usize, for_s: 8.0 };
-        let cuts = (0..10).map(|i| (20.0 + 13.0 * i as f64, cut(i)));
-        setup(seed, cuts.chain([(15.0, Fault::Wander { for_s: 200.0 })]).collect())
+        let cut = |i: u64| Fault::PeerPartition { node: ((seed + i) % 3) as usize, duration_s: 8.0 };
+        let cuts = (0..10).map(|i| ScheduledFault::new(20.0 + 13.0 * i as f64, cut(i)));
+        setup(
+            seed,
+            cuts.chain([ScheduledFault::new(15.0, Fault::RotatingHeartbeatTargets { duration_s: 200.0 })])
+                .collect(),
+        )
     };
-    assert!(caught(&ANY, guards, wandering));
+    assert!(caught(&ANY, checks, wandering));
 }
 
 /// Relays that are held for long, while their sender waits on for the reply: what
 /// keeps them harmless is not how soon they are given up. Machines hang now and
 /// then, so that gangs which were told to start are taken back.
 fn held_relays(seed: u64) -> Setup {
-    let mut faults = vec![(15.0, Fault::Wander { for_s: 220.0 })];
+    let mut faults = vec![ScheduledFault::new(15.0, Fault::RotatingHeartbeatTargets { duration_s: 220.0 })];
     for i in 0..20u64 {
         let at = 15.0 + 10.0 * i as f64 + (seed % 7) as f64;
-        faults.push((at, Fault::PeersCut { node: ((seed + i) % 3) as usize, for_s: 7.0 }));
-        faults.push((at + 1.0, Fault::Hang { nth: (seed + i) as usize, for_s: 12.0 }));
+        faults.push(ScheduledFault::new(
+            at,
+            Fault::PeerPartition { node: ((seed + i) % 3) as usize, duration_s: 7.0 },
+        ));
+        faults.push(ScheduledFault::new(
+            at + 1.0,
+            Fault::MachineHang { machine: (seed + i) as usize, duration_s: 12.0 },
+        ));
     }
-    Setup { relay_timeout_s: Some(60.0), ..setup(seed, faults) }
+    Setup { forward_timeout_s: Some(60.0), ..setup(seed, faults) }
 }
 
 #[test]
@@ -160,7 +173,7 @@
     let spec = JobSpec { tasks: capacity as u32 * 4, ..long_array() };
     let mut s = setup(31, vec![]);
     unlimited(&mut s);
-    let mut sim = Simulation::new(Setup { jobs: vec![(1.0, spec, None)], capacity, loss: 0.0, ..s });
+    let mut sim = Simulation::new(Setup { jobs: vec![Submission::new(1.0, spec)], capacity, loss: 0.0, ..s });
     assert_eq!(sim.run(150.0), []);
     sim
 }
@@ -171,19 +184,27 @@
 fn reports_that_say_nothing_new_cost_little_between_nodes() {
     for capacity in [30, 120] {
         let mut sim = busy_fleet(capacity);
-        let before = (sim.reports, sim.relays, sim.relayed, sim.relay_bytes);
-        let direct = sim.direct_calls;
+        let before = (
+            sim.metrics.heartbeats,
+            sim.metrics.forward_requests,
+            sim.metrics.forwarded_heartbeats,
+            sim.metrics.forward_bytes,
+        );
+        let direct = sim.metrics.direct_calls;
         assert_eq!(sim.run(250.0), []);
-        let reports = (sim.reports - before.0) as f64;
-        let (relays, relayed) = ((sim.relays - before.1) as f64, (sim.relayed - before.2) as f64);
-        let bytes = (sim.relay_bytes - before.3) as f64;
+        let reports = (sim.metrics.heartbeats - before.0) as f64;
+        let (relays, relayed) = (
+            (sim.metrics.forward_requests - before.1) as f64,
+            (sim.metrics.forwarded_heartbeats - before.2) as f64,
+        );
+        let bytes = (sim.metrics.forward_bytes - before.3) as f64;
         // Two of three nodes pass theirs on, each at most every relay's hold.
         let most = 2.0 * 100.0 / (settings().params.workers.heartbeat_interval_s / 60.0);
         assert!(relays <= most, "{relays} relays for {reports} reports, {most} at most");
         assert!(relayed <= reports * 0.75, "{relayed} of {reports} reports passed on");
         let each = (bytes - relays * 60.0) / relayed;
         assert!(each < 40.0, "{each} bytes a report");
-        assert_eq!(sim.direct_calls, direct);
+        assert_eq!(sim.metrics.direct_calls, direct);
     }
 }
 
@@ -198,7 +219,7 @@
         counts.iter().all(|&c| c as f64 <= part * 1.25)
     };
     assert!(even(&sim), "{:?}", sim.workers_by_node());
-    sim.strike(Fault::Crash { node: 2, for_s: 20.0 });
+    sim.inject(Fault::ControllerCrash { node: 2, duration_s: 20.0 });
     assert_eq!(sim.run(160.0), []);
     assert_eq!(sim.workers_by_node()[2], 0);
     assert_eq!(sim.run(290.0), []);
@@ -213,10 +234,11 @@
     unlimited(&mut s);
     // Seven tenths of 20 sockets at each of three nodes: 42 workers.
     s.settings.params.resources.max_connections = 20;
-    let mut sim = Simulation::new(Setup { jobs: vec![(1.0, spec, None)], capacity: 100, loss: 0.0, ..s });
+    let mut sim =
+        Simulation::new(Setup { jobs: vec![Submission::new(1.0, spec)], capacity: 100, loss: 0.0, ..s });
     for end in 1..40 {
         assert_eq!(sim.run(f64::from(end) * 5.0), []);
-        assert!(sim.machines() <= 42, "{} machines for 42 workers' room", sim.machines());
+        assert!(sim.machine_count() <= 42, "{} machines for 42 workers' room", sim.machine_count());
     }
     assert!(sim.rented() >= 40, "{}", sim.rented());
 }
@@ -230,18 +252,19 @@
     s.settings.params.resources.max_connections = 40;
     let most = settings::Timing::from(&s.settings).max_workers as usize;
     let spec = JobSpec { tasks: 400, estimated_run_s: 100.0, ..long_array() };
-    let mut sim = Simulation::new(Setup { jobs: vec![(1.0, spec, None)], capacity: 60, loss: 0.0, ..s });
+    let mut sim =
+        Simulation::new(Setup { jobs: vec![Submission::new(1.0, spec)], capacity: 60, loss: 0.0, ..s });
     assert_eq!(sim.run(100.0), []);
-    assert!(sim.machines() > most + 20, "{}", sim.machines());
+    assert!(sim.machine_count() > most + 20, "{}", sim.machine_count());
     for node in [1, 2] {
-        sim.strike(Fault::Crash { node, for_s: 60.0 });
+        sim.inject(Fault::ControllerCrash { node, duration_s: 60.0 });
     }
     // From when the leases of those that found no room are over.
     for end in [130.0, 140.0, 150.0, 159.0] {
         assert_eq!(sim.run(end), []);
-        let answered = sim.answered(5.0);
+        let answered = sim.workers_answered(5.0);
         assert!(answered <= most && answered * 2 > most, "{answered} answered at {end}, {most} at most");
     }
     assert_eq!(sim.run(200.0), []);
-    assert!(sim.answered(5.0) > most, "{}", sim.answered(5.0));
+    assert!(sim.workers_answered(5.0) > most, "{}", sim.workers_answered(5.0));
 }
--- a/crates/simulation/tests/hand_over.rs
+++ b/crates/simulation/tests/hand_over.rs
@@ -6,7 +6,7 @@
 mod by_hand;
 
 use anisecroft_simulation::state::Store;
-use anisecroft_simulation::{Fault, Setup, Simulation};
+use anisecroft_simulation::{Fault, ScheduledFault, Setup, Simulation, Submission};
 use by_hand::*;
 use common::*;
 use controller::records::LEADER_KEY;
@@ -91,7 +91,7 @@
             let cancel = CHANGE - BEFORE + n as f64 * (BEFORE + AFTER) / 48.0;
             let at = if n % 3 == 0 { cancel - 1.0 - (n % 7) as f64 * 0.4 } else { 1.0 + n as f64 * 0.3 };
             let long = n % 4 > 0;
-            (at, job(n, long), long.then_some(cancel))
+            Submission::new(at, job(n, long)).cancelled_at(long.then_some(cancel))
         })
         .collect();
     Setup { nodes, capacity: 8, ..s }
@@ -101,37 +101,49 @@
 const CHANGES: usize = 9;
 
 /// The troubles of change `n`, each with how long after the first; `leader` leads then.
-fn change(n: usize, leader: usize, nodes: usize) -> Vec<(f64, Fault)> {
-    let crash = |node, for_s| Fault::Crash { node: node % nodes, for_s };
+fn change(n: usize, leader: usize, nodes: usize) -> Vec<ScheduledFault> {
+    let crash = |node, duration_s| Fault::ControllerCrash { node: node % nodes, duration_s };
     let next = (leader + 1) % nodes;
     match n {
-        0 => vec![(0.0, crash(leader, 0.2))],
-        1 => vec![(0.0, crash(leader, 9.0))],
+        0 => vec![ScheduledFault::new(0.0, crash(leader, 0.2))],
+        1 => vec![ScheduledFault::new(0.0, crash(leader, 9.0))],
         // Two tokens are in flight: the old leader answers on, and so do its gateways.
-        2 => vec![(0.0, Fault::StateRefuses { node: leader, for_s: 9.0 })],
-        3 => vec![(0.0, Fault::Alone { node: leader, for_s: 12.0 })],
+        2 => vec![ScheduledFault::new(0.0, Fault::StoreRefusesNode { node: leader, duration_s: 9.0 })],
+        3 => vec![ScheduledFault::new(0.0, Fault::IsolatedWithWorkers { node: leader, duration_s: 12.0 })],
         // A rolling restart.
-        4 => (0..nodes).map(|k| (k as f64 * 2.5, crash(leader + k, 0.2))).collect(),
+        4 => (0..nodes).map(|k| ScheduledFault::new(k as f64 * 2.5, crash(leader + k, 0.2))).collect(),
         // A gateway's leave ends with it, or is lost on the way.
-        5 => vec![(0.0, Fault::PeersCut { node: next, for_s: 8.0 }), (3.0, crash(next, 0.2))],
+        5 => vec![
+            ScheduledFault::new(0.0, Fault::PeerPartition { node: next, duration_s: 8.0 }),
+            ScheduledFault::new(3.0, crash(next, 0.2)),
+        ],
         // Every worker goes to another node with every report.
-        6 => vec![(0.0, Fault::Wander { for_s: 10.0 }), (1.0, crash(leader, 5.0))],
+        6 => vec![
+            ScheduledFault::new(0.0, Fault::RotatingHeartbeatTargets { duration_s: 10.0 }),
+            ScheduledFault::new(1.0, crash(leader, 5.0)),
+        ],
         // There and back.
-        7 => vec![(0.0, crash(leader, 6.0)), (5.5, crash(next, 4.0)), (11.0, crash(leader, 0.2))],
+        7 => vec![
+            ScheduledFault::new(0.0, crash(leader, 6.0)),
+            ScheduledFault::new(5.5, crash(next, 4.0)),
+            ScheduledFault::new(11.0, crash(leader, 0.2)),
+        ],
         // All end, one returns.
-        _ => (0..nodes).map(|k| (0.0, crash(k, if k == next { 0.2 } else { 15.0 }))).collect(),
+        _ => (0..nodes)
+            .map(|k| ScheduledFault::new(0.0, crash(k, if k == next { 0.2 } else { 15.0 })))
+            .collect(),
     }
 }
 
 /// Reports that are older than the leader, or come twice.
 fn old_reports(n: u64) -> Vec<Fault> {
-    let next = |after_s| Fault::CopiesForNext { after_s, for_s: 40.0 };
+    let next = |delay_s| Fault::HeartbeatsReplayedAfterFailover { delay_s, duration_s: 40.0 };
     match n % 5 {
         0 => vec![],
         1 => vec![next(0.05)],
-        2 => vec![next(2.0), Fault::HeldAnswers { by_s: 5.0, for_s: 30.0 }],
-        3 => vec![next(6.0), Fault::Copies { late_s: 28.0, for_s: 40.0 }],
-        _ => vec![Fault::LateWrites { share: 0.2, for_s: 25.0 }, next(0.5)],
+        2 => vec![next(2.0), Fault::SlowWorkerResponses { max_delay_s: 5.0, duration_s: 30.0 }],
+        3 => vec![next(6.0), Fault::DuplicatedHeartbeats { max_delay_s: 28.0, duration_s: 40.0 }],
+        _ => vec![Fault::DelayedWrites { share: 0.2, duration_s: 25.0 }, next(0.5)],
     }
 }
 
@@ -153,11 +165,11 @@
 }
 
 /// Plays `troubles` from now on.
-fn play(sim: &mut Simulation, troubles: Vec<(f64, Fault)>) {
+fn play(sim: &mut Simulation, troubles: Vec<ScheduledFault>) {
     let begun = sim.now;
-    for (at, fault) in troubles {
+    for ScheduledFault { at, fault } in troubles {
         sim.run(begun + at);
-        sim.strike(fault);
+        sim.inject(fault);
     }
 }
 
@@ -165,19 +177,19 @@
     let what = format!("seed {seed}: change {n}, {nodes} nodes");
     let mut sim = Simulation::new(cancelled_around(seed, nodes));
     sim.run(CHANGE - BEFORE - 20.0);
-    old_reports(seed).into_iter().for_each(|f| sim.strike(f));
+    old_reports(seed).into_iter().for_each(|f| sim.inject(f));
     sim.run(CHANGE);
     let leader = sim.leader().unwrap_or(0);
     play(&mut sim, change(n, leader, nodes));
     assert_eq!(sim.run(CHANGE + AFTER + 3.0), [], "{what}");
     if (seed + seed / CHANGES as u64) % 3 == 1 {
         // No leader can see the last of them for longer than `cancel_s`.
-        sim.strike(Fault::StateOutage { for_s: 45.0 });
+        sim.inject(Fault::StoreOutage { duration_s: 45.0 });
     }
     assert_eq!(sim.run(500.0), [], "{what}");
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "{what}");
     let mut shown =
-        Shown { copies: sim.kept_delivered(), late_starts: sim.late_starts.len(), ..Shown::default() };
+        Shown { copies: sim.replayed_heartbeats(), late_starts: sim.late_starts.len(), ..Shown::default() };
     for told in sim.ledger.cancelled_at.values() {
         let second = told - (CHANGE - BEFORE);
         if (0.0..19.0).contains(&second) {
@@ -201,29 +213,32 @@
 fn ten_changes(seed: u64, nodes: usize) -> (usize, usize) {
     let what = format!("seed {seed}: ten changes, {nodes} nodes");
     let mut s = cancelled_around(seed, nodes);
-    for (n, (at, _, cancel)) in s.jobs.iter_mut().enumerate() {
+    for (n, Submission { at, cancel_at: cancel, .. }) in s.jobs.iter_mut().enumerate() {
         let later = 40.0 + n as f64 * 2.5;
-        (*at, *cancel) = (if n % 3 == 0 { later - 3.0 } else { *at }, cancel.map(|_| later));
+        if n % 3 == 0 {
+            *at = later - 3.0;
+        }
+        *cancel = cancel.map(|_| later);
     }
     let mut sim = Simulation::new(s);
-    old_reports(seed).into_iter().for_each(|f| sim.strike(f));
+    old_reports(seed).into_iter().for_each(|f| sim.inject(f));
     for n in 0..10 {
         sim.run(40.0 + n as f64 * 12.0);
         let node = sim.leader().unwrap_or(n % nodes);
         match (seed + n as u64) % 4 {
-            0 => sim.strike(Fault::Crash { node, for_s: 0.2 }),
-            1 => sim.strike(Fault::Crash { node, for_s: 6.0 }),
-            2 => sim.strike(Fault::StateRefuses { node, for_s: 8.0 }),
-            _ => sim.strike(Fault::Alone { node, for_s: 8.0 }),
+            0 => sim.inject(Fault::ControllerCrash { node, duration_s: 0.2 }),
+            1 => sim.inject(Fault::ControllerCrash { node, duration_s: 6.0 }),
+            2 => sim.inject(Fault::StoreRefusesNode { node, duration_s: 8.0 }),
+            _ => sim.inject(Fault::IsolatedWithWorkers { node, duration_s: 8.0 }),
         }
         if n == 4 && seed % 2 == 1 {
-            sim.strike(Fault::StateOutage { for_s: 44.0 });
+            sim.inject(Fault::StoreOutage { duration_s: 44.0 });
         }
-        assert_eq!(sim.ledger.broken, [], "{what}");
+        assert_eq!(sim.ledger.violations, [], "{what}");
     }
     assert_eq!(sim.run(600.0), [], "{what}");
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "{what}");
-    (sim.store().first(LEADER_KEY, |_| true).1, sim.late_starts.len())
+    (sim.store().history(LEADER_KEY, |_| true).writes, sim.late_starts.len())
 }
 
 /// Plays on two threads.
--- a/crates/simulation/tests/left_lying.rs
+++ b/crates/simulation/tests/left_lying.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Rule, Setup, Simulation};
+use anisecroft_simulation::{Fault, Rule, ScheduledFault, Setup, Simulation, Submission};
 use common::*;
 use controller::SafetyChecks;
 use protocol::job::*;
@@ -21,32 +21,32 @@
     JobSpec { zone: Some(zone.into()), ..s }
 }
 
-type Jobs = Vec<(f64, JobSpec, Option<f64>)>;
+type Jobs = Vec<Submission>;
 
 /// A day of `jobs` and nothing else on up to `capacity` machines, with three or five controllers.
-fn day(seed: u64, guards: SafetyChecks, capacity: usize, jobs: Jobs) -> Simulation {
+fn day(seed: u64, checks: SafetyChecks, capacity: usize, jobs: Jobs) -> Simulation {
     let mut s = setup(seed, vec![]);
     unlimited(&mut s);
     let nodes = 3 + 2 * (seed % 2) as usize;
-    Simulation::new(Setup { jobs, capacity, nodes, guards, loss: 0.0, ..s })
+    Simulation::new(Setup { jobs, capacity, nodes, checks, loss: 0.0, ..s })
 }
 
 /// Fourteen machines stand idle when an outage of the state service ends that was longer than three
 /// leases, and work comes at once. Machines rented since, and those given back.
-fn after_an_outage(seed: u64, guards: SafetyChecks) -> (u32, usize) {
-    let first = (2.0, array(1, 12, 4.0, 60.0), None);
-    let later = (2..4).map(|n| (95.0, array(n, 2, 4.0, 60.0), None));
-    let mut sim = day(seed, guards, 60, [first].into_iter().chain(later).collect());
+fn after_an_outage(seed: u64, checks: SafetyChecks) -> (u32, usize) {
+    let first = Submission::new(2.0, array(1, 12, 4.0, 60.0));
+    let later = (2..4).map(|n| Submission::new(95.0, array(n, 2, 4.0, 60.0)));
+    let mut sim = day(seed, checks, 60, [first].into_iter().chain(later).collect());
     sim.run(40.0);
     let rented = sim.rented();
-    sim.strike(Fault::StateOutage { for_s: 75.0 });
+    sim.inject(Fault::StoreOutage { duration_s: 75.0 });
     sim.run(114.0);
-    assert!(sim.machines() >= 12, "seed {seed}: {} machines", sim.machines());
+    assert!(sim.machine_count() >= 12, "seed {seed}: {} machines", sim.machine_count());
     assert_eq!(sim.run(121.0), [], "seed {seed}");
     let all = sim.rented() - rented;
     sim.run(300.0);
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
-    (all, sim.deleted.iter().filter(|(at, _)| *at < 117.5).count())
+    (all, sim.deleted.iter().filter(|deleted| deleted.at < 117.5).count())
 }
 
 /// They take it: none is given back as deaf, since nobody was answered meanwhile, and none is rented.
@@ -64,19 +64,19 @@
 
 /// Nothing reaches the leader but the state service for eight seconds, in which work comes.
 /// Machines rented by the end of that.
-fn unheard_for_a_moment(seed: u64, guards: SafetyChecks) -> u32 {
+fn unheard_for_a_moment(seed: u64, checks: SafetyChecks) -> u32 {
     // (All machines in one zone, so that it is not taken for one that is out of reach.)
     let idle = JobSpec { priority: Priority::Low, class: "spare".into(), ..array(1, 12, 4.0, 20.0) };
-    let first = (2.0, in_zone("a", idle), None);
-    let later = (2..5).map(|n| (51.2, array(n, 2, 4.0, 60.0), None));
-    let mut sim = day(seed, guards, 60, [first].into_iter().chain(later).collect());
+    let first = Submission::new(2.0, in_zone("a", idle));
+    let later = (2..5).map(|n| Submission::new(51.2, array(n, 2, 4.0, 60.0)));
+    let mut sim = day(seed, checks, 60, [first].into_iter().chain(later).collect());
     sim.run(45.0);
     let (rented, Some(node)) = (sim.rented(), sim.leader()) else { return 0 };
-    sim.strike(Fault::PeersCut { node, for_s: 8.0 });
-    sim.strike(Fault::Cut { node, state: false, workers: true, for_s: 8.0 });
+    sim.inject(Fault::PeerPartition { node, duration_s: 8.0 });
+    sim.inject(Fault::NodePartition { node, store: false, workers: true, duration_s: 8.0 });
     assert_eq!(sim.run(53.3), [], "seed {seed}");
     assert_eq!(sim.leader(), Some(node), "seed {seed}: another leads");
-    assert!(sim.ledger.accepted.len() == 4 && sim.machines() >= 12, "seed {seed}");
+    assert!(sim.ledger.accepted.len() == 4 && sim.machine_count() >= 12, "seed {seed}");
     sim.rented() - rented
 }
 
@@ -93,14 +93,14 @@
 /// Work bound to a zone that is full, while fewer machines stand in the other: of one zone by name, an
 /// array that has begun there, a service of which half may be in each. The jobs that
 /// have not ended, or begun.
-fn bound(seed: u64, guards: SafetyChecks) -> Vec<String> {
-    let mut jobs: Jobs = (1..25).map(|n| (2.0, in_zone("b", service(n)), None)).collect();
-    jobs.push((150.0, in_zone("b", array(100, 1, 4.0, 20.0)), None));
+fn bound(seed: u64, checks: SafetyChecks) -> Vec<String> {
+    let mut jobs: Jobs = (1..25).map(|n| Submission::new(2.0, in_zone("b", service(n)))).collect();
+    jobs.push(Submission::new(150.0, in_zone("b", array(100, 1, 4.0, 20.0))));
     let pair = JobSpec { tasks: 2, spread: true, ..service(101) };
-    jobs.push((150.0, pair, None));
-    let mut sim = day(seed, guards, 60, jobs);
+    jobs.push(Submission::new(150.0, pair));
+    let mut sim = day(seed, checks, 60, jobs);
     assert_eq!(sim.run(300.0), [], "seed {seed}");
-    let begun = |id: &String| sim.ledger.told.get(id) == Some(&JobStatus::Running);
+    let begun = |id: &String| sim.ledger.last_status.get(id) == Some(&JobStatus::Running);
     let services = ["req-101".to_string()].into_iter().filter(|id| !begun(id));
     sim.unfinished().into_iter().chain(services).collect()
 }
@@ -127,7 +127,7 @@
             t.accelerators_max = 8.0;
         }
         let late = |n| JobSpec { deadline_s: Some(60.0), ..array(n, 1, 4.0, 30.0) };
-        let jobs = (10..60).map(|n| (2.0 + n as f64 * 0.2, late(n), None)).collect();
+        let jobs = (10..60).map(|n| Submission::new(2.0 + n as f64 * 0.2, late(n))).collect();
         let mut sim = Simulation::new(Setup { jobs, capacity: 60, loss: 0.0, ..s });
         assert_eq!(sim.run(200.0), [], "seed {seed}");
         assert!(sim.rented() < 10, "seed {seed}: {} rented", sim.rented());
@@ -136,16 +136,16 @@
 
 /// A gang needs room on all three machines, of which one is full for the whole day; work that takes
 /// longer than that comes, and work that does not.
-fn held_for_a_gang(seed: u64, guards: SafetyChecks) -> Vec<Rule> {
+fn held_for_a_gang(seed: u64, checks: SafetyChecks) -> Vec<Rule> {
     let gang = JobSpec { shape: Shape::Gang, deadline_s: Some(10.0), ..array(10, 3, 1.5, 30.0) };
     let jobs = vec![
-        (2.0, array(1, 1, 4.0, 3000.0), None),
-        (2.0, array(2, 2, 2.5, 3000.0), None),
-        (5.0, gang, None),
-        (80.0, array(20, 1, 1.0, 5000.0), None),
-        (80.0, array(21, 1, 0.5, 30.0), None),
+        Submission::new(2.0, array(1, 1, 4.0, 3000.0)),
+        Submission::new(2.0, array(2, 2, 2.5, 3000.0)),
+        Submission::new(5.0, gang),
+        Submission::new(80.0, array(20, 1, 1.0, 5000.0)),
+        Submission::new(80.0, array(21, 1, 0.5, 30.0)),
     ];
-    let mut sim = day(seed, guards, 3, jobs);
+    let mut sim = day(seed, checks, 3, jobs);
     sim.run(400.0).iter().map(|b| b.rule).collect()
 }
 
@@ -161,15 +161,15 @@
 
 /// What nobody waits for may use the cheaper type only, which cannot be had, while a dearer machine
 /// that others use has room.
-fn left_beside_a_dear_machine(seed: u64, guards: SafetyChecks) -> Vec<Rule> {
+fn left_beside_a_dear_machine(seed: u64, checks: SafetyChecks) -> Vec<Rule> {
     let mut s = setup(seed, vec![]);
     unlimited(&mut s);
     s.types.push(protocol::cloud::MachineType { name: "dear".into(), price: 40.0, ..s.types[0].clone() });
     let dear = JobSpec { machine_types: Some(vec!["dear".into()]), ..array(1, 1, 1.0, 3000.0) };
     let idle = JobSpec { priority: Priority::Low, class: "spare".into(), ..array(2, 3, 1.0, 30.0) };
-    let jobs = vec![(2.0, dear, None), (60.0, idle, None)];
+    let jobs = vec![Submission::new(2.0, dear), Submission::new(60.0, idle)];
     let nodes = 3 + 2 * (seed % 2) as usize;
-    let mut sim = Simulation::new(Setup { jobs, capacity: 1, nodes, guards, loss: 0.0, ..s });
+    let mut sim = Simulation::new(Setup { jobs, capacity: 1, nodes, checks, loss: 0.0, ..s });
     sim.run(300.0).iter().map(|b| b.rule).collect()
 }
 
@@ -187,33 +187,35 @@
 /// cut off, mute, deaf, faulty or slow, links are slow, leaders end. Then all is well again.
 fn crowded(seed: u64) -> Simulation {
     let rng = &mut SmallRng::seed_from_u64(seed ^ 0x1e_f7);
-    let mut faults: Vec<(f64, Fault)> = (0..8)
+    let mut faults: Vec<ScheduledFault> = (0..8)
         .map(|_| {
-            let (at, for_s): (f64, f64) = (rng.gen_range(20.0..140.0), rng.gen_range(3.0..45.0));
-            let (nth, zone) = (rng.gen_range(0..8), ["a", "b"][rng.gen_range(0..2usize)]);
+            let (at, duration_s): (f64, f64) = (rng.gen_range(20.0..140.0), rng.gen_range(3.0..45.0));
+            let (machine, zone) = (rng.gen_range(0..8), ["a", "b"][rng.gen_range(0..2usize)]);
             let fault = match rng.gen_range(0..11) {
-                0 | 1 => Fault::Take { nth },
-                2 => Fault::ZoneCut { zone, for_s },
-                3 => Fault::MuteZone { zone, for_s },
-                4 => Fault::DeafZone { zone, for_s },
-                5 => Fault::Hang { nth, for_s },
-                6 => Fault::Sick { nth },
-                7 => Fault::HeldAnswers { by_s: 6.0, for_s },
-                8 => Fault::CloudOutage { for_s },
-                9 => Fault::StateOutage { for_s: for_s * 2.0 },
-                _ => Fault::Crash { node: rng.gen_range(0..3), for_s: rng.gen_range(0.1..8.0) },
+                0 | 1 => Fault::MachineLost { machine },
+                2 => Fault::ZonePartition { zone, duration_s },
+                3 => Fault::HeartbeatsLostInZone { zone, duration_s },
+                4 => Fault::ResponsesLostInZone { zone, duration_s },
+                5 => Fault::MachineHang { machine, duration_s },
+                6 => Fault::FaultyMachine { machine },
+                7 => Fault::SlowWorkerResponses { max_delay_s: 6.0, duration_s },
+                8 => Fault::CloudOutage { duration_s },
+                9 => Fault::StoreOutage { duration_s: duration_s * 2.0 },
+                _ => {
+                    Fault::ControllerCrash { node: rng.gen_range(0..3), duration_s: rng.gen_range(0.1..8.0) }
+                }
             };
-            (at, fault)
+            ScheduledFault::new(at, fault)
         })
         .collect();
     if seed % 3 == 0 {
         // All machines of one zone at a time.
-        faults.extend((0..6).map(|nth| (60.0, Fault::Take { nth })));
+        faults.extend((0..6).map(|machine| ScheduledFault::new(60.0, Fault::MachineLost { machine })));
     }
     let mut s = setup(seed, faults);
     let types = [None, Some(vec!["big".to_string()]), Some(vec!["dear".to_string()])];
     s.types.push(protocol::cloud::MachineType { name: "dear".into(), price: 12.0, ..s.types[0].clone() });
-    for (at, spec, _) in &mut s.jobs {
+    for Submission { at, spec, .. } in &mut s.jobs {
         *at = at.min(100.0);
         spec.machine_types = types[rng.gen_range(0..3usize)].clone();
         (spec.accelerators, spec.class) = ([0.5, 1.0, 2.0, 4.0][rng.gen_range(0..4usize)], "work".into());
@@ -251,12 +253,12 @@
 fn what_nobody_waits_for_leaves_a_faulty_machine() {
     for seed in 0..4 {
         let idle = JobSpec { priority: Priority::Low, class: "spare".into(), ..array(2, 1, 1.0, 20.0) };
-        let jobs = vec![(2.0, array(1, 1, 1.0, 3000.0), None), (40.0, idle, None)];
+        let jobs = vec![Submission::new(2.0, array(1, 1, 1.0, 3000.0)), Submission::new(40.0, idle)];
         let mut sim = day(seed, SafetyChecks::default(), 4, jobs);
         sim.run(30.0);
-        sim.strike(Fault::Sick { nth: 0 });
+        sim.inject(Fault::FaultyMachine { machine: 0 });
         assert_eq!(sim.run(400.0), [], "seed {seed}");
-        assert!(sim.failures > 0, "seed {seed}: nothing failed");
+        assert!(sim.metrics.task_failures > 0, "seed {seed}: nothing failed");
         assert_eq!(sim.unfinished(), ["req-1"], "seed {seed}");
     }
 }
