--- a/crates/simulation/tests/limits.rs
+++ b/crates/simulation/tests/limits.rs
@@ -2,14 +2,14 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Setup, Simulation};
+use anisecroft_simulation::{Fault, ScheduledFault, Setup, Simulation, Submission};
 use common::*;
 use protocol::job::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use settings::NextLimits;
 
 /// Wide arrays beside the usual jobs, under limits of `kb` KiB that may fall to a part.
-fn wide(seed: u64, kb: f64, part: f64, faults: Vec<(f64, Fault)>) -> Setup {
+fn wide(seed: u64, kb: f64, part: f64, faults: Vec<ScheduledFault>) -> Setup {
     let mut s = setup(seed, faults);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x11417);
     unlimited(&mut s);
@@ -21,7 +21,7 @@
         value_kb: Some(kb * part),
         txn_ops: Some(8),
     });
-    for (n, (at, spec, _)) in s.jobs.iter_mut().enumerate().filter(|(n, _)| n % 4 == 0) {
+    for (n, Submission { at, spec, .. }) in s.jobs.iter_mut().enumerate().filter(|(n, _)| n % 4 == 0) {
         if spec.shape != Shape::Array {
             continue;
         }
@@ -42,12 +42,28 @@
         let (kb, part) = [(8.0, 0.25), (32.0, 1.0 / 16.0)][seed as usize % 2];
         let mut faults = if seed % 3 == 0 { troubles(seed) } else { vec![] };
         let at = 40.0 + seed as f64 * 2.0;
-        faults.push((at, Fault::LimitsFall));
+        faults.push(ScheduledFault::new(at, Fault::StoreLimitsReduced));
         match seed % 6 {
-            1 => faults.extend((0..3).map(|node| (at - 1.0, Fault::Crash { node, for_s: 3.0 }))),
-            2 => faults.extend((0..3).map(|node| (at + 0.1, Fault::Crash { node, for_s: 0.3 }))),
+            1 => {
+                faults.extend((0..3).map(|node| {
+                    ScheduledFault::new(at - 1.0, Fault::ControllerCrash { node, duration_s: 3.0 })
+                }))
+            }
+            2 => {
+                faults.extend((0..3).map(|node| {
+                    ScheduledFault::new(at + 0.1, Fault::ControllerCrash { node, duration_s: 0.3 })
+                }))
+            }
             4 => faults.extend((0..3).map(|n| {
-                (at - 2.0, Fault::Cut { node: n, state: n == seed as usize % 3, workers: false, for_s: 9.0 })
+                ScheduledFault::new(
+                    at - 2.0,
+                    Fault::NodePartition {
+                        node: n,
+                        store: n == seed as usize % 3,
+                        workers: false,
+                        duration_s: 9.0,
+                    },
+                )
             })),
             _ => {}
         }
@@ -66,7 +82,7 @@
 #[test]
 fn a_specification_larger_than_any_value_is_kept_in_parts() {
     for seed in 0..6 {
-        let mut s = wide(seed, 8.0, 0.25, vec![(3.0, Fault::LimitsFall)]);
+        let mut s = wide(seed, 8.0, 0.25, vec![ScheduledFault::new(3.0, Fault::StoreLimitsReduced)]);
         let rng = &mut SmallRng::seed_from_u64(seed);
         let small = |n: usize, rng: &mut SmallRng| JobSpec {
             id: format!("req-{n:08}"),
@@ -79,17 +95,19 @@
             estimated_run_s: 2.0,
             ..job(rng, n)
         };
-        s.jobs = (0..300).map(|n| (4.0 + n as f64 * 0.05, small(n, rng), None)).collect();
-        let awaits: Vec<String> = s.jobs.iter().map(|j| j.1.id.clone()).collect();
+        s.jobs = (0..300).map(|n| Submission::new(4.0 + n as f64 * 0.05, small(n, rng))).collect();
+        let awaits: Vec<String> = s.jobs.iter().map(|j| j.spec.id.clone()).collect();
         let names = (0..60).map(|n| format!("{}{n}", "type-with-a-long-name-".repeat(4)));
         let types = Some(names.chain(["big".to_string()]).collect());
         let last = JobSpec { dependencies: awaits, machine_types: types, ..small(400, rng) };
         let cancel = (seed % 3 == 2).then_some(40.0);
-        s.jobs.push((6.0, last, cancel));
+        s.jobs.push(Submission::new(6.0, last).cancelled_at(cancel));
         if seed % 3 == 1 {
-            s.jobs[77].2 = Some(20.0);
+            s.jobs[77].cancel_at = Some(20.0);
         }
-        s.faults.extend((0..3).map(|node| (30.0 + seed as f64, Fault::Crash { node, for_s: 2.0 })));
+        s.faults.extend((0..3).map(|node| {
+            ScheduledFault::new(30.0 + seed as f64, Fault::ControllerCrash { node, duration_s: 2.0 })
+        }));
         let mut sim = Simulation::new(Setup { capacity: 8, ..s });
         assert_eq!(sim.run(25.0), [], "seed {seed}");
         assert!(sim.store().largest("") <= 2048, "seed {seed}: {}", sim.store().largest(""));
@@ -100,7 +118,7 @@
         // first takeover that is late enough to know.
         let late = derived().abandoned_submission_s + 60.0;
         assert_eq!(sim.run(late), [], "seed {seed}");
-        (0..3).for_each(|node| sim.strike(Fault::Crash { node, for_s: 2.0 }));
+        (0..3).for_each(|node| sim.inject(Fault::ControllerCrash { node, duration_s: 2.0 }));
         assert_eq!(sim.run(late + 60.0), [], "seed {seed}");
         assert_eq!(sim.store().count("w/"), 0, "seed {seed}");
     }
--- a/crates/simulation/tests/lost_answers.rs
+++ b/crates/simulation/tests/lost_answers.rs
@@ -4,7 +4,7 @@
 mod common;
 mod stage;
 
-use anisecroft_simulation::{Fault, Setup, Simulation};
+use anisecroft_simulation::{Fault, ScheduledFault, Setup, Simulation, Submission};
 use common::{setup, unlimited};
 use controller::records::{
     JobRecord, LeaderRecord, StoredPlacement, Value, FORMAT, FORMAT_KEY, LEADER_KEY, TYPES_KEY,
@@ -248,7 +248,7 @@
             s.report(&[task(&id, 0, TaskState::Running)]);
         }
         let named = |v: &Value| matches!(v, Value::Images(i) if i.images.iter().any(|(n, _)| n == "img-2"));
-        assert_eq!(s.store.first("i/0000", named).0.is_some(), n == 1);
+        assert_eq!(s.store.history("i/0000", named).first_match_at.is_some(), n == 1);
     }
     assert!(s.writes(0.0, "i/") > 1);
 }
@@ -359,10 +359,11 @@
 /// Kinds of transactions whose answer was lost, with how many there were.
 fn kinds(sim: &Simulation) -> BTreeMap<&'static str, usize> {
     let mut kinds = BTreeMap::new();
-    for w in &sim.lost_writes {
+    for w in &sim.unanswered_writes {
         let mut note = |kind| *kinds.entry(kind).or_insert(0) += 1;
         for key in &w.keys {
-            let first = |such: fn(&Value) -> bool| sim.store().first(key, such).0 == Some(w.at);
+            let first =
+                |such: fn(&Value) -> bool| sim.store().history(key, such).first_match_at == Some(w.at);
             let cancelled = |v: &Value| matches!(v, Value::Job(j) if j.status == JobStatus::Cancelled);
             match key.split('/').next() {
                 Some("a") if key == LEADER_KEY => note("claim"),
@@ -396,7 +397,7 @@
         txn_ops: Some(8),
     });
     unlimited(&mut s);
-    for (n, (at, spec, cancel)) in s.jobs.iter_mut().enumerate() {
+    for (n, Submission { at, spec, cancel_at: cancel }) in s.jobs.iter_mut().enumerate() {
         *at = rng.gen_range(2.0..110.0);
         *cancel = cancel.map(|_| *at + rng.gen_range(0.1..30.0));
         if n % 5 == 0 && spec.shape == Shape::Array {
@@ -414,21 +415,21 @@
 /// Answers are lost, transactions late, or both, for two minutes, at that share in all; before, as the
 /// first leader begins, most answers are lost.
 fn lossy(seed: u64, nodes: usize, share: f64) -> Simulation {
-    let (from, for_s) = ([4.0, 15.0][seed as usize / 3 % 2], 110.0);
+    let (from, duration_s) = ([4.0, 15.0][seed as usize / 3 % 2], 110.0);
     let mut faults = match seed % 4 {
-        0 => vec![Fault::LostAnswers { share, for_s }],
-        1 => vec![Fault::LateWrites { share, for_s }],
+        0 => vec![Fault::LostWriteResponses { share, duration_s }],
+        1 => vec![Fault::DelayedWrites { share, duration_s }],
         _ => {
             let share = share / 2.0;
-            vec![Fault::LostAnswers { share, for_s }, Fault::LateWrites { share, for_s }]
+            vec![Fault::LostWriteResponses { share, duration_s }, Fault::DelayedWrites { share, duration_s }]
         }
     };
-    faults.push(Fault::CloseLooks { for_s });
-    faults.push(Fault::CancelAtEnd { share: 0.1, for_s });
-    let mut faults: Vec<_> = faults.into_iter().map(|f| (from, f)).collect();
-    faults.push((0.0, Fault::LostAnswers { share: 0.7, for_s: 4.0 }));
+    faults.push(Fault::ConcurrentQueries { duration_s });
+    faults.push(Fault::CancelAtCompletion { share: 0.1, duration_s });
+    let mut faults: Vec<_> = faults.into_iter().map(|fault| ScheduledFault::new(from, fault)).collect();
+    faults.push(ScheduledFault::new(0.0, Fault::LostWriteResponses { share: 0.7, duration_s: 4.0 }));
     if seed % 3 > 0 {
-        faults.push((20.0 + seed as f64 % 40.0, Fault::LimitsFall));
+        faults.push(ScheduledFault::new(20.0 + seed as f64 % 40.0, Fault::StoreLimitsReduced));
     }
     Simulation::new(Setup { nodes, faults, ..mixture(seed) })
 }
@@ -436,11 +437,11 @@
 /// The leader is replaced, or ends, once.
 fn hand_over(sim: &mut Simulation, seed: u64) {
     let Some(node) = sim.leader() else { return };
-    sim.strike(match seed % 4 {
-        0 => Fault::Crash { node, for_s: 0.2 },
-        1 => Fault::Crash { node, for_s: 8.0 },
-        2 => Fault::StateRefuses { node, for_s: 9.0 },
-        _ => Fault::Silent { node, for_s: 12.0 },
+    sim.inject(match seed % 4 {
+        0 => Fault::ControllerCrash { node, duration_s: 0.2 },
+        1 => Fault::ControllerCrash { node, duration_s: 8.0 },
+        2 => Fault::StoreRefusesNode { node, duration_s: 9.0 },
+        _ => Fault::ControllerPause { node, duration_s: 12.0 },
     });
 }
 
@@ -454,7 +455,7 @@
     }
     assert_eq!(sim.run(500.0), [], "{what}");
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "{what}");
-    assert!(sim.looks().close_answered > 100, "{what}: {:?}", sim.looks());
+    assert!(sim.query_counts().concurrent_answered > 100, "{what}: {:?}", sim.query_counts());
     sim
 }
 
@@ -493,11 +494,12 @@
 
 /// Of 300 submissions in a minute of `trouble`, those accepted within a second.
 fn accepted_in_time(seed: u64, nodes: usize, trouble: Fault) -> usize {
-    let mut s = setup(seed, vec![(10.0, trouble)]);
+    let mut s = setup(seed, vec![ScheduledFault::new(10.0, trouble)]);
     unlimited(&mut s);
     let job = |n: usize| JobSpec { estimated_run_s: 3.0, ..spec(&format!("req-{n:04}"), 1) };
-    s.jobs = (0..300).map(|n| (10.0 + n as f64 * 0.2, job(n), None)).collect();
-    let at: BTreeMap<String, f64> = s.jobs.iter().map(|(at, spec, _)| (spec.id.clone(), *at)).collect();
+    s.jobs = (0..300).map(|n| Submission::new(10.0 + n as f64 * 0.2, job(n))).collect();
+    let at: BTreeMap<String, f64> =
+        s.jobs.iter().map(|Submission { at, spec, .. }| (spec.id.clone(), *at)).collect();
     let mut sim = Simulation::new(Setup { nodes, ..s });
     assert_eq!(sim.run(100.0), [], "seed {seed}");
     assert_eq!(sim.ledger.accepted.len(), 300, "seed {seed}");
@@ -509,9 +511,10 @@
 #[test]
 fn most_are_accepted_within_a_second_whatever_is_lost() {
     for (seed, nodes) in [(1, 3), (2, 5)] {
-        for trouble in
-            [Fault::LostAnswers { share: 0.3, for_s: 60.0 }, Fault::LateWrites { share: 0.3, for_s: 60.0 }]
-        {
+        for trouble in [
+            Fault::LostWriteResponses { share: 0.3, duration_s: 60.0 },
+            Fault::DelayedWrites { share: 0.3, duration_s: 60.0 },
+        ] {
             let accepted = accepted_in_time(seed, nodes, trouble.clone());
             assert!(accepted >= 280, "seed {seed}, {nodes} nodes, {trouble:?}: {accepted} of 300");
         }
--- a/crates/simulation/tests/pipelines.rs
+++ b/crates/simulation/tests/pipelines.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Rule, Setup, Simulation};
+use anisecroft_simulation::{Fault, Rule, ScheduledFault, Setup, Simulation, Submission};
 use common::*;
 use controller::records::{job_key, over_key, Value};
 use controller::SafetyChecks;
@@ -15,7 +15,7 @@
         let mut sim = Simulation::new(linked(seed, vec![]));
         assert_eq!(sim.run(600.0), []);
         assert_eq!(sim.unfinished(), Vec::<String>::new());
-        assert!(sim.starts > 30, "{}", sim.starts);
+        assert!(sim.metrics.task_starts > 30, "{}", sim.metrics.task_starts);
     }
 }
 
@@ -48,11 +48,11 @@
 
 fn a_day_of_everything(seed: u64) {
     let mut faults = newest_troubles(seed);
-    faults.push((20.0 + (seed % 13) as f64 * 8.0, Fault::LimitsFall));
+    faults.push(ScheduledFault::new(20.0 + (seed % 13) as f64 * 8.0, Fault::StoreLimitsReduced));
     let mut s = linked(seed, faults.clone());
     s.settings.params.store.next =
         Some(NextLimits { value_kb: Some(2.0), txn_ops: Some(8), ..NextLimits::default() });
-    for (_, spec, _) in s.jobs.iter_mut().step_by(9).filter(|j| j.1.shape == Shape::Array) {
+    for Submission { spec, .. } in s.jobs.iter_mut().step_by(9).filter(|j| j.spec.shape == Shape::Array) {
         (spec.tasks, spec.cores, spec.accelerators, spec.memory_gb) = (300, 0.25, 0.0, 0.25);
     }
     let nodes = if seed % 2 == 0 { 3 } else { 5 };
@@ -61,18 +61,18 @@
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
 }
 
-/// Whether some seed breaks one of `rules` with guards off.
-fn caught(rules: &[Rule], guards: SafetyChecks, faults: impl Fn(u64) -> Vec<(f64, Fault)>) -> bool {
+/// Whether some seed breaks one of `rules` with checks off.
+fn caught(rules: &[Rule], checks: SafetyChecks, faults: impl Fn(u64) -> Vec<ScheduledFault>) -> bool {
     (300..400).any(|seed| {
-        let s = Setup { guards, ..linked(seed, faults(seed)) };
+        let s = Setup { checks, ..linked(seed, faults(seed)) };
         Simulation::new(s).run(400.0).iter().any(|b| rules.contains(&b.rule))
     })
 }
 
 #[test]
 fn without_the_order_a_task_starts_too_early() {
-    let guards = SafetyChecks { dependency_order: false, ..SafetyChecks::default() };
-    assert!(caught(&[Rule::TooEarly], guards, |_| vec![]));
+    let checks = SafetyChecks { dependency_order: false, ..SafetyChecks::default() };
+    assert!(caught(&[Rule::TooEarly], checks, |_| vec![]));
 }
 
 /// While nobody leads for long, what comes after a cancelled job is called cancelled all
@@ -83,12 +83,12 @@
     let faults = |seed: u64| {
         let cut = |i: u64| {
             let node = ((seed + i) % 3) as usize;
-            (20.0 + 1.2 * i as f64, Fault::Crash { node, for_s: 2.0 })
+            ScheduledFault::new(20.0 + 1.2 * i as f64, Fault::ControllerCrash { node, duration_s: 2.0 })
         };
         (0..150).map(cut).collect()
     };
-    let guards = SafetyChecks { cancellation_lineage: false, ..SafetyChecks::default() };
-    assert!(caught(&[Rule::Orphaned], guards, faults));
+    let checks = SafetyChecks { cancellation_lineage: false, ..SafetyChecks::default() };
+    assert!(caught(&[Rule::Orphaned], checks, faults));
     for seed in 300..306 {
         assert_eq!(Simulation::new(linked(seed, faults(seed))).run(400.0), [], "seed {seed}");
     }
@@ -118,7 +118,7 @@
         dependencies: if n == 0 { vec![] } else { vec![format!("req-{}", 699 + n)] },
         ..long_array()
     };
-    let jobs = (0..8).map(|n| (2.0 + n as f64 * 0.1, stage(n), None)).collect();
+    let jobs = (0..8).map(|n| Submission::new(2.0 + n as f64 * 0.1, stage(n))).collect();
     let mut sim = Simulation::new(Setup { jobs, capacity: 2, loss: 0.0, ..s });
     assert_eq!(sim.run(300.0), []);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
@@ -128,11 +128,11 @@
         let done = |v: &Value| matches!(v, Value::Job(j) if j.status == JobStatus::Done);
         let over = |v: &Value| matches!(v, Value::Terminal(_));
         let placed = |v: &Value| matches!(v, Value::Job(j) if !j.first_page.placements.is_empty());
-        let in_place = sim.store().first(&job_key(&before), done).0;
-        let ended = in_place.or(sim.store().first(&over_key(&before), over).0).unwrap();
-        let (begun, writes) = sim.store().first(&job_key(&own), placed);
-        pauses.push(begun.unwrap() - ended);
-        assert!(writes <= 7, "{own} was written {writes} times");
+        let in_place = sim.store().history(&job_key(&before), done).first_match_at;
+        let ended = in_place.or(sim.store().history(&over_key(&before), over).first_match_at).unwrap();
+        let history = sim.store().history(&job_key(&own), placed);
+        pauses.push(history.first_match_at.unwrap() - ended);
+        assert!(history.writes <= 7, "{own} was written {} times", history.writes);
     }
     pauses
 }
@@ -150,11 +150,11 @@
         ..long_array()
     };
     let first = JobSpec { id: "req-1".into(), tasks: 1, ..long_array() };
-    let mut jobs = vec![(1.0, first, Some(40.0))];
-    jobs.extend((0..400).map(|n| (2.0 + n as f64 * 0.05, wide(n), None)));
+    let mut jobs = vec![Submission::new(1.0, first).cancelled_at(40.0)];
+    jobs.extend((0..400).map(|n| Submission::new(2.0 + n as f64 * 0.05, wide(n))));
     // Something urgent goes on beside it.
     let beside = JobSpec { id: "req-2".into(), tasks: 1, estimated_run_s: 5.0, ..long_array() };
-    jobs.push((41.0, beside, None));
+    jobs.push(Submission::new(41.0, beside));
     let mut sim = Simulation::new(Setup { jobs, capacity: 3, loss: 0.0, ..s });
     assert_eq!(sim.run(52.0), []);
     let open = sim.unfinished();
@@ -162,7 +162,7 @@
     assert_eq!(sim.run(400.0), []);
     assert_eq!(sim.store().count("j/"), 0);
     let placed = |v: &Value| matches!(v, Value::Job(j) if !j.first_page.placements.is_empty());
-    assert!(sim.store().first("j/req-2", placed).0.unwrap() < 46.0);
+    assert!(sim.store().history("j/req-2", placed).first_match_at.unwrap() < 46.0);
 }
 
 /// Wrong submissions get their final answer at once; a known job's repetition gets its state.
@@ -178,7 +178,8 @@
         ..long_array()
     };
     let service = JobSpec { shape: Shape::Service, ..array("req-2", &[]) };
-    s.jobs = vec![(1.0, array("req-1", &[]), None), (1.0, service, Some(150.0))];
+    s.jobs =
+        vec![Submission::new(1.0, array("req-1", &[])), Submission::new(1.0, service).cancelled_at(150.0)];
     let mut sim = Simulation::new(Setup { capacity: 2, loss: 0.0, ..s });
     assert_eq!(sim.run(40.0), []);
     for (awaits, status, word) in [
--- a/crates/simulation/tests/polls.rs
+++ b/crates/simulation/tests/polls.rs
@@ -180,7 +180,7 @@
                 } else if let Some(r) = self.store.execute(self.now, &op) {
                     self.replies.push((n, call, r));
                 } else {
-                    self.replies.push((n, call, self.store.quiet()));
+                    self.replies.push((n, call, self.store.no_events()));
                 }
             }
             13..=18 if !self.replies.is_empty() => {
@@ -213,13 +213,13 @@
 }
 
 /// Delivers everything at once, so that only the number of reads counts.
-fn settle(w: &mut World, for_s: f64) {
-    let end = w.now + for_s;
+fn settle(w: &mut World, duration_s: f64) {
+    let end = w.now + duration_s;
     while w.now < end {
         w.now += 0.01;
         for (n, call, op) in std::mem::take(&mut w.calls) {
             let r = w.store.execute(w.now, &op);
-            let r = r.unwrap_or_else(|| w.store.quiet());
+            let r = r.unwrap_or_else(|| w.store.no_events());
             w.feed(n, Input::Store(call, r));
         }
         for n in 0..NODES {
--- a/crates/simulation/tests/returns.rs
+++ b/crates/simulation/tests/returns.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Setup, Simulation};
+use anisecroft_simulation::{Fault, ScheduledFault, Setup, Simulation, Submission};
 use common::*;
 use protocol::job::*;
 
@@ -16,16 +16,18 @@
     let mut given_back = 0;
     for seed in 0..16 {
         let (cut, hold) = (40.0 + seed as f64, derived().unreachable_zone_retention_s + 40.0);
-        let mut faults = vec![(cut, Fault::ZoneCut { zone: "b", for_s: hold })];
+        let mut faults = vec![ScheduledFault::new(cut, Fault::ZonePartition { zone: "b", duration_s: hold })];
         // All nodes outside start anew, so that nobody there knows any more.
         if seed % 2 == 1 {
-            let crash = |node| (cut + hold - 12.0, Fault::Crash { node, for_s: 3.0 });
+            let crash = |node| {
+                ScheduledFault::new(cut + hold - 12.0, Fault::ControllerCrash { node, duration_s: 3.0 })
+            };
             faults.extend([0, 2].map(crash));
         }
         let mut sim = Simulation::new(setup(seed, faults));
         assert_eq!(sim.run(300.0), [], "seed {seed}");
         given_back += sim.deleted.len();
-        assert!(sim.ghosts.is_empty(), "seed {seed}: {:?}", sim.ghosts);
+        assert!(sim.usable_after_loss.is_empty(), "seed {seed}: {:?}", sim.usable_after_loss);
     }
     assert!(given_back > 0);
 }
@@ -39,8 +41,13 @@
     let spec = JobSpec { tasks: machines as u32 * 4, ..long_array() };
     let mut s = setup(seed, vec![]);
     unlimited(&mut s);
-    let mut sim =
-        Simulation::new(Setup { jobs: vec![(1.0, spec, None)], capacity: machines, loss: 0.0, nodes, ..s });
+    let mut sim = Simulation::new(Setup {
+        jobs: vec![Submission::new(1.0, spec)],
+        capacity: machines,
+        loss: 0.0,
+        nodes,
+        ..s
+    });
     assert_eq!(sim.run(100.0), []);
     sim
 }
@@ -55,22 +62,22 @@
 fn a_zone_that_comes_back_is_still_there() {
     for seed in 0..12 {
         let mut sim = full(seed, 24);
-        let (deleted, starts) = (sim.deleted.len(), sim.starts);
+        let (deleted, starts) = (sim.deleted.len(), sim.metrics.task_starts);
         let crash = seed / 2 % 2 == 1;
         let zone = if crash { "b" } else { ["a", "b"][seed as usize % 2] };
-        sim.strike(Fault::ZoneCut { zone, for_s: 50.0 });
+        sim.inject(Fault::ZonePartition { zone, duration_s: 50.0 });
         assert_eq!(sim.run(112.0), [], "seed {seed}");
         if crash {
-            sim.strike(Fault::Crash { node: [0, 2][seed as usize % 2], for_s: 3.0 });
+            sim.inject(Fault::ControllerCrash { node: [0, 2][seed as usize % 2], duration_s: 3.0 });
         }
         let rented = sim.rented_in(zone);
         assert_eq!(sim.run(150.0), [], "seed {seed}");
         assert_eq!(sim.rented_in(zone), rented, "seed {seed}: rented in zone {zone}");
         assert_eq!(sim.run(260.0), [], "seed {seed}");
         assert_eq!(&sim.deleted[deleted..], [], "seed {seed}");
-        assert!(sim.starts >= starts + 40, "seed {seed}: its work was placed anew");
-        assert!(sim.given_up_alive.is_empty(), "seed {seed}: {:?}", sim.given_up_alive);
-        assert!(sim.unheard().is_empty(), "seed {seed}: {:?}", sim.unheard());
+        assert!(sim.metrics.task_starts >= starts + 40, "seed {seed}: its work was placed anew");
+        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
+        assert!(sim.unknown_workers().is_empty(), "seed {seed}: {:?}", sim.unknown_workers());
     }
 }
 
@@ -83,23 +90,23 @@
     for seed in 0..8 {
         let mut sim = full(seed, 40);
         let away = 3.0 + seed as f64;
-        sim.strike(match seed % 4 {
-            0 => Fault::ZoneCut { zone: "b", for_s: away },
-            1 => Fault::PeersCut { node: 1, for_s: away },
-            2 => Fault::Silent { node: 2, for_s: away },
-            _ => Fault::StateOutage { for_s: away },
+        sim.inject(match seed % 4 {
+            0 => Fault::ZonePartition { zone: "b", duration_s: away },
+            1 => Fault::PeerPartition { node: 1, duration_s: away },
+            2 => Fault::ControllerPause { node: 2, duration_s: away },
+            _ => Fault::StoreOutage { duration_s: away },
         });
         for node in 0..3 {
             if (seed + node as u64) % 3 == 0 {
-                sim.strike(Fault::Crash { node, for_s: away });
+                sim.inject(Fault::ControllerCrash { node, duration_s: away });
             }
         }
         // A worker gives its report up and tries the next node a second later.
         let retry = d.worker_timeout_s + 1.0;
         let takeover = d.leader_lease_s + d.renewal_interval_s;
         assert_eq!(sim.run(100.0 + away + takeover + report_s * 1.25 + retry), [], "seed {seed}");
-        assert!(sim.unheard().is_empty(), "seed {seed}: {:?}", sim.unheard());
-        assert!(sim.given_up_alive.is_empty(), "seed {seed}: {:?}", sim.given_up_alive);
+        assert!(sim.unknown_workers().is_empty(), "seed {seed}: {:?}", sim.unknown_workers());
+        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
     }
 }
 
@@ -112,25 +119,29 @@
     for seed in 0..12 {
         let nodes = 3 + seed as usize % 3;
         let mut sim = full_of(nodes, seed, 40);
-        let (hears, for_s) = (seed as usize / 3 % nodes, 20.0 + seed as f64);
-        let cut = |node, nth: usize| match seed % 4 {
+        let (hears, duration_s) = (seed as usize / 3 % nodes, 20.0 + seed as f64);
+        let cut = |node, index: usize| match seed % 4 {
             // Some of them a little later than the others.
-            0 | 1 => {
-                (nth as f64 * (seed % 4) as f64, Fault::Cut { node, state: false, workers: true, for_s })
-            }
-            2 => (0.0, Fault::WorkersCut { node, zone: "a", for_s }),
-            _ => (nth as f64 * 2.0, Fault::WorkersCut { node, zone: ["a", "b"][nth % 2], for_s }),
+            0 | 1 => ScheduledFault::new(
+                index as f64 * (seed % 4) as f64,
+                Fault::NodePartition { node, store: false, workers: true, duration_s },
+            ),
+            2 => ScheduledFault::new(0.0, Fault::ZoneWorkersPartition { node, zone: "a", duration_s }),
+            _ => ScheduledFault::new(
+                index as f64 * 2.0,
+                Fault::ZoneWorkersPartition { node, zone: ["a", "b"][index % 2], duration_s },
+            ),
         };
         let mut cuts: Vec<_> =
-            (0..nodes).filter(|n| *n != hears).zip(0..).map(|(n, nth)| cut(n, nth)).collect();
-        cuts.sort_by(|a, b| a.0.total_cmp(&b.0));
-        for (after, fault) in cuts {
-            assert_eq!(sim.run(100.0 + after), [], "seed {seed}");
-            sim.strike(fault);
+            (0..nodes).filter(|n| *n != hears).zip(0..).map(|(n, index)| cut(n, index)).collect();
+        cuts.sort_by(|a, b| a.at.total_cmp(&b.at));
+        for ScheduledFault { at, fault } in cuts {
+            assert_eq!(sim.run(100.0 + at), [], "seed {seed}");
+            sim.inject(fault);
         }
         assert_eq!(sim.run(220.0), [], "seed {seed}");
-        assert!(sim.given_up_alive.is_empty(), "seed {seed}: {:?}", sim.given_up_alive);
-        assert!(sim.unheard().is_empty(), "seed {seed}: {:?}", sim.unheard());
+        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
+        assert!(sim.unknown_workers().is_empty(), "seed {seed}: {:?}", sim.unknown_workers());
     }
 }
 
@@ -140,15 +151,15 @@
 fn all_controllers_crash_while_a_third_hangs() {
     for seed in 0..6 {
         let mut sim = full(seed, 24);
-        for nth in (0..24).step_by(3) {
-            sim.strike(Fault::Hang { nth, for_s: if seed % 2 == 0 { 6.0 } else { 1000.0 } });
+        for machine in (0..24).step_by(3) {
+            sim.inject(Fault::MachineHang { machine, duration_s: if seed % 2 == 0 { 6.0 } else { 1000.0 } });
         }
         for node in 0..3 {
-            sim.strike(Fault::Crash { node, for_s: 4.0 });
+            sim.inject(Fault::ControllerCrash { node, duration_s: 4.0 });
         }
         assert_eq!(sim.run(260.0), [], "seed {seed}");
-        assert!(sim.given_up_alive.is_empty(), "seed {seed}: {:?}", sim.given_up_alive);
-        assert!(sim.unheard().is_empty(), "seed {seed}: {:?}", sim.unheard());
+        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
+        assert!(sim.unknown_workers().is_empty(), "seed {seed}: {:?}", sim.unknown_workers());
         if seed % 2 == 0 {
             assert_eq!(sim.deleted, [], "seed {seed}");
         } else {
@@ -167,21 +178,26 @@
         let mut sim = full_of(3 + seed as usize % 3, seed, 24);
         let Some(leader) = sim.leader() else { panic!("seed {seed}: nobody leads") };
         let apart = seed % 3 == 2;
-        let (state, workers, for_s) = (true, seed % 2 == 0, 60.0);
-        sim.strike(match seed % 4 {
-            0 => Fault::StateRefuses { node: leader, for_s },
-            _ => Fault::Cut { node: leader, state, workers, for_s },
+        let workers = seed % 2 == 0;
+        let duration_s = 60.0;
+        sim.inject(match seed % 4 {
+            0 => Fault::StoreRefusesNode { node: leader, duration_s },
+            _ => Fault::NodePartition { node: leader, store: true, workers, duration_s },
         });
         if apart {
-            sim.strike(Fault::PeersCut { node: leader, for_s });
+            sim.inject(Fault::PeerPartition { node: leader, duration_s });
         }
         assert_eq!(sim.run(170.0), [], "seed {seed}");
         assert_ne!(sim.leader(), Some(leader), "seed {seed}");
-        assert_eq!(sim.stray_calls, 0, "seed {seed}");
-        assert!(sim.given_up_alive.is_empty(), "seed {seed}: {:?}", sim.given_up_alive);
+        assert_eq!(sim.metrics.cloud_calls_by_replaced_leaders, 0, "seed {seed}");
+        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
         if !apart {
             // Views go out that often; one may be lost.
-            assert!(sim.rivals_s < derived().renewal_interval_s * 2.5, "seed {seed}: {}", sim.rivals_s);
+            assert!(
+                sim.metrics.max_dual_leadership_s < derived().renewal_interval_s * 2.5,
+                "seed {seed}: {}",
+                sim.metrics.max_dual_leadership_s
+            );
         }
     }
 }
@@ -193,13 +209,13 @@
 fn nobody_is_given_up_for_an_outage() {
     for seed in 0..8 {
         let mut sim = full_of(3 + seed as usize % 3, seed, 24);
-        sim.strike(Fault::StateOutage { for_s: derived().response_grace_s + 4.0 + 3.0 * seed as f64 });
+        sim.inject(Fault::StoreOutage { duration_s: derived().response_grace_s + 4.0 + 3.0 * seed as f64 });
         if seed % 2 == 1 {
-            sim.strike(Fault::Cut { node: 0, state: false, workers: true, for_s: 40.0 });
+            sim.inject(Fault::NodePartition { node: 0, store: false, workers: true, duration_s: 40.0 });
         }
         assert_eq!(sim.run(220.0), [], "seed {seed}");
-        assert!(sim.given_up_alive.is_empty(), "seed {seed}: {:?}", sim.given_up_alive);
-        assert!(sim.unheard().is_empty(), "seed {seed}: {:?}", sim.unheard());
+        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
+        assert!(sim.unknown_workers().is_empty(), "seed {seed}: {:?}", sim.unknown_workers());
     }
 }
 
@@ -212,24 +228,28 @@
     for seed in 0..12 {
         let mut sim = full_of(3 + seed as usize % 3, seed, 24);
         let nodes = sim.workers_by_node().len();
-        let (starts, leader) = (sim.starts, sim.leader());
+        let (starts, leader) = (sim.metrics.task_starts, sim.leader());
         let back = 0.1 + 0.05 * seed as f64;
         let outage = seed % 3 == 2;
         if outage {
-            sim.strike(Fault::StateOutage { for_s: 6.0 });
+            sim.inject(Fault::StoreOutage { duration_s: 6.0 });
             assert_eq!(sim.run(103.0), [], "seed {seed}");
         }
         for node in 0..nodes {
-            sim.strike(Fault::Crash { node, for_s: back });
+            sim.inject(Fault::ControllerCrash { node, duration_s: back });
         }
-        sim.leaderless_s = 0.0;
+        sim.metrics.max_leaderless_s = 0.0;
         // The outage's rest, a look and a claim, each of which may be slow.
         let most = if outage { 3.0 } else { back } + d.renewal_interval_s * 2.0;
         assert_eq!(sim.run(200.0), [], "seed {seed}");
-        assert!(sim.leaderless_s < most, "seed {seed}: {} s without a leader", sim.leaderless_s);
+        assert!(
+            sim.metrics.max_leaderless_s < most,
+            "seed {seed}: {} s without a leader",
+            sim.metrics.max_leaderless_s
+        );
         assert_eq!(sim.leader(), leader, "seed {seed}");
-        assert_eq!(sim.starts, starts, "seed {seed}: work was lost");
-        assert!(sim.given_up_alive.is_empty(), "seed {seed}: {:?}", sim.given_up_alive);
+        assert_eq!(sim.metrics.task_starts, starts, "seed {seed}: work was lost");
+        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
     }
 }
 
@@ -240,11 +260,11 @@
         let mut sim = full_of(3, seed, 24);
         let Some(first) = sim.leader() else { panic!("seed {seed}: nobody leads") };
         for n in 0..24 {
-            sim.strike(Fault::Crash { node: first, for_s: 0.2 });
+            sim.inject(Fault::ControllerCrash { node: first, duration_s: 0.2 });
             assert_eq!(sim.run(101.0 + n as f64), [], "seed {seed}");
         }
         assert_ne!(sim.leader(), Some(first), "seed {seed}");
         assert_eq!(sim.run(200.0), [], "seed {seed}");
-        assert!(sim.given_up_alive.is_empty(), "seed {seed}: {:?}", sim.given_up_alive);
+        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
     }
 }
--- a/crates/simulation/tests/rules.rs
+++ b/crates/simulation/tests/rules.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use anisecroft_simulation::rules::Ledger;
-use anisecroft_simulation::{Fault, Rule, Setup, Simulation};
+use anisecroft_simulation::{Fault, Rule, ScheduledFault, Setup, Simulation, Submission};
 use common::*;
 use controller::SafetyChecks;
 use protocol::job::*;
@@ -14,11 +14,11 @@
     let spec = JobSpec { tasks: 1, ..long_array() };
     l.specs.insert("req-1".into(), spec);
     l.submitted.insert("req-1".into());
-    l.cancel_asked.insert("req-1".into());
+    l.cancel_requested.insert("req-1".into());
     for &(sent, now, status) in answers {
-        l.tell(now, sent, "req-1", Some(status));
+        l.record_status(now, sent, "req-1", Some(status));
     }
-    l.broken.iter().map(|b| b.rule).collect()
+    l.violations.iter().map(|b| b.rule).collect()
 }
 
 #[test]
@@ -31,21 +31,24 @@
 }
 
 /// All troubles of users, reports and writes at once.
-fn all_new(seed: u64, guards: SafetyChecks) -> Simulation {
-    let for_s = 60.0;
+fn all_new(seed: u64, checks: SafetyChecks) -> Simulation {
+    let duration_s = 60.0;
     let faults = vec![
-        (20.0, Fault::CloseLooks { for_s: 150.0 }),
-        (20.0, Fault::OddRequests { for_s: 150.0 }),
-        (20.0, Fault::CancelAtEnd { share: 0.3, for_s: 150.0 }),
-        (30.0, Fault::FastBoots { for_s }),
-        (40.0, Fault::LostAnswers { share: 0.2, for_s }),
-        (50.0, Fault::CopiesForNext { after_s: 0.5, for_s }),
-        (55.0, Fault::MuteZone { zone: "a", for_s: 20.0 }),
-        (60.0, Fault::CancelNow { count: 6, hang_s: 15.0 }),
-        (70.0, Fault::Crash { node: (seed % 3) as usize, for_s: 0.2 }),
-        (75.0, Fault::Crash { node: ((seed + 1) % 3) as usize, for_s: 9.0 }),
+        ScheduledFault::new(20.0, Fault::ConcurrentQueries { duration_s: 150.0 }),
+        ScheduledFault::new(20.0, Fault::InvalidRequests { duration_s: 150.0 }),
+        ScheduledFault::new(20.0, Fault::CancelAtCompletion { share: 0.3, duration_s: 150.0 }),
+        ScheduledFault::new(30.0, Fault::FastBoots { duration_s }),
+        ScheduledFault::new(40.0, Fault::LostWriteResponses { share: 0.2, duration_s }),
+        ScheduledFault::new(50.0, Fault::HeartbeatsReplayedAfterFailover { delay_s: 0.5, duration_s }),
+        ScheduledFault::new(55.0, Fault::HeartbeatsLostInZone { zone: "a", duration_s: 20.0 }),
+        ScheduledFault::new(60.0, Fault::CancelRunningJobs { count: 6, hang_s: 15.0 }),
+        ScheduledFault::new(70.0, Fault::ControllerCrash { node: (seed % 3) as usize, duration_s: 0.2 }),
+        ScheduledFault::new(
+            75.0,
+            Fault::ControllerCrash { node: ((seed + 1) % 3) as usize, duration_s: 9.0 },
+        ),
     ];
-    let mut sim = Simulation::new(Setup { guards, ..setup(seed, faults) });
+    let mut sim = Simulation::new(Setup { checks, ..setup(seed, faults) });
     sim.run(500.0);
     sim
 }
@@ -54,14 +57,17 @@
 fn the_newest_troubles_come_about_and_break_no_rule() {
     let sims: Vec<Simulation> = (0..6).map(|seed| all_new(seed, SafetyChecks::default())).collect();
     for (seed, sim) in sims.iter().enumerate() {
-        assert_eq!(sim.ledger.broken, [], "seed {seed}");
+        assert_eq!(sim.ledger.violations, [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
-    let looks: Vec<_> = sims.iter().map(Simulation::looks).collect();
-    assert!(looks.iter().all(|l| l.close_answered > 100 && l.unfit_refused > 5), "{looks:?}");
-    assert!(looks.iter().any(|l| l.cancelled_at_once > 0) && looks.iter().any(|l| l.cancelled_at_end > 0));
-    assert!(sims.iter().all(|s| !s.lost_writes.is_empty()));
-    assert!(sims.iter().any(|s| s.kept_delivered() > 0));
+    let looks: Vec<_> = sims.iter().map(Simulation::query_counts).collect();
+    assert!(looks.iter().all(|l| l.concurrent_answered > 100 && l.invalid_refused > 5), "{looks:?}");
+    assert!(
+        looks.iter().any(|l| l.cancelled_at_acceptance > 0)
+            && looks.iter().any(|l| l.cancelled_at_completion > 0)
+    );
+    assert!(sims.iter().all(|s| !s.unanswered_writes.is_empty()));
+    assert!(sims.iter().any(|s| s.replayed_heartbeats() > 0));
 }
 
 /// The controllers take a team to be at its limit that is not. (Its last machine has room for one
@@ -70,8 +76,9 @@
 fn what_waits_beside_room_is_noticed() {
     let mut s = setup(3, vec![]);
     let spec = JobSpec { team: "clinics".into(), accelerators: 1.5, ..long_array() };
-    s.jobs =
-        (1..7).map(|n| (1.0, JobSpec { id: format!("req-{n}"), tasks: 1, ..spec.clone() }, None)).collect();
+    s.jobs = (1..7)
+        .map(|n| Submission::new(1.0, JobSpec { id: format!("req-{n}"), tasks: 1, ..spec.clone() }))
+        .collect();
     let mut without = s.settings.clone();
     without.params.teams.iter_mut().for_each(|t| t.accelerators_max = 0.0);
     let run = |judged: bool| {
@@ -80,7 +87,7 @@
             sim.judge_by(without.clone());
         }
         sim.run(200.0);
-        sim.ledger.broken.iter().map(|b| b.rule).collect::<Vec<_>>()
+        sim.ledger.violations.iter().map(|b| b.rule).collect::<Vec<_>>()
     };
     assert_eq!(run(false), []);
     assert_eq!(run(true), [Rule::LeftWaiting]);
--- a/crates/simulation/tests/scale.rs
+++ b/crates/simulation/tests/scale.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Setup, Simulation};
+use anisecroft_simulation::{Fault, ScheduledFault, Setup, Simulation, Submission};
 use common::*;
 use protocol::job::*;
 use std::collections::BTreeSet;
@@ -12,7 +12,7 @@
 
 /// Settings as in a deployment of that size: reports seldom, sockets for all workers at two of
 /// three controllers.
-fn large(run_s: f64, faults: Vec<(f64, Fault)>) -> Setup {
+fn large(run_s: f64, faults: Vec<ScheduledFault>) -> Setup {
     let mut s = setup(1, faults);
     unlimited(&mut s);
     let w = &mut s.settings.params.workers;
@@ -29,27 +29,28 @@
         estimated_run_s: run_s,
         ..plain_array(&format!("req-{n}"), MACHINES / 9)
     };
-    s.jobs = (0..9).map(|n| (1.0 + f64::from(n) * 0.1, array(n), None)).collect();
-    (s.broken, s.loss) = (BTreeSet::new(), 0.0);
+    s.jobs = (0..9).map(|n| Submission::new(1.0 + f64::from(n) * 0.1, array(n))).collect();
+    (s.failing_jobs, s.loss) = (BTreeSet::new(), 0.0);
     s
 }
 
-fn all_crash(at: f64) -> impl Iterator<Item = (f64, Fault)> {
-    (0..3).map(move |node| (at, Fault::Crash { node, for_s: 5.0 }))
+fn all_crash(at: f64) -> impl Iterator<Item = ScheduledFault> {
+    (0..3).map(move |node| ScheduledFault::new(at, Fault::ControllerCrash { node, duration_s: 5.0 }))
 }
 
 /// Until `rest_s` after the last trouble: all machines are up and at work before the first, and
 /// known again.
-fn returns(run_s: f64, faults: &[(f64, Fault)], rest_s: f64) -> Simulation {
-    let (first, last) = (faults[0].0, faults[faults.len() - 1].0);
+fn returns(run_s: f64, faults: &[ScheduledFault], rest_s: f64) -> Simulation {
+    let first = faults[0].at;
+    let last = faults[faults.len() - 1].at;
     let mut sim = Simulation::new(large(run_s, faults.to_vec()));
     sim.limit_cloud();
     assert_eq!(sim.run(first), []);
-    assert_eq!((sim.rented(), sim.starts), (MACHINES, u64::from(MACHINES)), "at {first}");
+    assert_eq!((sim.rented(), sim.metrics.task_starts), (MACHINES, u64::from(MACHINES)), "at {first}");
     assert_eq!(sim.run(last + rest_s), []);
-    assert!(sim.has_loaded());
-    assert_eq!(sim.unheard(), Vec::<&str>::new());
-    assert_eq!(sim.answered(31.0), MACHINES as usize);
+    assert!(sim.has_recovered());
+    assert_eq!(sim.unknown_workers(), Vec::<&str>::new());
+    assert_eq!(sim.workers_answered(31.0), MACHINES as usize);
     sim
 }
 
@@ -57,22 +58,22 @@
 fn stays_whole(sim: &Simulation) {
     eprintln!(
         "{} reports, {} relayed, {} changes, leaderless {:.1} s, {} refused by the cloud",
-        sim.reports,
-        sim.relayed,
-        sim.changes,
-        sim.leaderless_s,
+        sim.metrics.heartbeats,
+        sim.metrics.forwarded_heartbeats,
+        sim.metrics.mutations,
+        sim.metrics.max_leaderless_s,
         sim.refused_by_cloud()
     );
-    assert_eq!((sim.rented(), sim.starts), (MACHINES, u64::from(MACHINES)));
-    assert!(sim.given_up_alive.is_empty(), "{} given up alive", sim.given_up_alive.len());
-    assert!(sim.ghosts.is_empty(), "{} ghosts", sim.ghosts.len());
+    assert_eq!((sim.rented(), sim.metrics.task_starts), (MACHINES, u64::from(MACHINES)));
+    assert!(sim.declared_dead_alive.is_empty(), "{} given up alive", sim.declared_dead_alive.len());
+    assert!(sim.usable_after_loss.is_empty(), "{} ghosts", sim.usable_after_loss.len());
 }
 
 /// The leader ends, the state service is down for a while, and all controllers end and are back.
-fn troubles_at(first: f64, apart_s: f64) -> Vec<(f64, Fault)> {
+fn troubles_at(first: f64, apart_s: f64) -> Vec<ScheduledFault> {
     let mut faults = vec![
-        (first, Fault::CrashLeader { for_s: 10.0 }),
-        (first + apart_s, Fault::StateOutage { for_s: 15.0 }),
+        ScheduledFault::new(first, Fault::LeaderCrash { duration_s: 10.0 }),
+        ScheduledFault::new(first + apart_s, Fault::StoreOutage { duration_s: 15.0 }),
     ];
     faults.extend(all_crash(first + 2.0 * apart_s));
     faults
@@ -109,9 +110,9 @@
         estimated_run_s: 20.0,
         ..plain_array("req-1", 300)
     };
-    s.jobs = vec![(1.0, gang, None)];
+    s.jobs = vec![Submission::new(1.0, gang)];
     let mut sim = Simulation::new(s);
     assert_eq!(sim.run(300.0), []);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
-    assert_eq!(sim.starts, 300);
+    assert_eq!(sim.metrics.task_starts, 300);
 }
--- a/crates/simulation/tests/short_work.rs
+++ b/crates/simulation/tests/short_work.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Setup, Simulation};
+use anisecroft_simulation::{Fault, ScheduledFault, Setup, Simulation, Submission};
 use common::*;
 use protocol::job::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
@@ -11,7 +11,7 @@
 /// Runs until `until` holds, for `most` seconds at most.
 fn run_until(sim: &mut Simulation, most: f64, until: impl Fn(&Simulation) -> bool) -> bool {
     let end = sim.now + most;
-    while sim.now < end && sim.ledger.broken.is_empty() {
+    while sim.now < end && sim.ledger.violations.is_empty() {
         if until(sim) {
             return true;
         }
@@ -23,18 +23,18 @@
 /// Nothing of the day is left: every job is over, known and nothing more; no machine is rented that
 /// nobody knows of or needs.
 fn nothing_stays_behind(sim: &Simulation, what: &str) {
-    assert_eq!(sim.ledger.broken, [], "{what}");
+    assert_eq!(sim.ledger.violations, [], "{what}");
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "{what}");
     let left = ["j/", "t/", "w/", "jx/"].map(|prefix| sim.store().count(prefix));
     assert_eq!(left, [0; 4], "{what}");
     assert_eq!(sim.store().count("jo/"), sim.ledger.accepted.len(), "{what}");
-    assert_eq!(sim.unheard(), Vec::<&str>::new(), "{what}");
-    assert_eq!(sim.machines(), 0, "{what}");
+    assert_eq!(sim.unknown_workers(), Vec::<&str>::new(), "{what}");
+    assert_eq!(sim.machine_count(), 0, "{what}");
 }
 
-/// Short jobs of one task, four a second from `from` on for `for_s`, a quarter of them cancelled: as
+/// Short jobs of one task, four a second from `from` on for `duration_s`, a quarter of them cancelled: as
 /// they are accepted, launched or about to run.
-fn short_jobs(rng: &mut SmallRng, from: f64, for_s: f64) -> Vec<(f64, JobSpec, Option<f64>)> {
+fn short_jobs(rng: &mut SmallRng, from: f64, duration_s: f64) -> Vec<Submission> {
     let one = |n: usize, rng: &mut SmallRng| JobSpec {
         id: format!("req-{}", 1000 + n),
         tasks: 1,
@@ -44,30 +44,30 @@
         estimated_run_s: rng.gen_range(1.0..6.0),
         ..long_array()
     };
-    (0..(for_s * 4.0) as usize)
+    (0..(duration_s * 4.0) as usize)
         .map(|n| {
             let at = from + n as f64 * 0.25;
             let cancel = rng.gen_bool(0.25).then(|| at + [0.0, 0.5, 1.0, 3.0][rng.gen_range(0..4usize)]);
-            (at, one(n, rng), cancel)
+            Submission::new(at, one(n, rng)).cancelled_at(cancel)
         })
         .collect()
 }
 
 /// A day of such jobs while `faults` strike.
-fn day(seed: u64, for_s: f64, faults: Vec<(f64, Fault)>) -> Setup {
+fn day(seed: u64, duration_s: f64, faults: Vec<ScheduledFault>) -> Setup {
     let mut s = setup(seed, faults);
     unlimited(&mut s);
-    s.jobs = short_jobs(&mut SmallRng::seed_from_u64(seed ^ 0x5407), 10.0, for_s);
+    s.jobs = short_jobs(&mut SmallRng::seed_from_u64(seed ^ 0x5407), 10.0, duration_s);
     Setup { capacity: 12, nodes: 3 + 2 * (seed % 2) as usize, loss: 0.0, ..s }
 }
 
 /// What lags on the way to and from the state service.
-fn lag(seed: u64, for_s: f64) -> Fault {
+fn lag(seed: u64, duration_s: f64) -> Fault {
     match seed % 4 {
-        0 => Fault::LateWrites { share: 0.2, for_s },
-        1 => Fault::LostAnswers { share: 0.3, for_s },
-        2 => Fault::SlowState { by_s: 0.6, for_s },
-        _ => Fault::SlowState { by_s: 1.2, for_s },
+        0 => Fault::DelayedWrites { share: 0.2, duration_s },
+        1 => Fault::LostWriteResponses { share: 0.3, duration_s },
+        2 => Fault::SlowStore { max_delay_s: 0.6, duration_s },
+        _ => Fault::SlowStore { max_delay_s: 1.2, duration_s },
     }
 }
 
@@ -75,21 +75,25 @@
 /// in which the cloud has carried out its rental and it does not know, four times; it is back at once
 /// or later. Machines rented so.
 fn rented_unawares(seed: u64) -> u32 {
-    let mut sim = Simulation::new(day(seed, 90.0, vec![(0.0, Fault::FastBoots { for_s: 130.0 })]));
+    let mut sim = Simulation::new(day(
+        seed,
+        90.0,
+        vec![ScheduledFault::new(0.0, Fault::FastBoots { duration_s: 130.0 })],
+    ));
     sim.run(12.0);
-    sim.strike(lag(seed, 90.0));
+    sim.inject(lag(seed, 90.0));
     let (mut unawares, mut ends) = (0, 0);
     while ends < 4 && sim.now < 100.0 {
         let before = sim.rented();
         if !run_until(&mut sim, 20.0, |s| s.rented() > before) {
             // All that is needed is there: some of it goes.
-            sim.strike(Fault::Take { nth: ends });
+            sim.inject(Fault::MachineLost { machine: ends });
             ends += 1;
             continue;
         }
         if let Some(node) = sim.leader() {
-            let for_s = if ends % 2 == 0 { 0.2 } else { 6.0 };
-            sim.strike(Fault::Crash { node, for_s });
+            let duration_s = if ends % 2 == 0 { 0.2 } else { 6.0 };
+            sim.inject(Fault::ControllerCrash { node, duration_s });
             unawares += sim.rented() - before;
             ends += 1;
         }
@@ -109,24 +113,30 @@
 /// Such jobs for two minutes at nine tenths of the rate that the state service takes, with others
 /// cancelled at their end; the leader ends in the middle, and answers are lost or late.
 fn flood(seed: u64) -> Simulation {
-    let cancels = Fault::CancelAtEnd { share: 0.1, for_s: 150.0 };
+    let cancels = Fault::CancelAtCompletion { share: 0.1, duration_s: 150.0 };
     let faults = vec![
-        (0.0, Fault::FastBoots { for_s: 150.0 }),
-        (0.0, cancels),
-        (1.0, Fault::LimitsFall),
-        (50.0, lag(seed, 30.0)),
-        (60.0 + seed as f64, Fault::Crash { node: (seed % 3) as usize, for_s: 0.2 }),
-        (70.0 + seed as f64, Fault::Crash { node: ((seed + 1) % 3) as usize, for_s: 5.0 }),
+        ScheduledFault::new(0.0, Fault::FastBoots { duration_s: 150.0 }),
+        ScheduledFault::new(0.0, cancels),
+        ScheduledFault::new(1.0, Fault::StoreLimitsReduced),
+        ScheduledFault::new(50.0, lag(seed, 30.0)),
+        ScheduledFault::new(
+            60.0 + seed as f64,
+            Fault::ControllerCrash { node: (seed % 3) as usize, duration_s: 0.2 },
+        ),
+        ScheduledFault::new(
+            70.0 + seed as f64,
+            Fault::ControllerCrash { node: ((seed + 1) % 3) as usize, duration_s: 5.0 },
+        ),
     ];
     let mut s = day(seed, 120.0, faults);
     let next = NextLimits { rps: None, write_rps: Some(24.0), value_kb: None, txn_ops: None };
     s.settings.params.store.next = Some(next);
     let mut sim = Simulation::new(s);
     sim.run(130.0);
-    let rate = sim.changes as f64 / 120.0;
+    let rate = sim.metrics.mutations as f64 / 120.0;
     assert!(rate > 18.0, "seed {seed}: {rate} changes a second");
     assert!(sim.store().limited < 150, "seed {seed}: {} refused", sim.store().limited);
-    let done = sim.ledger.over_at.len();
+    let done = sim.ledger.finished.len();
     assert!(done > 300, "seed {seed}: {done} over by then");
     sim.run(600.0);
     sim
@@ -138,14 +148,17 @@
         let sim = flood(seed);
         nothing_stays_behind(&sim, &format!("seed {seed}"));
         let cancelled = sim.ledger.cancelled_at.len();
-        assert!(cancelled > 60 && sim.looks().cancelled_at_end > 10, "seed {seed}: {cancelled}");
+        assert!(
+            cancelled > 60 && sim.query_counts().cancelled_at_completion > 10,
+            "seed {seed}: {cancelled}"
+        );
         println!(
             "seed {seed} limited {} late {} over {} cancelled {} changes {}",
             sim.store().limited,
             sim.late_starts.len(),
-            sim.ledger.over_at.len(),
+            sim.ledger.finished.len(),
             cancelled,
-            sim.changes
+            sim.metrics.mutations
         );
     }
 }
--- a/crates/simulation/tests/simulation.rs
+++ b/crates/simulation/tests/simulation.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use anisecroft_simulation::{Fault, Rule, Setup, Simulation};
+use anisecroft_simulation::{Fault, Rule, ScheduledFault, Setup, Simulation, Submission};
 use common::*;
 use controller::SafetyChecks;
 use protocol::job::*;
@@ -14,7 +14,7 @@
     assert_eq!(sim.run(400.0), []);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
     assert_eq!(sim.ledger.accepted.len(), 40);
-    assert!(sim.starts > 60, "{}", sim.starts);
+    assert!(sim.metrics.task_starts > 60, "{}", sim.metrics.task_starts);
 }
 
 #[test]
@@ -34,7 +34,12 @@
     for seed in 100..108 {
         let mut faults = troubles(seed);
         // All five crash together, in the middle of whatever goes on.
-        faults.extend((0..5).map(|node| (90.0, Fault::Crash { node, for_s: [0.2, 5.0][seed as usize % 2] })));
+        faults.extend((0..5).map(|node| {
+            ScheduledFault::new(
+                90.0,
+                Fault::ControllerCrash { node, duration_s: [0.2, 5.0][seed as usize % 2] },
+            )
+        }));
         let mut sim = Simulation::new(Setup { nodes: 5, ..setup(seed, faults.clone()) });
         assert_eq!(sim.run(700.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
@@ -48,8 +53,8 @@
     for seed in (200..212).chain([6198]) {
         let faults = if seed < 212 { troubles(seed) } else { late_returns(seed) };
         let mut s = setup(seed, faults.clone());
-        for (at, spec, cancel) in s.jobs.iter_mut().step_by(5) {
-            s.broken.insert(spec.id.clone());
+        for Submission { at, spec, cancel_at: cancel } in s.jobs.iter_mut().step_by(5) {
+            s.failing_jobs.insert(spec.id.clone());
             *cancel = Some(*at + 120.0);
         }
         let mut sim = Simulation::new(s);
@@ -71,15 +76,15 @@
             tasks: 4,
             accelerators: 1.0,
             priority: Priority::High,
-            ..jobs[0].1.clone()
+            ..jobs[0].spec.clone()
         };
-        jobs.push((70.0, spec, Some(200.0)));
+        jobs.push(Submission::new(70.0, spec).cancelled_at(200.0));
     }
     let broken = (10..16).map(|n| format!("req-{n}")).collect();
-    let mut sim = Simulation::new(Setup { broken, ..roomy(jobs, 8) });
+    let mut sim = Simulation::new(Setup { failing_jobs: broken, ..roomy(jobs, 8) });
     assert_eq!(sim.run(190.0), []);
-    assert!(sim.failures >= 12, "{} failures", sim.failures);
-    assert!(sim.failures < 200, "{} failures", sim.failures);
+    assert!(sim.metrics.task_failures >= 12, "{} failures", sim.metrics.task_failures);
+    assert!(sim.metrics.task_failures < 200, "{} failures", sim.metrics.task_failures);
     assert!(sim.quarantined.len() <= 1, "{:?}", sim.quarantined);
 }
 
@@ -94,12 +99,15 @@
         estimated_run_s: 20.0,
         ..wide("req-1", 3000, Priority::Normal, 0.0)
     };
-    let mut s = roomy(vec![(1.0, array, None), (60.0, wide("req-2", 2, Priority::High, 1.0), None)], 100);
+    let mut s = roomy(
+        vec![Submission::new(1.0, array), Submission::new(60.0, wide("req-2", 2, Priority::High, 1.0))],
+        100,
+    );
     s.settings.params.store.value_kb = 8.0;
     let mut sim = Simulation::new(s);
     assert_eq!(sim.run(150.0), []);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
-    assert!(sim.changes < 2000, "{} changes", sim.changes);
+    assert!(sim.metrics.mutations < 2000, "{} changes", sim.metrics.mutations);
 }
 
 /// The machines of a gang that has to be together were once rented in all zones
@@ -107,7 +115,7 @@
 #[test]
 fn a_large_gangs_machines_come_together() {
     let gang = JobSpec { one_zone: true, ..wide("req-1", 5, Priority::High, 4.0) };
-    let mut sim = Simulation::new(roomy(vec![(1.0, gang, None)], 12));
+    let mut sim = Simulation::new(roomy(vec![Submission::new(1.0, gang)], 12));
     assert_eq!(sim.run(300.0), []);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
     assert!(sim.rented() <= 7, "{} rented for five", sim.rented());
@@ -124,12 +132,19 @@
         let gang =
             JobSpec { shape: Shape::Gang, estimated_run_s: 20.0, ..wide("req-2", 3, Priority::High, 4.0) };
         let cancel = (seed % 4 == 3).then_some(60.0 + wait_s * 1.1);
-        let slow = |nth| (40.0, Fault::SlowFetch { nth, fetch_s: wait_s * (1.6 + nth as f64) });
+        let slow = |machine| {
+            ScheduledFault::new(
+                40.0,
+                Fault::SlowImageFetch { machine, fetch_s: wait_s * (1.6 + machine as f64) },
+            )
+        };
         let mut faults: Vec<_> = (0..1 + seed as usize % 2).map(slow).collect();
         if seed % 4 == 1 {
-            faults.extend((0..3).map(|node| (60.0 + wait_s, Fault::Crash { node, for_s: 0.2 })));
+            faults.extend((0..3).map(|node| {
+                ScheduledFault::new(60.0 + wait_s, Fault::ControllerCrash { node, duration_s: 0.2 })
+            }));
         }
-        let jobs = vec![(1.0, first, None), (45.0, gang, cancel)];
+        let jobs = vec![Submission::new(1.0, first), Submission::new(45.0, gang).cancelled_at(cancel)];
         let mut sim = Simulation::new(Setup { faults, seed, ..roomy(jobs, 3) });
         assert_eq!(sim.run(90.0 + wait_s * 3.6), [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
@@ -143,19 +158,19 @@
         .map(|n| {
             let spec =
                 JobSpec { estimated_run_s: 10.0, ..wide(&format!("req-{n}"), 4, Priority::Normal, 1.0) };
-            (1.0 + 3.0 * f64::from(n), spec, None)
+            Submission::new(1.0 + 3.0 * f64::from(n), spec)
         })
         .collect::<Vec<_>>();
     // What runs on it when is luck: one seed in three has more than 8 failures.
     let mut failures = 0;
     for seed in 21..29 {
-        let faults = vec![(40.0, Fault::Sick { nth: 0 })];
+        let faults = vec![ScheduledFault::new(40.0, Fault::FaultyMachine { machine: 0 })];
         let mut sim = Simulation::new(Setup { seed, faults, ..roomy(jobs.clone(), 6) });
         assert_eq!(sim.run(400.0), []);
         assert_eq!(sim.unfinished(), Vec::<String>::new());
-        assert!(sim.failures >= 1);
+        assert!(sim.metrics.task_failures >= 1);
         assert_eq!(sim.quarantined.len(), 1, "{:?}", sim.quarantined);
-        failures += sim.failures;
+        failures += sim.metrics.task_failures;
     }
     assert!(failures <= 8 * 12, "{failures} failures");
 }
@@ -165,15 +180,15 @@
 #[test]
 fn a_silent_leader_is_replaced_and_comes_back_quietly() {
     for (nodes, node) in [(3, 0), (3, 1), (3, 2), (5, 0), (5, 3)] {
-        let faults = vec![(60.0, Fault::Silent { node, for_s: 60.0 })];
+        let faults = vec![ScheduledFault::new(60.0, Fault::ControllerPause { node, duration_s: 60.0 })];
         // A lost report and a frozen node in turn would be a silent machine.
         let s = Setup { nodes, jobs: long_jobs(), capacity: 4, loss: 0.0, ..setup(13, faults) };
         let mut sim = Simulation::new(s);
         assert_eq!(sim.run(59.0), []);
-        let (deleted, starts) = (sim.deleted.len(), sim.starts);
+        let (deleted, starts) = (sim.deleted.len(), sim.metrics.task_starts);
         assert_eq!(sim.run(200.0), []);
         assert_eq!(sim.deleted.len(), deleted, "{:?}", sim.deleted);
-        assert_eq!(sim.starts, starts, "running work went on");
+        assert_eq!(sim.metrics.task_starts, starts, "running work went on");
     }
 }
 
@@ -196,7 +211,7 @@
     }
 }
 
-fn roomy(jobs: Vec<(f64, JobSpec, Option<f64>)>, capacity: usize) -> Setup {
+fn roomy(jobs: Vec<Submission>, capacity: usize) -> Setup {
     let mut s = setup(21, vec![]);
     for t in &mut s.settings.params.teams {
         t.accelerators_max = 0.0;
@@ -210,14 +225,14 @@
 #[test]
 fn a_stop_goes_to_each_machine_once() {
     let jobs = vec![
-        (1.0, JobSpec { estimated_run_s: 400.0, ..wide("req-1", 32, Priority::Low, 1.0) }, None),
-        (90.0, wide("req-2", 8, Priority::High, 4.0), None),
+        Submission::new(1.0, JobSpec { estimated_run_s: 400.0, ..wide("req-1", 32, Priority::Low, 1.0) }),
+        Submission::new(90.0, wide("req-2", 8, Priority::High, 4.0)),
     ];
     let mut sim = Simulation::new(roomy(jobs, 8));
     assert_eq!(sim.run(89.0), []);
-    let before = sim.direct_calls;
+    let before = sim.metrics.direct_calls;
     assert_eq!(sim.run(130.0), []);
-    let calls = sim.direct_calls - before;
+    let calls = sim.metrics.direct_calls - before;
     assert!((1..=16).contains(&calls), "{calls} calls to stop 32 tasks on 8 machines");
 }
 
@@ -226,11 +241,13 @@
 #[test]
 fn changes_per_task_fall_with_an_arrays_size() {
     let changes = |tasks: u32, capacity: usize| {
-        let mut sim =
-            Simulation::new(roomy(vec![(1.0, wide("req-1", tasks, Priority::Normal, 1.0), None)], capacity));
+        let mut sim = Simulation::new(roomy(
+            vec![Submission::new(1.0, wide("req-1", tasks, Priority::Normal, 1.0))],
+            capacity,
+        ));
         assert_eq!(sim.run(300.0), []);
         assert_eq!(sim.unfinished(), Vec::<String>::new());
-        sim.changes as f64 / f64::from(tasks)
+        sim.metrics.mutations as f64 / f64::from(tasks)
     };
     let (small, large) = (changes(16, 4), changes(160, 40));
     assert!(large < small / 2.0 && large < 0.6, "{small} and {large} changes a task");
@@ -239,13 +256,18 @@
 #[test]
 fn a_crashed_leader_is_replaced_within_half_a_worker_lease() {
     // Whoever leads, one of the three crashes ends its leadership.
-    let faults = (0..3).map(|n| (30.0 + 40.0 * n as f64, Fault::Crash { node: n, for_s: 8.0 })).collect();
+    let faults = (0..3)
+        .map(|n| {
+            ScheduledFault::new(30.0 + 40.0 * n as f64, Fault::ControllerCrash { node: n, duration_s: 8.0 })
+        })
+        .collect();
     let mut sim = Simulation::new(setup(3, faults));
     assert_eq!(sim.run(200.0), []);
     assert!(
-        sim.leaderless_s > 0.5 && sim.leaderless_s < settings().params.workers.lease_s / 2.0,
+        sim.metrics.max_leaderless_s > 0.5
+            && sim.metrics.max_leaderless_s < settings().params.workers.lease_s / 2.0,
         "{}",
-        sim.leaderless_s
+        sim.metrics.max_leaderless_s
     );
 }
 
@@ -255,11 +277,11 @@
 fn followers_see_the_first_leader_of_a_fresh_store() {
     let mut sim = Simulation::new(Setup { jobs: vec![], ..setup(5, vec![]) });
     assert_eq!(sim.run(60.0), []);
-    assert!(sim.conflicts <= 2, "{}", sim.conflicts);
+    assert!(sim.metrics.conflicts <= 2, "{}", sim.metrics.conflicts);
 }
 
 /// Jobs that fill four machines for the whole run.
-fn long_jobs() -> Vec<(f64, JobSpec, Option<f64>)> {
+fn long_jobs() -> Vec<Submission> {
     (0..4)
         .map(|n| {
             let spec = JobSpec {
@@ -274,7 +296,7 @@
                 estimated_run_s: 500.0,
                 ..job(&mut SmallRng::seed_from_u64(1), n)
             };
-            (2.0, spec, None)
+            Submission::new(2.0, spec)
         })
         .collect()
 }
@@ -284,15 +306,15 @@
 #[test]
 fn a_leader_without_workers_resigns_and_deletes_nothing() {
     for node in 0..3 {
-        let cut = Fault::Cut { node, state: false, workers: true, for_s: 60.0 };
-        let s = setup(11, vec![(60.0, cut)]);
+        let cut = Fault::NodePartition { node, store: false, workers: true, duration_s: 60.0 };
+        let s = setup(11, vec![ScheduledFault::new(60.0, cut)]);
         // A lost report and a cut node in turn would be a silent machine.
         let mut sim = Simulation::new(Setup { jobs: long_jobs(), capacity: 4, loss: 0.0, ..s });
         assert_eq!(sim.run(59.0), []);
-        let (before, starts) = (sim.deleted.len(), sim.starts);
+        let (before, starts) = (sim.deleted.len(), sim.metrics.task_starts);
         assert_eq!(sim.run(140.0), []);
         assert_eq!(sim.deleted.len(), before, "{:?}", sim.deleted);
-        assert_eq!(sim.starts, starts, "running work went on");
+        assert_eq!(sim.metrics.task_starts, starts, "running work went on");
     }
 }
 
@@ -300,20 +322,22 @@
 /// not heard yet, for stuck boots.
 #[test]
 fn a_takeover_deletes_no_machine_that_is_up() {
-    let crashes = (0..3).map(|node| (100.0, Fault::Crash { node, for_s: 3.0 })).collect();
+    let crashes = (0..3)
+        .map(|node| ScheduledFault::new(100.0, Fault::ControllerCrash { node, duration_s: 3.0 }))
+        .collect();
     let mut sim = Simulation::new(Setup { jobs: long_jobs(), ..setup(12, crashes) });
     assert_eq!(sim.run(99.0), []);
-    let (before, starts) = (sim.deleted.len(), sim.starts);
+    let (before, starts) = (sim.deleted.len(), sim.metrics.task_starts);
     assert_eq!(sim.run(150.0), []);
     assert_eq!(sim.deleted.len(), before, "{:?}", sim.deleted);
-    assert_eq!(sim.starts, starts, "running work went on");
+    assert_eq!(sim.metrics.task_starts, starts, "running work went on");
 }
 
 /// Runs many seeds with a guard off until the rule breaks.
-fn caught(rules: &[Rule], guards: SafetyChecks, faults: impl Fn(u64) -> Vec<(f64, Fault)>) -> bool {
+fn caught(rules: &[Rule], checks: SafetyChecks, faults: impl Fn(u64) -> Vec<ScheduledFault>) -> bool {
     (0..150).any(|seed| {
         let mut s = setup(seed, faults(seed));
-        s.guards = guards;
+        s.checks = checks;
         let broken = Simulation::new(s).run(300.0).to_vec();
         broken.iter().any(|b| rules.contains(&b.rule))
     })
@@ -321,63 +345,76 @@
 
 #[test]
 fn without_the_quota_guard_a_limit_breaks() {
-    let guards = SafetyChecks { quota: false, ..SafetyChecks::default() };
-    assert!(caught(&[Rule::Quota], guards, |_| vec![]));
+    let checks = SafetyChecks { quota: false, ..SafetyChecks::default() };
+    assert!(caught(&[Rule::Quota], checks, |_| vec![]));
 }
 
 #[test]
 fn without_the_lease_wait_a_task_runs_twice() {
-    let guards = SafetyChecks { wait_for_lease_expiry: false, ..SafetyChecks::default() };
+    let checks = SafetyChecks { wait_for_lease_expiry: false, ..SafetyChecks::default() };
     // The cloud is out, or deleting the silent machine would end its tasks.
     let faults = |seed: u64| {
-        let hangs =
-            (0..6).map(|i| (30.0 + 20.0 * i as f64, Fault::Hang { nth: seed as usize + i, for_s: 14.0 }));
-        hangs.chain([(28.0, Fault::CloudOutage { for_s: 250.0 })]).collect()
+        let hangs = (0..6).map(|i| {
+            ScheduledFault::new(
+                30.0 + 20.0 * i as f64,
+                Fault::MachineHang { machine: seed as usize + i, duration_s: 14.0 },
+            )
+        });
+        hangs.chain([ScheduledFault::new(28.0, Fault::CloudOutage { duration_s: 250.0 })]).collect()
     };
-    assert!(caught(&[Rule::RanTwice, Rule::Quota, Rule::WrongPlace], guards, faults));
+    assert!(caught(&[Rule::RanTwice, Rule::Quota, Rule::WrongPlace], checks, faults));
 }
 
 #[test]
 fn without_write_ahead_a_takeover_breaks_a_rule() {
-    let guards =
+    let checks =
         SafetyChecks { launch_after_commit: false, version_checks: false, ..SafetyChecks::default() };
     assert!(caught(
         &[Rule::RanTwice, Rule::Quota, Rule::WrongPlace, Rule::WentBack, Rule::RanCancelled],
-        guards,
+        checks,
         troubles
     ));
 }
 
 #[test]
 fn without_versions_a_final_state_goes_back() {
-    let guards = SafetyChecks { version_checks: false, ..SafetyChecks::default() };
+    let checks = SafetyChecks { version_checks: false, ..SafetyChecks::default() };
     // Held writes of a cut leader arrive after its successor's.
     let faults = |seed: u64| {
-        let cut = |i: u64| Fault::Cut {
+        let cut = |i: u64| Fault::NodePartition {
             node: ((seed + i) % 3) as usize,
-            state: true,
+            store: true,
             workers: false,
-            for_s: 6.0 + (seed % 7) as f64,
+            duration_s: 6.0 + (seed % 7) as f64,
         };
-        (0..12).map(|i| (15.0 + 11.0 * i as f64 + (seed % 5) as f64, cut(i))).collect()
+        (0..12).map(|i| ScheduledFault::new(15.0 + 11.0 * i as f64 + (seed % 5) as f64, cut(i))).collect()
     };
-    assert!(caught(&[Rule::WentBack, Rule::RanTwice, Rule::RanCancelled, Rule::NotDone], guards, faults));
+    assert!(caught(&[Rule::WentBack, Rule::RanTwice, Rule::RanCancelled, Rule::NotDone], checks, faults));
 }
 
 #[test]
 fn without_the_grace_a_cancelled_task_stays() {
-    let guards = SafetyChecks { response_grace: false, ..SafetyChecks::default() };
-    assert!(caught(&[Rule::RanCancelled, Rule::RanTwice, Rule::Quota, Rule::WrongPlace], guards, |_| {
+    let checks = SafetyChecks { response_grace: false, ..SafetyChecks::default() };
+    assert!(caught(&[Rule::RanCancelled, Rule::RanTwice, Rule::Quota, Rule::WrongPlace], checks, |_| {
         (0..3)
-            .map(|n| (40.0, Fault::StateRefuses { node: n, for_s: 0.0 }))
+            .map(|n| ScheduledFault::new(40.0, Fault::StoreRefusesNode { node: n, duration_s: 0.0 }))
             .chain([
-                (50.0, Fault::Cut { node: 0, state: true, workers: false, for_s: 100.0 }),
-                (50.0, Fault::Cut { node: 1, state: true, workers: false, for_s: 100.0 }),
+                ScheduledFault::new(
+                    50.0,
+                    Fault::NodePartition { node: 0, store: true, workers: false, duration_s: 100.0 },
+                ),
+                ScheduledFault::new(
+                    50.0,
+                    Fault::NodePartition { node: 1, store: true, workers: false, duration_s: 100.0 },
+                ),
                 // Else they would hear of their successor.
-                (50.0, Fault::PeersCut { node: 0, for_s: 100.0 }),
-                (50.0, Fault::PeersCut { node: 1, for_s: 100.0 }),
+                ScheduledFault::new(50.0, Fault::PeerPartition { node: 0, duration_s: 100.0 }),
+                ScheduledFault::new(50.0, Fault::PeerPartition { node: 1, duration_s: 100.0 }),
                 // Its direct stops would end the tasks in time.
-                (50.0, Fault::Cut { node: 2, state: false, workers: true, for_s: 100.0 }),
+                ScheduledFault::new(
+                    50.0,
+                    Fault::NodePartition { node: 2, store: false, workers: true, duration_s: 100.0 },
+                ),
             ])
             .collect()
     }));
--- a/crates/simulation/tests/stage/mod.rs
+++ b/crates/simulation/tests/stage/mod.rs
@@ -185,7 +185,7 @@
     fn wake_watches(&mut self) {
         for (until, call, op) in std::mem::take(&mut self.watches) {
             let r = self.store.execute(self.now, &op);
-            match r.or_else(|| (self.now >= until).then(|| self.store.quiet())) {
+            match r.or_else(|| (self.now >= until).then(|| self.store.no_events())) {
                 Some(r) if (self.fate)(&op) == JobOutcome::Held => self.held.push(Input::Store(call, r)),
                 Some(r) => self.replies.push((self.now + WAY_S, Input::Store(call, r))),
                 None => self.watches.push((until, call, op)),
@@ -193,12 +193,12 @@
         }
     }
 
-    pub fn run(&mut self, for_s: f64) {
-        let end = self.now + for_s;
+    pub fn run(&mut self, duration_s: f64) {
+        let end = self.now + duration_s;
         while self.now < end {
             self.now += WAY_S;
             let now = self.now;
-            self.store.expire(now);
+            self.store.expire_leases(now);
             let (due, rest): (Vec<_>, _) =
                 std::mem::take(&mut self.late).into_iter().partition(|l| l.0 <= now);
             self.late = rest;
--- a/crates/simulation/tests/takeover.rs
+++ b/crates/simulation/tests/takeover.rs
@@ -101,7 +101,7 @@
         let view = protocol::peer::View { node, state_reached: true, format: FORMAT, ..Default::default() };
         let core = Controller::new(s, Operator::default(), 1);
         let mut w = World { core, peer: Some(view), now, ..World::new(store) };
-        w.store.expire(now);
+        w.store.expire_leases(now);
         w.take_over();
         w
     }
@@ -157,12 +157,12 @@
         while self.now < end {
             self.now += 0.05;
             if !self.down {
-                self.store.expire(self.now);
+                self.store.expire_leases(self.now);
             }
             for (until, call, op) in std::mem::take(&mut self.watches) {
                 let ready = !self.down && !self.watches_down;
                 let reply = ready.then(|| self.store.execute(self.now, &op)).flatten();
-                let quiet = (ready && self.now >= until).then(|| self.store.quiet());
+                let quiet = (ready && self.now >= until).then(|| self.store.no_events());
                 match reply.or(quiet) {
                     Some(reply) => self.feed(Input::Store(call, reply)),
                     None => self.watches.push((until, call, op)),
@@ -341,7 +341,7 @@
     // A new leader finds all of both.
     let mut next = World::new(std::mem::take(&mut w.store));
     next.now = w.now + 20.0;
-    next.store.expire(next.now);
+    next.store.expire_leases(next.now);
     next.take_over();
     assert_eq!(next.core.placement_count(), 512);
 }
--- a/crates/simulation/tests/versions.rs
+++ b/crates/simulation/tests/versions.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use anisecroft_simulation::{Setup, Simulation};
+use anisecroft_simulation::{Setup, Simulation, Submission};
 use common::*;
 use controller::records::*;
 use prost::Message;
@@ -149,12 +149,12 @@
         unlimited(&mut s);
         let state = &mut s.settings.params.store;
         state.next = Some(NextLimits { value_kb: Some(2.0), txn_ops: Some(8), ..NextLimits::default() });
-        for (_, spec, _) in s.jobs.iter_mut().step_by(5).filter(|j| j.1.shape == Shape::Array) {
+        for Submission { spec, .. } in s.jobs.iter_mut().step_by(5).filter(|j| j.spec.shape == Shape::Array) {
             (spec.tasks, spec.cores, spec.accelerators, spec.memory_gb) = (200, 0.25, 0.0, 0.25);
         }
         let mut sim = Simulation::new(Setup { capacity: 12, ..s });
-        sim.inspect(look);
-        sim.say_format(FORMAT_MOVES);
+        sim.inspect_writes(look);
+        sim.announce_format(FORMAT_MOVES);
         assert_eq!(sim.run(500.0), [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
         assert!(sim.store().count(OVER_PREFIX) > 0, "production's own gate is open");
@@ -169,15 +169,15 @@
     unlimited(&mut s);
     s.settings.params.store.next = Some(NextLimits { value_kb: Some(2.0), ..NextLimits::default() });
     let array = JobSpec { tasks: 900, cores: 0.25, accelerators: 0.0, memory_gb: 0.25, ..long_array() };
-    let mut sim = Simulation::new(Setup { jobs: vec![(1.0, array, None)], capacity: 12, ..s });
-    sim.say_format(FORMAT_MOVES);
+    let mut sim = Simulation::new(Setup { jobs: vec![Submission::new(1.0, array)], capacity: 12, ..s });
+    sim.announce_format(FORMAT_MOVES);
     assert_eq!(sim.run(60.0), []);
     assert_eq!(sim.store().format(), Some(FORMAT_MOVES));
-    sim.say_format(FORMAT);
+    sim.announce_format(FORMAT);
     assert_eq!(sim.run(70.0), []);
     assert_eq!(sim.store().format(), Some(FORMAT));
     // A node that says less afterwards has not lost what it has.
-    sim.say_format(FORMAT_MOVES);
+    sim.announce_format(FORMAT_MOVES);
     assert_eq!(sim.run(90.0), []);
     assert_eq!(sim.store().format(), Some(FORMAT));
 }
