--- a/crates/dependencies/tests/graph.rs
+++ b/crates/dependencies/tests/graph.rs
@@ -1,20 +1,24 @@
-//! The graph against a plain model over generated pipelines.
+//! The dependency graph against a plain model over generated graphs.
 
-use anisecroft_dependencies::{DependencyGraph, InheritedPriority, JobOutcome, OwnPriority};
+use anisecroft_dependencies::{DependencyGraph, GraphEffects, InheritedPriority, JobOutcome, OwnPriority};
 use proptest::prelude::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-fn id(n: usize) -> String {
-    format!("req-{n}")
+fn id(number: usize) -> String {
+    format!("req-{number}")
 }
 
-/// Jobs that each await some of the earlier ones.
-fn dag(rng: &mut SmallRng, jobs: usize) -> Vec<Vec<usize>> {
+fn number(id: &str) -> usize {
+    id["req-".len()..].parse().unwrap()
+}
+
+/// Jobs that each depend on some of the earlier ones.
+fn random_dag(rng: &mut SmallRng, jobs: usize) -> Vec<Vec<usize>> {
     (0..jobs)
-        .map(|n| {
-            let most = rng.gen_range(0..4usize).min(n);
-            let chosen: BTreeSet<usize> = (0..most).map(|_| rng.gen_range(0..n)).collect();
+        .map(|job| {
+            let max_dependencies = rng.gen_range(0..4usize).min(job);
+            let chosen: BTreeSet<usize> = (0..max_dependencies).map(|_| rng.gen_range(0..job)).collect();
             chosen.into_iter().collect()
         })
         .collect()
@@ -22,22 +26,127 @@
 
 /// What the stored facts say, by looking at everything.
 struct Model {
-    awaits: Vec<Vec<usize>>,
-    fates: BTreeMap<usize, JobOutcome>,
-    /// Cancelled with another; told by the graph, not by its own record.
-    withdrawn: BTreeSet<usize>,
+    dependencies: Vec<Vec<usize>>,
+    /// Outcomes of jobs by their own records.
+    outcomes: BTreeMap<usize, JobOutcome>,
+    /// Cancelled with a dependency, by the graph and not by their own records.
+    cancelled_by_graph: BTreeSet<usize>,
+    /// Ready, by the graph.
+    ready: BTreeSet<usize>,
+    /// The jobs below this number have been added to the graph.
+    added: usize,
 }
 
 impl Model {
-    fn cancelled(&self, n: usize) -> bool {
-        self.fates.get(&n) == Some(&JobOutcome::Cancelled)
-            || self.awaits[n].iter().any(|&a| self.cancelled(a))
+    fn new(dependencies: Vec<Vec<usize>>) -> Self {
+        Model {
+            dependencies,
+            outcomes: BTreeMap::new(),
+            cancelled_by_graph: BTreeSet::new(),
+            ready: BTreeSet::new(),
+            added: 0,
+        }
+    }
+
+    fn has_ended(&self, job: usize) -> bool {
+        self.outcomes.contains_key(&job) || self.cancelled_by_graph.contains(&job)
+    }
+
+    fn is_cancelled(&self, job: usize) -> bool {
+        self.outcomes.get(&job) == Some(&JobOutcome::Cancelled)
+            || self.dependencies[job].iter().any(|&dependency| self.is_cancelled(dependency))
+    }
+
+    fn is_ready(&self, job: usize) -> bool {
+        let is_done = |dependency| self.outcomes.get(dependency) == Some(&JobOutcome::Done);
+        self.dependencies[job].iter().all(is_done)
+    }
+
+    /// The outcome that the graph may ask for.
+    fn known_outcome(&self, job: usize) -> Option<JobOutcome> {
+        let by_graph = self.cancelled_by_graph.contains(&job).then_some(JobOutcome::Cancelled);
+        self.outcomes.get(&job).copied().or(by_graph)
+    }
+
+    /// Adds the next job to the graph.
+    fn add_next(&mut self, graph: &mut DependencyGraph) -> GraphEffects {
+        let job = self.added;
+        self.added += 1;
+        let dependencies: Vec<String> = self.dependencies[job].iter().map(|&job| id(job)).collect();
+        graph.add(&id(job), &dependencies, |id| self.known_outcome(number(id)), |_| true)
+    }
+
+    /// Ends a random live job, if there is one.
+    fn end_random_job(&mut self, graph: &mut DependencyGraph, rng: &mut SmallRng) -> Option<GraphEffects> {
+        let live: Vec<usize> = (0..self.added).filter(|&job| !self.has_ended(job)).collect();
+        if live.is_empty() {
+            return None;
+        }
+        let job = live[rng.gen_range(0..live.len())];
+        let is_done = self.is_ready(job) && rng.gen_bool(0.8);
+        let outcome = if is_done { JobOutcome::Done } else { JobOutcome::Cancelled };
+        self.outcomes.insert(job, outcome);
+        if rng.gen_bool(0.5) || outcome == JobOutcome::Done {
+            graph.on_ready_stored(&id(job));
+        }
+        Some(graph.record_outcome(&id(job), outcome))
+    }
+
+    /// Checks that the effects follow from the facts, each once.
+    fn check_effects(&mut self, effects: &GraphEffects) -> Result<(), TestCaseError> {
+        for job in effects.cancelled.iter().map(|id| number(id)) {
+            prop_assert!(self.cancelled_by_graph.insert(job), "cancelled twice");
+            prop_assert!(self.is_cancelled(job) && !self.ready.contains(&job));
+        }
+        for job in effects.ready.iter().map(|id| number(id)) {
+            prop_assert!(self.ready.insert(job), "ready twice");
+            prop_assert!(self.is_ready(job));
+        }
+        Ok(())
     }
-    fn free(&self, n: usize) -> bool {
-        self.awaits[n].iter().all(|a| self.fates.get(a) == Some(&JobOutcome::Done))
+
+    /// Checks that the graph knows of every job what the facts say.
+    fn check_graph(&self, graph: &DependencyGraph) -> Result<(), TestCaseError> {
+        for job in 0..self.added {
+            let has_ended = self.has_ended(job);
+            let is_ready = self.is_ready(job);
+            let was_cancelled = self.cancelled_by_graph.contains(&job)
+                || self.outcomes.get(&job) == Some(&JobOutcome::Cancelled);
+            prop_assert_eq!(self.is_cancelled(job), was_cancelled);
+            prop_assert_eq!(graph.is_waiting(&id(job)), !has_ended && !is_ready);
+            let was_made_ready = self.dependencies[job].is_empty() || self.ready.contains(&job);
+            prop_assert!(!is_ready || has_ended || was_made_ready);
+        }
+        Ok(())
     }
 }
 
+/// What a job inherits, worked out path by path.
+fn inherited_by_all_paths(
+    job: usize,
+    dependencies: &[Vec<usize>],
+    own: &[OwnPriority],
+) -> Option<InheritedPriority> {
+    let dependents = (0..dependencies.len()).filter(|&other| dependencies[other].contains(&job));
+    let demands = dependents.map(|dependent| {
+        let figures = own[dependent];
+        let inherited = inherited_by_all_paths(dependent, dependencies, own);
+        let deadline = figures.deadline.min(inherited.map_or(f64::MAX, |demand| demand.deadline));
+        let latest_useful_end =
+            figures.latest_useful_end.min(inherited.map_or(f64::MAX, |demand| demand.latest_useful_end));
+        InheritedPriority {
+            priority: figures.priority.max(inherited.map_or(0, |demand| demand.priority)),
+            deadline: deadline - figures.expected_duration_s,
+            latest_useful_end: latest_useful_end - figures.expected_duration_s,
+        }
+    });
+    demands.reduce(|a, b| InheritedPriority {
+        priority: a.priority.max(b.priority),
+        deadline: a.deadline.min(b.deadline),
+        latest_useful_end: a.latest_useful_end.min(b.latest_useful_end),
+    })
+}
+
 proptest! {
     #![proptest_config(ProptestConfig {
         cases: 200,
@@ -46,70 +155,37 @@
         ..ProptestConfig::default()
     })]
 
-    /// Jobs come and end in any order that the protocol allows; what is freed and withdrawn
-    /// is what the facts say, each once, and nothing is kept of what is over.
+    /// Jobs are added and end in any order that the protocol allows; which ones become ready and
+    /// which are cancelled is what the facts say, each once, and nothing is kept of ended jobs.
     #[test]
-    fn freed_and_withdrawn_follow_from_the_facts(seed in any::<u64>(), jobs in 1usize..30) {
+    fn effects_follow_from_the_facts(seed in any::<u64>(), jobs in 1usize..30) {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut m = Model { awaits: dag(&mut rng, jobs), fates: BTreeMap::new(), withdrawn: BTreeSet::new() };
-        let mut g = DependencyGraph::default();
-        let (mut added, mut freed) = (0, BTreeSet::new());
+        let mut model = Model::new(random_dag(&mut rng, jobs));
+        let mut graph = DependencyGraph::default();
         for _ in 0..jobs * 6 {
-            let effects = if added < jobs && rng.gen_bool(0.4) {
-                let n = added;
-                added += 1;
-                let awaits: Vec<String> = m.awaits[n].iter().map(|&a| id(a)).collect();
-                let known = |a: &str| {
-                    let a: usize = a[4..].parse().unwrap();
-                    m.fates.get(&a).copied().or(m.withdrawn.contains(&a).then_some(JobOutcome::Cancelled))
-                };
-                g.add(&id(n), &awaits, known, |_| true)
+            let effects = if model.added < jobs && rng.gen_bool(0.4) {
+                model.add_next(&mut graph)
             } else {
-                let ready: Vec<usize> = (0..added)
-                    .filter(|n| !m.fates.contains_key(n) && !m.withdrawn.contains(n))
-                    .collect();
-                if ready.is_empty() {
-                    continue;
-                }
-                let n = ready[rng.gen_range(0..ready.len())];
-                let fate = if m.free(n) && rng.gen_bool(0.8) { JobOutcome::Done } else { JobOutcome::Cancelled };
-                m.fates.insert(n, fate);
-                if rng.gen_bool(0.5) || fate == JobOutcome::Done {
-                    g.on_ready_stored(&id(n));
-                }
-                g.record_outcome(&id(n), fate)
+                let Some(effects) = model.end_random_job(&mut graph, &mut rng) else { continue };
+                effects
             };
-            for n in &effects.cancelled {
-                let n: usize = n[4..].parse().unwrap();
-                prop_assert!(m.withdrawn.insert(n), "withdrawn twice");
-                prop_assert!(m.cancelled(n) && !freed.contains(&n));
-            }
-            for n in &effects.ready {
-                let n: usize = n[4..].parse().unwrap();
-                prop_assert!(freed.insert(n), "freed twice");
-                prop_assert!(m.free(n));
-            }
-            for n in 0..added {
-                let over = m.fates.contains_key(&n) || m.withdrawn.contains(&n);
-                prop_assert_eq!(m.cancelled(n), m.withdrawn.contains(&n) || m.fates.get(&n) == Some(&JobOutcome::Cancelled));
-                prop_assert_eq!(g.is_waiting(&id(n)), !over && !m.free(n));
-                prop_assert!(!m.free(n) || m.awaits[n].is_empty() || over || freed.contains(&n));
-            }
+            model.check_effects(&effects)?;
+            model.check_graph(&graph)?;
         }
         // All end: nothing is left that a record would be kept for.
-        for n in 0..added {
-            g.on_ready_stored(&id(n));
-            g.record_outcome(&id(n), JobOutcome::Cancelled);
+        for job in 0..model.added {
+            graph.on_ready_stored(&id(job));
+            graph.record_outcome(&id(job), JobOutcome::Cancelled);
         }
-        prop_assert!((0..jobs).all(|n| !g.has_dependents(&id(n)) && !g.is_waiting(&id(n))));
-        prop_assert_eq!(g.unknown().count(), 0);
+        prop_assert!((0..jobs).all(|job| !graph.has_dependents(&id(job)) && !graph.is_waiting(&id(job))));
+        prop_assert_eq!(graph.unknown().count(), 0);
     }
 
-    /// What is passed back is the least over all ways to an end, worked out path by path.
+    /// What a job inherits is the most demanding over all paths through its dependents.
     #[test]
-    fn one_deadline_is_passed_back_along_every_way(seed in any::<u64>(), jobs in 2usize..14) {
+    fn priorities_are_inherited_along_every_path(seed in any::<u64>(), jobs in 2usize..14) {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let awaits = dag(&mut rng, jobs);
+        let dependencies = random_dag(&mut rng, jobs);
         let own: Vec<OwnPriority> = (0..jobs)
             .map(|_| OwnPriority {
                 priority: rng.gen_range(0..4),
@@ -118,63 +194,50 @@
                 expected_duration_s: rng.gen_range(1.0..50.0),
             })
             .collect();
-        let mut g = DependencyGraph::default();
-        for (n, a) in awaits.iter().enumerate() {
-            g.add(&id(n), &a.iter().map(|&a| id(a)).collect::<Vec<_>>(), |_| None, |_| true);
-        }
-        let passed = g.inherited_priorities(|n| Some(own[n[4..].parse::<usize>().unwrap()]));
-        fn ways(n: usize, awaits: &[Vec<usize>], own: &[OwnPriority]) -> Option<InheritedPriority> {
-            let needing = (0..awaits.len()).filter(|&m| awaits[m].contains(&n));
-            needing.map(|m| {
-                let (o, asked) = (own[m], ways(m, awaits, own));
-                InheritedPriority {
-                    priority: o.priority.max(asked.map_or(0, |p| p.priority)),
-                    deadline: o.deadline.min(asked.map_or(f64::MAX, |p| p.deadline)) - o.expected_duration_s,
-                    latest_useful_end: o.latest_useful_end.min(asked.map_or(f64::MAX, |p| p.latest_useful_end)) - o.expected_duration_s,
-                }
-            }).reduce(|a, b| InheritedPriority {
-                priority: a.priority.max(b.priority),
-                deadline: a.deadline.min(b.deadline),
-                latest_useful_end: a.latest_useful_end.min(b.latest_useful_end),
-            })
+        let mut graph = DependencyGraph::default();
+        for (job, dependencies) in dependencies.iter().enumerate() {
+            let ids: Vec<String> = dependencies.iter().map(|&job| id(job)).collect();
+            graph.add(&id(job), &ids, |_| None, |_| true);
         }
-        for n in 0..jobs {
-            prop_assert_eq!(passed.get(&id(n)[..]).copied(), ways(n, &awaits, &own), "{}", n);
+        let inherited = graph.inherited_priorities(|id| Some(own[number(id)]));
+        for job in 0..jobs {
+            let expected = inherited_by_all_paths(job, &dependencies, &own);
+            prop_assert_eq!(inherited.get(&id(job)[..]).copied(), expected, "{}", job);
         }
     }
 }
 
-/// A chain of thousands and one job that ten thousand await: by lists, not by recursion, and
-/// each edge once.
+/// A chain of thousands of jobs, and a job that ten thousand others depend on: with lists, not by
+/// recursion, and each edge once.
 #[test]
 fn long_chains_and_wide_fans_end() {
-    let mut g = DependencyGraph::default();
-    for n in 1..5_000 {
-        g.add(&id(n), &[id(n - 1)], |_| None, |_| true);
+    let mut graph = DependencyGraph::default();
+    for job in 1..5_000 {
+        graph.add(&id(job), &[id(job - 1)], |_| None, |_| true);
     }
     let own = OwnPriority { priority: 1, deadline: 1e6, latest_useful_end: 1e6, expected_duration_s: 1.0 };
-    let passed = g.inherited_priorities(|_| Some(own));
-    assert_eq!(passed["req-0"].deadline, 1e6 - 4_999.0);
-    assert_eq!(g.record_outcome("req-0", JobOutcome::Cancelled).cancelled.len(), 4_999);
-    for n in 1..10_000 {
-        g.add(&id(n), &[id(0)], |_| None, |_| true);
+    let inherited = graph.inherited_priorities(|_| Some(own));
+    assert_eq!(inherited["req-0"].deadline, 1e6 - 4_999.0);
+    assert_eq!(graph.record_outcome("req-0", JobOutcome::Cancelled).cancelled.len(), 4_999);
+    for job in 1..10_000 {
+        graph.add(&id(job), &[id(0)], |_| None, |_| true);
     }
-    assert_eq!(g.record_outcome("req-0", JobOutcome::Done).ready.len(), 9_999);
+    assert_eq!(graph.record_outcome("req-0", JobOutcome::Done).ready.len(), 9_999);
 }
 
-/// What is awaited and unknown is asked for until it is known; what nobody awaits any
-/// more is not.
+/// A dependency of which nothing is known stays unknown until it is known or no job depends on it.
 #[test]
-fn the_unknown_is_asked_for_as_long_as_somebody_waits() {
-    let mut g = DependencyGraph::default();
-    let awaits = [id(7), id(8)];
-    assert_eq!(g.add("req-1", &awaits, |_| None, |a| a == "req-7"), Default::default());
-    assert_eq!(g.unknown().collect::<Vec<_>>(), ["req-8"]);
-    g.record_outcome("req-8", JobOutcome::Done);
-    assert_eq!((g.unknown().count(), g.is_waiting("req-1")), (0, true));
-    assert_eq!(g.record_outcome("req-7", JobOutcome::Done).ready, ["req-1"]);
-    // Its record still names both: they stay where the next leader reads them.
-    assert!(g.has_dependents("req-7") && g.has_dependents("req-8"));
-    assert_eq!(g.on_ready_stored("req-1"), ["req-7", "req-8"]);
-    assert!(!g.has_dependents("req-7"));
+fn dependencies_stay_unknown_while_a_job_waits_for_them() {
+    let mut graph = DependencyGraph::default();
+    let dependencies = [id(7), id(8)];
+    let effects = graph.add("req-1", &dependencies, |_| None, |id| id == "req-7");
+    assert_eq!(effects, GraphEffects::default());
+    assert_eq!(graph.unknown().collect::<Vec<_>>(), ["req-8"]);
+    graph.record_outcome("req-8", JobOutcome::Done);
+    assert_eq!((graph.unknown().count(), graph.is_waiting("req-1")), (0, true));
+    assert_eq!(graph.record_outcome("req-7", JobOutcome::Done).ready, ["req-1"]);
+    // The stored record still names both, so the next leader will need their outcomes.
+    assert!(graph.has_dependents("req-7") && graph.has_dependents("req-8"));
+    assert_eq!(graph.on_ready_stored("req-1"), ["req-7", "req-8"]);
+    assert!(!graph.has_dependents("req-7"));
 }
--- a/crates/planner/src/placement.rs
+++ b/crates/planner/src/placement.rs
@@ -22,8 +22,11 @@
 /// earlier, then by rank.
 #[derive(Clone, Copy)]
 pub(crate) struct PlacementOption {
+    /// Index of the machine.
     pub(crate) machine: usize,
+    /// When the task could start there.
     pub(crate) starts_at: f64,
+    /// How well the task fits there.
     pub(crate) rank: PlacementRank,
 }
 
--- a/crates/planner/src/planner.rs
+++ b/crates/planner/src/planner.rs
@@ -36,6 +36,7 @@
 
 /// A plan in the making.
 pub(crate) struct Planner<'a> {
+    /// The input.
     pub(crate) problem: &'a Problem,
     /// What has been decided so far.
     pub(crate) plan: Plan,
@@ -47,7 +48,9 @@
     pub(crate) images: Vec<Vec<u32>>,
     /// Machines where some job may still find capacity.
     pub(crate) open_machines: Vec<usize>,
+    /// Machines that offer less are full.
     pub(crate) smallest_need: SmallestNeed,
+    /// Jobs that found no capacity.
     misfits: Vec<KnownMisfit>,
     /// One of each kind of running work that may be preempted.
     pub(crate) preemptible: Vec<RunningTask>,
@@ -60,6 +63,7 @@
 }
 
 impl<'a> Planner<'a> {
+    /// A plan with nothing decided yet.
     pub(crate) fn new(problem: &'a Problem) -> Self {
         Planner {
             problem,
--- a/crates/planner/tests/common/mod.rs
+++ b/crates/planner/tests/common/mod.rs
@@ -1,31 +1,46 @@
-//! Small problems.
+//! Builders of small problems.
 
 use anisecroft_planner::*;
 
-/// Type 0: 4 slots at 4.0 (1.0 a slot); type 1: 2 slots at 6.0 (3.0 a slot).
+/// Type 0: 4 accelerators at 4.0 (1.0 each); type 1: 2 accelerators at 6.0 (3.0 each).
 pub fn types() -> Vec<InstanceType> {
-    let t = |accelerators: f64, price: f64| InstanceType {
+    let instance_type = |accelerators: f64, price: f64| InstanceType {
         size: Resources::new(100.0, accelerators, 100.0),
         price,
         spot_price: price / 4.0,
         fetch_gb_per_s: 1.0,
     };
-    vec![t(4.0, 4.0), t(2.0, 6.0)]
+    vec![instance_type(4.0, 4.0), instance_type(2.0, 6.0)]
 }
 
-pub fn machine(kind: usize, zone: usize) -> Machine {
+/// A task of team 0 that must not be preempted.
+pub fn running(ends_at: f64, resources: Resources) -> RunningTask {
+    RunningTask {
+        ends_at,
+        endless: false,
+        resources,
+        priority: 1,
+        team: 0,
+        within_guarantee: false,
+        preemption: None,
+    }
+}
+
+/// An empty on-demand machine that holds image 1.
+pub fn machine(instance_type: usize, zone: usize) -> Machine {
     Machine {
-        instance_type: kind,
+        instance_type,
         zone,
         spot: false,
         ready_at: 0.0,
-        free: types()[kind].size,
+        free: types()[instance_type].size,
         running: vec![],
         images: vec![1],
         slowness: 1.0,
     }
 }
 
+/// A job of team 0 that may use both types and holds image 1 everywhere.
 pub fn job(shape: Shape, tasks: u32, accelerators: f64, run_s: f64, deadline: f64) -> Job {
     Job {
         priority: 1,
@@ -58,6 +73,7 @@
     }
 }
 
+/// Two zones, one team without limits, at time 0.
 pub fn problem(machines: Vec<Machine>, jobs: Vec<Job>) -> Problem {
     Problem {
         now: 0.0,
--- a/crates/planner/tests/plan.rs
+++ b/crates/planner/tests/plan.rs
@@ -1,5 +1,5 @@
-//! The paper's rules on small examples worked out by hand, and properties on
-//! generated problems.
+//! The rules of the Cura paper on small examples worked out by hand, and properties on generated
+//! problems.
 
 mod common;
 
@@ -15,156 +15,130 @@
 fn the_job_whose_deferral_costs_more_goes_first() {
     let a = job(Shape::Array, 1, 1.0, 100.0, 150.0);
     let b = job(Shape::Array, 1, 1.0, 100.0, 1000.0);
-    let t = types();
-    assert_eq!(pair_cost(0.0, &t, &a, &b), 200.0);
-    assert_eq!(pair_cost(0.0, &t, &b, &a), 300.0);
-    let p = problem(vec![machine(0, 0)], vec![b, a]);
-    assert_eq!(order(&p), vec![1, 0]);
+    let types = types();
+    assert_eq!(pair_cost(0.0, &types, &a, &b), 200.0);
+    assert_eq!(pair_cost(0.0, &types, &b, &a), 300.0);
+    let problem = problem(vec![machine(0, 0)], vec![b, a]);
+    assert_eq!(order(&problem), vec![1, 0]);
 }
 
 #[test]
-fn urgency_goes_before_any_cost() {
-    let urgent = Job { priority: 2, ..job(Shape::Array, 1, 1.0, 10.0, 1e6) };
-    let pressing = job(Shape::Array, 4, 1.0, 100.0, 101.0);
-    assert_eq!(order(&problem(vec![machine(0, 0)], vec![pressing, urgent])), vec![1, 0]);
+fn priority_goes_before_any_cost() {
+    let high_priority = Job { priority: 2, ..job(Shape::Array, 1, 1.0, 10.0, 1e6) };
+    let soon_due = job(Shape::Array, 4, 1.0, 100.0, 101.0);
+    assert_eq!(order(&problem(vec![machine(0, 0)], vec![soon_due, high_priority])), vec![1, 0]);
 }
 
-/// Both types have room; the cheaper one (1.0 a slot against 3.0) wins, unless
-/// only the dearer one is in time.
+/// Both types have capacity; the cheaper one (1.0 an accelerator against 3.0) wins, unless only the
+/// expensive one is in time.
 #[test]
 fn a_gang_takes_the_cheapest_type_in_time() {
     let gang = job(Shape::Gang, 2, 1.0, 50.0, 100.0);
+    let machines_used = |made: Plan| made.starts.iter().map(|start| start.machine).collect::<Vec<_>>();
     let made = plan(&problem(vec![machine(1, 0), machine(0, 0)], vec![gang.clone()]));
-    assert_eq!(made.starts.iter().map(|s| s.machine).collect::<Vec<_>>(), vec![1, 1]);
+    assert_eq!(machines_used(made), vec![1, 1]);
     let mut busy = machine(0, 0);
     busy.free = Resources::new(100.0, 0.0, 100.0);
-    busy.running = vec![RunningTask {
-        ends_at: 60.0,
-        endless: false,
-        resources: Resources::new(0.0, 4.0, 0.0),
-        priority: 1,
-        team: 0,
-        within_guarantee: false,
-        preemption: None,
-    }];
+    busy.running = vec![running(60.0, Resources::new(0.0, 4.0, 0.0))];
     let made = plan(&problem(vec![machine(1, 0), busy], vec![gang]));
-    assert_eq!(made.starts.iter().map(|s| s.machine).collect::<Vec<_>>(), vec![0, 0]);
+    assert_eq!(machines_used(made), vec![0, 0]);
 }
 
-/// One machine of 4 slots. The first gang takes all of it until 30 and fixes
-/// the window at 30. The second could start at 30, inside; a third only at 50.
+/// One machine with 4 accelerators. The first gang takes all of it until 30 and fixes the window at
+/// 30. The second could start at 30, inside; a third only at 50.
 #[test]
 fn the_window_keeps_later_jobs_out() {
-    let gang = |run: f64, due: f64| Job { instance_types: vec![0], ..job(Shape::Gang, 4, 1.0, run, due) };
-    let made =
-        plan(&problem(vec![machine(0, 0)], vec![gang(30.0, 31.0), gang(20.0, 500.0), gang(10.0, 1000.0)]));
-    let reserved: Vec<_> =
-        made.reservations.iter().map(|r| (r.job, r.starts_at, r.ends_at, r.sets_window)).collect();
-    assert_eq!(reserved[0], (0, 0.0, 30.0, true));
-    assert!(reserved.iter().all(|r| r.1 <= 30.0), "{reserved:?}");
+    let gang = |run_s: f64, deadline: f64| Job {
+        instance_types: vec![0],
+        ..job(Shape::Gang, 4, 1.0, run_s, deadline)
+    };
+    let gangs = vec![gang(30.0, 31.0), gang(20.0, 500.0), gang(10.0, 1000.0)];
+    let made = plan(&problem(vec![machine(0, 0)], gangs));
+    let first = &made.reservations[0];
+    assert_eq!((first.job, first.starts_at, first.ends_at, first.sets_window), (0, 0.0, 30.0, true));
+    assert!(made.reservations.iter().all(|reservation| reservation.starts_at <= 30.0), "{made:?}");
     assert_eq!(made.starts.len(), 4);
 }
 
-/// Four tasks run on the only machine's slots, two of them with little done.
-/// An urgent gang that needs two slots has just these stopped.
+/// Four tasks hold the only machine's accelerators, two of them with little done. A gang of higher
+/// priority that needs two accelerators preempts just these.
 #[test]
-fn the_least_costly_work_is_stopped() {
-    let mut m = machine(0, 0);
-    m.free = Resources::new(50.0, 0.0, 50.0);
-    let takes = Resources::new(1.0, 1.0, 1.0);
-    m.running = [40.0, 5.0, 60.0, 3.0]
-        .iter()
-        .enumerate()
-        .map(|(owner, &lost_s)| RunningTask {
-            ends_at: 100.0 - lost_s,
-            endless: false,
-            resources: takes,
-            priority: 1,
-            team: 0,
-            within_guarantee: false,
-            preemption: Some(PreemptionCandidate { owner, lost_work_s: lost_s, stop_s: 1.0 }),
+fn the_least_costly_work_is_preempted() {
+    let mut full = machine(0, 0);
+    full.free = Resources::new(50.0, 0.0, 50.0);
+    let lost_work = [40.0, 5.0, 60.0, 3.0].iter().enumerate();
+    full.running = lost_work
+        .map(|(owner, &lost_work_s)| RunningTask {
+            preemption: Some(PreemptionCandidate { owner, lost_work_s, stop_s: 1.0 }),
+            ..running(100.0 - lost_work_s, Resources::new(1.0, 1.0, 1.0))
         })
         .collect();
-    let urgent = Job { priority: 2, ..job(Shape::Gang, 1, 2.0, 30.0, 60.0) };
-    let mut stops = plan(&problem(vec![m.clone()], vec![urgent])).preemptions;
-    stops.sort_unstable();
-    assert_eq!(stops, vec![1, 3]);
-    // Work of its own band is left alone.
-    let equal = job(Shape::Gang, 1, 2.0, 30.0, 60.0);
-    assert!(plan(&problem(vec![m], vec![equal])).preemptions.is_empty());
+    let high_priority = Job { priority: 2, ..job(Shape::Gang, 1, 2.0, 30.0, 60.0) };
+    let mut preempted = plan(&problem(vec![full.clone()], vec![high_priority])).preemptions;
+    preempted.sort_unstable();
+    assert_eq!(preempted, vec![1, 3]);
+    // Work of its own priority goes on.
+    let same_priority = job(Shape::Gang, 1, 2.0, 30.0, 60.0);
+    assert!(plan(&problem(vec![full], vec![same_priority])).preemptions.is_empty());
 }
 
-/// Work that another team runs beyond its guarantee gives way to guaranteed work
-/// of the same urgency; idle arrays once held whole fleets against it.
+/// Work that another team runs beyond its guarantee is preempted for guaranteed work of the same
+/// priority; low-priority arrays once held whole fleets against it.
 #[test]
-fn a_guarantee_has_uncovered_work_stopped() {
-    let mut m = machine(0, 0);
-    m.free = Resources::new(50.0, 0.0, 50.0);
-    let held = |owner: usize, team: usize, covered: bool| RunningTask {
-        ends_at: 400.0,
-        endless: false,
-        resources: Resources::new(1.0, 1.0, 1.0),
-        priority: 1,
+fn a_guarantee_preempts_work_beyond_other_guarantees() {
+    let task = |owner: usize, team: usize, within_guarantee: bool| RunningTask {
         team,
-        within_guarantee: covered,
+        within_guarantee,
         preemption: Some(PreemptionCandidate { owner, lost_work_s: 10.0, stop_s: 1.0 }),
+        ..running(400.0, Resources::new(1.0, 1.0, 1.0))
     };
-    m.running = vec![held(0, 1, true), held(1, 1, false), held(2, 0, false), held(3, 1, false)];
-    let mut p = problem(vec![m], vec![job(Shape::Array, 3, 1.0, 30.0, 900.0)]);
-    p.teams.push(Team::default());
-    assert!(plan(&p).preemptions.is_empty());
-    p.jobs[0].guaranteed = true;
-    let mut stops = plan(&p).preemptions;
-    stops.sort_unstable();
-    assert_eq!(stops, vec![1, 3]);
-    // But not what is more urgent.
-    p.jobs[0].priority = 0;
-    assert!(plan(&p).preemptions.is_empty());
+    let mut full = machine(0, 0);
+    full.free = Resources::new(50.0, 0.0, 50.0);
+    full.running = vec![task(0, 1, true), task(1, 1, false), task(2, 0, false), task(3, 1, false)];
+    let mut problem = problem(vec![full], vec![job(Shape::Array, 3, 1.0, 30.0, 900.0)]);
+    problem.teams.push(Team::default());
+    assert!(plan(&problem).preemptions.is_empty());
+    problem.jobs[0].guaranteed = true;
+    let mut preempted = plan(&problem).preemptions;
+    preempted.sort_unstable();
+    assert_eq!(preempted, vec![1, 3]);
+    // But not work of higher priority.
+    problem.jobs[0].priority = 0;
+    assert!(plan(&problem).preemptions.is_empty());
 }
 
-/// An array has less urgent work stopped only if it would be late otherwise.
-#[test]
-fn an_array_waits_as_long_as_it_can() {
-    let mut m = machine(0, 0);
-    m.free = Resources::new(50.0, 0.0, 50.0);
-    let victim = Some(PreemptionCandidate { owner: 7, lost_work_s: 10.0, stop_s: 1.0 });
-    let takes = Resources::new(4.0, 4.0, 4.0);
-    m.running = vec![RunningTask {
-        ends_at: 60.0,
-        endless: false,
-        resources: takes,
+/// A machine that a preemptible task of low priority holds until 60.
+fn machine_with_low_priority_work() -> Machine {
+    let mut full = machine(0, 0);
+    full.free = Resources::new(50.0, 0.0, 50.0);
+    full.running = vec![RunningTask {
         priority: 0,
-        team: 0,
-        within_guarantee: false,
-        preemption: victim,
+        preemption: Some(PreemptionCandidate { owner: 7, lost_work_s: 10.0, stop_s: 1.0 }),
+        ..running(60.0, Resources::new(4.0, 4.0, 4.0))
     }];
-    let due =
-        |due: f64| plan(&problem(vec![m.clone()], vec![job(Shape::Array, 2, 1.0, 30.0, due)])).preemptions;
-    assert_eq!(due(200.0), Vec::<usize>::new());
-    assert_eq!(due(80.0), vec![7]);
+    full
 }
 
-/// A suspected job takes a place that is free, and nothing else for its sake.
+/// An array preempts less urgent work only if it would be late otherwise.
 #[test]
-fn a_probe_asks_for_nothing() {
-    let probe = Job { probing: true, priority: 2, ..job(Shape::Array, 1, 1.0, 30.0, 60.0) };
-    let made = plan(&problem(vec![machine(0, 0)], vec![probe.clone()]));
+fn an_array_waits_as_long_as_it_can() {
+    let preempted = |deadline: f64| {
+        let array = job(Shape::Array, 2, 1.0, 30.0, deadline);
+        plan(&problem(vec![machine_with_low_priority_work()], vec![array])).preemptions
+    };
+    assert_eq!(preempted(200.0), Vec::<usize>::new());
+    assert_eq!(preempted(80.0), vec![7]);
+}
+
+/// A probing job uses free capacity and causes nothing else.
+#[test]
+fn a_probing_job_uses_free_capacity_only() {
+    let probing = Job { probing: true, priority: 2, ..job(Shape::Array, 1, 1.0, 30.0, 60.0) };
+    let made = plan(&problem(vec![machine(0, 0)], vec![probing.clone()]));
     assert_eq!(made.starts.len(), 1);
-    let mut m = machine(0, 0);
-    m.free = Resources::new(50.0, 0.0, 50.0);
-    let victim = Some(PreemptionCandidate { owner: 7, lost_work_s: 10.0, stop_s: 1.0 });
-    let takes = Resources::new(4.0, 4.0, 4.0);
-    m.running = vec![RunningTask {
-        ends_at: 60.0,
-        endless: false,
-        resources: takes,
-        priority: 0,
-        team: 0,
-        within_guarantee: false,
-        preemption: victim,
-    }];
     for shape in [Shape::Array, Shape::Gang] {
-        let made = plan(&problem(vec![m.clone()], vec![Job { shape, ..probe.clone() }]));
+        let job = Job { shape, ..probing.clone() };
+        let made = plan(&problem(vec![machine_with_low_priority_work()], vec![job]));
         assert!(made.starts.is_empty() && made.preemptions.is_empty() && made.unmet.is_empty());
         assert!(made.reservations.is_empty());
     }
@@ -173,9 +147,9 @@
 /// Three jobs of 150, 40 and 50 s, all due at 210, on a machine that runs one
 /// at a time: not all fit, so the largest is given up and goes last.
 #[test]
-fn a_crowded_band_gives_up_the_largest() {
-    let one = |run: f64| Job { instance_types: vec![1], ..job(Shape::Array, 1, 2.0, run, 210.0) };
-    let jobs = vec![one(150.0), one(40.0), one(50.0)];
+fn an_overloaded_priority_gives_up_the_largest_job() {
+    let job_of = |run_s: f64| Job { instance_types: vec![1], ..job(Shape::Array, 1, 2.0, run_s, 210.0) };
+    let jobs = vec![job_of(150.0), job_of(40.0), job_of(50.0)];
     assert_eq!(order(&problem(vec![machine(1, 0)], jobs))[2], 0);
 }
 
@@ -186,147 +160,145 @@
 fn a_longer_backlog_and_larger_arrays_cost_next_to_nothing() {
     let steps = |jobs: usize, tasks: u32| {
         let machines = (0..100)
-            .map(|i| {
-                let mut m = machine(0, i % 2);
-                m.free = Resources::new(96.0, 0.0, 96.0);
-                let takes = Resources::new(4.0, 4.0, 4.0);
-                m.running = vec![RunningTask {
-                    ends_at: 50.0 + i as f64 / 100.0,
-                    endless: false,
-                    resources: takes,
-                    priority: 1,
-                    team: 0,
-                    within_guarantee: false,
-                    preemption: None,
-                }];
-                m
+            .map(|index| {
+                let mut full = machine(0, index % 2);
+                full.free = Resources::new(96.0, 0.0, 96.0);
+                full.running = vec![running(50.0 + index as f64 / 100.0, Resources::new(4.0, 4.0, 4.0))];
+                full
             })
             .collect();
-        let jobs = (0..jobs).map(|i| job(Shape::Array, tasks, 1.0, 60.0, 100.0 + i as f64)).collect();
+        let jobs = (0..jobs).map(|index| job(Shape::Array, tasks, 1.0, 60.0, 100.0 + index as f64)).collect();
         plan(&problem(machines, jobs)).steps
     };
     let usual = steps(100, 20);
     assert!(usual < 100 * 20, "{usual}");
-    let (longer, larger) = (steps(800, 20), steps(100, 200));
-    assert!(longer < usual + 700 * 4, "{usual} steps, {longer} with eight times the jobs");
-    assert!(larger < usual * 2, "{usual} steps, {larger} with ten times the tasks");
+    let more_jobs = steps(800, 20);
+    assert!(more_jobs < usual + 700 * 4, "{usual} steps, {more_jobs} with eight times the jobs");
+    let more_tasks = steps(100, 200);
+    assert!(more_tasks < usual * 2, "{usual} steps, {more_tasks} with ten times the tasks");
 }
 
-/// A team at its limit whose overdue gang needs room for four: two come free now, two within the time
-/// for which they are kept. Its small jobs wait meanwhile, another team's do not.
+/// A team at its limit whose overdue gang needs quota for four: two are free now, two are free within
+/// the time for which quota is kept. Its small jobs wait meanwhile, another team's do not.
 #[test]
-fn room_under_a_limit_is_kept_for_an_overdue_gang() {
-    let gang = |keeps_until: f64| Job {
-        starvation_relief: true,
-        reserves_until: keeps_until,
-        ..job(Shape::Gang, 4, 1.0, 50.0, 100.0)
-    };
-    let other = Job { team: 1, ..job(Shape::Array, 1, 1.0, 50.0, 100.0) };
-    let starts = |keeps_until: f64, ends: f64| {
-        let takes = Resources::new(0.0, 2.0, 0.0);
-        let busy = RunningTask {
-            ends_at: ends,
-            endless: false,
-            resources: takes,
-            priority: 1,
-            team: 0,
-            within_guarantee: false,
-            preemption: None,
+fn quota_is_kept_for_an_overdue_gang() {
+    let jobs_started = |reserves_until: f64, running_ends_at: f64| {
+        let gang = Job { starvation_relief: true, reserves_until, ..job(Shape::Gang, 4, 1.0, 50.0, 100.0) };
+        let small_job = job(Shape::Array, 2, 1.0, 50.0, 100.0);
+        let other_teams_job = Job { team: 1, ..job(Shape::Array, 1, 1.0, 50.0, 100.0) };
+        let half_used = Machine {
+            free: Resources::new(100.0, 2.0, 100.0),
+            running: vec![running(running_ends_at, Resources::new(0.0, 2.0, 0.0))],
+            ..machine(0, 0)
         };
-        let running =
-            Machine { free: Resources::new(100.0, 2.0, 100.0), running: vec![busy], ..machine(0, 0) };
-        let small = job(Shape::Array, 2, 1.0, 50.0, 100.0);
-        let machines = vec![running, machine(0, 0), machine(0, 0)];
+        let machines = vec![half_used, machine(0, 0), machine(0, 0)];
         let limited = Team { cores_left: None, accelerators_left: Some(2.0) };
-        let teams = vec![limited, Team::default()];
-        let p = Problem { teams, ..problem(machines, vec![gang(keeps_until), small, other.clone()]) };
-        let mut jobs: Vec<usize> = plan(&p).starts.iter().map(|s| s.job).collect();
-        jobs.sort_unstable();
-        jobs
+        let problem = Problem {
+            teams: vec![limited, Team::default()],
+            ..problem(machines, vec![gang, small_job, other_teams_job])
+        };
+        let mut started: Vec<usize> = plan(&problem).starts.iter().map(|start| start.job).collect();
+        started.sort_unstable();
+        started
     };
-    assert_eq!(starts(60.0, 40.0), [2], "kept");
-    assert_eq!(starts(0.0, 40.0), [1, 1, 2], "its time is over");
-    assert_eq!(starts(60.0, 80.0), [1, 1, 2], "too little of the team's work ends in time");
+    assert_eq!(jobs_started(60.0, 40.0), [2], "kept");
+    assert_eq!(jobs_started(0.0, 40.0), [1, 1, 2], "the reservation has expired");
+    assert_eq!(jobs_started(60.0, 80.0), [1, 1, 2], "too little of the team's work ends in time");
 }
 
-/// An overdue gang needs two whole machines; one is free, the other for 30 s more. What would end before
-/// that does not get the free one while it is kept; and the gang stays in the zone in which it gathers.
+/// An overdue gang needs two whole machines; one is free, the other in 30 s. A job that would end
+/// before that does not get the free one while it is kept; and the gang stays in the zone in which its
+/// machines are assembled.
 #[test]
-fn what_gathers_for_an_overdue_gang_stands_ready() {
-    let busy = |end: f64, zone: usize| {
-        let takes = Resources::new(0.0, 4.0, 0.0);
-        let b = RunningTask {
-            ends_at: end,
-            endless: false,
-            resources: takes,
-            priority: 1,
-            team: 0,
-            within_guarantee: false,
-            preemption: None,
-        };
-        Machine { free: Resources::new(100.0, 0.0, 100.0), running: vec![b], ..machine(0, zone) }
+fn machines_assembled_for_an_overdue_gang_stay_idle() {
+    let full_until = |ends_at: f64, zone: usize| Machine {
+        free: Resources::new(100.0, 0.0, 100.0),
+        running: vec![running(ends_at, Resources::new(0.0, 4.0, 0.0))],
+        ..machine(0, zone)
     };
     let gang = Job { starvation_relief: true, one_zone: true, ..job(Shape::Gang, 2, 4.0, 50.0, 1000.0) };
-    let short = job(Shape::Array, 1, 1.0, 10.0, 1000.0);
-    let made = |gang: Job| {
-        let machines = vec![machine(0, 0), busy(30.0, 0), busy(20.0, 1), busy(25.0, 1)];
-        plan(&problem(machines, vec![gang, short.clone()]))
+    let short_job = job(Shape::Array, 1, 1.0, 10.0, 1000.0);
+    let plan_with = |gang: Job| {
+        let machines = vec![machine(0, 0), full_until(30.0, 0), full_until(20.0, 1), full_until(25.0, 1)];
+        plan(&problem(machines, vec![gang, short_job.clone()]))
     };
-    let kept = Job { reserves_until: 60.0, assembly_zone: Some(0), ..gang.clone() };
-    assert_eq!((made(kept.clone()).starts, made(kept).gang_assembly), (vec![], Some((0, 0))));
-    let later = Job { reserves_until: 0.0, assembly_zone: Some(0), ..gang.clone() };
-    assert_eq!(made(later).starts, [Start { job: 1, task: 0, machine: 0 }]);
-    assert_eq!(made(Job { assembly_zone: None, ..gang }).gang_assembly, Some((0, 1)), "the sooner zone");
+    let kept = plan_with(Job { reserves_until: 60.0, assembly_zone: Some(0), ..gang.clone() });
+    assert_eq!((kept.starts, kept.gang_assembly), (vec![], Some((0, 0))));
+    let expired = plan_with(Job { reserves_until: 0.0, assembly_zone: Some(0), ..gang.clone() });
+    assert_eq!(expired.starts, [Start { job: 1, task: 0, machine: 0 }]);
+    let anew = plan_with(Job { assembly_zone: None, ..gang });
+    assert_eq!(anew.gang_assembly, Some((0, 1)), "the sooner zone");
+}
+
+/// Checks that a plan overcommits neither machines nor the first team, and starts only pending tasks
+/// on machines that their jobs may use, each once.
+fn assert_starts_are_allowed(
+    problem: &Problem,
+    made: &Plan,
+    accelerator_limit: f64,
+) -> Result<(), TestCaseError> {
+    let mut free: Vec<f64> = problem.machines.iter().map(|machine| machine.free.accelerators).collect();
+    let mut total = 0.0;
+    for start in &made.starts {
+        let job = &problem.jobs[start.job];
+        free[start.machine] -= job.resources.accelerators;
+        total += job.resources.accelerators;
+        prop_assert!(free[start.machine] > -1e-6);
+        prop_assert!(job.spot || !problem.machines[start.machine].spot);
+        prop_assert!(job.pending_tasks.contains(&start.task));
+    }
+    prop_assert!(total <= accelerator_limit + 1e-6);
+    let mut tasks: Vec<_> = made.starts.iter().map(|start| (start.job, start.task)).collect();
+    tasks.sort_unstable();
+    tasks.dedup();
+    prop_assert_eq!(tasks.len(), made.starts.len());
+    Ok(())
+}
+
+/// Checks that a plan splits no gang and keeps to the jobs' zone constraints.
+fn assert_zones_are_kept(problem: &Problem, made: &Plan) -> Result<(), TestCaseError> {
+    for (index, job) in problem.jobs.iter().enumerate() {
+        let starts = made.starts.iter().filter(|start| start.job == index);
+        let zones: Vec<usize> = starts.map(|start| problem.machines[start.machine].zone).collect();
+        prop_assert!(job.shape != Shape::Gang || zones.is_empty() || zones.len() == job.pending_tasks.len());
+        prop_assert!(!job.one_zone || zones.windows(2).all(|pair| pair[0] == pair[1]));
+        let max_per_zone = job.max_per_zone.unwrap_or(u32::MAX) as usize;
+        let tasks_in = |zone: usize| zones.iter().filter(|&&used| used == zone).count();
+        prop_assert!((0..problem.zones).all(|zone| tasks_in(zone) <= max_per_zone));
+    }
+    Ok(())
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// No plan overcommits a machine or a team, splits a gang, or breaks a
-    /// job's zones and kinds.
+    /// No plan overcommits a machine or a team, splits a gang, or breaks a job's zone and spot
+    /// constraints.
     #[test]
     fn plans_are_sound(
         machines in proptest::collection::vec((0usize..2, 0usize..2, any::<bool>(), 0.0f64..4.0), 1..8),
         jobs in proptest::collection::vec((0usize..3, 1u32..7, 1u32..4, 1.0f64..200.0, 1.0f64..500.0, any::<bool>(), any::<bool>(), 0u8..3), 1..12),
         limit in 1.0f64..20.0,
     ) {
-        let machines: Vec<Machine> = machines.into_iter().map(|(kind, zone, spot, used)| {
-            let mut m = Machine { spot, ..machine(kind, zone) };
-            let takes = Resources::new(0.0, used.min(m.free.accelerators), 0.0);
-            m.free.subtract(&takes);
-            m.running.push(RunningTask { ends_at: 50.0, endless: false, resources: takes, priority: 0, team: 0, within_guarantee: false, preemption: None });
-            m
+        let machines: Vec<Machine> = machines.into_iter().map(|(instance_type, zone, spot, used)| {
+            let mut machine = Machine { spot, ..machine(instance_type, zone) };
+            let held = Resources::new(0.0, used.min(machine.free.accelerators), 0.0);
+            machine.free.subtract(&held);
+            machine.running.push(RunningTask { priority: 0, ..running(50.0, held) });
+            machine
         }).collect();
-        let jobs: Vec<Job> = jobs.into_iter().map(|(shape, tasks, acc, run, due, one_zone, spot, band)| Job {
-            one_zone, spot, priority: band,
+        let jobs: Vec<Job> = jobs.into_iter().map(|(shape, tasks, accelerators, run_s, deadline, one_zone, spot, priority)| Job {
+            one_zone,
+            spot,
+            priority,
             max_per_zone: (!one_zone).then(|| tasks.div_ceil(2)),
-            ..job([Shape::Array, Shape::Gang, Shape::Service][shape], tasks, f64::from(acc), run, due)
+            ..job([Shape::Array, Shape::Gang, Shape::Service][shape], tasks, f64::from(accelerators), run_s, deadline)
         }).collect();
-        let mut p = problem(machines, jobs);
-        p.teams[0].accelerators_left = Some(limit);
-        let made = plan(&p);
-        let mut free: Vec<f64> = p.machines.iter().map(|m| m.free.accelerators).collect();
-        let mut total = 0.0;
-        for s in &made.starts {
-            let j = &p.jobs[s.job];
-            free[s.machine] -= j.resources.accelerators;
-            total += j.resources.accelerators;
-            prop_assert!(free[s.machine] > -1e-6);
-            prop_assert!(j.spot || !p.machines[s.machine].spot);
-            prop_assert!(j.pending_tasks.contains(&s.task));
-        }
-        prop_assert!(total <= limit + 1e-6);
-        for (i, j) in p.jobs.iter().enumerate() {
-            let zones: Vec<usize> = made.starts.iter().filter(|s| s.job == i).map(|s| p.machines[s.machine].zone).collect();
-            prop_assert!(j.shape != Shape::Gang || zones.is_empty() || zones.len() == j.pending_tasks.len());
-            prop_assert!(!j.one_zone || zones.windows(2).all(|w| w[0] == w[1]));
-            let cap = j.max_per_zone.unwrap_or(u32::MAX) as usize;
-            prop_assert!((0..2).all(|z| zones.iter().filter(|&&y| y == z).count() <= cap));
-        }
-        let mut tasks: Vec<_> = made.starts.iter().map(|s| (s.job, s.task)).collect();
-        tasks.sort_unstable();
-        tasks.dedup();
-        prop_assert_eq!(tasks.len(), made.starts.len());
+        let mut problem = problem(machines, jobs);
+        problem.teams[0].accelerators_left = Some(limit);
+        let made = plan(&problem);
+        assert_starts_are_allowed(&problem, &made, limit)?;
+        assert_zones_are_kept(&problem, &made)?;
     }
 
     /// The sums over sorted steps are the plain sums of pairwise costs.
@@ -335,45 +307,60 @@
         jobs in proptest::collection::vec((1u32..9, 1u32..4, 1.0f64..200.0, 1.0f64..500.0, any::<bool>()), 1..90),
         now in 0.0f64..100.0,
     ) {
-        let jobs: Vec<Job> = jobs.into_iter().map(|(tasks, acc, run, due, spot)| Job {
-            spot, image_gb: run / 10.0, ..job(Shape::Array, tasks, f64::from(acc), run, due)
+        let jobs: Vec<Job> = jobs.into_iter().map(|(tasks, accelerators, run_s, deadline, spot)| Job {
+            spot,
+            image_gb: run_s / 10.0,
+            ..job(Shape::Array, tasks, f64::from(accelerators), run_s, deadline)
         }).collect();
-        let t = types();
-        let made = deferrals(now, &t, &jobs);
-        for (i, a) in jobs.iter().enumerate() {
-            let plain: f64 = jobs.iter().enumerate().filter(|(j, _)| *j != i)
-                .map(|(_, b)| pair_cost(now, &t, b, a) - pair_cost(now, &t, a, b)).sum();
-            prop_assert!((made[i] - plain).abs() <= 1e-9 * (1.0 + plain.abs()) * jobs.len() as f64 + 1e-6, "{} and {plain}", made[i]);
+        let types = types();
+        let made = deferrals(now, &types, &jobs);
+        for (index, job) in jobs.iter().enumerate() {
+            let others = jobs.iter().enumerate().filter(|(other, _)| *other != index);
+            let plain: f64 = others
+                .map(|(_, other)| pair_cost(now, &types, other, job) - pair_cost(now, &types, job, other))
+                .sum();
+            let tolerance = 1e-9 * (1.0 + plain.abs()) * jobs.len() as f64 + 1e-6;
+            prop_assert!((made[index] - plain).abs() <= tolerance, "{} and {plain}", made[index]);
         }
     }
 
-    /// Looking at an array's machines once gives what looking at all of them
-    /// for every task gave: the cheapest place left, task by task.
+    /// Looking at an array's machines once gives the same result as looking at all of them for every
+    /// task: the cheapest capacity left, task by task.
     #[test]
-    fn an_array_takes_the_best_place_left_each_time(
-        free in proptest::collection::vec((0usize..2, 0u32..5, any::<bool>(), any::<bool>()), 1..12),
+    fn an_array_takes_the_best_capacity_left_each_time(
+        machines in proptest::collection::vec((0usize..2, 0u32..5, any::<bool>(), any::<bool>()), 1..12),
         tasks in 1u32..30,
     ) {
-        let machines: Vec<Machine> = free.iter().map(|&(kind, room, spot, image)| {
-            let mut m = Machine { spot, ..machine(kind, 0) };
-            let used = Resources::new(0.0, (m.free.accelerators - f64::from(room)).max(0.0), 0.0);
-            m.free.subtract(&used);
-            m.running.push(RunningTask { ends_at: 1e5, endless: false, resources: used, priority: 1, team: 0, within_guarantee: false, preemption: None });
-            if !image { m.images.clear(); }
-            m
+        let machines: Vec<Machine> = machines.into_iter().map(|(instance_type, free_accelerators, spot, has_image)| {
+            let mut machine = Machine { spot, ..machine(instance_type, 0) };
+            let held = (machine.free.accelerators - f64::from(free_accelerators)).max(0.0);
+            let held = Resources::new(0.0, held, 0.0);
+            machine.free.subtract(&held);
+            machine.running.push(running(1e5, held));
+            if !has_image {
+                machine.images.clear();
+            }
+            machine
         }).collect();
-        let j = Job { spot: true, image_gb: 5.0, ..job(Shape::Array, tasks, 1.0, 20.0, 1e4) };
-        let all = plan(&problem(machines.clone(), vec![j.clone()]));
-        // One task at a time, each seeing what the last one left.
-        let (mut left, mut one_by_one) = (machines, Vec::new());
+        let array = Job { spot: true, image_gb: 5.0, ..job(Shape::Array, tasks, 1.0, 20.0, 1e4) };
+        let all_at_once = plan(&problem(machines.clone(), vec![array.clone()]));
+        // One task at a time, each on what the earlier ones left.
+        let mut machines_left = machines;
+        let mut one_by_one = Vec::new();
         for task in 0..tasks {
-            let p = problem(left.clone(), vec![Job { pending_tasks: vec![task], ..j.clone() }]);
-            let Some(&s) = plan(&p).starts.first() else { break };
-            left[s.machine].free.subtract(&j.resources);
-            left[s.machine].running.push(RunningTask { ends_at: 1e4, endless: false, resources: j.resources, priority: 1, team: 0, within_guarantee: false, preemption: None });
-            if !left[s.machine].images.contains(&1) { left[s.machine].images.push(1); }
-            one_by_one.push((s.task, s.machine));
+            let single = Job { pending_tasks: vec![task], ..array.clone() };
+            let made = plan(&problem(machines_left.clone(), vec![single]));
+            let Some(&start) = made.starts.first() else { break };
+            let machine = &mut machines_left[start.machine];
+            machine.free.subtract(&array.resources);
+            machine.running.push(running(1e4, array.resources));
+            if !machine.images.contains(&1) {
+                machine.images.push(1);
+            }
+            one_by_one.push((start.task, start.machine));
         }
-        prop_assert_eq!(all.starts.iter().map(|s| (s.task, s.machine)).collect::<Vec<_>>(), one_by_one);
+        let starts: Vec<(u32, usize)> =
+            all_at_once.starts.iter().map(|start| (start.task, start.machine)).collect();
+        prop_assert_eq!(starts, one_by_one);
     }
 }
--- a/crates/planner/tests/work_conservation.rs
+++ b/crates/planner/tests/work_conservation.rs
@@ -1,100 +1,104 @@
-//! Room that is free now, and what may keep it from a job.
+//! Capacity that is free now, and what may keep a job from it.
 
 mod common;
 
 use anisecroft_planner::*;
 use common::*;
 
-/// A machine with one accelerator of four free; the rest is held until `end`.
-fn partly(end: f64, endless: bool) -> Machine {
-    let takes = Resources::new(1.0, 3.0, 1.0);
-    let mut m = machine(0, 0);
-    m.free.subtract(&takes);
-    m.running = vec![RunningTask {
-        ends_at: end,
-        endless,
-        resources: takes,
-        priority: 1,
-        team: 0,
-        within_guarantee: false,
-        preemption: None,
-    }];
-    m
+/// A machine with one of four accelerators free; a task that ends at `ends_at` holds the others.
+fn partly_used_machine(ends_at: f64, endless: bool) -> Machine {
+    let held = Resources::new(1.0, 3.0, 1.0);
+    let mut machine = machine(0, 0);
+    machine.free.subtract(&held);
+    machine.running = vec![RunningTask { endless, ..running(ends_at, held) }];
+    machine
 }
 
-/// What needs a whole machine is reserved for 60 s on; a task that takes longer waits beside the
-/// free accelerator, until it has done so for too long.
+/// A job that needs a whole machine has a reservation in 60 s. A task that takes longer waits beside
+/// the free accelerator, until it has done so for too long.
 #[test]
-fn a_place_is_not_kept_for_ever() {
-    let whole = Job { priority: 2, ..job(Shape::Array, 1, 4.0, 50.0, 500.0) };
-    let long = job(Shape::Array, 2, 1.0, 300.0, 1e6);
-    let made = plan(&problem(vec![partly(60.0, false)], vec![whole.clone(), long.clone()]));
-    assert_eq!((made.starts.len(), made.waiting_beside_capacity), (0, vec![1]));
-    let tired = Job { waits_beside_capacity: true, ..long.clone() };
-    let made = plan(&problem(vec![partly(60.0, false)], vec![whole.clone(), tired]));
-    assert_eq!(made.starts, [Start { job: 1, task: 0, machine: 0 }]);
-    assert_eq!(made.waiting_beside_capacity, Vec::<usize>::new());
-    // Nor for a gang, which takes all of its places or none.
-    let gang = Job { shape: Shape::Gang, waits_beside_capacity: true, ..long.clone() };
-    let made = plan(&problem(vec![partly(60.0, false)], vec![whole.clone(), gang.clone()]));
-    assert_eq!((made.starts.len(), made.waiting_beside_capacity.len()), (0, 0));
-    // Types may be mixed then.
-    let other = machine(1, 1);
+fn a_reservation_does_not_keep_capacity_idle_for_ever() {
+    let whole_machine = Job { priority: 2, ..job(Shape::Array, 1, 4.0, 50.0, 500.0) };
+    let long_job = job(Shape::Array, 2, 1.0, 300.0, 1e6);
+    let plan_with =
+        |machines: Vec<Machine>, job: Job| plan(&problem(machines, vec![whole_machine.clone(), job]));
+
+    let waiting = plan_with(vec![partly_used_machine(60.0, false)], long_job.clone());
+    assert_eq!((waiting.starts.len(), waiting.waiting_beside_capacity), (0, vec![1]));
+
+    let overdue_job = Job { waits_beside_capacity: true, ..long_job.clone() };
+    let started = plan_with(vec![partly_used_machine(60.0, false)], overdue_job);
+    assert_eq!(started.starts, [Start { job: 1, task: 0, machine: 0 }]);
+    assert_eq!(started.waiting_beside_capacity, Vec::<usize>::new());
+
+    // A gang starts all of its tasks or none.
+    let gang = Job { shape: Shape::Gang, waits_beside_capacity: true, ..long_job.clone() };
+    let without_room = plan_with(vec![partly_used_machine(60.0, false)], gang.clone());
+    assert_eq!((without_room.starts.len(), without_room.waiting_beside_capacity.len()), (0, 0));
+
+    // It may use several machine types then.
     let gang = Job { pending_tasks: (0..3).collect(), ..gang };
-    let made = plan(&problem(vec![partly(60.0, false), other], vec![whole, gang]));
-    assert_eq!(made.starts.len(), 3);
-    // A machine that it failed on is one more try then.
-    let avoid = Job { excluded_machines: vec![0], ..long };
-    assert_eq!(plan(&problem(vec![machine(0, 0)], vec![avoid.clone()])).waiting_beside_capacity, [0]);
-    let tired = Job { waits_beside_capacity: true, ..avoid };
-    assert_eq!(plan(&problem(vec![machine(0, 0)], vec![tired])).starts.len(), 2);
+    let on_two_types = plan_with(vec![partly_used_machine(60.0, false), machine(1, 1)], gang);
+    assert_eq!(on_two_types.starts.len(), 3);
+}
+
+/// A machine that a job failed on is not used, until the job has waited beside it for too long.
+#[test]
+fn an_excluded_machine_is_tried_again_in_the_end() {
+    let excluding = Job { excluded_machines: vec![0], ..job(Shape::Array, 2, 1.0, 300.0, 1e6) };
+    let waiting = plan(&problem(vec![machine(0, 0)], vec![excluding.clone()]));
+    assert_eq!(waiting.waiting_beside_capacity, [0]);
+    let overdue = Job { waits_beside_capacity: true, ..excluding };
+    assert_eq!(plan(&problem(vec![machine(0, 0)], vec![overdue])).starts.len(), 2);
 }
 
-/// Tasks of one zone, or at most so many in each, keep to that.
+/// Zone constraints hold for jobs that take free capacity too.
 #[test]
-fn zones_count_for_free_places_too() {
-    let tired = |n: u32| Job { waits_beside_capacity: true, ..job(Shape::Array, n, 2.0, 50.0, 500.0) };
+fn free_capacity_is_used_within_the_zone_constraints() {
+    let overdue_job =
+        |tasks: u32| Job { waits_beside_capacity: true, ..job(Shape::Array, tasks, 2.0, 50.0, 500.0) };
     let machines = || vec![machine(0, 0), machine(0, 1), machine(0, 1)];
-    let bound = Job { one_zone: true, ..tired(6) };
-    let zones = |j: Job| {
-        let made = plan(&problem(machines(), vec![j]));
-        made.starts.iter().map(|s| machines()[s.machine].zone).collect::<Vec<_>>()
+    let zones_used = |job: Job| {
+        let made = plan(&problem(machines(), vec![job]));
+        made.starts.iter().map(|start| machines()[start.machine].zone).collect::<Vec<_>>()
     };
-    assert_eq!(zones(Job { placed_per_zone: vec![1, 0], ..bound.clone() }), [0, 0]);
-    assert_eq!(zones(bound), [1, 1, 1, 1]);
-    let spread = zones(Job { max_per_zone: Some(2), ..tired(4) });
-    assert_eq!(spread.iter().filter(|z| **z == 0).count(), 2);
-    assert_eq!(zones(Job { zone: Some(0), ..tired(6) }), [0, 0]);
+    let in_one_zone = Job { one_zone: true, ..overdue_job(6) };
+    assert_eq!(zones_used(Job { placed_per_zone: vec![1, 0], ..in_one_zone.clone() }), [0, 0]);
+    assert_eq!(zones_used(in_one_zone), [1, 1, 1, 1]);
+    let spread = zones_used(Job { max_per_zone: Some(2), ..overdue_job(4) });
+    assert_eq!(spread.iter().filter(|zone| **zone == 0).count(), 2);
+    assert_eq!(zones_used(Job { zone: Some(0), ..overdue_job(6) }), [0, 0]);
 }
 
-/// Nothing is reserved behind a service: what waits needs a machine more.
+/// Nothing is reserved behind a service: a job that waits for its machine needs another one.
 #[test]
-fn nothing_waits_for_a_service_to_end() {
-    let whole = job(Shape::Array, 1, 4.0, 50.0, 1e9);
-    let late = |m: Machine| plan(&problem(vec![m], vec![whole.clone()])).unmet[0].late_tasks;
-    assert_eq!(late(partly(3600.0, false)), 0);
-    assert_eq!(late(partly(3600.0, true)), 1);
+fn nothing_is_reserved_behind_a_service() {
+    let whole_machine = job(Shape::Array, 1, 4.0, 50.0, 1e9);
+    let late_tasks =
+        |machine: Machine| plan(&problem(vec![machine], vec![whole_machine.clone()])).unmet[0].late_tasks;
+    assert_eq!(late_tasks(partly_used_machine(3600.0, false)), 0);
+    assert_eq!(late_tasks(partly_used_machine(3600.0, true)), 1);
 }
 
-/// A team's limit lets two tasks more run: no machine is missing for the others.
+/// The team's limit admits two more tasks: no machine is missing for the others.
 #[test]
-fn what_a_limit_keeps_back_misses_no_machine() {
-    let j = job(Shape::Array, 9, 4.0, 50.0, 10.0);
-    let mut p = problem(vec![machine(0, 0)], vec![j.clone(), j.clone()]);
-    p.teams[0].accelerators_left = Some(12.0);
-    let made = plan(&p);
-    assert_eq!((made.starts.len(), made.unmet.iter().map(|u| u.tasks).sum::<u32>()), (1, 2));
-    let gang = Job { shape: Shape::Gang, pending_tasks: (0..4).collect(), ..j };
-    p.jobs = vec![gang];
-    assert_eq!(plan(&p).unmet, []);
+fn work_beyond_a_team_limit_is_no_unmet_demand() {
+    let array = job(Shape::Array, 9, 4.0, 50.0, 10.0);
+    let mut problem = problem(vec![machine(0, 0)], vec![array.clone(), array.clone()]);
+    problem.teams[0].accelerators_left = Some(12.0);
+    let made = plan(&problem);
+    let unmet_tasks: u32 = made.unmet.iter().map(|demand| demand.tasks).sum();
+    assert_eq!((made.starts.len(), unmet_tasks), (1, 2));
+    let gang = Job { shape: Shape::Gang, pending_tasks: (0..4).collect(), ..array };
+    problem.jobs = vec![gang];
+    assert_eq!(plan(&problem).unmet, []);
 }
 
-/// What may use spot machines only and finds none speaks for nobody else.
+/// A job that may use spot machines only and finds none is no misfit for other jobs.
 #[test]
-fn who_looks_at_spot_machines_only_bars_nobody() {
-    let spare =
-        Job { best_effort: true, spot: true, spot_only: true, ..job(Shape::Array, 1, 1.0, 50.0, 1e9) };
-    let other = Job { spot: true, best_effort: true, ..job(Shape::Array, 1, 1.0, 50.0, 1e9) };
-    let made = plan(&problem(vec![machine(0, 0)], vec![spare, other]));
+fn a_spot_only_misfit_does_not_cover_other_jobs() {
+    let spot_allowed = Job { spot: true, best_effort: true, ..job(Shape::Array, 1, 1.0, 50.0, 1e9) };
+    let spot_only = Job { spot_only: true, ..spot_allowed.clone() };
+    let made = plan(&problem(vec![machine(0, 0)], vec![spot_only, spot_allowed]));
     assert_eq!(made.starts, [Start { job: 1, task: 0, machine: 0 }]);
 }
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -15,7 +15,7 @@
     /// It was stopped and saves its progress.
     #[serde(rename = "flushing")]
     Saving,
-    /// It has ended; the worker names it until it is told to forget it.
+    /// It has ended; heartbeats name it until a command says to forget it.
     #[serde(rename = "ended")]
     Exited,
 }
--- a/crates/protocol/tests/formats.rs
+++ b/crates/protocol/tests/formats.rs
@@ -44,14 +44,14 @@
     #![proptest_config(config())]
 
     #[test]
-    fn specs_survive_the_wire(tasks in 1u32..=MAX_TASKS, cores in 0.0f64..1e6, due in proptest::option::of(0.0f64..1e6), id in "req-[0-9]{1,20}") {
-        let s = JobSpec { id, tasks, cores, deadline_s: due, ..spec() };
-        prop_assert!(s.check().is_ok());
-        prop_assert_eq!(decode::<JobSpec>(&encode(&s)).unwrap(), s);
+    fn specs_survive_the_wire(tasks in 1u32..=MAX_TASKS, cores in 0.0f64..1e6, deadline_s in proptest::option::of(0.0f64..1e6), id in "req-[0-9]{1,20}") {
+        let submitted = JobSpec { id, tasks, cores, deadline_s, ..spec() };
+        prop_assert!(submitted.check().is_ok());
+        prop_assert_eq!(decode::<JobSpec>(&encode(&submitted)).unwrap(), submitted);
     }
 
     #[test]
-    fn awaited_jobs_are_distinct_ids_or_malformed(ids in proptest::collection::vec("req-[0-9]{1,3}", 0..40)) {
+    fn dependencies_are_distinct_ids_or_malformed(ids in proptest::collection::vec("req-[0-9]{1,3}", 0..40)) {
         let given = JobSpec { dependencies: ids.clone(), ..spec() };
         let read = decode::<JobSpec>(&encode(&given)).unwrap();
         prop_assert!(read.check().is_ok());
@@ -68,26 +68,26 @@
     }
 
     #[test]
-    fn a_cut_body_is_malformed(cut in 1usize..100) {
+    fn a_truncated_body_is_malformed(missing in 1usize..100) {
         let body = encode(&spec());
-        let cut = cut.min(body.len() - 1);
-        prop_assert!(decode::<JobSpec>(&body[..body.len() - cut]).is_err());
+        let missing = missing.min(body.len() - 1);
+        prop_assert!(decode::<JobSpec>(&body[..body.len() - missing]).is_err());
     }
 
     #[test]
-    fn reports_survive_the_wire(session in 1u64.., seq in any::<u64>(), token in any::<u64>(), n in 0u32..MAX_TASKS) {
-        let r = Heartbeat {
+    fn heartbeats_survive_the_wire(epoch in 1u64.., sequence in any::<u64>(), fencing_token in any::<u64>(), number in 0u32..MAX_TASKS) {
+        let heartbeat = Heartbeat {
             machine: "vm-000231".into(), addr: "10.1.0.232:9000".into(), machine_type: "g8".into(), zone: "a".into(),
-            spot: true, epoch: session, sequence: seq, fencing_token: token, notice_s: None,
-            tasks: vec![TaskStatus { task: task_name("req-1", n), attempt: seq, state: TaskState::Exited, exit_cause: Some(ExitCause::Busy), checkpointed: None }],
+            spot: true, epoch, sequence, fencing_token, notice_s: None,
+            tasks: vec![TaskStatus { task: task_name("req-1", number), attempt: sequence, state: TaskState::Exited, exit_cause: Some(ExitCause::Busy), checkpointed: None }],
         };
-        prop_assert_eq!(split_task(&r.tasks[0].task), Some(("req-1", n)));
-        prop_assert_eq!(decode::<Heartbeat>(&encode(&r)).unwrap(), r);
+        prop_assert_eq!(split_task(&heartbeat.tasks[0].task), Some(("req-1", number)));
+        prop_assert_eq!(decode::<Heartbeat>(&encode(&heartbeat)).unwrap(), heartbeat);
     }
 }
 
 #[test]
-fn words_on_the_wire_are_the_protocols() {
+fn names_on_the_wire_are_the_protocols() {
     let body = encode(&HeartbeatResponse {
         fencing_token: 41,
         commands: vec![Command {
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -5,11 +5,11 @@
 const GOOD: &str = include_str!("../../../docs/example.toml");
 
 #[test]
-fn the_documented_example_is_taken_and_unknown_fields_are_ignored() {
-    let s = Settings::parse(GOOD).unwrap();
-    assert_eq!((s.params.nodes, s.peers.len()), (3, 2));
-    let more = GOOD.replace("[params.state]", "[params.new]\nx = 1\n[params.state]\nnew = 2");
-    assert!(Settings::parse(&more).is_ok());
+fn the_documented_example_is_accepted_and_unknown_fields_are_ignored() {
+    let settings = Settings::parse(GOOD).unwrap();
+    assert_eq!((settings.params.nodes, settings.peers.len()), (3, 2));
+    let with_unknown_fields = GOOD.replace("[params.state]", "[params.new]\nx = 1\n[params.state]\nnew = 2");
+    assert!(Settings::parse(&with_unknown_fields).is_ok());
 }
 
 #[test]
@@ -30,46 +30,49 @@
         ("txn_ops = 48", "txn_ops = 48\n[params.state.next]\nrps = \"many\"", "line"),
     ] {
         assert!(GOOD.contains(from), "{from}");
-        let e = Settings::parse(&GOOD.replace(from, to)).expect_err(field).to_string();
-        assert!(e.contains(field) && !e.contains('\n'), "{field}: {e}");
+        let error = Settings::parse(&GOOD.replace(from, to)).expect_err(field).to_string();
+        assert!(error.contains(field) && !error.contains('\n'), "{field}: {error}");
     }
 }
 
-/// What is written fits the limits of today and those that may hold any moment.
+/// Writes fit the present limits and those that may hold at any moment.
 #[test]
 fn sizes_fit_the_present_and_the_coming_limits() {
-    let state = |next: &str| {
+    let limits = |next: &str| {
         let text = GOOD.replace("txn_ops = 48", &format!("txn_ops = 48\n{next}"));
-        let s = Settings::parse(&text).unwrap().params.store;
-        (s.effective_value_kb(), s.effective_transaction_ops(), s.effective_write_rps())
+        let store = Settings::parse(&text).unwrap().params.store;
+        (store.effective_value_kb(), store.effective_transaction_ops(), store.effective_write_rps())
     };
-    assert_eq!(state(""), (32.0, 48, 60.0));
-    assert_eq!(state("[params.state.next]\nvalue_kb = 2.0\nwrite_rps = 90.0"), (2.0, 48, 60.0));
-    assert_eq!(state("[params.state.next]\nvalue_kb = 64.0\ntxn_ops = 8\nwrite_rps = 42.0"), (32.0, 8, 42.0));
+    assert_eq!(limits(""), (32.0, 48, 60.0));
+    assert_eq!(limits("[params.state.next]\nvalue_kb = 2.0\nwrite_rps = 90.0"), (2.0, 48, 60.0));
+    assert_eq!(
+        limits("[params.state.next]\nvalue_kb = 64.0\ntxn_ops = 8\nwrite_rps = 42.0"),
+        (32.0, 8, 42.0)
+    );
 }
 
 #[test]
-fn a_cut_leaders_tasks_end_in_time_for_a_cancellation() {
-    let s = Settings::parse(GOOD).unwrap();
-    let d = Timing::from(&s);
-    let w = &s.params.workers;
-    // From the last confirmed renewal: grace, an answer on its way, the lease.
-    assert!(d.response_grace_s + w.lease_s * 1.001 < w.cancel_s);
-    assert!(d.leader_lease_s < w.lease_s / 2.0);
-    assert!(d.response_grace_s > d.leader_lease_s);
+fn tasks_of_a_partitioned_leader_end_in_time_for_a_cancellation() {
+    let settings = Settings::parse(GOOD).unwrap();
+    let timing = Timing::from(&settings);
+    let workers = &settings.params.workers;
+    // From the last confirmed renewal: the grace, a response on its way, the lease.
+    assert!(timing.response_grace_s + workers.lease_s * 1.001 < workers.cancel_s);
+    assert!(timing.leader_lease_s < workers.lease_s / 2.0);
+    assert!(timing.response_grace_s > timing.leader_lease_s);
 }
 
-/// Too little beyond the lease: a leader would answer nobody between two renewals, or too late
-/// for a cancellation. The line has the figures, and what it asks for is enough.
+/// With too little time beyond the lease a leader would not respond between two renewals, or tasks
+/// would end too late for a cancellation. The error has the figures, and what it asks for is enough.
 #[test]
-fn a_cancellation_needs_room_beyond_the_lease() {
+fn a_cancellation_needs_time_beyond_the_lease() {
     let with = |cancel_s: f64| {
         let text = GOOD.replace("cancel_s = 39.0", &format!("cancel_s = {cancel_s:?}"));
-        Settings::parse(&text).map(|_| ()).map_err(|e| e.to_string())
+        Settings::parse(&text).map(|_| ()).map_err(|error| error.to_string())
     };
-    let e = with(21.0).unwrap_err();
-    let least = "at least 4.5 are needed: raise it, or lower lease_s";
-    assert_eq!(e, format!("params.workers.cancel_s: leaves 2.0 s beyond lease_s, {least}"));
+    let error = with(21.0).unwrap_err();
+    let needed = "at least 4.5 are needed: raise it, or lower lease_s";
+    assert_eq!(error, format!("params.workers.cancel_s: leaves 2.0 s beyond lease_s, {needed}"));
     assert!(with(19.0 + 4.6).is_ok());
 }
 
@@ -77,16 +80,16 @@
 fn operators_settings_have_defaults_ranges_and_positions() {
     use anisecroft_settings::Operator;
     assert_eq!(Operator::parse("").unwrap(), Operator::default());
-    let own = Operator::parse("# comment\nreserve: 2\npreempt: false tick_s: 1.5").unwrap();
-    assert_eq!((own.reserve, own.preempt, own.tick_s), (2.0, false, Some(1.5)));
-    for (text, what) in [
+    let operator = Operator::parse("# comment\nreserve: 2\npreempt: false tick_s: 1.5").unwrap();
+    assert_eq!((operator.reserve, operator.preempt, operator.tick_s), (2.0, false, Some(1.5)));
+    for (text, expected) in [
         ("reserve: 99", "line 1, column 1: reserve"),
         ("preempt: true\nidle_hold: -1", "line 2, column 1: idle_hold"),
         ("preempt: true\nreserves: 1", "line 2"),
         ("reserve: \"much\"", "line 1"),
         ("reserve: nan", "reserve"),
     ] {
-        let e = Operator::parse(text).expect_err(text).to_string();
-        assert!(e.contains(what) && !e.contains('\n'), "{text}: {e}");
+        let error = Operator::parse(text).expect_err(text).to_string();
+        assert!(error.contains(expected) && !error.contains('\n'), "{text}: {error}");
     }
 }
