--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -1,5 +1,7 @@
 //! Calls to the store, the cloud, workers and other controllers that wait for a reply.
 
+use crate::client_api::hedged_requests::HedgedRequestId;
+use crate::client_api::record_location::RecordLocation;
 use crate::controller::Controller;
 use crate::messages::{CallId, CloudRequest, Output, StoreRequest, Time};
 use crate::model::records::JobRecord;
@@ -30,6 +32,7 @@
     },
     /// Renewal of the leader's lease.
     Renew {
+        /// Fencing token of the leadership that made the call.
         token: u64,
         /// When the renewal was sent.
         sent: Time,
@@ -38,36 +41,47 @@
     Revoke,
     /// One page of the stored records, read after an election.
     RecoveryPage {
+        /// Fencing token of the leadership that made the call.
         token: u64,
         /// When the read was sent.
         sent: Time,
     },
     /// The leader's watch of the job records.
     JobWatch {
+        /// Fencing token of the leadership that made the call.
         token: u64,
         /// When the watch was sent.
         sent: Time,
     },
     /// A transaction of the leader's write queue.
     Commit {
+        /// Fencing token of the leadership that made the call.
         token: u64,
         /// The transaction's number in the queue.
         serial: u64,
     },
     /// Move of a terminal job's record to the archive.
-    ArchiveMove { token: u64 },
+    ArchiveMove {
+        /// Fencing token of the leadership that made the call.
+        token: u64,
+    },
     /// Read of the format gate by any node.
     FormatGateRead,
     /// Read of the format gate by the leader.
-    FormatRead { token: u64 },
+    FormatRead {
+        /// Fencing token of the leadership that made the call.
+        token: u64,
+    },
     /// Write of the format gate.
     FormatWrite {
+        /// Fencing token of the leadership that made the call.
         token: u64,
         /// The format that is written.
         format: u32,
     },
     /// The record of a dependency.
     DependencyRead {
+        /// Fencing token of the leadership that made the call.
         token: u64,
         /// The dependency's id.
         id: String,
@@ -75,15 +89,20 @@
         over: bool,
     },
     /// Write of the image locations.
-    ImagesWrite { token: u64 },
+    ImagesWrite {
+        /// Fencing token of the leadership that made the call.
+        token: u64,
+    },
     /// Read of the image locations.
     ImagesRead {
+        /// Fencing token of the leadership that made the call.
         token: u64,
         /// The number of the page.
         part: usize,
     },
     /// Read of a record whose write had an unknown outcome.
     ReadBackRecord {
+        /// Fencing token of the leadership that made the call.
         token: u64,
         /// The record's key.
         key: String,
@@ -94,12 +113,14 @@
     CacheComparison,
     /// The record of a job whose status was queried.
     JobRead {
+        /// The job's id.
         id: String,
-        /// Whether the archive is read, where the records of terminal jobs are.
-        over: bool,
+        /// Where the record is read.
+        location: RecordLocation,
     },
     /// Comparison of a job's record and of its cancellation mark with what was read.
     CancellationMarkCompare {
+        /// The job's id.
         id: String,
         /// The record as it was read.
         record: Box<JobRecord>,
@@ -123,47 +144,63 @@
         id: String,
     },
     /// Write of a submitted job's record.
-    Create { id: String },
+    Create {
+        /// The job's id.
+        id: String,
+    },
     /// Read of the record of a job that is to be cancelled.
     CancelRead {
+        /// The job's id.
         id: String,
         /// Attempts before this one.
         tries: u32,
-        /// Whether the archive is read, where the records of terminal jobs are.
-        over: bool,
+        /// Where the record is read.
+        location: RecordLocation,
     },
     /// Write of a cancellation.
     CancelWrite {
+        /// The job's id.
         id: String,
         /// Attempts before this one.
         tries: u32,
     },
     /// A copy of a hedged transaction.
     Hedged {
-        /// The hedged transaction's number.
-        n: u64,
+        /// The hedged transaction.
+        id: HedgedRequestId,
     },
     /// Read that tells whether a hedged transaction was executed.
     HedgedReadBack {
-        /// The hedged transaction's number.
-        n: u64,
+        /// The hedged transaction.
+        id: HedgedRequestId,
     },
     /// Write of the machine types; nothing depends on its reply.
     TypesWrite,
     /// The cloud's machine types.
-    CloudTypes { token: u64 },
+    CloudTypes {
+        /// Fencing token of the leadership that made the call.
+        token: u64,
+    },
     /// The cloud's list of machines.
-    CloudList { token: u64 },
+    CloudList {
+        /// Fencing token of the leadership that made the call.
+        token: u64,
+    },
     /// Request for more machines.
-    ScaleOut { token: u64 },
+    ScaleOut {
+        /// Fencing token of the leadership that made the call.
+        token: u64,
+    },
     /// Deletion of machines.
     Delete {
+        /// Fencing token of the leadership that made the call.
         token: u64,
         /// The ids of the machines.
         machines: Vec<String>,
     },
     /// Commands that were sent to a worker directly.
     WorkerCall {
+        /// Fencing token of the leadership that made the call.
         token: u64,
         /// The worker's machine.
         machine: String,
@@ -184,7 +221,9 @@
 
 /// All calls that have not been answered.
 pub(crate) struct PendingCalls {
+    /// The id of the next call.
     next_id: CallId,
+    /// Calls by id.
     pending: BTreeMap<CallId, PendingCall>,
 }
 
--- a/crates/controller/src/client_api/cancellation_lineage.rs
+++ b/crates/controller/src/client_api/cancellation_lineage.rs
@@ -1,127 +1,148 @@
-//! Whether a job is cancelled with one before it, told from the records of both.
+//! Whether a job is cancelled because one of its dependencies is: decided from the records of both.
 //!
-//! No task of such a job has ever started, since what it waits for was never done: that it is
-//! cancelled follows from the first cancellation alone, wherever that is stored, and needs no
-//! write of its own. So a node answers right however many jobs come after the
-//! cancelled one, and whoever leads, or nobody.
+//! No task of such a job has ever started, since its dependency was never done. So its
+//! cancellation follows from that of the dependency, wherever that is stored, and needs no write
+//! of its own. A node answers right however many dependents a cancelled job has, and whether or
+//! not there is a leader.
 
 use crate::client_api::status_queries::{Requester, StatusQuery};
 use crate::{Controller, Time};
 use protocol::job::JobStatus;
 use std::collections::{BTreeSet, HashSet};
 
-/// Questions that wait until more is known of the jobs before.
+/// Seconds after which a parked query fails; clients wait for two seconds.
+const MAX_PARKED_S: Time = 4.0;
+
+/// Jobs that were found not to be cancelled with a dependency. Valid for one round of answers.
+pub(crate) type ClearedJobs = HashSet<String>;
+
+/// Status queries that wait until more is known of the dependencies.
 #[derive(Default)]
 pub struct CancellationLineage {
+    /// Queries in the order in which they were parked.
     parked_queries: Vec<StatusQuery>,
-    /// Jobs that are being asked for on their behalf.
+    /// Jobs that are being looked up for parked queries.
     lookups: BTreeSet<String>,
-    /// Something was learned since they were last looked at.
-    has_news: bool,
+    /// A lookup has finished since the parked queries were last tried.
+    lookup_finished: bool,
 }
 
 impl CancellationLineage {
-    /// The question after `id` on behalf of others has its answer, or gets none now.
+    /// The lookup of job `id` for parked queries was answered, or has failed.
     pub fn on_lookup_done(&mut self, id: &str) {
-        self.has_news |= self.lookups.remove(id);
+        self.lookup_finished |= self.lookups.remove(id);
     }
-}
 
-/// Those that wait longer are told to ask again: users wait for two seconds.
-const PATIENCE_S: Time = 4.0;
+    /// Takes out the queries that have been parked for too long.
+    fn take_expired(&mut self, now: Time) -> Vec<StatusQuery> {
+        let is_expired = |query: &StatusQuery| now - query.asked_at > MAX_PARKED_S;
+        if !self.parked_queries.iter().any(is_expired) {
+            return Vec::new();
+        }
+        let (expired, parked) = std::mem::take(&mut self.parked_queries).into_iter().partition(is_expired);
+        self.parked_queries = parked;
+        expired
+    }
+}
 
-/// What the records of the jobs before one say of it.
+/// What is known of the dependencies of a job, direct and indirect.
 enum LineageVerdict {
     /// None of them is cancelled.
     Clear,
+    /// One of them is cancelled.
     Cancelled,
     /// Nothing is known of these.
     Unknown(Vec<String>),
 }
 
+/// Whether a query can be answered.
+pub(crate) enum LineageCheck {
+    /// It can.
+    Decided {
+        /// The query.
+        query: StatusQuery,
+        /// Whether the job is cancelled with a dependency.
+        cancelled: bool,
+    },
+    /// It waits until the dependencies are looked up.
+    Parked,
+}
+
 impl Controller {
-    /// Looks at all jobs before `id` that are not done; what was found clear before is
-    /// passed over.
-    fn lineage(&self, id: &str, clear: &mut HashSet<String>) -> LineageVerdict {
-        let mut seen: BTreeSet<&str> = BTreeSet::new();
-        let (mut left, mut unknown) = (vec![id], Vec::new());
-        while let Some(next) = left.pop() {
-            if clear.contains(next) || !seen.insert(next) {
+    /// Walks the dependencies of job `id` that are not done, except those in `cleared`.
+    fn lineage(&self, id: &str, cleared: &mut ClearedJobs) -> LineageVerdict {
+        let mut visited: BTreeSet<&str> = BTreeSet::new();
+        let mut to_visit = vec![id];
+        let mut unknown = Vec::new();
+        while let Some(next) = to_visit.pop() {
+            if cleared.contains(next) || !visited.insert(next) {
                 continue;
             }
-            match (self.terminal_states.get(next), self.status_queries.cached_jobs.get(next)) {
+            match (self.terminal_states.get(next), self.status_queries.cached_job(next)) {
                 (Some((JobStatus::Cancelled, _)), _) => return LineageVerdict::Cancelled,
                 (Some(_), _) => {}
-                // Once it has waited for all of its own, none of them can be cancelled.
-                (None, Some(row)) if !row.waits_for_dependencies() => {}
-                (None, Some(row)) if row.external_spec.is_some() => unknown.push(next.to_string()),
-                (None, Some(row)) => left.extend(row.dependencies.iter().map(String::as_str)),
+                // All of its dependencies are done, so none of them can be cancelled.
+                (None, Some(job)) if !job.waits_for_dependencies() => {}
+                (None, Some(job)) if job.external_spec.is_some() => unknown.push(next.to_string()),
+                (None, Some(job)) => to_visit.extend(job.dependencies.iter().map(String::as_str)),
                 (None, None) => unknown.push(next.to_string()),
             }
         }
-        if unknown.is_empty() {
-            clear.extend(seen.into_iter().map(String::from));
-            return LineageVerdict::Clear;
+        if !unknown.is_empty() {
+            return LineageVerdict::Unknown(unknown);
         }
-        LineageVerdict::Unknown(unknown)
+        cleared.extend(visited.into_iter().map(String::from));
+        LineageVerdict::Clear
     }
 
-    /// Whether the job that `a` asks for is cancelled with one before it; None: that is
-    /// looked up first, and the question answered then.
-    pub(crate) fn check_lineage(
-        &mut self,
-        query: StatusQuery,
-        clear: &mut HashSet<String>,
-    ) -> Option<(StatusQuery, bool)> {
+    /// Whether the job of a query is cancelled with a dependency. If that is not known, the
+    /// dependencies are looked up, and the query is parked until then.
+    pub(crate) fn check_lineage(&mut self, query: StatusQuery, cleared: &mut ClearedJobs) -> LineageCheck {
         if !self.checks.cancellation_lineage {
-            return Some((query, false));
+            return LineageCheck::Decided { query, cancelled: false };
         }
-        match self.lineage(&query.id, clear) {
-            LineageVerdict::Clear => Some((query, false)),
+        match self.lineage(&query.id, cleared) {
+            LineageVerdict::Clear => LineageCheck::Decided { query, cancelled: false },
             LineageVerdict::Cancelled => {
-                // The cause is stored, and so this is as final as if it were.
+                // The dependency's cancellation is stored, so this one is as final.
                 self.terminal_states.insert(&query.id, JobStatus::Cancelled, 0);
-                Some((query, true))
+                LineageCheck::Decided { query, cancelled: true }
             }
             LineageVerdict::Unknown(ids) => {
                 self.status_queries.lineage.parked_queries.push(query);
-                for id in ids {
-                    if self.status_queries.lineage.lookups.insert(id.clone()) {
-                        self.status_queries.enqueue(StatusQuery {
-                            requester: Requester::Lineage,
-                            id,
-                            asked_at: self.now,
-                        });
-                    }
-                }
-                None
+                self.look_up_lineage(ids);
+                LineageCheck::Parked
+            }
+        }
+    }
+
+    /// Looks up jobs that are not being looked up yet.
+    fn look_up_lineage(&mut self, ids: Vec<String>) {
+        for id in ids {
+            if self.status_queries.lineage.lookups.insert(id.clone()) {
+                let lookup = StatusQuery { requester: Requester::Lineage, id, asked_at: self.now };
+                self.status_queries.enqueue_uncached(lookup);
             }
         }
     }
 
-    /// Looks again at what waits, once more is known.
+    /// Tries the parked queries again if a lookup has finished.
     pub(crate) fn retry_parked_queries(&mut self) {
-        if !std::mem::take(&mut self.status_queries.lineage.has_news) {
+        let lineage = &mut self.status_queries.lineage;
+        if !std::mem::take(&mut lineage.lookup_finished) {
             return;
         }
-        let mut clear = HashSet::new();
-        for a in std::mem::take(&mut self.status_queries.lineage.parked_queries) {
-            if let Some(a) = self.try_answer(a, &mut clear) {
-                self.status_queries.enqueue(a);
+        let mut cleared = ClearedJobs::new();
+        for query in std::mem::take(&mut lineage.parked_queries) {
+            if let Some(unanswered) = self.try_answer(query, &mut cleared) {
+                self.status_queries.enqueue_uncached(unanswered);
             }
         }
     }
 
-    /// Questions that have waited for too long are given back.
+    /// Fails the queries that have been parked for too long.
     pub(crate) fn expire_parked_queries(&mut self) {
-        let now = self.now;
-        let kin = &mut self.status_queries.lineage;
-        if kin.parked_queries.iter().all(|a| now - a.asked_at <= PATIENCE_S) {
-            return;
-        }
-        let (late, parked) =
-            std::mem::take(&mut kin.parked_queries).into_iter().partition(|a| now - a.asked_at > PATIENCE_S);
-        kin.parked_queries = parked;
-        self.fail_queries(late, "jobs before it are being looked up");
+        let expired = self.status_queries.lineage.take_expired(self.now);
+        self.fail_queries(expired, "jobs before it are being looked up");
     }
 }
--- a/crates/controller/src/client_api/hedged_requests.rs
+++ b/crates/controller/src/client_api/hedged_requests.rs
@@ -1,65 +1,92 @@
-//! Users' transactions whose answer is overdue.
+//! Hedged requests: clients' transactions whose reply is overdue are read back and sent again.
 //!
-//! One that gets no answer was carried out, is yet to be, or never will be; the driver waits long
-//! before it says so, longer than users should. So as soon as its answer is overdue what it writes
-//! is read back. If it stands there, that is its answer. What is missing proves nothing, so the
-//! first one is waited for still, but a copy is sent as well (a hedged request): both have the same
-//! conditions, and change the same keys to the same values, so that one of them is carried out at
-//! most, or, where it puts parts that no record names yet or only compares, it does not matter
-//! which.
+//! A transaction without a reply was executed, is yet to be, or never will be. The driver reports
+//! that only after a long timeout, longer than clients should wait. So once a reply is overdue, the
+//! key that the transaction writes is read back. If it holds the value written, that is the reply.
+//! If it does not, nothing is proven: the first copy is still waited for, and another copy is sent.
+//! All copies have the same compares and write the same values to the same keys, so at most one is
+//! executed. Where a transaction only compares, or puts chunks that no record names yet, it does
+//! not matter which copy is.
 
 use crate::model::records::Value;
 use crate::{CallContext, Controller, RateLimiter, StoreReply, StoreRequest, Time};
 use protocol::state::{CasConflict, Item, Mutation, Transaction};
-use settings::Timing;
 use std::collections::BTreeMap;
 
 /// Copies of a transaction that are sent at most, the first included.
-const MOST_COPIES: u32 = 3;
-/// Part of the node's reads and of its users' changes that reading back and copies may take.
-const SHARE: f64 = 0.25;
+const MAX_COPIES: u32 = 3;
+/// Part of the node's client reads and writes that read-backs and further copies may use.
+const HEDGING_SHARE: f64 = 0.25;
 
-/// A transaction on its way.
+/// Identifies a hedged transaction.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
+pub(crate) struct HedgedRequestId(u64);
+
+/// A transaction in flight.
 struct HedgedRequest {
+    /// What the transaction is for.
     context: CallContext,
+    /// The transaction, the same in all copies.
     transaction: Transaction<Value>,
+    /// Copies that have been sent.
     copies_sent: u32,
     /// Copies that have not been answered.
     copies_open: u32,
-    /// It is being read back.
+    /// The key is being read back.
     read_back_in_flight: bool,
-    /// When the last copy was sent, or it was last looked at.
+    /// When the last copy was sent, or the last read-back was due or answered.
     last_attempt_at: Time,
 }
 
-/// All transactions of users that are on their way.
+/// All clients' transactions in flight.
 pub struct HedgedRequests {
-    open: BTreeMap<u64, HedgedRequest>,
-    next_id: u64,
+    /// Transactions that have not been answered.
+    open: BTreeMap<HedgedRequestId, HedgedRequest>,
+    /// The id of the next transaction.
+    next_id: HedgedRequestId,
+    /// Budget of read-backs.
     reads: RateLimiter,
+    /// Budget of writes by further copies.
     writes: RateLimiter,
-    /// The service's last answer was a refusal: nothing is read back until it serves.
+    /// The store's last reply was a refusal: nothing is read back until it serves again.
     refused: bool,
 }
 
-/// What reading back says of a transaction.
+/// What a read-back tells of a transaction.
 enum ReadBackOutcome {
-    /// It is stored, in that version.
+    /// It was executed at that revision.
     Stored(u64),
-    /// It is not, and cannot be any more: what it replaces has changed.
+    /// It was not executed and cannot be any more: the key that it replaces has changed.
     Overtaken(CasConflict),
+    /// It has not been executed yet.
     NotYet,
+    /// The key could not be read, or there is no key that tells.
     Unread,
 }
 
+/// The write of a transaction that shows whether it was executed.
+struct OutcomeKey<'a> {
+    /// The key written.
+    key: &'a str,
+    /// The value written.
+    value: &'a Value,
+    /// The version that the key must have before.
+    version_before: u64,
+}
+
 impl HedgedRequests {
-    /// Beside users' reads and changes at such rates.
-    pub fn new(reads: f64, writes: f64) -> Self {
-        let (reads, writes) = (RateLimiter::new(reads * SHARE), RateLimiter::new(writes * SHARE));
-        HedgedRequests { open: BTreeMap::new(), next_id: 0, reads, writes, refused: false }
+    /// Without any transaction; `client_reads` and `client_writes` are the node's rates per second.
+    pub fn new(client_reads: f64, client_writes: f64) -> Self {
+        HedgedRequests {
+            open: BTreeMap::new(),
+            next_id: HedgedRequestId::default(),
+            reads: RateLimiter::new(client_reads * HEDGING_SHARE),
+            writes: RateLimiter::new(client_writes * HEDGING_SHARE),
+            refused: false,
+        }
     }
 
-    /// Notes how the service answered any call.
+    /// Records how the store has answered any call.
     pub fn record_reply(&mut self, reply: &StoreReply) {
         match reply {
             StoreReply::Refused => self.refused = true,
@@ -68,33 +95,57 @@
         }
     }
 
-    /// Whether one is waited for.
+    /// Whether any transaction is in flight.
     pub fn has_open(&self) -> bool {
         !self.open.is_empty()
     }
+
+    fn insert(&mut self, request: HedgedRequest) -> HedgedRequestId {
+        let id = self.next_id;
+        self.next_id = HedgedRequestId(id.0 + 1);
+        self.open.insert(id, request);
+        id
+    }
+
+    /// Transactions whose last copy or read-back was `timeout_s` ago or longer.
+    fn overdue(&self, now: Time, timeout_s: Time) -> Vec<HedgedRequestId> {
+        let is_overdue = |request: &HedgedRequest| {
+            request.copies_open > 0
+                && !request.read_back_in_flight
+                && now - request.last_attempt_at >= timeout_s
+        };
+        self.open.iter().filter(|(_, request)| is_overdue(request)).map(|(&id, _)| id).collect()
+    }
+
+    fn read_backs_in_flight(&self) -> usize {
+        self.open.values().filter(|request| request.read_back_in_flight).count()
+    }
 }
 
 impl HedgedRequest {
-    /// What it writes and how that key has to be before, if its outcome can be read there.
-    fn outcome_key(&self) -> Option<(&str, &Value, u64)> {
-        let (key, value) = self.transaction.mutations.iter().find_map(|c| match c {
+    /// None if no key that is written is also compared.
+    fn outcome_key(&self) -> Option<OutcomeKey<'_>> {
+        let (key, value) = self.transaction.mutations.iter().find_map(|mutation| match mutation {
             Mutation::Put { key, value, .. } => Some((key, value)),
             Mutation::Delete { .. } => None,
         })?;
-        let condition = self.transaction.compares.iter().find(|c| c.key == *key)?;
-        Some((key, value, condition.version))
+        let compare = self.transaction.compares.iter().find(|compare| compare.key == *key)?;
+        Some(OutcomeKey { key, value, version_before: compare.version })
     }
 
+    /// What the reply to the read of the outcome key tells.
     fn read_back_outcome(&self, reply: StoreReply) -> ReadBackOutcome {
-        let Some((key, value, before)) = self.outcome_key() else { return ReadBackOutcome::Unread };
+        let Some(OutcomeKey { key, value, version_before }) = self.outcome_key() else {
+            return ReadBackOutcome::Unread;
+        };
         let overtaken =
             |revision| ReadBackOutcome::Overtaken(CasConflict { failed: vec![key.to_string()], revision });
         match reply {
             StoreReply::Item(item) if item.value == *value => ReadBackOutcome::Stored(item.version),
-            StoreReply::Item(Item { version, .. }) if version != before => overtaken(version),
+            StoreReply::Item(Item { version, .. }) if version != version_before => overtaken(version),
             StoreReply::Item(_) => ReadBackOutcome::NotYet,
-            // (A job that is over has moved: a copy's conditions tell.)
-            StoreReply::Missing(_) if before == 0 => ReadBackOutcome::NotYet,
+            // The record may also have been archived; the compares of the next copy tell.
+            StoreReply::Missing(_) if version_before == 0 => ReadBackOutcome::NotYet,
             StoreReply::Missing(revision) => overtaken(revision),
             _ => ReadBackOutcome::Unread,
         }
@@ -102,134 +153,136 @@
 }
 
 impl Controller {
-    /// Sends a transaction whose outcome users wait for. `purpose` gets one answer.
-    pub(crate) fn commit_hedged(&mut self, context: CallContext, txn: Transaction<Value>) {
-        let n = self.hedged_requests.next_id;
-        self.hedged_requests.next_id += 1;
-        let hedge = HedgedRequest {
+    /// Sends a transaction whose outcome clients wait for. Exactly one reply is routed by `context`.
+    pub(crate) fn commit_hedged(&mut self, context: CallContext, transaction: Transaction<Value>) {
+        let id = self.hedged_requests.insert(HedgedRequest {
             context,
-            transaction: txn,
+            transaction,
             copies_sent: 0,
             copies_open: 0,
             read_back_in_flight: false,
             last_attempt_at: self.now,
-        };
-        self.hedged_requests.open.insert(n, hedge);
-        self.send_copy(n);
+        });
+        self.send_copy(id);
     }
 
-    fn send_copy(&mut self, n: u64) {
-        let now = self.now;
-        let Some(h) = self.hedged_requests.open.get_mut(&n) else { return };
-        (h.copies_sent, h.copies_open, h.last_attempt_at) = (h.copies_sent + 1, h.copies_open + 1, now);
-        let op = StoreRequest::Commit(h.transaction.clone());
-        self.call_store(CallContext::Hedged { n }, op);
+    fn send_copy(&mut self, id: HedgedRequestId) {
+        let Some(request) = self.hedged_requests.open.get_mut(&id) else { return };
+        request.copies_sent += 1;
+        request.copies_open += 1;
+        request.last_attempt_at = self.now;
+        let commit = StoreRequest::Commit(request.transaction.clone());
+        self.call_store(CallContext::Hedged { id }, commit);
     }
 
-    fn finish_hedged(&mut self, n: u64, reply: StoreReply) {
-        if let Some(h) = self.hedged_requests.open.remove(&n) {
-            self.on_store_reply(h.context, reply);
+    /// Routes the reply to the transaction, and forgets it.
+    fn finish_hedged(&mut self, id: HedgedRequestId, reply: StoreReply) {
+        if let Some(request) = self.hedged_requests.open.remove(&id) {
+            self.on_store_reply(request.context, reply);
         }
     }
 
-    pub(crate) fn on_hedged_reply(&mut self, n: u64, reply: StoreReply) {
-        let Some(h) = self.hedged_requests.open.get_mut(&n) else { return };
-        h.copies_open -= 1;
-        // Of a copy, a conflict may come from an earlier one that was carried out. Whoever gets it
-        // reads what is there.
-        let told = matches!(reply, StoreReply::Committed(_) | StoreReply::Conflict(_));
-        let (only, last) = (h.copies_sent == 1, h.copies_open == 0 && !h.read_back_in_flight);
-        if told || only && last {
-            return self.finish_hedged(n, reply);
+    /// One copy of a transaction was answered.
+    pub(crate) fn on_hedged_reply(&mut self, id: HedgedRequestId, reply: StoreReply) {
+        let Some(request) = self.hedged_requests.open.get_mut(&id) else { return };
+        request.copies_open -= 1;
+        // The conflict of a copy may be with an earlier copy that was executed. Whoever handles
+        // it reads what is stored.
+        let is_decisive = matches!(reply, StoreReply::Committed(_) | StoreReply::Conflict(_));
+        let is_only_copy = request.copies_sent == 1;
+        let is_last_open = request.copies_open == 0 && !request.read_back_in_flight;
+        if is_decisive || is_only_copy && is_last_open {
+            return self.finish_hedged(id, reply);
         }
         if matches!(reply, StoreReply::Limited) {
             self.on_rate_limited();
         }
-        if last {
-            self.finish_hedged(n, StoreReply::Unknown);
+        if is_last_open {
+            self.finish_hedged(id, StoreReply::Unknown);
         }
     }
 
-    pub(crate) fn on_hedged_read_back(&mut self, n: u64, reply: StoreReply) {
-        let now = self.now;
-        let Some(h) = self.hedged_requests.open.get_mut(&n) else { return };
-        (h.read_back_in_flight, h.last_attempt_at) = (false, now);
-        match h.read_back_outcome(reply) {
-            ReadBackOutcome::Stored(version) => self.finish_hedged(n, StoreReply::Committed(version)),
-            ReadBackOutcome::Overtaken(conflict) => self.finish_hedged(n, StoreReply::Conflict(conflict)),
-            ReadBackOutcome::NotYet | ReadBackOutcome::Unread if h.copies_open == 0 => {
-                self.finish_hedged(n, StoreReply::Unknown)
+    /// A read-back was answered.
+    pub(crate) fn on_hedged_read_back(&mut self, id: HedgedRequestId, reply: StoreReply) {
+        let Some(request) = self.hedged_requests.open.get_mut(&id) else { return };
+        request.read_back_in_flight = false;
+        request.last_attempt_at = self.now;
+        match request.read_back_outcome(reply) {
+            ReadBackOutcome::Stored(version) => self.finish_hedged(id, StoreReply::Committed(version)),
+            ReadBackOutcome::Overtaken(conflict) => self.finish_hedged(id, StoreReply::Conflict(conflict)),
+            ReadBackOutcome::NotYet | ReadBackOutcome::Unread if request.copies_open == 0 => {
+                self.finish_hedged(id, StoreReply::Unknown);
             }
-            ReadBackOutcome::NotYet => self.resend_hedged(n),
+            ReadBackOutcome::NotYet => self.resend_hedged(id),
             ReadBackOutcome::Unread => {}
         }
     }
 
-    /// Sends another copy, as far as there is room.
-    fn resend_hedged(&mut self, n: u64) {
-        let now = self.now;
-        let Some(h) = self.hedged_requests.open.get(&n) else { return };
-        let changes = h.transaction.mutations.len() as f64;
-        if h.copies_sent >= MOST_COPIES {
+    /// Sends another copy if the limits allow it.
+    fn resend_hedged(&mut self, id: HedgedRequestId) {
+        let Some(request) = self.hedged_requests.open.get(&id) else { return };
+        if request.copies_sent >= MAX_COPIES {
             return;
         }
-        let room = if changes == 0.0 {
-            self.try_acquire_read_back()
-        } else {
-            self.client_writes.available_at(now) >= changes
-                && self.hedged_requests.writes.try_acquire(now, changes)
-        };
-        if room {
-            self.client_writes.try_acquire(now, changes);
-            self.send_copy(n);
+        let writes = request.transaction.mutations.len() as f64;
+        let is_allowed =
+            if writes == 0.0 { self.try_acquire_read_back() } else { self.try_acquire_hedged_writes(writes) };
+        if is_allowed {
+            self.client_writes.try_acquire(self.now, writes);
+            self.send_copy(id);
         }
     }
 
-    /// Takes one more read for what is overdue, if there is room for it.
+    /// Takes writes from the budget of further copies if clients do not need them.
+    fn try_acquire_hedged_writes(&mut self, writes: f64) -> bool {
+        self.client_writes.available_at(self.now) >= writes
+            && self.hedged_requests.writes.try_acquire(self.now, writes)
+    }
+
+    /// Takes one read from the budget if clients do not need it.
     fn try_acquire_read_back(&mut self) -> bool {
-        let now = self.now;
-        let quarter = self.client_reads.rate() / 4.0;
-        let room = self.client_reads.available_at(now) >= quarter.max(1.0)
-            && self.hedged_requests.reads.try_acquire(now, 1.0);
-        room && self.client_reads.try_acquire(now, 1.0)
+        self.client_reads.has_reserve(self.now)
+            && self.hedged_requests.reads.try_acquire(self.now, 1.0)
+            && self.client_reads.try_acquire(self.now, 1.0)
     }
 
-    /// Looks after what is overdue.
+    /// Reads back the transactions whose reply is overdue.
     pub(crate) fn tick_hedged_requests(&mut self) {
         if !self.hedged_requests.has_open() || self.hedged_requests.refused {
             return;
         }
-        let Timing { store_timeout_s: state_timeout_s, hedge_after_s: overdue_s, .. } = self.timing;
-        let patience_s = self.store_health.latency.timeout_s(overdue_s);
-        // So slow that the answer comes no later than what is read back.
-        if patience_s > state_timeout_s / 2.0 {
+        let store_timeout_s = self.timing.store_timeout_s;
+        let hedge_after_s = self.store_health.latency.timeout_s(self.timing.hedge_after_s);
+        // The store is so slow that the driver's timeout would come before the read-back.
+        if hedge_after_s > store_timeout_s / 2.0 {
             return;
         }
-        // Nothing was answered for long: one look at a time shows when that has changed.
-        let doubt = self.store_health.failing_since.is_some_and(|since| self.now - since > state_timeout_s);
-        let overdue = |h: &HedgedRequest| {
-            h.copies_open > 0 && !h.read_back_in_flight && self.now - h.last_attempt_at >= patience_s
+        let overdue = self.hedged_requests.overdue(self.now, hedge_after_s);
+        // While the store answers nothing, one read-back at a time shows when that changes.
+        let is_silent =
+            self.store_health.failing_since.is_some_and(|since| self.now - since > store_timeout_s);
+        let max_read_backs = if is_silent {
+            1_usize.saturating_sub(self.hedged_requests.read_backs_in_flight())
+        } else {
+            overdue.len()
         };
-        let due = self.hedged_requests.open.iter().filter(|(_, h)| overdue(h)).map(|(&n, _)| n);
-        let due: Vec<u64> = due.collect();
-        let reading = self.hedged_requests.open.values().filter(|h| h.read_back_in_flight).count();
-        let most = if doubt { 1_usize.saturating_sub(reading) } else { due.len() };
-        for n in due.into_iter().take(most) {
-            self.read_back_hedged(n);
+        for id in overdue.into_iter().take(max_read_backs) {
+            self.read_back_hedged(id);
         }
     }
 
-    fn read_back_hedged(&mut self, n: u64) {
-        let now = self.now;
-        let Some(h) = self.hedged_requests.open.get_mut(&n) else { return };
-        h.last_attempt_at = now;
-        let Some(key) = h.outcome_key().map(|t| t.0.to_string()) else { return self.resend_hedged(n) };
+    fn read_back_hedged(&mut self, id: HedgedRequestId) {
+        let Some(request) = self.hedged_requests.open.get_mut(&id) else { return };
+        request.last_attempt_at = self.now;
+        let Some(key) = request.outcome_key().map(|outcome| outcome.key.to_string()) else {
+            return self.resend_hedged(id);
+        };
         if !self.try_acquire_read_back() {
             return;
         }
-        if let Some(h) = self.hedged_requests.open.get_mut(&n) {
-            h.read_back_in_flight = true;
+        if let Some(request) = self.hedged_requests.open.get_mut(&id) {
+            request.read_back_in_flight = true;
         }
-        self.call_store(CallContext::HedgedReadBack { n }, StoreRequest::Get(key));
+        self.call_store(CallContext::HedgedReadBack { id }, StoreRequest::Get(key));
     }
 }
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -1,7 +1,7 @@
 //! The controller's state: one field for each part that owns some of it.
 
 use crate::calls::PendingCalls;
-use crate::client_api::client_requests::{ClientRequests, MOST_WRITES};
+use crate::client_api::client_requests::{ClientRequests, MAX_CLIENT_WRITE_SHARE};
 use crate::client_api::hedged_requests::HedgedRequests;
 use crate::client_api::status_queries::StatusQueries;
 use crate::election::state::ElectionState;
@@ -91,7 +91,7 @@
         let store = &settings.params.store;
         let nodes = f64::from(settings.params.nodes.max(1));
         let client_read_rps = store.rps * CLIENT_READ_SHARE / nodes;
-        let client_write_rps = store.write_rps * MOST_WRITES;
+        let client_write_rps = store.write_rps * MAX_CLIENT_WRITE_SHARE;
         let mut rng = SmallRng::seed_from_u64(seed);
         Controller {
             checks: SafetyChecks::default(),
--- a/crates/controller/src/messages.rs
+++ b/crates/controller/src/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into the core and what comes out of it.
+//! The inputs and outputs of the controller's state machine.
 
 use crate::model::records::Value;
 use protocol::cloud::{MachineList, MachineTypes, Machines, RentRequest};
@@ -8,112 +8,189 @@
 
 /// Seconds on the steady clock.
 pub type Time = f64;
+/// Identifies a call of the controller; a reply carries the id of its call.
 pub type CallId = u64;
+/// Identifies a request to the controller; a response carries the id of its request.
 pub type RequestId = u64;
 
+/// An HTTP request to this node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Request {
+    /// Submission of a job, with the undecoded body.
     Submit(Vec<u8>),
+    /// Query of the status of the job with that id.
     QueryStatus(String),
+    /// Cancellation of the job with that id.
     Cancel(String),
+    /// A worker's heartbeat, with the undecoded body.
     Heartbeat(Vec<u8>),
+    /// A load balancer's health check.
     HealthCheck,
 }
 
+/// The response to a [`Request`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct HttpResponse {
+    /// HTTP status code.
     pub status: u16,
+    /// Encoded body.
     pub body: Vec<u8>,
+    /// Seconds for the `Retry-After` header, if it is to be sent.
     pub retry_after_s: Option<u32>,
 }
 
+/// A request to the key-value store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreRequest {
+    /// Reads one key.
     Get(String),
-    List { prefix: String, after: Option<String> },
+    /// Reads one page of the keys with that prefix.
+    List {
+        /// Prefix of the keys.
+        prefix: String,
+        /// Last key of the page before; none for the first page.
+        after: Option<String>,
+    },
+    /// Executes a compare-and-swap transaction.
     Commit(Transaction<Value>),
-    Grant { ttl_ms: u64 },
+    /// Grants a lease.
+    Grant {
+        /// Time to live, in milliseconds.
+        ttl_ms: u64,
+    },
+    /// Renews the lease with that id.
     Renew(u64),
+    /// Revokes the lease with that id, and deletes the keys that are bound to it.
     Revoke(u64),
-    Watch { prefix: String, after: u64, wait_ms: u64 },
+    /// Waits for changes of the keys with that prefix.
+    Watch {
+        /// Prefix of the keys.
+        prefix: String,
+        /// Revision after which changes are wanted.
+        after: u64,
+        /// How long to wait for a change, in milliseconds; 0: answer at once.
+        wait_ms: u64,
+    },
 }
 
+/// The store's reply to a [`StoreRequest`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreReply {
+    /// The key that was read.
     Item(Item<Value>),
+    /// The key does not exist, as of that revision.
     Missing(u64),
+    /// The page that was read.
     Page(Page<Value>),
+    /// The transaction was executed at that revision.
     Committed(u64),
+    /// A compare of the transaction failed, so it was not executed.
     Conflict(CasConflict),
+    /// The lease with that id was granted.
     Granted(u64),
+    /// The lease was renewed or revoked.
     Done,
+    /// The changes that the watch has seen.
     Events(Events<Value>),
-    /// 404 for a lease, 410 for a watch, 400 "no such lease" for a commit.
+    /// The lease or the watched revision no longer exists: 404 for a lease, 410 for a watch,
+    /// 400 "no such lease" for a transaction.
     Gone,
-    /// 400 for a commit for any other reason: a value or the transaction is too large,
-    /// or it makes no sense. Certainly not executed.
+    /// Certainly not executed: 400 for a transaction for any other reason. A value or the
+    /// transaction is too large, or it is malformed.
     Invalid,
-    /// 429: more than the service takes in a second. Certainly not executed.
+    /// Certainly not executed: 429, the store's rate limit.
     Limited,
-    /// Certainly not executed: 503, no connection.
+    /// Certainly not executed: 503, or no connection.
     Refused,
-    /// Executed, not executed or yet to be executed.
+    /// No reply: executed, not executed, or yet to be executed.
     Unknown,
 }
 
+/// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
+    /// Reads the machine types.
     Types,
-    List { after: Option<String> },
+    /// Reads one page of the machines.
+    List {
+        /// Last machine of the page before; none for the first page.
+        after: Option<String>,
+    },
+    /// Starts machines.
     Rent(RentRequest),
+    /// Deletes the machines with those ids.
     Delete(Vec<String>),
 }
 
+/// The cloud's reply to a [`CloudRequest`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
+    /// The machine types.
     Types(MachineTypes),
+    /// One page of the machines.
     List(MachineList),
+    /// The machines that were started.
     Machines(Machines),
+    /// The cloud has no machines of that type in that zone now.
     NoCapacity,
+    /// The machines were deleted.
     Done,
+    /// The cloud rejected the request as malformed.
     Malformed,
+    /// Certainly not executed.
     Refused,
+    /// No reply: executed, not executed, or yet to be executed.
     Unknown,
 }
 
+/// A worker's reply to commands that were sent to it directly.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WorkerReply {
-    /// 200 or 409, with the worker's report.
+    /// 200 or 409, with the worker's state.
     Heartbeat {
+        /// Whether the commands were executed (200).
         executed: bool,
+        /// The worker's state after that.
         report: Box<Heartbeat>,
     },
+    /// No reply, or any other status.
     Failed,
 }
 
+/// An event for the controller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
+    /// Time has passed; due after `Controller::wake_interval_s` without another input.
     Tick,
+    /// A request, which gets exactly one [`Output::Response`].
     Request(RequestId, Request),
+    /// The store's reply to a call.
     Store(CallId, StoreReply),
+    /// The cloud's reply to a call.
     Cloud(CallId, CloudReply),
+    /// A worker's reply to a call.
     Worker(CallId, WorkerReply),
-    /// What another controller sees.
+    /// A peer's view of the cluster.
     PeerView(View),
-    /// Workers' reports that another controller passes on.
+    /// Heartbeats that a proxy forwards to this node.
     ForwardRequest(RequestId, ForwardRequest),
-    /// None: no reply came, or too late.
+    /// The leader's reply to forwarded heartbeats; none if it did not come in time.
     ForwardReply(CallId, Option<ForwardReply>),
 }
 
+/// An action that the controller's driver is to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
+    /// Answers a request.
     Response(RequestId, HttpResponse),
+    /// Calls the store.
     Store(CallId, StoreRequest),
+    /// Calls the cloud.
     Cloud(CallId, CloudRequest),
+    /// Sends commands to the worker at that address.
     Worker(CallId, String, DirectCommands),
-    /// Passes reports to the controller of that name.
+    /// Forwards heartbeats to the controller with that name.
     Forward(CallId, String, ForwardRequest),
-    /// Answers another controller's relay.
+    /// Answers heartbeats that another controller has forwarded.
     ForwardReply(RequestId, ForwardReply),
 }
--- a/crates/controller/src/rate_limiter.rs
+++ b/crates/controller/src/rate_limiter.rs
@@ -9,6 +9,7 @@
     rate: f64,
     /// Permits that were left at `refilled_at`.
     available: f64,
+    /// When permits were last added.
     refilled_at: Time,
 }
 
@@ -47,6 +48,13 @@
         self.available
     }
 
+    /// Whether at least a quarter of a second's permits is left, and at least one. Optional work
+    /// takes permits only then.
+    pub(crate) fn has_reserve(&mut self, now: Time) -> bool {
+        let reserve = (self.rate / 4.0).max(1.0);
+        self.available_at(now) >= reserve
+    }
+
     /// Takes `permits` if they are available. A request for more than the bucket holds
     /// succeeds when the bucket is full, and leaves a debt.
     pub(crate) fn try_acquire(&mut self, now: Time, permits: f64) -> bool {
--- a/crates/controller/src/routing.rs
+++ b/crates/controller/src/routing.rs
@@ -54,6 +54,7 @@
         }
     }
 
+    /// Records how the store answers, then routes the reply.
     fn on_store_input(&mut self, id: CallId, reply: StoreReply) {
         let Some(call) = self.calls.complete(id) else { return };
         self.hedged_requests.record_reply(&reply);
@@ -93,7 +94,7 @@
         match context {
             CallContext::FreshnessRead => self.on_freshness_read(reply),
             CallContext::CacheComparison => self.on_comparison(reply),
-            CallContext::JobRead { id, over } => self.on_job_read(&id, over, reply),
+            CallContext::JobRead { id, location } => self.on_job_read(&id, location, reply),
             CallContext::CancellationMarkCompare { id, record, version } => {
                 self.on_cancellation_mark_compared(&id, &record, version, reply);
             }
@@ -102,10 +103,12 @@
             }
             CallContext::CreateChunks { id } => self.on_chunks_stored(&id, reply),
             CallContext::Create { id } => self.on_job_created(&id, reply),
-            CallContext::CancelRead { id, tries, over } => self.on_cancel_read(&id, tries, over, reply),
+            CallContext::CancelRead { id, tries, location } => {
+                self.on_cancel_read(&id, tries, location, reply);
+            }
             CallContext::CancelWrite { id, tries } => self.on_cancel_write(&id, tries, reply),
-            CallContext::Hedged { n } => self.on_hedged_reply(n, reply),
-            CallContext::HedgedReadBack { n } => self.on_hedged_read_back(n, reply),
+            CallContext::Hedged { id } => self.on_hedged_reply(id, reply),
+            CallContext::HedgedReadBack { id } => self.on_hedged_read_back(id, reply),
             // Nothing depends on the reply, or it is no call to the store.
             _ => {}
         }
--- a/crates/controller/src/terminal_states.rs
+++ b/crates/controller/src/terminal_states.rs
@@ -11,6 +11,7 @@
 pub(crate) struct TerminalStateCache {
     /// Status and number of completed tasks, by job id.
     states: BTreeMap<String, (JobStatus, u32)>,
+    /// Job ids, the oldest entry first.
     insertion_order: VecDeque<String>,
 }
 
