--- a/crates/controller/src/agents/early_heartbeats.rs
+++ b/crates/controller/src/agents/early_heartbeats.rs
@@ -1,59 +1,63 @@
-//! Reports that come before a new leader has read the records. It cannot answer them yet: an
-//! answer renews a lease, and what was cancelled it does not know.
+//! Heartbeats that reach a new leader before it has read the stored records. They can't be
+//! responded to yet: a response renews the worker's lease, and the leader doesn't know which
+//! tasks were cancelled.
 
 use crate::messages::{RequestId, Time};
 use protocol::worker::Heartbeat;
 use std::collections::BTreeMap;
 
-struct DeferredHeartbeat {
+struct EarlyHeartbeat {
     request: RequestId,
     heartbeat: Heartbeat,
-    until: Time,
+    deadline: Time,
 }
 
-/// The newest such report of each machine.
+/// The newest early heartbeat of each machine.
 #[derive(Default)]
 pub struct HeartbeatsBeforeRecovery {
-    waiting: BTreeMap<String, DeferredHeartbeat>,
-    /// No report's time is over before.
+    waiting: BTreeMap<String, EarlyHeartbeat>,
+    /// A lower bound of all deadlines, so that most ticks need no scan.
     next_deadline: Time,
 }
 
 impl HeartbeatsBeforeRecovery {
-    /// Keeps a report until `until`, of each machine the newest; returns the request of an older
-    /// one. (A late copy once took the place of the report whose worker waited.)
-    pub fn insert(&mut self, request: RequestId, heartbeat: &Heartbeat, until: Time) -> Option<RequestId> {
-        let place = (heartbeat.epoch, heartbeat.sequence);
-        let newer = |w: &DeferredHeartbeat| (w.heartbeat.epoch, w.heartbeat.sequence) > place;
-        if self.waiting.get(&heartbeat.machine).is_some_and(newer) {
+    /// Keeps a heartbeat until `deadline`, the newest of each machine, and returns the request
+    /// that is superseded: an older one's, or its own if a newer heartbeat waits already. (A
+    /// delayed duplicate once replaced the heartbeat whose worker was waiting.)
+    pub fn insert(&mut self, request: RequestId, heartbeat: &Heartbeat, deadline: Time) -> Option<RequestId> {
+        let position = (heartbeat.epoch, heartbeat.sequence);
+        let is_newer = |early: &EarlyHeartbeat| (early.heartbeat.epoch, early.heartbeat.sequence) > position;
+        if self.waiting.get(&heartbeat.machine).is_some_and(is_newer) {
             return Some(request);
         }
-        if self.waiting.is_empty() || until < self.next_deadline {
-            self.next_deadline = until;
+        if self.waiting.is_empty() || deadline < self.next_deadline {
+            self.next_deadline = deadline;
         }
-        let waiting = DeferredHeartbeat { request, heartbeat: heartbeat.clone(), until };
-        Some(self.waiting.insert(heartbeat.machine.clone(), waiting)?.request)
+        let early = EarlyHeartbeat { request, heartbeat: heartbeat.clone(), deadline };
+        let superseded = self.waiting.insert(heartbeat.machine.clone(), early)?;
+        Some(superseded.request)
     }
 
-    /// Requests whose workers will not wait any longer.
+    /// Removes heartbeats whose deadline has passed and returns their requests.
     pub fn take_expired(&mut self, now: Time) -> Vec<RequestId> {
         if self.waiting.is_empty() || now < self.next_deadline {
             return Vec::new();
         }
-        let mut late = Vec::new();
-        self.waiting.retain(|_, w| {
-            let keep = now < w.until;
+        let mut expired = Vec::new();
+        self.waiting.retain(|_, early| {
+            let keep = now < early.deadline;
             if !keep {
-                late.push(w.request);
+                expired.push(early.request);
             }
             keep
         });
-        self.next_deadline = self.waiting.values().map(|w| w.until).fold(Time::MAX, Time::min);
-        late
+        self.next_deadline = self.waiting.values().map(|early| early.deadline).fold(Time::MAX, Time::min);
+        expired
     }
 
-    /// All that wait.
+    /// Removes and returns all that wait.
     pub fn take_all(&mut self) -> Vec<(RequestId, Heartbeat)> {
-        std::mem::take(&mut self.waiting).into_values().map(|w| (w.request, w.heartbeat)).collect()
+        let waiting = std::mem::take(&mut self.waiting);
+        waiting.into_values().map(|early| (early.request, early.heartbeat)).collect()
     }
 }
--- /dev/null
+++ b/crates/controller/src/agents/heartbeat_ingestion.rs
@@ -0,0 +1,197 @@
+//! The arrival of heartbeats: at any node, at the leader, and from the leader's proxies. What a
+//! heartbeat's content proves is decided in `reconciliation`.
+
+use crate::agents::heartbeat_queue::ReplyRoute;
+use crate::agents::reconciliation::HeartbeatOrigin;
+use crate::leader::state::{LeaderState, Role};
+use crate::model::machine::Machine;
+use crate::{Controller, RequestId, Time};
+use protocol::worker::{Heartbeat, HeartbeatResponse};
+use sharding::ProxyId;
+use tracing::info;
+
+/// Workers whose last contact is remembered. Beyond it, workers that were silent for
+/// `FORGOTTEN_AFTER_LEASES` make room: no duplicate of a heartbeat is that late.
+const MAX_WORKER_CONTACTS: usize = 20_000;
+/// Silence after which a worker's contact may be forgotten, in leases.
+const FORGOTTEN_AFTER_LEASES: Time = 10.0;
+
+impl Controller {
+    /// A worker sent a heartbeat to this node.
+    pub(crate) fn on_heartbeat(&mut self, request_id: RequestId, body: &[u8]) {
+        let heartbeat: Heartbeat = match protocol::decode(body) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => return self.respond_error(request_id, 400, &error.to_string()),
+        };
+        self.record_worker_contact(&heartbeat);
+        if self.is_leader() {
+            self.on_leader_heartbeat(request_id, &heartbeat);
+        } else {
+            self.on_proxied_heartbeat(request_id, heartbeat);
+        }
+    }
+
+    /// Remembers that a worker reaches this node. A delayed duplicate, or a heartbeat that was
+    /// held up on its way, shows nothing.
+    fn record_worker_contact(&mut self, heartbeat: &Heartbeat) {
+        let now = self.now;
+        let position = (heartbeat.epoch, heartbeat.sequence);
+        let is_full = self.sharding.worker_contacts.len() >= MAX_WORKER_CONTACTS;
+        if is_full && !self.sharding.worker_contacts.contains_key(&heartbeat.machine) {
+            // (No entry was once ever removed, and a full table counted no new worker.)
+            let since = now - self.settings.params.workers.lease_s * FORGOTTEN_AFTER_LEASES;
+            self.sharding.worker_contacts.retain(|_, (contact_at, _)| *contact_at > since);
+        }
+        let has_room = self.sharding.worker_contacts.len() < MAX_WORKER_CONTACTS;
+        match self.sharding.worker_contacts.get_mut(&heartbeat.machine) {
+            Some(contact) if position > contact.1 => *contact = (now, position),
+            None if has_room => {
+                self.sharding.worker_contacts.insert(heartbeat.machine.clone(), (now, position));
+            }
+            _ => return,
+        }
+        self.sharding.balancer.on_heartbeat(now, &heartbeat.machine);
+    }
+
+    /// A worker sent a heartbeat to this node while it leads.
+    pub(crate) fn on_leader_heartbeat(&mut self, request_id: RequestId, heartbeat: &Heartbeat) {
+        let now = self.now;
+        let Role::Leader(leader) = &mut self.role else { return };
+        let token = leader.fencing_token;
+        if heartbeat.fencing_token > token {
+            self.observe_token(heartbeat.fencing_token, &heartbeat.machine);
+            return self.respond_error(request_id, 503, "a newer leader exists");
+        }
+        if !leader.recovery.finished && self.checks.response_grace {
+            return self.hold_until_recovered(request_id, heartbeat);
+        }
+        // After the grace period another node may have confirmed a cancellation that this one
+        // can't see: the workers' leases must expire in time for it.
+        if !leader.leadership.authority.may_respond(now) && self.checks.response_grace {
+            return self.respond_error(request_id, 503, "state service not reached");
+        }
+        let machine = leader.cluster.machines.get(&heartbeat.machine);
+        let is_known = machine.is_some_and(|machine| machine.reports_here);
+        if !self.admit_or_refuse(request_id, is_known) {
+            return;
+        }
+        let Some(leader) = self.leader_state(token) else { return };
+        if !leader.recovery.finished {
+            let response = HeartbeatResponse { fencing_token: token, commands: Vec::new() };
+            return self.respond(request_id, 200, protocol::encode(&response));
+        }
+        if !self.ingest_heartbeat(heartbeat, None, now) {
+            // It is late, or was overtaken by a duplicate or by the reply to direct commands. Its
+            // worker may still wait, and the response renews its lease, so it has to carry the
+            // pending commands. (A duplicate that came first once took the kills with it.)
+            let response = self.build_response(&heartbeat.machine);
+            return self.respond(request_id, 200, protocol::encode(&response));
+        }
+        if let Some(node) = self.pick_better_node(heartbeat) {
+            return self.redirect(request_id, Some(node));
+        }
+        self.defer_response(heartbeat, ReplyRoute::Direct(request_id));
+    }
+
+    /// Keeps a heartbeat that came before the records were read.
+    fn hold_until_recovered(&mut self, request_id: RequestId, heartbeat: &Heartbeat) {
+        let deadline = self.now + self.timing.recovery_hold_s;
+        let Role::Leader(leader) = &mut self.role else { return };
+        if let Some(superseded) = leader.heartbeats.early.insert(request_id, heartbeat, deadline) {
+            self.respond_error(superseded, 503, "a newer report came");
+        }
+    }
+
+    /// The records are read: heartbeats that came before are handled now.
+    pub(crate) fn process_early_heartbeats(&mut self) {
+        let Role::Leader(leader) = &mut self.role else { return };
+        for (request_id, heartbeat) in leader.heartbeats.early.take_all() {
+            self.on_leader_heartbeat(request_id, &heartbeat);
+        }
+    }
+
+    /// Refuses early heartbeats whose workers won't wait any longer.
+    pub(crate) fn expire_early_heartbeats(&mut self) {
+        let Role::Leader(leader) = &mut self.role else { return };
+        for request_id in leader.heartbeats.early.take_expired(self.now) {
+            self.respond_error(request_id, 503, "records are being read");
+        }
+    }
+
+    /// Records a heartbeat that arrived at `received_at`, here or at the proxy `via`. False if it
+    /// is not newer than the last one, or if its machine is gone.
+    pub(crate) fn ingest_heartbeat(
+        &mut self,
+        heartbeat: &Heartbeat,
+        via: Option<ProxyId>,
+        received_at: Time,
+    ) -> bool {
+        let now = self.now;
+        let suspicion_s = self.timing.failure_suspicion_s;
+        let in_order = self.checks.heartbeat_order;
+        let Role::Leader(leader) = &mut self.role else { return false };
+        if leader.is_removed_machine(&heartbeat.machine, now - received_at > suspicion_s) {
+            return false;
+        }
+        // The worker's lease counts from when it sent this, which was earlier.
+        let position = (heartbeat.epoch, heartbeat.sequence);
+        leader.register_sender(heartbeat, received_at, now).record_heartbeat(position, received_at, in_order);
+        if !self.apply_heartbeat(heartbeat, HeartbeatOrigin::Worker, received_at) {
+            return false;
+        }
+        self.record_observation(via.as_ref(), &heartbeat.zone, received_at);
+        let Role::Leader(leader) = &mut self.role else { return true };
+        if let Some(machine) = leader.cluster.machines.get_mut(&heartbeat.machine) {
+            machine.record_unsolicited_heartbeat(received_at);
+            machine.reports_here = via.is_none();
+            machine.proxy = via;
+        }
+        true
+    }
+}
+
+impl LeaderState {
+    /// Whether a heartbeat speaks of a machine that is gone; `is_old`: it is so old that an
+    /// unknown machine may be gone, too. (Proxies that became reachable again forwarded all that
+    /// they had, and machines that were deleted meanwhile once got work until they fell silent.)
+    fn is_removed_machine(&self, machine: &str, is_old: bool) -> bool {
+        self.fleet.has_tombstone(machine) || is_old && !self.cluster.machines.contains_key(machine)
+    }
+
+    /// The machine that sent a heartbeat, which is added if it was unknown.
+    fn register_sender(&mut self, heartbeat: &Heartbeat, received_at: Time, now: Time) -> &mut Machine {
+        let id = &heartbeat.machine;
+        let machine = self
+            .cluster
+            .machines
+            .entry(id.clone())
+            .or_insert_with(|| unlisted_machine(heartbeat, received_at));
+        // A worker that received a response of this leader exists. (Two duplicates, one after
+        // the other, once passed for a live worker.)
+        machine.unconfirmed_since.take_if(|_| heartbeat.fencing_token == self.fencing_token);
+        if machine.last_heard_at.is_none() {
+            info!(machine = %id, kind = %heartbeat.machine_type, zone = %heartbeat.zone, spot = heartbeat.spot,
+                  took_s = now - machine.known_since, "machine up");
+            self.planning.needed = true;
+            let cached_images = self.cluster.cached_images.remove(id).unwrap_or_default();
+            for (image, used_at, size_gb) in cached_images {
+                machine.record_image(image, used_at, size_gb);
+            }
+        }
+        machine
+    }
+}
+
+/// A machine that the cloud's list has not shown yet.
+fn unlisted_machine(heartbeat: &Heartbeat, received_at: Time) -> Machine {
+    info!(machine = %heartbeat.machine, "heartbeat from a machine not in the list yet");
+    let mut machine = Machine::new(
+        &heartbeat.machine,
+        &heartbeat.machine_type,
+        &heartbeat.zone,
+        heartbeat.spot,
+        received_at,
+    );
+    machine.unconfirmed_since = Some(received_at);
+    machine
+}
--- a/crates/controller/src/agents/one_way_partition.rs
+++ b/crates/controller/src/agents/one_way_partition.rs
@@ -1,151 +1,101 @@
-//! Whether a machine hears what it is answered: its reports may arrive while nothing reaches
-//! it. It has no work then that lasts for longer than its lease, and what is placed there
-//! never starts; nothing in a single report tells.
+//! Detection of one-way partitions: the heartbeats of a machine arrive, but it receives none of
+//! the responses. Its lease is never renewed, so no task lasts longer than one lease and nothing
+//! launched there ever starts. No single heartbeat shows this; a worker that begins a new epoch
+//! in the middle of uninterrupted heartbeats does.
 
 use crate::messages::Time;
 
-/// What a machine's sessions say of it. A worker whose lease ends although its reports came
-/// and were answered has heard none of the answers; one whose session outlasts a lease has
-/// heard one.
-#[derive(Debug, Clone, Default)]
-pub struct InboundReachability {
-    /// When the present session's first report came.
-    epoch_since: Time,
-    /// Since when reports have come without a pause.
-    contact_since: Time,
-    /// Leases that ended in a row, each heard to the end.
-    missed_leases: u32,
-}
-
-/// Since when this leader has answered reports without a break. While it may answer nobody, the
-/// leases of all workers end, and that says nothing of their ears. (After an outage of the state
-/// service that was longer than three leases, it once gave the whole fleet back as deaf.)
-#[derive(Debug, Clone, Copy, Default)]
-pub struct LeaderResponsiveness(Option<Time>);
+#[cfg(test)]
+mod tests;
 
-impl LeaderResponsiveness {
-    /// Looks whether reports are answered `now`.
-    pub fn update(&mut self, now: Time, answers: bool) {
-        self.0 = if answers { self.0.or(Some(now)) } else { None };
-    }
+/// Leases missed in a row after which a machine is replaced: about as long as machines in an
+/// unreachable zone are kept.
+const MAX_MISSED_LEASES: u32 = 3;
 
-    /// When it began to answer, if it does.
-    pub fn since(&self, now: Time) -> Time {
-        self.0.unwrap_or(now)
-    }
-}
-
-/// By what it is judged.
+/// The times by which reachability is judged.
 #[derive(Debug, Clone, Copy)]
 pub struct HeartbeatTiming {
-    /// Reports at most that far apart come without a pause, tries of other nodes in between.
+    /// The longest gap between heartbeats that counts as uninterrupted contact, in seconds. It
+    /// covers a worker's attempt at another node.
     pub max_gap_s: Time,
-    /// When a lease is over for certain.
+    /// The age of a response at which the lease that it renewed has certainly expired, in seconds.
     pub lease_expiry_s: Time,
-    /// Since when reports have been answered.
+    /// Since when this leader has responded to heartbeats without a break.
     pub responding_since: Time,
 }
 
-/// Leases after which it is given back: as long as machines out of reach are kept.
-const MOST_MISSED: u32 = 3;
+/// The arrival of a heartbeat, compared with the one before it.
+#[derive(Debug, Clone, Copy)]
+pub struct HeartbeatArrival {
+    /// The worker's epoch before; 0 if it is not known.
+    pub previous_epoch: u64,
+    /// The worker's epoch now.
+    pub epoch: u64,
+    /// When the heartbeat before it arrived, if one did.
+    pub previous_at: Option<Time>,
+    /// When it arrived.
+    pub at: Time,
+}
+
+/// What the epochs of a machine's worker show about whether it receives responses. A worker
+/// whose lease expires although its heartbeats arrived and were responded to received none of
+/// the responses; one whose epoch outlasts a lease received at least one.
+#[derive(Debug, Clone, Default)]
+pub struct InboundReachability {
+    /// When the first heartbeat of the current epoch arrived.
+    epoch_since: Time,
+    /// Since when heartbeats have arrived without a gap.
+    contact_since: Time,
+    /// Leases in a row that expired during uninterrupted contact.
+    missed_leases: u32,
+}
 
 impl InboundReachability {
-    /// A report came at `came` with a session of that number, the last before it at `last`
-    /// with session `old` (0: none). True if the machine turns out to hear nothing.
-    pub fn record(
-        &mut self,
-        old: u64,
-        new: u64,
-        last: Option<Time>,
-        came: Time,
-        pace: &HeartbeatTiming,
-    ) -> bool {
-        let HeartbeatTiming { max_gap_s: gap_s, lease_expiry_s: lease_s, responding_since: voice } = *pace;
-        let before = self.missed_leases;
-        if last.is_none_or(|l| came - l > gap_s) {
-            self.contact_since = came;
+    /// Records the arrival of a heartbeat; true if it shows that another lease was missed.
+    pub fn record(&mut self, arrival: &HeartbeatArrival, timing: &HeartbeatTiming) -> bool {
+        let HeartbeatTiming { max_gap_s, lease_expiry_s, responding_since } = *timing;
+        let missed_before = self.missed_leases;
+        if arrival.previous_at.is_none_or(|previous| arrival.at - previous > max_gap_s) {
+            self.contact_since = arrival.at;
         }
-        if new > old {
-            // After a silence it is the way of the reports that was cut; they may have been
-            // held, and come all at once with the sessions of minutes.
-            let heard = old > 0 && came - self.contact_since.max(voice) > lease_s;
-            self.missed_leases = if heard { self.missed_leases + 1 } else { 0 };
-            self.epoch_since = came;
-        } else if came - self.epoch_since > lease_s + gap_s {
+        if arrival.epoch > arrival.previous_epoch {
+            // After a silence it was the way of the heartbeats that was cut. They may have been
+            // held up, and several epochs arrive at once.
+            let contact_s = arrival.at - self.contact_since.max(responding_since);
+            let missed_lease = arrival.previous_epoch > 0 && contact_s > lease_expiry_s;
+            self.missed_leases = if missed_lease { self.missed_leases + 1 } else { 0 };
+            self.epoch_since = arrival.at;
+        } else if arrival.at - self.epoch_since > lease_expiry_s + max_gap_s {
             self.missed_leases = 0;
         }
-        self.missed_leases > before
+        self.missed_leases > missed_before
     }
 
-    /// It hears nothing, as far as is known: no work for it.
+    /// Whether the machine seems to receive nothing: it gets no work.
     pub fn receives_nothing(&self) -> bool {
         self.missed_leases > 0
     }
 
-    /// It has heard nothing for so long that it is given back.
+    /// Whether it has received nothing for so long that it is to be replaced.
     pub fn is_lost(&self) -> bool {
-        self.missed_leases >= MOST_MISSED
+        self.missed_leases >= MAX_MISSED_LEASES
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const PACE: HeartbeatTiming =
-        HeartbeatTiming { max_gap_s: 9.0, lease_expiry_s: 19.5, responding_since: 0.0 };
+/// Since when this leader has responded to heartbeats without a break. While it may not respond,
+/// the leases of all workers expire, which says nothing about the machines. (After a store outage
+/// longer than three leases it once scaled in the whole fleet as unreachable.)
+#[derive(Debug, Clone, Copy, Default)]
+pub struct LeaderResponsiveness(Option<Time>);
 
-    /// Reports every `gap` seconds, of a session that is one higher every `lease` seconds.
-    fn run(ears: &mut InboundReachability, from: Time, to: Time, gap: Time, lease: Option<Time>) {
-        let (mut at, mut session) = (from, 1 + from as u64);
-        let mut begun = from;
-        ears.record(0, session, None, at, &PACE);
-        while at + gap < to {
-            let last = at;
-            at += gap;
-            let old = session;
-            if lease.is_some_and(|l| at - begun > l) {
-                (session, begun) = (session + 1, at);
-            }
-            ears.record(old, session, Some(last), at, &PACE);
-        }
+impl LeaderResponsiveness {
+    /// Records whether heartbeats are responded to `now`.
+    pub fn update(&mut self, now: Time, responds: bool) {
+        self.0 = if responds { self.0.or(Some(now)) } else { None };
     }
 
-    #[test]
-    fn sessions_that_end_in_the_middle_of_reports_tell() {
-        let mut ears = InboundReachability::default();
-        run(&mut ears, 0.0, 60.0, 3.0, None);
-        assert!(!ears.receives_nothing());
-        run(&mut ears, 60.0, 85.0, 5.0, Some(19.0));
-        assert!(ears.receives_nothing() && !ears.is_lost());
-        // It hears again, and its session goes on.
-        run(&mut ears, 100.0, 140.0, 3.0, None);
-        assert!(!ears.receives_nothing());
-        run(&mut ears, 200.0, 270.0, 5.0, Some(19.0));
-        assert!(ears.is_lost());
-        // Silent for longer than its lease: its reports did not arrive either.
-        let mut cut = InboundReachability::default();
-        cut.record(0, 1, None, 0.0, &PACE);
-        assert!(!cut.record(1, 2, Some(0.0), 30.0, &PACE));
-        // Or they were held, and come at once.
-        for session in 2..6 {
-            assert!(!cut.record(session, session + 1, Some(30.0), 30.1, &PACE));
-        }
-        assert!(!cut.receives_nothing());
-        // Or nobody was answered until a moment ago.
-        let mut unanswered = InboundReachability::default();
-        unanswered.record(0, 1, None, 0.0, &PACE);
-        (1..6).for_each(|n| {
-            let at = f64::from(n) * 5.0;
-            unanswered.record(1, 1, Some(at - 5.0), at, &HeartbeatTiming { responding_since: at, ..PACE });
-        });
-        assert!(!unanswered.record(
-            1,
-            2,
-            Some(25.0),
-            30.0,
-            &HeartbeatTiming { responding_since: 20.0, ..PACE }
-        ));
-        assert!(unanswered.clone().record(1, 2, Some(25.0), 30.0, &PACE));
+    /// When it began to respond; `now` if it doesn't.
+    pub fn since(&self, now: Time) -> Time {
+        self.0.unwrap_or(now)
     }
 }
--- a/crates/controller/src/agents/pending_kills.rs
+++ b/crates/controller/src/agents/pending_kills.rs
@@ -1,158 +1,157 @@
-//! Stops that may not have reached their tasks yet. Each goes straight to its machine at once, and
-//! with every answer to the machine's reports; straight again, with growing pauses, until
-//! there is proof: the first call may be lost or refused, and a mute machine is told by
-//! nothing else.
+//! Kills that may not have reached their tasks yet. Each goes straight to its machine at once, and
+//! with every response to the machine's heartbeats. The direct call is repeated with growing
+//! pauses until there is proof that the tasks are gone: the first call may be lost or refused, and
+//! a machine whose heartbeats don't arrive gets no responses.
 
-use crate::leader::state::Role;
+use crate::agents::reconciliation::HeartbeatOrigin;
+use crate::leader::state::{LeaderState, Role};
 use crate::{CallContext, Controller, Time, WorkerReply};
-use protocol::worker::*;
+use protocol::worker::{task_name, Command, CommandKind, DirectCommands};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most commands in one call: a body is at most 64 KiB. What is left over comes again.
-pub const MOST_COMMANDS: usize = 400;
+/// Commands in one message, whose body is at most 64 KiB. What is left over goes with the next.
+pub const MAX_COMMANDS: usize = 400;
 
-/// When a machine is told again.
-struct RetryBackoff {
+/// The pauses between direct calls to a machine that gave no proof.
+#[derive(Debug, Clone, Copy)]
+struct RetryPauses {
+    /// After the first call, in seconds. The pause doubles after each call.
+    first_s: Time,
+    /// The longest pause, in seconds.
+    max_s: Time,
+}
+
+/// When a machine is called again.
+struct Retry {
     at: Time,
-    pause: Time,
+    pause_s: Time,
 }
 
-/// Which jobs and machines have something to be stopped.
+/// Which jobs and machines have tasks to be killed.
 #[derive(Default)]
 pub struct PendingKills {
-    /// Jobs with tasks that are to be stopped and may not know it yet.
+    /// Jobs with tasks that are to be killed and may not have been told.
     jobs: BTreeSet<String>,
-    /// Machines with such tasks, which only the leader may answer.
+    /// Machines with such tasks, to which only the leader may respond.
     machines: BTreeSet<String>,
-    /// Machines that are told again, unless there is proof by then.
-    retries: BTreeMap<String, RetryBackoff>,
-    /// Nothing of that is due before.
+    /// Machines that are called again unless there is proof by then.
+    retries: BTreeMap<String, Retry>,
+    /// A lower bound of all retry times, so that most ticks need no scan.
     next_retry_at: Time,
-    /// Calls on their way.
+    /// Direct calls in flight.
     calls: usize,
 }
 
 impl PendingKills {
-    /// Tasks of job `id` may be newly under a stop.
-    pub fn add_job(&mut self, id: &str) {
-        self.jobs.insert(id.to_string());
+    /// Tasks of a job may be newly marked to be killed.
+    pub fn add_job(&mut self, job_id: &str) {
+        self.jobs.insert(job_id.to_string());
     }
 
-    /// Machines with tasks that were newly put under a stop.
+    /// Removes and returns machines with tasks that were newly marked to be killed.
     pub fn take_machines(&mut self) -> BTreeSet<String> {
         std::mem::take(&mut self.machines)
     }
 
-    /// Machines that are to be told again now, `most` of them.
-    fn take_due(&mut self, now: Time, most: usize) -> Vec<String> {
+    /// Machines that are to be called again now, at most `limit`.
+    fn take_due(&mut self, now: Time, limit: usize) -> Vec<String> {
         if now < self.next_retry_at {
             return Vec::new();
         }
-        let due: Vec<String> =
-            self.retries.iter().filter(|(_, a)| now >= a.at).map(|(m, _)| m.clone()).take(most).collect();
-        let left = self.retries.iter().filter(|(m, _)| !due.contains(m));
-        self.next_retry_at = left.map(|(_, a)| a.at).fold(Time::MAX, Time::min);
+        let due: Vec<String> = self
+            .retries
+            .iter()
+            .filter(|(_, retry)| now >= retry.at)
+            .map(|(machine, _)| machine.clone())
+            .take(limit)
+            .collect();
+        let left = self.retries.iter().filter(|(machine, _)| !due.contains(machine));
+        self.next_retry_at = left.map(|(_, retry)| retry.at).fold(Time::MAX, Time::min);
         due
     }
 
-    /// `machine` was told, or could not be: it is told again after `first`, then after
-    /// twice as long each time, up to `longest`.
-    fn schedule_retry(&mut self, machine: &str, now: Time, first: Time, longest: Time) {
-        let before = self.retries.get(machine).map(|a| a.pause);
-        let pause = before.map_or(first, |p| (p * 2.0).min(longest));
-        self.retries.insert(machine.to_string(), RetryBackoff { at: now + pause, pause });
-        self.next_retry_at = self.next_retry_at.min(now + pause);
+    /// Schedules the next call to a machine that was called now, or could not be.
+    fn schedule_retry(&mut self, machine: &str, now: Time, pauses: RetryPauses) {
+        let previous = self.retries.get(machine);
+        let pause_s = previous.map_or(pauses.first_s, |retry| (retry.pause_s * 2.0).min(pauses.max_s));
+        let retry = Retry { at: now + pause_s, pause_s };
+        self.next_retry_at = self.next_retry_at.min(retry.at);
+        self.retries.insert(machine.to_string(), retry);
     }
 
-    /// Nothing is to be stopped on `machine` any more.
+    /// Nothing is to be killed on `machine` any more.
     fn remove(&mut self, machine: &str) {
         self.retries.remove(machine);
     }
 
-    /// `machine` is told again at once, if there is something.
+    /// Calls `machine` again at once, if there is something to be killed.
     pub fn retry_now(&mut self, machine: &str, now: Time) {
-        if let Some(a) = self.retries.get_mut(machine) {
-            (a.at, self.next_retry_at) = (now, now);
+        if let Some(retry) = self.retries.get_mut(machine) {
+            retry.at = now;
+            self.next_retry_at = now;
         }
     }
 }
 
 impl Controller {
-    /// Tasks of job `id` may be newly under a stop: `send_stops` looks there.
-    pub(crate) fn kill_now(&mut self, id: &str) {
+    /// Tasks of a job may be newly marked to be killed: the next tick sends the kills.
+    pub(crate) fn kill_now(&mut self, job_id: &str) {
         if let Role::Leader(leader) = &mut self.role {
-            leader.pending_kills.add_job(id);
+            leader.pending_kills.add_job(job_id);
         }
     }
 
-    /// Sends stops straight to the machines, each machine's in one call; the answers to
-    /// reports repeat them. (One call a task, and all of a job's again for every task,
-    /// once opened thousands of connections within seconds.)
+    /// Sends kills straight to the machines, each machine's in one call. (One call for each task,
+    /// and all of a job's again for every task, once opened thousands of connections within
+    /// seconds.)
     pub(crate) fn tick_pending_kills(&mut self) {
-        let (now, d) = (self.now, self.timing);
-        let longest = self.settings.params.workers.lease_s;
+        let now = self.now;
+        // The other half of the calls is for new kills.
+        let max_retry_calls = self.timing.max_worker_calls / 2;
         let Role::Leader(leader) = &mut self.role else { return };
-        let mut new: BTreeSet<String> = BTreeSet::new();
-        for id in std::mem::take(&mut leader.pending_kills.jobs) {
-            let Some(job) = leader.cluster.jobs.get_mut(&id) else { continue };
-            for p in job.placements.values_mut().filter(|p| p.stopping.is_some()) {
-                leader.pending_kills.machines.insert(p.machine.clone());
-                // What was launched and not seen may be on its way there: it was once
-                // told nothing before a report showed it.
-                if !p.kill_sent && (p.observed_state.is_some() || p.launch_sent) {
-                    p.kill_sent = true;
-                    new.insert(p.machine.clone());
-                }
-            }
+        let new = leader.take_machines_with_new_kills();
+        let kills = &mut leader.pending_kills;
+        let retries = kills.take_due(now, max_retry_calls.saturating_sub(kills.calls));
+        for machine in &new {
+            self.send_kills(machine, true);
         }
-        // Half of the calls are for what is new.
-        let again = leader
-            .pending_kills
-            .take_due(now, (d.max_worker_calls / 2).saturating_sub(leader.pending_kills.calls));
-        for machine in new.iter().chain(again.iter().filter(|m| !new.contains(*m))) {
-            let first = new.contains(machine);
-            self.send_kills(machine, first, (d.worker_failover_s, longest));
+        for machine in retries.iter().filter(|machine| !new.contains(*machine)) {
+            self.send_kills(machine, false);
         }
     }
 
-    /// Tells `machine` directly what is to be stopped there; `first`: something of it is new.
-    fn send_kills(&mut self, machine: &str, first: bool, (pause, longest): (Time, Time)) {
+    /// Calls `machine` with all kills that are pending there; `has_new`: some were never sent.
+    fn send_kills(&mut self, machine: &str, has_new: bool) {
         let now = self.now;
+        let pauses = RetryPauses {
+            first_s: self.timing.worker_failover_s,
+            max_s: self.settings.params.workers.lease_s,
+        };
         let Role::Leader(leader) = &mut self.role else { return };
         let token = leader.fencing_token;
-        let mut commands = Vec::new();
-        for (id, task) in leader.cluster.tasks_on(machine) {
-            let Some(p) = leader.cluster.jobs.get(&id).and_then(|j| j.placements.get(&task)) else {
-                continue;
-            };
-            let Some((_, grace)) = p.stopping.filter(|_| p.observed_state.is_some() || p.launch_sent) else {
-                continue;
-            };
-            let (task, grace_s) = (task_name(&id, task), Some(grace));
-            commands.push(Command { kind: CommandKind::Stop, task, attempt: p.attempt, grace_s });
-        }
-        commands.truncate(MOST_COMMANDS);
+        let commands = leader.kill_commands(machine);
         if commands.is_empty() {
             return leader.pending_kills.remove(machine);
         }
-        leader.pending_kills.schedule_retry(machine, now, pause, longest);
-        let Some(m) = leader.cluster.machines.get(machine) else { return };
-        // Its worker may have reported here before this node led.
-        let before = self.sharding.worker_contacts.get(machine).map_or(0, |(_, place)| place.0);
-        let (addr, session) = (m.addr.clone(), m.newest_position.0.max(before));
-        // A new leader hears most machines soon. One that it does not is asked: it refuses what
-        // names no session of its own, and reports.
-        if addr.is_empty() || session == 0 && first {
+        leader.pending_kills.schedule_retry(machine, now, pauses);
+        let Some(called) = leader.cluster.machines.get(machine) else { return };
+        // Its worker may have sent heartbeats here before this node became the leader.
+        let contact_epoch = self.sharding.worker_contacts.get(machine).map_or(0, |(_, position)| position.0);
+        let addr = called.addr.clone();
+        let epoch = called.newest_position.0.max(contact_epoch);
+        // A new leader hears from most machines soon. One that it doesn't hear from is called all
+        // the same: the worker refuses commands for another epoch, and replies with its state.
+        if addr.is_empty() || epoch == 0 && has_new {
             return;
         }
         leader.pending_kills.calls += 1;
-        let machine = machine.to_string();
-        let body = DirectCommands { fencing_token: token, epoch: session, commands };
-        self.call_worker(CallContext::WorkerCall { token, machine, session }, &addr, body);
+        let context = CallContext::WorkerCall { token, machine: machine.to_string(), session: epoch };
+        let body = DirectCommands { fencing_token: token, epoch, commands };
+        self.call_worker(context, &addr, body);
     }
 
-    /// The answer to a direct command that named `session`.
-    pub(crate) fn on_worker_reply(&mut self, token: u64, machine: &str, session: u64, reply: WorkerReply) {
+    /// A worker replied to direct commands that were meant for its `epoch`.
+    pub(crate) fn on_worker_reply(&mut self, token: u64, machine: &str, epoch: u64, reply: WorkerReply) {
         let now = self.now;
         let Some(leader) = self.leader_state(token) else { return };
         leader.pending_kills.calls = leader.pending_kills.calls.saturating_sub(1);
@@ -160,15 +159,16 @@
         if report.fencing_token > token {
             return self.observe_token(report.fencing_token, machine);
         }
-        self.apply_heartbeat(&report, false, now);
+        self.apply_heartbeat(&report, HeartbeatOrigin::CommandReply, now);
         let Some(leader) = self.leader_state(token) else { return };
-        let known = leader.cluster.machines.get(machine).map_or(session, |m| m.newest_position.0);
-        if !executed && known != session {
+        let known = leader.cluster.machines.get(machine);
+        let known_epoch = known.map_or(epoch, |known| known.newest_position.0);
+        if !executed && known_epoch != epoch {
             leader.pending_kills.retry_now(machine, now);
         }
     }
 
-    /// Looks again at machines where something is to be stopped.
+    /// Makes sure that only the leader responds to machines with new kills.
     pub(crate) fn mark_kills_leader_only(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         for machine in leader.pending_kills.take_machines() {
@@ -176,3 +176,48 @@
         }
     }
 }
+
+impl LeaderState {
+    /// Machines with tasks that are to be killed and to which no kill was sent yet.
+    fn take_machines_with_new_kills(&mut self) -> BTreeSet<String> {
+        let mut new = BTreeSet::new();
+        for job_id in std::mem::take(&mut self.pending_kills.jobs) {
+            let Some(job) = self.cluster.jobs.get_mut(&job_id) else { continue };
+            for placement in job.placements.values_mut() {
+                if placement.stopping.is_none() {
+                    continue;
+                }
+                self.pending_kills.machines.insert(placement.machine.clone());
+                // A launch that no heartbeat has shown yet may be on its way to the machine.
+                // (Such tasks were once not killed before a heartbeat listed them.)
+                let may_exist = placement.observed_state.is_some() || placement.launch_sent;
+                if may_exist && !placement.kill_sent {
+                    placement.kill_sent = true;
+                    new.insert(placement.machine.clone());
+                }
+            }
+        }
+        new
+    }
+
+    /// The commands that kill what is to be killed on `machine`.
+    fn kill_commands(&mut self, machine: &str) -> Vec<Command> {
+        let mut commands = Vec::new();
+        for (job_id, task) in self.cluster.tasks_on(machine) {
+            let Some(job) = self.cluster.jobs.get(&job_id) else { continue };
+            let Some(placement) = job.placements.get(&task) else { continue };
+            let Some((_, grace_s)) = placement.stopping else { continue };
+            if placement.observed_state.is_none() && !placement.launch_sent {
+                continue;
+            }
+            commands.push(Command {
+                kind: CommandKind::Stop,
+                task: task_name(&job_id, task),
+                attempt: placement.attempt,
+                grace_s: Some(grace_s),
+            });
+        }
+        commands.truncate(MAX_COMMANDS);
+        commands
+    }
+}
--- a/crates/controller/src/leader/state.rs
+++ b/crates/controller/src/leader/state.rs
@@ -1,7 +1,7 @@
 //! Who leads: one key under a short lease. The revision of the write that
 //! created the key is the token of that leadership.
 
-use crate::agents::heartbeat_queue::HeartbeatQueue;
+use crate::agents::heartbeat_queue::{HeartbeatQueue, ReplyRoute};
 use crate::agents::pending_kills::PendingKills;
 use crate::autoscaling::fleet::Fleet;
 use crate::election::campaign::ElectionAttempt;
@@ -12,7 +12,7 @@
 use crate::model::job::Job;
 use crate::model::machine::MachinePhase;
 use crate::model::records::*;
-use crate::proxy::heartbeat_proxying::ReplyRoute;
+
 use crate::scheduling::job_dependencies::JobDependencies;
 use crate::scheduling::planning_state::PlanningState;
 use crate::storage::archive::{over_record, Archive, TerminalJob};
--- a/crates/controller/src/proxy.rs
+++ b/crates/controller/src/proxy.rs
@@ -1,4 +1,9 @@
-//! Heartbeats through every node: this node as a proxy, and the leader towards its proxies.
+//! Heartbeats through every node: this node as a proxy for the leader, and the leader towards its
+//! proxies. `docs/gateways.md` argues why that is safe.
 
-pub(crate) mod heartbeat_proxying;
+pub(crate) mod admission;
+pub(crate) mod capacity;
+pub(crate) mod follower;
+pub(crate) mod forwarded_heartbeats;
+pub(crate) mod leader_only;
 pub(crate) mod sharding_state;
