--- /dev/null
+++ b/crates/controller/src/autoscaling/scale_in.rs
@@ -0,0 +1,284 @@
+//! Scale-in: faulty machines, those that do not finish booting, and idle ones beyond the desired
+//! capacity are marked as terminating, and then deleted at the cloud.
+
+use crate::autoscaling::fleet::{CapacityTargets, MachinePool, ZonalMachineType, MIN_CHARGE_S};
+use crate::leader::state::{LeaderState, Role};
+use crate::model::machine::{Machine, MachinePhase};
+use crate::{CallContext, CloudReply, CloudRequest, Controller, Time};
+use protocol::cloud::{MachineType, MAX_DELETED};
+use sharding::ZoneReachability;
+use std::collections::{BTreeMap, BTreeSet, HashSet};
+use tracing::info;
+
+/// Boot time of a machine whose type is not known.
+const DEFAULT_BOOT_S: f64 = 60.0;
+
+/// When a deletion that failed is tried again.
+const DELETE_RETRY_INTERVAL_S: Time = 1.0;
+
+/// Why a machine is scaled in whatever the desired capacity is.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Fault {
+    /// Its agent sent no heartbeat in several times the boot time.
+    BootTimedOut,
+    /// Its agent sends heartbeats, but receives no responses.
+    ReceivesNoResponses,
+    /// It is quarantined, and nothing is placed there any more.
+    Quarantined,
+}
+
+/// What scale-in decides by, beside the machine itself.
+struct ScaleInPolicy<'a> {
+    now: Time,
+    types: &'a [MachineType],
+    /// A boot may take that many times the usual boot time.
+    max_boot_factor: f64,
+    /// A machine may be idle for that many times the boot time.
+    max_idle_factor: f64,
+    lease_s: Time,
+    /// Machines not heard for that long are not taken for idle.
+    max_silence_s: Time,
+    elected_at: Time,
+    /// Whether a gang's idle machines are kept for a limited time only.
+    gang_wait_is_limited: bool,
+    unreachable_zone_retention_s: Time,
+    zones: &'a ZoneReachability,
+    /// Pools whose work has to start within seconds.
+    latency_sensitive: BTreeSet<MachinePool>,
+}
+
+/// A machine that has been idle for long enough.
+struct IdleMachine<'a> {
+    machine: &'a Machine,
+    /// Its pool serves latency-sensitive work, and another machine could not have booted in the
+    /// time that it has been idle.
+    latency_sensitive: bool,
+}
+
+impl ScaleInPolicy<'_> {
+    fn boot_s(&self, machine: &Machine) -> f64 {
+        let machine_type = self.types.iter().find(|t| t.name == machine.machine_type);
+        machine_type.map_or(DEFAULT_BOOT_S, |t| t.boot_s)
+    }
+
+    fn fault(&self, machine: &Machine, in_use: bool) -> Option<Fault> {
+        match machine.phase {
+            MachinePhase::Booting if self.has_boot_timed_out(machine) => Some(Fault::BootTimedOut),
+            MachinePhase::Up if machine.reachability.is_lost() => Some(Fault::ReceivesNoResponses),
+            MachinePhase::Up if machine.quarantined && !in_use => Some(Fault::Quarantined),
+            _ => None,
+        }
+    }
+
+    /// After a failover every worker has a lease to send a heartbeat. (An idle machine that had
+    /// been up for long was once taken for one that does not finish booting.)
+    fn has_boot_timed_out(&self, machine: &Machine) -> bool {
+        self.now - machine.known_since > self.boot_s(machine) * self.max_boot_factor
+            && self.now - self.elected_at > self.lease_s
+            && !self.zones.is_unreachable(&machine.zone)
+    }
+
+    fn is_idle(&self, machine: &Machine) -> bool {
+        machine.phase == MachinePhase::Up
+            && machine.last_heard_at.is_some_and(|heard_at| self.now - heard_at < self.max_silence_s)
+            && machine.tasks.is_empty()
+            && machine.spot_reclaim_at.is_none()
+            && self.now - machine.idle_since > self.boot_s(machine) * self.max_idle_factor
+            && self.now - machine.known_since > MIN_CHARGE_S
+    }
+
+    /// The idle ones of `machines`, the longest idle first.
+    fn idle_machines<'m>(&self, machines: &'m BTreeMap<String, Machine>) -> Vec<IdleMachine<'m>> {
+        let idle = machines.values().filter(|machine| self.is_idle(machine));
+        let mut idle: Vec<IdleMachine> = idle
+            .map(|machine| IdleMachine { machine, latency_sensitive: self.is_latency_sensitive(machine) })
+            .collect();
+        idle.sort_by(|a, b| {
+            let (a, b) = (a.machine, b.machine);
+            a.idle_since.total_cmp(&b.idle_since).then(a.id.cmp(&b.id))
+        });
+        idle
+    }
+
+    /// Where work has to start within seconds, a machine is worth keeping until another could
+    /// have booted in its place.
+    fn is_latency_sensitive(&self, machine: &Machine) -> bool {
+        self.latency_sensitive.contains(&pool_of(machine))
+            && self.now - machine.idle_since <= self.boot_s(machine)
+    }
+
+    /// Whether the other machines of a gang could still come. (A gang that could never be
+    /// complete once kept the last machines of a pool from others for ever.)
+    fn may_wait_for_gang(&self, machine: &Machine) -> bool {
+        let max_wait_s = (self.boot_s(machine) * self.max_boot_factor).max(self.unreachable_zone_retention_s);
+        !self.gang_wait_is_limited || self.now - machine.idle_since < max_wait_s
+    }
+
+    /// The idle machines beyond the targets. `machine_counts`: machines that accept work, by pool.
+    fn surplus_machines(
+        &self,
+        idle: &[IdleMachine],
+        mut machine_counts: BTreeMap<MachinePool, u32>,
+        targets: &CapacityTargets,
+    ) -> Vec<String> {
+        let mut assembling = targets.assembling_gang_machines.clone();
+        let mut surplus = Vec::new();
+        for IdleMachine { machine, latency_sensitive } in idle {
+            let location = ZonalMachineType::new(&machine.machine_type, &machine.zone);
+            let kept_for_gang = assembling.get_mut(&location).filter(|machines| **machines > 0);
+            if let Some(machines) = kept_for_gang.filter(|_| self.may_wait_for_gang(machine)) {
+                *machines -= 1;
+                continue;
+            }
+            let pool = pool_of(machine);
+            let desired = if *latency_sensitive { &targets.generous } else { &targets.desired };
+            let desired = desired.get(&pool).copied().unwrap_or(0);
+            let existing = machine_counts.entry(pool).or_insert(0);
+            if *existing > desired {
+                *existing -= 1;
+                surplus.push(machine.id.clone());
+            }
+        }
+        surplus
+    }
+}
+
+fn pool_of(machine: &Machine) -> MachinePool {
+    MachinePool::new(&machine.machine_type, machine.spot)
+}
+
+/// Machines that accept work, by pool.
+fn count_working_machines(machines: &BTreeMap<String, Machine>) -> BTreeMap<MachinePool, u32> {
+    let mut counts = BTreeMap::new();
+    for machine in machines.values().filter(|machine| machine.accepts_work()) {
+        *counts.entry(pool_of(machine)).or_insert(0) += 1;
+    }
+    counts
+}
+
+/// Pools where jobs of `classes` usually run.
+fn pools_of_classes(leader: &LeaderState, classes: &BTreeSet<String>) -> BTreeSet<MachinePool> {
+    let stats = leader.planning.classes.iter().filter(|(name, _)| classes.contains(name.as_str()));
+    let demands = stats.filter_map(|(_, stats)| stats.typical_demand.as_ref());
+    demands.map(|demand| demand.pool.clone()).collect()
+}
+
+/// Marks a faulty machine as terminating.
+fn scale_in_faulty(machine: &mut Machine, fault: Fault) {
+    match fault {
+        Fault::BootTimedOut => info!(machine = %machine.id, "scaling in machine: boot timed out"),
+        Fault::ReceivesNoResponses => {
+            info!(machine = %machine.id, "scaling in machine: receives no responses");
+        }
+        // Its quarantine was logged.
+        Fault::Quarantined => {}
+    }
+    machine.phase = MachinePhase::Terminating;
+}
+
+/// Marks an idle machine as terminating.
+fn scale_in_idle(machine: &mut Machine) {
+    info!(machine = %machine.id, kind = %machine.machine_type, spot = machine.spot,
+          "scaling in idle machine");
+    machine.phase = MachinePhase::Terminating;
+}
+
+impl Controller {
+    /// Classes whose work has to start at once: those with an objective for the wait, or all if a
+    /// team has a guarantee and an objective for it.
+    fn latency_sensitive_classes(&self) -> BTreeSet<String> {
+        let params = &self.settings.params;
+        let has_guarantee = params.slos.iter().any(|slo| slo.kind == "guarantee")
+            && params.teams.iter().any(|team| team.cores > 0.0 || team.accelerators > 0.0);
+        if has_guarantee {
+            if let Role::Leader(leader) = &self.role {
+                return leader.planning.classes.keys().cloned().collect();
+            }
+        }
+        let wait_slos = params.slos.iter().filter(|slo| slo.kind == "wait");
+        wait_slos.filter_map(|slo| slo.class.clone()).collect()
+    }
+
+    /// Marks the machines that are scaled in.
+    pub(super) fn tick_scale_in(&mut self) {
+        if !self.may_act() {
+            return;
+        }
+        let now = self.now;
+        let timing = self.timing;
+        let retain_silent = self.checks.retain_silent_machines;
+        let classes = self.latency_sensitive_classes();
+        let Role::Leader(leader) = &mut self.role else { return };
+        // Before then nobody could give a machine work. (After an outage idle machines were once
+        // scaled in just before the users came back.)
+        let acting_since = if retain_silent { leader.leadership.tenure.entitled_since() } else { 0.0 };
+        let policy = ScaleInPolicy {
+            now,
+            types: self.machine_types.as_deref().unwrap_or_default(),
+            max_boot_factor: self.operator.boot_stuck,
+            max_idle_factor: self.operator.idle_hold,
+            lease_s: self.settings.params.workers.lease_s,
+            max_silence_s: timing.failure_suspicion_s / 2.0,
+            elected_at: leader.leadership.elected_at,
+            gang_wait_is_limited: self.checks.zonal_scale_out,
+            unreachable_zone_retention_s: timing.unreachable_zone_retention_s,
+            zones: &leader.fleet.zones,
+            latency_sensitive: pools_of_classes(leader, &classes),
+        };
+        let machine_counts = count_working_machines(&leader.cluster.machines);
+        let placements = leader.cluster.jobs.values().flat_map(|job| job.placements.values());
+        let in_use: HashSet<&str> = placements.map(|placement| placement.machine.as_str()).collect();
+        for machine in leader.cluster.machines.values_mut() {
+            let in_use = in_use.contains(machine.id.as_str());
+            // A machine that is not heard cannot get work either. (One of a zone that had come
+            // back was once scaled in at once, by a target of the time without the zone.)
+            let busy = in_use || retain_silent && machine.missed_heartbeats(now, &timing);
+            machine.idle_since = if busy { now } else { machine.idle_since.max(acting_since) };
+            if let Some(fault) = policy.fault(machine, in_use) {
+                scale_in_faulty(machine, fault);
+            }
+        }
+        let idle = policy.idle_machines(&leader.cluster.machines);
+        for id in policy.surplus_machines(&idle, machine_counts, &leader.fleet.targets) {
+            if let Some(machine) = leader.cluster.machines.get_mut(&id) {
+                scale_in_idle(machine);
+            }
+        }
+    }
+
+    /// Deletes terminating machines at the cloud, as many as one call takes.
+    pub(super) fn tick_deletions(&mut self) {
+        let may_act = self.may_act();
+        let Role::Leader(leader) = &self.role else { return };
+        if leader.fleet.delete_in_flight || self.now < leader.fleet.delete_at || !may_act {
+            return;
+        }
+        let machines = leader.cluster.machines.values();
+        let terminating = machines.filter(|machine| machine.phase == MachinePhase::Terminating);
+        let names: Vec<String> = terminating.map(|machine| machine.id.clone()).take(MAX_DELETED).collect();
+        if names.is_empty() || !self.try_acquire_cloud_call() {
+            return;
+        }
+        let Role::Leader(leader) = &mut self.role else { return };
+        leader.fleet.delete_in_flight = true;
+        let token = leader.fencing_token;
+        self.call_cloud(CallContext::Delete { token, machines: names.clone() }, CloudRequest::Delete(names));
+    }
+
+    /// Forgets machines that the cloud has deleted.
+    pub(super) fn on_deleted(&mut self, token: u64, machines: &[String], reply: CloudReply) {
+        let now = self.now;
+        let Some(leader) = self.leader_state(token) else { return };
+        leader.fleet.delete_in_flight = false;
+        if reply != CloudReply::Done {
+            leader.fleet.delete_at = now + DELETE_RETRY_INTERVAL_S;
+            return;
+        }
+        for machine in machines {
+            leader.fleet.add_tombstone(machine);
+        }
+        for machine in machines {
+            self.remove_machine_work(machine, true);
+        }
+    }
+}
--- a/crates/controller/src/scheduling/job_dependencies.rs
+++ b/crates/controller/src/scheduling/job_dependencies.rs
@@ -1,8 +1,10 @@
-//! Jobs that wait for others, at the leader: what the graph is told and what follows from
-//! it. `docs/pipelines.md` has the argument.
+//! Jobs that wait for others, at the leader: what the dependency graph is told, and what follows
+//! from its answers. `docs/dependencies.md` has the argument.
 
 use crate::leader::state::{LeaderState, Role};
+use crate::model::cluster::ClusterState;
 use crate::model::records::*;
+use crate::storage::archive::Archive;
 use crate::{CallContext, Controller, StoreReply, StoreRequest, TerminalStateCache, Time};
 use dependencies::{DependencyGraph, GraphEffects, JobOutcome};
 use protocol::job::JobStatus;
@@ -10,19 +12,39 @@
 use std::collections::BTreeSet;
 use tracing::info;
 
-/// The graph of live jobs, and awaited ones whose records are being read.
+/// Records of dependencies that are read at a time.
+const MAX_READS_IN_FLIGHT: usize = 8;
+
+/// A record that is not there is read again after that part of the lease renewal interval.
+const RETRY_INTERVAL_PART: f64 = 0.25;
+
+/// The graph of live jobs, and the dependencies whose records are being read.
 #[derive(Default)]
 pub struct JobDependencies {
+    /// Which live job waits for which.
     pub graph: DependencyGraph,
+    /// Ids of the dependencies that are being read.
     reads_in_flight: BTreeSet<String>,
+    /// No read is sent before then.
     retry_at: Time,
 }
 
-/// Records of awaited jobs that are read at a time.
-const MOST_READS: usize = 8;
+impl JobDependencies {
+    /// Takes the ids that are to be read now.
+    fn take_due_reads(&mut self, now: Time) -> Vec<String> {
+        let max_reads = MAX_READS_IN_FLIGHT.saturating_sub(self.reads_in_flight.len());
+        if now < self.retry_at || max_reads == 0 {
+            return Vec::new();
+        }
+        let unread = self.graph.unknown().filter(|id| !self.reads_in_flight.contains(*id));
+        let due: Vec<String> = unread.take(max_reads).cloned().collect();
+        self.reads_in_flight.extend(due.iter().cloned());
+        due
+    }
+}
 
 /// How a job has ended, if its status says so.
-pub(crate) fn fate_of(status: JobStatus) -> Option<JobOutcome> {
+pub(crate) fn outcome_of(status: JobStatus) -> Option<JobOutcome> {
     match status {
         JobStatus::Done => Some(JobOutcome::Done),
         JobStatus::Cancelled => Some(JobOutcome::Cancelled),
@@ -30,20 +52,31 @@
     }
 }
 
-/// Tells the graph of live job `id`, with what is stored of those that it awaits.
-fn enter(leader: &mut LeaderState, finals: &TerminalStateCache, id: &str) -> GraphEffects {
-    let Some(job) = leader.cluster.jobs.get(id).filter(|j| j.ready_wall_s.is_none() && !j.is_final()) else {
-        return GraphEffects::default();
-    };
-    let (jobs, archive) = (&leader.cluster.jobs, &leader.archive);
-    // A job that is done in memory only counts as live: its end may not be stored yet.
-    let cancelled = |a: &str| jobs.get(a).filter(|j| j.status == JobStatus::Cancelled).map(|j| j.status);
-    let fate = |a: &str| {
-        let status =
-            finals.get(a).map(|f| f.0).or_else(|| archive.terminal_status(a)).or_else(|| cancelled(a));
-        status.and_then(fate_of)
+/// How job `id` has ended, as far as that is stored. A job that is done in memory only counts as
+/// live: its end may not be stored yet.
+fn stored_outcome(
+    cluster: &ClusterState,
+    archive: &Archive,
+    terminal_states: &TerminalStateCache,
+    id: &str,
+) -> Option<JobOutcome> {
+    let cancelled = || {
+        let job = cluster.jobs.get(id)?;
+        (job.status == JobStatus::Cancelled).then_some(job.status)
     };
-    leader.dependencies.graph.add(id, &job.spec.dependencies, fate, |a| jobs.contains_key(a))
+    let cached = terminal_states.get(id).map(|state| state.0);
+    let status = cached.or_else(|| archive.terminal_status(id)).or_else(cancelled);
+    status.and_then(outcome_of)
+}
+
+/// Adds live job `id` to the graph, with what is stored of its dependencies.
+fn add_to_graph(leader: &mut LeaderState, terminal_states: &TerminalStateCache, id: &str) -> GraphEffects {
+    let LeaderState { dependencies, cluster, archive, .. } = leader;
+    let job = cluster.jobs.get(id).filter(|job| job.ready_wall_s.is_none() && !job.is_final());
+    let Some(job) = job else { return GraphEffects::default() };
+    let outcome = |dependency: &str| stored_outcome(cluster, archive, terminal_states, dependency);
+    let is_live = |dependency: &str| cluster.jobs.contains_key(dependency);
+    dependencies.graph.add(id, &job.spec.dependencies, outcome, is_live)
 }
 
 impl Controller {
@@ -52,59 +85,45 @@
         self.store_limits.next_limits_in_force() || self.formats.common_format(&self.settings.peers) >= FORMAT
     }
 
-    /// A live job was taken in.
+    /// Adds a new live job to the graph.
     pub(crate) fn enter_graph(&mut self, id: &str) {
         let Role::Leader(leader) = &mut self.role else { return };
-        let effects = enter(leader, &self.terminal_states, id);
+        let effects = add_to_graph(leader, &self.terminal_states, id);
         self.apply_graph_effects(effects);
     }
 
-    /// All records were read: who waits for whom.
+    /// All records were read: builds the graph.
     pub(crate) fn build_graph(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
-        let waiting: Vec<String> = leader
-            .cluster
-            .jobs
-            .iter()
-            .filter(|(_, j)| !j.spec.dependencies.is_empty())
-            .map(|(id, _)| id.clone())
-            .collect();
-        let mut all = Vec::new();
-        for id in &waiting {
-            all.push(enter(leader, &self.terminal_states, id));
-        }
-        let named: Vec<String> = leader
-            .archive
-            .waiting
-            .keys()
-            .filter(|id| leader.dependencies.graph.has_dependents(id))
-            .cloned()
-            .collect();
-        for id in named {
-            leader.archive.hold(&id);
-        }
-        for effects in all {
+        let jobs = leader.cluster.jobs.iter();
+        let dependent = jobs.filter(|(_, job)| !job.spec.dependencies.is_empty());
+        let dependent: Vec<String> = dependent.map(|(id, _)| id.clone()).collect();
+        let effects: Vec<GraphEffects> =
+            dependent.iter().map(|id| add_to_graph(leader, &self.terminal_states, id)).collect();
+        hold_dependencies(leader);
+        for effects in effects {
             self.apply_graph_effects(effects);
         }
     }
 
-    /// It is stored that job `id` is over.
+    /// It is stored that job `id` has ended.
     pub(crate) fn record_outcome(&mut self, id: &str, status: JobStatus) {
-        let Some(fate) = fate_of(status) else { return };
+        let Some(outcome) = outcome_of(status) else { return };
         let Role::Leader(leader) = &mut self.role else { return };
-        let effects = leader.dependencies.graph.record_outcome(id, fate);
+        let effects = leader.dependencies.graph.record_outcome(id, outcome);
         self.apply_graph_effects(effects);
     }
 
-    /// It is stored that job `id` waits for nobody any more.
+    /// It is stored that job `id` waits for no other any more.
     pub(crate) fn on_ready_stored(&mut self, id: &str) {
         let Role::Leader(leader) = &mut self.role else { return };
-        for over in leader.dependencies.graph.on_ready_stored(id) {
-            leader.archive.release(&over);
+        for dependency in leader.dependencies.graph.on_ready_stored(id) {
+            leader.archive.release(&dependency);
         }
     }
 
-    /// The record of job `id` is gone from those that run, and how it ended is not known.
+    /// The record of job `id` is not among those of live jobs any more, and how it ended is not
+    /// known.
     pub(crate) fn on_archived_unseen(&mut self, id: &str) {
         if let Role::Leader(leader) = &mut self.role {
             leader.dependencies.graph.mark_unknown(id);
@@ -112,25 +131,11 @@
     }
 
     fn apply_graph_effects(&mut self, effects: GraphEffects) {
-        let (now, wall) = (self.now, self.time_of_day);
         for id in effects.ready {
-            let Role::Leader(leader) = &mut self.role else { return };
-            let Some(job) = leader.cluster.jobs.get_mut(&id).filter(|j| !j.is_final()) else { continue };
-            info!(job = %id, waited_s = now - job.submitted_at, "job dependencies finished");
-            job.on_dependencies_done(now, wall);
-            let spec = job.spec.clone();
-            // At once, not with the next tick.
-            (leader.planning.needed, leader.planning.next_plan_at) =
-                (true, leader.planning.next_plan_at.min(now));
-            self.record_arrival(&spec, now);
+            self.on_job_ready(&id);
         }
         for id in effects.cancelled {
-            self.terminal_states.insert(&id, JobStatus::Cancelled, 0);
-            let Role::Leader(leader) = &mut self.role else { return };
-            if let Some(job) = leader.cluster.jobs.get_mut(&id) {
-                job.cancel();
-            }
-            self.settle_terminal(&id);
+            self.on_cancelled_with_dependency(&id);
         }
         let Role::Leader(leader) = &mut self.role else { return };
         for id in effects.forgotten {
@@ -138,49 +143,72 @@
         }
     }
 
-    /// Reads what is stored of awaited jobs of which nothing is known: those that were over
-    /// when this leader began, or that another node has taken just now.
+    /// Job `id` may start: its dependencies are done.
+    fn on_job_ready(&mut self, id: &str) {
+        let now = self.now;
+        let Role::Leader(leader) = &mut self.role else { return };
+        let Some(job) = leader.cluster.jobs.get_mut(id).filter(|job| !job.is_final()) else { return };
+        info!(job = %id, waited_s = now - job.submitted_at, "job dependencies finished");
+        job.on_dependencies_done(now, self.time_of_day);
+        let spec = job.spec.clone();
+        leader.planning.request_plan(now);
+        self.record_arrival(&spec, now);
+    }
+
+    /// Job `id` is cancelled, as a dependency of it was.
+    fn on_cancelled_with_dependency(&mut self, id: &str) {
+        self.terminal_states.insert(id, JobStatus::Cancelled, 0);
+        let Role::Leader(leader) = &mut self.role else { return };
+        if let Some(job) = leader.cluster.jobs.get_mut(id) {
+            job.cancel();
+        }
+        self.settle_terminal(id);
+    }
+
+    /// Reads what is stored of dependencies of which nothing is known: those that had ended when
+    /// this leader was elected, or that another node has accepted just now.
     pub(crate) fn tick_dependencies(&mut self) {
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else { return };
         let token = leader.fencing_token;
-        let p = &mut leader.dependencies;
-        if now < p.retry_at || p.reads_in_flight.len() >= MOST_READS {
-            return;
-        }
-        let room = MOST_READS - p.reads_in_flight.len();
-        let next: Vec<String> =
-            p.graph.unknown().filter(|id| !p.reads_in_flight.contains(*id)).take(room).cloned().collect();
-        p.reads_in_flight.extend(next.iter().cloned());
-        for id in next {
-            let op = StoreRequest::Get(job_key(&id));
-            self.call_store(CallContext::DependencyRead { token, id, over: false }, op);
+        for id in leader.dependencies.take_due_reads(now) {
+            let request = StoreRequest::Get(job_key(&id));
+            self.call_store(CallContext::DependencyRead { token, id, over: false }, request);
         }
     }
 
+    /// Takes the record of dependency `id`. `over`: it was looked for among the jobs that have
+    /// ended.
     pub(crate) fn on_dependency_read(&mut self, token: u64, id: &str, over: bool, reply: StoreReply) {
-        let (now, retry) = (self.now, self.timing.renewal_interval_s / 4.0);
+        let retry_at = self.now + self.timing.renewal_interval_s * RETRY_INTERVAL_PART;
         let Some(leader) = self.leader_state(token) else { return };
+        if let (StoreReply::Missing(_), false) = (&reply, over) {
+            let context = CallContext::DependencyRead { token, id: id.to_string(), over: true };
+            self.call_store(context, StoreRequest::Get(over_key(id)));
+            return;
+        }
+        leader.dependencies.reads_in_flight.remove(id);
         match reply {
-            StoreReply::Missing(_) if !over => {
-                let purpose = CallContext::DependencyRead { token, id: id.to_string(), over: true };
-                self.call_store(purpose, StoreRequest::Get(over_key(id)));
-            }
-            StoreReply::Item(Item { value: Value::Terminal(o), .. }) => {
-                leader.dependencies.reads_in_flight.remove(id);
-                self.terminal_states.insert(id, o.status, o.done);
-                self.record_outcome(id, o.status);
+            StoreReply::Item(Item { value: Value::Terminal(record), .. }) => {
+                self.terminal_states.insert(id, record.status, record.done);
+                self.record_outcome(id, record.status);
             }
             StoreReply::Item(Item { key, value: value @ Value::Job(_), version }) => {
-                leader.dependencies.reads_in_flight.remove(id);
                 leader.dependencies.graph.mark_known(id);
                 self.observe_record(&key, value, version);
             }
-            // Not there at all: accepted jobs are never missing, so it is asked for again.
-            _ => {
-                leader.dependencies.reads_in_flight.remove(id);
-                leader.dependencies.retry_at = now + retry;
-            }
+            // No record at all: accepted jobs are never missing, so it is read again.
+            _ => leader.dependencies.retry_at = retry_at,
         }
     }
 }
+
+/// Keeps the records of ended jobs that others depend on from being archived.
+fn hold_dependencies(leader: &mut LeaderState) {
+    let ended = leader.archive.waiting.keys();
+    let needed = ended.filter(|id| leader.dependencies.graph.has_dependents(id));
+    let needed: Vec<String> = needed.cloned().collect();
+    for id in needed {
+        leader.archive.hold(&id);
+    }
+}
--- a/crates/controller/src/scheduling/planning_state.rs
+++ b/crates/controller/src/scheduling/planning_state.rs
@@ -1,7 +1,7 @@
 //! What planning remembers from one plan to the next.
 
 use crate::messages::Time;
-use crate::scheduling::planning::ClassStats;
+use crate::scheduling::class_stats::ClassStats;
 use crate::scheduling::starvation::{GangReservation, StarvingGroups};
 use crate::scheduling::work_conservation::WaitingBesideCapacity;
 use std::collections::BTreeMap;
@@ -43,4 +43,10 @@
             classes: BTreeMap::new(),
         }
     }
+
+    /// Plans as soon as possible, not with the next planning interval.
+    pub fn request_plan(&mut self, now: Time) {
+        self.needed = true;
+        self.next_plan_at = self.next_plan_at.min(now);
+    }
 }
--- a/crates/controller/src/scheduling/starvation.rs
+++ b/crates/controller/src/scheduling/starvation.rs
@@ -1,150 +1,205 @@
-//! Classes and teams under their floors, for one plan (see `planner::starvation`).
+//! Starvation protection in one plan: classes and teams that have waited long and hold almost no
+//! machines go first (see `planner::starvation`).
 
-use crate::scheduling::planning::needs;
+use crate::scheduling::pricing::resources_per_task;
 use planner::starvation::{
     guaranteed_tasks, overdue_tasks, reservation_expiry, starving_groups, StarvationPolicy, WaitingDemand,
 };
 use planner::{Job, Resources, RunningTask, Shape};
 use protocol::job::JobSpec;
 use std::collections::BTreeMap;
+use std::fmt;
 
-/// What each class and team holds and asks for.
+/// A job class or a team. Ordered: classes before teams, then by name.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+enum StarvationGroup {
+    Class(String),
+    Team(String),
+}
+
+impl StarvationGroup {
+    fn contains(&self, spec: &JobSpec) -> bool {
+        match self {
+            StarvationGroup::Class(class) => *class == spec.class,
+            StarvationGroup::Team(team) => *team == spec.team,
+        }
+    }
+}
+
+/// Log lines show a group as `(is_team, "name")`.
+impl fmt::Debug for StarvationGroup {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let (is_team, name) = match self {
+            StarvationGroup::Class(name) => (false, name),
+            StarvationGroup::Team(name) => (true, name),
+        };
+        formatter.debug_tuple("").field(&is_team).field(name).finish()
+    }
+}
+
+/// What each class and team holds and waits for.
 pub struct StarvationGuard {
     policy: StarvationPolicy,
-    /// Size of all machines together.
+    /// Resources of all machines together.
     total: Resources,
-    /// Classes and teams by name; the flag keeps the two apart.
-    group_indices: BTreeMap<(bool, String), usize>,
+    /// The number of each class and team.
+    group_indices: BTreeMap<StarvationGroup, usize>,
+    /// The part of all machines that each group holds, by its number.
     held_shares: Vec<f64>,
     demands: Vec<WaitingDemand>,
-    /// The plan's job that each claim is of.
+    /// The planner's number of the job that each demand is of.
     job_indices: Vec<usize>,
 }
 
 impl StarvationGuard {
-    pub fn new(floor: StarvationPolicy, sizes: impl Iterator<Item = Resources>) -> Self {
+    /// Nothing is held or waited for yet. `sizes`: of all machines.
+    pub fn new(policy: StarvationPolicy, sizes: impl Iterator<Item = Resources>) -> Self {
         let mut total = Resources::new(0.0, 0.0, 0.0);
-        sizes.for_each(|s| total.add(&s));
-        let groups = BTreeMap::new();
+        for size in sizes {
+            total.add(&size);
+        }
         StarvationGuard {
-            policy: floor,
+            policy,
             total,
-            group_indices: groups,
+            group_indices: BTreeMap::new(),
             held_shares: Vec::new(),
             demands: Vec::new(),
             job_indices: Vec::new(),
         }
     }
 
-    fn group_indices(&mut self, s: &JobSpec) -> [usize; 2] {
-        [(false, &s.class), (true, &s.team)].map(|(team, name)| {
-            let next = self.group_indices.len();
-            let g = *self.group_indices.entry((team, name.clone())).or_insert(next);
+    /// The numbers of a job's class and team.
+    fn group_indices(&mut self, spec: &JobSpec) -> [usize; 2] {
+        let groups = [StarvationGroup::Class(spec.class.clone()), StarvationGroup::Team(spec.team.clone())];
+        groups.map(|group| {
+            let next_index = self.group_indices.len();
+            let index = *self.group_indices.entry(group).or_insert(next_index);
             self.held_shares.resize(self.group_indices.len(), 0.0);
-            g
+            index
         })
     }
 
     /// The part of all machines that one task takes.
     fn share_per_task(&self, spec: &JobSpec) -> f64 {
-        let (need, all) = (needs(spec), &self.total);
-        let part = |x: f64, of: f64| if of > 0.0 { x / of } else { 0.0 };
-        part(need.cores, all.cores)
-            .max(part(need.accelerators, all.accelerators))
-            .max(part(need.memory_gb, all.memory_gb))
+        let task = resources_per_task(spec);
+        let share = |part: f64, total: f64| if total > 0.0 { part / total } else { 0.0 };
+        share(task.cores, self.total.cores)
+            .max(share(task.accelerators, self.total.accelerators))
+            .max(share(task.memory_gb, self.total.memory_gb))
     }
 
-    /// `tasks` tasks of such a job have their places.
+    /// Counts `tasks` placed tasks of such a job as held.
     pub fn add_usage(&mut self, spec: &JobSpec, tasks: usize) {
-        let part = self.share_per_task(spec) * tasks as f64;
-        for g in self.group_indices(spec) {
-            self.held_shares[g] += part;
+        let share = self.share_per_task(spec) * tasks as f64;
+        for group in self.group_indices(spec) {
+            self.held_shares[group] += share;
         }
     }
 
-    /// Job `at` of the plan waits with what it needs.
-    pub fn add_demand(&mut self, at: usize, spec: &JobSpec, job: &Job, begun: bool) {
-        let (groups, each) = (self.group_indices(spec), self.share_per_task(spec));
-        // A job bound to zones is not divided either: each part would choose its
-        // own. (Two parts of an array once ran in two zones.)
-        let whole = job.shape == Shape::Gang || job.one_zone || job.max_per_zone.is_some();
-        let tasks = job.pending_tasks.len();
-        self.demands.push(WaitingDemand {
-            groups,
+    /// Adds the waiting tasks of a job. `index`: the planner's number of it.
+    pub fn add_demand(&mut self, index: usize, spec: &JobSpec, job: &Job, has_started: bool) {
+        // A job that is bound to zones is not divided either: each part would choose its own. (Two
+        // parts of an array once ran in two zones.)
+        let indivisible = job.shape == Shape::Gang || job.one_zone || job.max_per_zone.is_some();
+        let demand = WaitingDemand {
+            groups: self.group_indices(spec),
             submitted_at: job.submitted_at,
-            tasks,
-            share_per_task: each,
-            indivisible: whole,
-            has_started: begun,
-        });
-        self.job_indices.push(at);
+            tasks: job.pending_tasks.len(),
+            share_per_task: self.share_per_task(spec),
+            indivisible,
+            has_started,
+        };
+        self.demands.push(demand);
+        self.job_indices.push(index);
     }
 
-    /// Lets what is under its floor go first. Part of a job's tasks becomes a job of
-    /// its own, which the plan has under the same name.
+    /// Lets overdue jobs, and jobs of starving groups, go first in the plan. If only some of a job's
+    /// tasks do, they become a job of their own, under the same id.
     pub fn apply(&mut self, now: f64, ids: &mut Vec<String>, jobs: &mut Vec<Job>) -> StarvingGroups {
         let starving = starving_groups(now, &self.policy, &self.held_shares, &self.demands);
-        let mut granted = overdue_tasks(now, &self.policy, &self.demands);
-        for ((c, &i), _) in self.demands.iter().zip(&self.job_indices).zip(&granted).filter(|(_, n)| **n > 0)
-        {
-            jobs[i].reserves_until = reservation_expiry(&self.policy, c.submitted_at);
-        }
+        let mut relieved_tasks = overdue_tasks(now, &self.policy, &self.demands);
+        self.reserve_for_overdue(&relieved_tasks, jobs);
         if starving.contains(&true) {
-            let groups = guaranteed_tasks(&self.policy, &starving, &self.held_shares, &self.demands);
-            granted.iter_mut().zip(groups).for_each(|(g, n)| *g = (*g).max(n));
+            let granted = guaranteed_tasks(&self.policy, &starving, &self.held_shares, &self.demands);
+            for (tasks, granted) in relieved_tasks.iter_mut().zip(granted) {
+                *tasks = (*tasks).max(granted);
+            }
         }
-        if granted.iter().any(|n| *n > 0) {
-            for (&i, n) in self.job_indices.iter().zip(granted).filter(|(_, n)| *n > 0) {
-                let rest = jobs[i].pending_tasks.split_off(n);
-                if rest.is_empty() {
-                    jobs[i].starvation_relief = true;
-                    continue;
-                }
-                let first = std::mem::replace(&mut jobs[i].pending_tasks, rest);
-                let part = Job { pending_tasks: first, starvation_relief: true, ..jobs[i].clone() };
-                jobs[i].reserves_until = 0.0;
-                jobs.push(part);
-                ids.push(ids[i].clone());
+        for (&index, tasks) in self.job_indices.iter().zip(relieved_tasks) {
+            if tasks > 0 {
+                relieve(index, tasks, ids, jobs);
             }
         }
-        let names = self.group_indices.iter().filter(|(_, &g)| starving[g]);
-        StarvingGroups { groups: names.map(|(name, _)| name.clone()).collect() }
+        let groups = self.group_indices.iter().filter(|(_, &index)| starving[index]);
+        StarvingGroups { groups: groups.map(|(group, _)| group.clone()).collect() }
+    }
+
+    /// Overdue jobs may keep machines to themselves for a while.
+    fn reserve_for_overdue(&self, overdue_tasks: &[usize], jobs: &mut [Job]) {
+        let demands = self.demands.iter().zip(&self.job_indices).zip(overdue_tasks);
+        for ((demand, &index), _) in demands.filter(|(_, tasks)| **tasks > 0) {
+            jobs[index].reserves_until = reservation_expiry(&self.policy, demand.submitted_at);
+        }
     }
 }
 
-/// The overdue gang for which machines gather in one zone, with the plan's number of the zone.
+/// Lets the first `tasks` pending tasks of a job go first.
+fn relieve(index: usize, tasks: usize, ids: &mut Vec<String>, jobs: &mut Vec<Job>) {
+    let rest = jobs[index].pending_tasks.split_off(tasks);
+    if rest.is_empty() {
+        jobs[index].starvation_relief = true;
+        return;
+    }
+    let relieved = std::mem::replace(&mut jobs[index].pending_tasks, rest);
+    let part = Job { pending_tasks: relieved, starvation_relief: true, ..jobs[index].clone() };
+    jobs[index].reserves_until = 0.0;
+    jobs.push(part);
+    ids.push(ids[index].clone());
+}
+
+/// An overdue gang for which machines are reserved in one zone.
+#[derive(Debug, PartialEq)]
+pub struct AssemblingGang {
+    /// Its job's id.
+    pub job: String,
+    /// The planner's number of the zone.
+    pub zone: usize,
+}
+
+/// The overdue gang for which machines are reserved, if there is one.
 #[derive(Debug, Default, PartialEq)]
-pub struct GangReservation(pub Option<(String, usize)>);
+pub struct GangReservation(pub Option<AssemblingGang>);
 
 impl GangReservation {
     /// The zone of job `id`, if it is that gang.
     pub fn zone_of(&self, id: &str) -> Option<usize> {
-        self.0.as_ref().filter(|(gang, _)| gang == id).map(|(_, zone)| *zone)
+        self.0.as_ref().filter(|gang| gang.job == id).map(|gang| gang.zone)
     }
 }
 
-/// Classes and teams under their floors, by whether it is a team, and name.
+/// Classes and teams that are starving.
 #[derive(Debug, Default, PartialEq)]
 pub struct StarvingGroups {
-    groups: Vec<(bool, String)>,
+    groups: Vec<StarvationGroup>,
 }
 
 impl StarvingGroups {
     fn contains(&self, spec: &JobSpec) -> bool {
-        self.groups.iter().any(|(team, name)| *name == if *team { &spec.team } else { &spec.class }[..])
+        self.groups.iter().any(|group| group.contains(spec))
     }
 
-    /// What they run is not stopped for others. `spec`: of the task's job.
+    /// Their running tasks are not preempted. `spec`: of the job of a task's owner number.
     pub fn protect_from_preemption<'a>(
         &self,
-        busy: impl Iterator<Item = &'a mut RunningTask>,
+        tasks: impl Iterator<Item = &'a mut RunningTask>,
         spec: impl Fn(usize) -> Option<&'a JobSpec>,
     ) {
         if self.groups.is_empty() {
             return;
         }
-        for b in busy {
-            b.preemption = b.preemption.filter(|v| !spec(v.owner).is_some_and(|s| self.contains(s)));
+        let is_protected = |owner: usize| spec(owner).is_some_and(|spec| self.contains(spec));
+        for task in tasks {
+            task.preemption = task.preemption.filter(|candidate| !is_protected(candidate.owner));
         }
     }
 }
--- a/crates/controller/src/storage/write_queue.rs
+++ b/crates/controller/src/storage/write_queue.rs
@@ -10,7 +10,7 @@
 use crate::leader::state::{LeaderState, Role};
 use crate::model::job::{Job, JobWrite};
 use crate::model::records::Value;
-use crate::scheduling::planning::band;
+use crate::scheduling::effective_priority::band;
 use crate::{CallContext, Controller, StoreRequest, Time};
 use due_jobs::due_jobs;
 use protocol::job::JobStatus;
--- a/crates/controller/src/storage/write_queue/due_jobs.rs
+++ b/crates/controller/src/storage/write_queue/due_jobs.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Time;
 use crate::model::job::Job;
-use crate::scheduling::planning::band;
+use crate::scheduling::effective_priority::band;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
