--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -8,11 +8,11 @@
 use crate::health::StoreHealth;
 use crate::leader::state::{LeaderState, Role};
 use crate::messages::{Output, Time};
-use crate::model::records::JobRecord;
 use crate::proxy::sharding_state::ShardingState;
 use crate::rate_limiter::RateLimiter;
 use crate::safety_checks::SafetyChecks;
 use crate::storage::format_negotiation::FormatNegotiation;
+use crate::storage::spec_chunks::SpecChunkRetry;
 use crate::storage::store_limits::StoreLimits;
 use crate::terminal_states::TerminalStateCache;
 use protocol::cloud::MachineType;
@@ -60,7 +60,7 @@
     pub(crate) formats: FormatNegotiation,
     /// Records with specification chunks that could not be read: when the read was last tried,
     /// the record, its version.
-    pub(crate) spec_chunk_retries: Vec<(Time, Box<JobRecord>, u64)>,
+    pub(crate) spec_chunk_retries: Vec<SpecChunkRetry>,
     /// The cloud's machine types; none before they are read.
     pub(crate) machine_types: Option<Vec<MachineType>>,
     /// When the machine types were last read.
--- a/crates/controller/src/model.rs
+++ b/crates/controller/src/model.rs
@@ -1,4 +1,4 @@
-//! What a leader knows: jobs, machines, placements, and the records that they are stored as.
+//! The data of the controllers: jobs, machines, placements, and the records that they are stored as.
 
 pub(crate) mod cluster;
 pub(crate) mod job;
--- a/crates/controller/src/model/machine.rs
+++ b/crates/controller/src/model/machine.rs
@@ -1,83 +1,104 @@
 //! A machine as the leader knows it.
 
+mod image_cache;
+
 use crate::agents::one_way_partition::InboundReachability;
 use crate::messages::Time;
+use image_cache::ImageCache;
 use protocol::worker::{Heartbeat, TaskStatus};
 use settings::Timing;
 use sharding::ProxyId;
 use std::collections::BTreeSet;
 use tracing::warn;
 
+/// A heartbeat's place in the order of its agent's heartbeats: the agent epoch and, within that, the
+/// sequence number.
+pub type HeartbeatPosition = (u64, u64);
+
+/// Where a machine is in its life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachinePhase {
-    /// Rented, its worker not heard yet.
+    /// Created, and no heartbeat has come yet.
     Booting,
+    /// In service.
     Up,
     /// To be deleted; takes no work.
     Terminating,
 }
 
-/// Most images that are remembered of a machine.
-const MOST_IMAGES: usize = 64;
-
+/// A machine as the leader knows it, from heartbeats, the cloud's list and stored placements.
 #[derive(Debug, Clone)]
 pub struct Machine {
+    /// The cloud's id; never used again.
     pub id: String,
+    /// The agent's address, for direct commands; empty before the first heartbeat.
     pub addr: String,
+    /// The name of its machine type.
     pub machine_type: String,
+    /// The zone that it is in.
     pub zone: String,
+    /// Whether the cloud may reclaim it.
     pub spot: bool,
+    /// Where it is in its life.
     pub phase: MachinePhase,
-    /// Rental, or when it was first known.
+    /// When it was created, or first known.
     pub known_since: Time,
-    /// The worker's newest (session, seq), and the token it had seen then.
-    pub newest_position: (u64, u64),
-    /// The same of what it sent by itself, which alone renews its lease: the answer to a direct
-    /// command may come before the report that was made before it.
-    newest_heartbeat_position: (u64, u64),
+    /// The position of the newest heartbeat, or answer to a direct command.
+    pub newest_position: HeartbeatPosition,
+    /// The position of the newest heartbeat that the agent sent by itself. Only these renew its
+    /// lease, and the answer to a direct command may overtake one that was sent before it.
+    newest_heartbeat_position: HeartbeatPosition,
+    /// The highest fencing token that its agent has seen.
     pub highest_token_seen: u64,
-    /// The report that its tasks here are of, in full.
-    pub content_position: (u64, u64),
-    /// The token that it had seen by then.
+    /// The position of the heartbeat that `tasks` is the content of.
+    pub content_position: HeartbeatPosition,
+    /// The fencing token that the agent had seen by then.
     pub content_token: u64,
-    /// The node that took its newest report, if not this one.
+    /// The node that received its newest heartbeat, if not this one.
     pub proxy: Option<ProxyId>,
-    /// When its newest report came to a node that no command had asked for.
+    /// When its newest heartbeat, except answers to direct commands, came to a node.
     pub last_heartbeat_at: Option<Time>,
-    /// When its report last showed just what is placed there, with nothing to be
-    /// told; None: not since something changed.
+    /// When its heartbeat last showed exactly what is placed there, with nothing left to
+    /// send; None: something has changed since.
     pub reconciled_at: Option<Time>,
-    /// It stays with this node: it reports here, and was not sent on.
+    /// Its heartbeats come to this node, and it was not redirected to a proxy.
     pub reports_here: bool,
-    /// When its newest report came to this node or to a gateway.
+    /// When its newest heartbeat came to this node or to a proxy.
     pub last_heard_at: Option<Time>,
-    /// No report that it is known to have been answered came later than that.
+    /// No heartbeat that may have been answered came later than that.
     pub last_possible_response_at: Time,
-    /// When it was first heard, while nothing else shows that it is there: the
-    /// report may have been held for minutes and speak of a machine long gone.
+    /// When its first heartbeat came, while nothing else shows that the machine exists: the
+    /// heartbeat may have been delayed for minutes, and the machine be gone.
     pub unconfirmed_since: Option<Time>,
-    /// Whether it hears what it is answered.
+    /// Whether responses reach it.
     pub reachability: InboundReachability,
     /// Since when this leader has taken it for up.
     pub up_since: Time,
-    /// It was silent for too long and is given back.
+    /// It was silent for too long and is to be scaled in.
     pub given_up: bool,
+    /// The cloud's list has shown it.
     pub listed: bool,
-    /// Cloud takes it away at that time.
+    /// When the cloud reclaims it, if that was announced.
     pub spot_reclaim_at: Option<Time>,
+    /// Its tasks, by the heartbeat at `content_position`.
     pub tasks: Vec<TaskStatus>,
-    /// Images its tasks needed, with when last and how large; the latest first.
-    images: Vec<(u32, Time, f64)>,
+    /// The images that its tasks needed.
+    images: ImageCache,
+    /// Since when it has had no work.
     pub idle_since: Time,
     /// Jobs that failed here since the last success, for no other known reason.
     pub failed_jobs: BTreeSet<String>,
+    /// Its tasks fail: it takes no work and is to be scaled in.
     pub quarantined: bool,
-    /// Several jobs failed here: no work until it is clear whose fault it was.
+    /// Since when several jobs have failed here: no work until it is clear whether the machine is at
+    /// fault.
     pub suspected_since: Option<Time>,
+    /// Its run times as a multiple of what is expected.
     pub slowness: f64,
 }
 
 impl Machine {
+    /// A machine that was just created, or is known by name only.
     pub fn new(id: &str, machine_type: &str, zone: &str, spot: bool, now: Time) -> Self {
         Machine {
             id: id.to_string(),
@@ -105,7 +126,7 @@
             listed: false,
             spot_reclaim_at: None,
             tasks: Vec::new(),
-            images: Vec::new(),
+            images: ImageCache::default(),
             idle_since: now,
             failed_jobs: BTreeSet::new(),
             quarantined: false,
@@ -114,28 +135,29 @@
         }
     }
 
-    /// A report of that place in its worker's order came to a node at `came`: its lease may have
-    /// been renewed, unless it is one that came before (`order`). (Reports that the answer to
-    /// a direct command had overtaken once counted for nothing, and what ran on there was
-    /// started elsewhere before the lease had ended.)
-    pub fn record_heartbeat(&mut self, place: (u64, u64), came: Time, order: bool) {
-        if place > self.newest_heartbeat_position || !order {
-            self.newest_heartbeat_position = self.newest_heartbeat_position.max(place);
-            self.last_possible_response_at = self.last_possible_response_at.max(came);
-            if self.last_heard_at.is_some() {
-                self.record_contact(came);
-            }
+    /// A heartbeat came to a node at `received_at`: its response may have renewed the machine's
+    /// lease, unless it is an old copy. `check_order`: whether positions tell old copies.
+    /// (Heartbeats that the answer to a direct command had overtaken were once ignored, and tasks
+    /// were started elsewhere before the lease had expired.)
+    pub fn record_heartbeat(&mut self, position: HeartbeatPosition, received_at: Time, check_order: bool) {
+        if check_order && position <= self.newest_heartbeat_position {
+            return;
+        }
+        self.newest_heartbeat_position = self.newest_heartbeat_position.max(position);
+        self.last_possible_response_at = self.last_possible_response_at.max(received_at);
+        if self.last_heard_at.is_some() {
+            self.record_contact(received_at);
         }
     }
 
-    /// A report, that no command had asked for, came to a node at `came`. (The answers to
-    /// direct commands once counted too: a mute machine was given work for as long as
-    /// something was cancelled there now and then.)
-    pub fn record_contact(&mut self, came: Time) {
-        self.last_heard_at = later(self.last_heard_at, came);
+    /// A heartbeat came to a node at `received_at`. (Answers to direct commands once counted too: a
+    /// machine that sent no heartbeats was given work as long as something was now and then
+    /// cancelled there.)
+    pub fn record_contact(&mut self, received_at: Time) {
+        self.last_heard_at = latest(self.last_heard_at, received_at);
     }
 
-    /// Takes what a newer report says.
+    /// Takes over the content of a newer heartbeat.
     pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, now: Time) {
         self.newest_position = (heartbeat.epoch, heartbeat.sequence);
         self.content_position = self.newest_position;
@@ -146,50 +168,51 @@
         self.spot = heartbeat.spot;
         self.highest_token_seen = self.highest_token_seen.max(heartbeat.fencing_token);
         self.mark_up(now);
-        self.spot_reclaim_at = heartbeat.notice_s.map(|s| now + s);
+        self.spot_reclaim_at = heartbeat.notice_s.map(|notice_s| now + notice_s);
         self.tasks.clone_from(&heartbeat.tasks);
     }
 
-    /// It is up, whether it was heard or the list says so.
+    /// The machine is up, by a heartbeat or by the cloud's list.
     pub fn mark_up(&mut self, now: Time) {
         if self.phase == MachinePhase::Booting {
             self.phase = MachinePhase::Up;
-            (self.up_since, self.idle_since) = (now, now);
+            self.up_since = now;
+            self.idle_since = now;
         }
     }
 
-    /// How long nothing has been heard of it, if it is up.
+    /// Seconds since the last heartbeat, if the machine is up; otherwise 0.
     pub fn silence_s(&self, now: Time) -> Time {
         match self.phase {
             MachinePhase::Up => now - self.last_heard_at.unwrap_or(self.up_since),
-            _ => 0.0,
+            MachinePhase::Booting | MachinePhase::Terminating => 0.0,
         }
     }
 
-    /// Whether it is up, but has missed reports: no work goes there.
+    /// Whether it is up but has missed heartbeats: no work is placed there.
     pub fn missed_heartbeats(&self, now: Time, timing: &Timing) -> bool {
         self.silence_s(now) > timing.failure_suspicion_s / 2.0
     }
 
-    /// Whether it was heard and has missed no reports since.
+    /// Whether heartbeats have come and none was missed since.
     pub fn is_heard(&self, now: Time, timing: &Timing) -> bool {
         self.last_heard_at.is_some() && !self.missed_heartbeats(now, timing)
     }
 
-    /// A report that no command had asked for came to a node at `came`.
-    pub fn record_unsolicited_heartbeat(&mut self, came: Time) {
-        self.record_contact(came);
-        self.last_heartbeat_at = later(self.last_heartbeat_at, came);
+    /// A heartbeat that is no answer to a direct command came to a node at `received_at`.
+    pub fn record_unsolicited_heartbeat(&mut self, received_at: Time) {
+        self.record_contact(received_at);
+        self.last_heartbeat_at = latest(self.last_heartbeat_at, received_at);
     }
 
-    /// Whether a report with the same content needs no look: nothing has changed
-    /// here since a close one, which was not long ago.
-    pub fn is_reconciled(&self, now: Time, within: Time) -> bool {
-        self.reconciled_at.is_some_and(|at| now - at < within)
+    /// Whether a heartbeat with the same content need not be reconciled: nothing has changed
+    /// since that was done, less than `validity_s` ago.
+    pub fn is_reconciled(&self, now: Time, validity_s: Time) -> bool {
+        self.reconciled_at.is_some_and(|at| now - at < validity_s)
     }
 
-    /// A later report that says the same as the last one in full.
-    pub fn repeated_heartbeat(&self, seq: u64) -> Heartbeat {
+    /// A later heartbeat with the content of the last one that had any.
+    pub fn repeated_heartbeat(&self, sequence: u64) -> Heartbeat {
         Heartbeat {
             machine: self.id.clone(),
             addr: self.addr.clone(),
@@ -197,38 +220,30 @@
             zone: self.zone.clone(),
             spot: self.spot,
             epoch: self.content_position.0,
-            sequence: seq,
+            sequence,
             fencing_token: self.content_token,
             notice_s: None,
             tasks: self.tasks.clone(),
         }
     }
 
-    /// A task that needs `image` was there at that time.
-    pub fn record_image(&mut self, image: u32, at: Time, gb: f64) {
-        let at = self.images.iter().find(|i| i.0 == image).map_or(at, |i| i.1.max(at));
-        self.images.retain(|i| i.0 != image);
-        let place = self.images.partition_point(|i| i.1 >= at);
-        self.images.insert(place, (image, at, gb));
-        self.images.truncate(MOST_IMAGES);
+    /// A task that needs `image`, of that size in GB, was here at that time.
+    pub fn record_image(&mut self, image: u32, needed_at: Time, size_gb: f64) {
+        self.images.record(image, needed_at, size_gb);
     }
 
     /// The images that it should still hold: the latest that fit its cache.
     pub fn cached_images(&self, cache_gb: f64) -> Vec<u32> {
-        let mut total = 0.0;
-        let fits = |(_, _, gb): &&(u32, Time, f64)| {
-            total += gb;
-            total <= cache_gb.max(1.0)
-        };
-        self.images.iter().take_while(fits).map(|i| i.0).collect()
+        self.images.held_in(cache_gb)
     }
 
-    /// The latest images, as far as they tell anything at `since`.
-    pub fn latest_images(&self, since: Time, most: usize) -> impl Iterator<Item = (u32, f64)> + '_ {
-        self.images.iter().filter(move |i| i.1 >= since).take(most).map(|i| (i.0, i.2))
+    /// At most `max_images` that were needed at `since` or later, with their sizes in GB; the latest
+    /// first.
+    pub fn latest_images(&self, since: Time, max_images: usize) -> impl Iterator<Item = (u32, f64)> + '_ {
+        self.images.latest(since, max_images)
     }
 
-    /// It fails its tasks: no more work for it, and back to the cloud.
+    /// Its tasks fail: no more work for it, and it is scaled in.
     pub fn quarantine(&mut self) {
         if !self.quarantined {
             warn!(machine = %self.id, "machine quarantined: its tasks fail");
@@ -236,15 +251,16 @@
         self.quarantined = true;
     }
 
+    /// Whether tasks may be placed on it, as far as its own state shows.
     pub fn accepts_work(&self) -> bool {
-        let troubled = self.quarantined
+        let is_cordoned = self.quarantined
             || self.suspected_since.is_some()
             || self.unconfirmed_since.is_some()
             || self.reachability.receives_nothing();
-        self.phase != MachinePhase::Terminating && self.spot_reclaim_at.is_none() && !troubled
+        self.phase != MachinePhase::Terminating && self.spot_reclaim_at.is_none() && !is_cordoned
     }
 }
 
-fn later(a: Option<Time>, b: Time) -> Option<Time> {
-    Some(a.map_or(b, |a| a.max(b)))
+fn latest(known: Option<Time>, at: Time) -> Option<Time> {
+    Some(known.map_or(at, |known| known.max(at)))
 }
--- a/crates/controller/src/storage/format_negotiation.rs
+++ b/crates/controller/src/storage/format_negotiation.rs
@@ -1,22 +1,24 @@
 //! Which format of records and messages every node reads, while old and new versions serve
-//! side by side. `docs/upgrade.md` argues each opening.
+//! side by side. `docs/upgrade.md` argues why each opening is safe.
 
 use crate::messages::Time;
 use crate::model::records::FORMAT;
 use settings::Peer;
 use std::collections::BTreeMap;
 
-/// What the other nodes have said of themselves. A node that has its new version keeps it, so
-/// what was said once holds; a node that nothing was heard of counts as the oldest.
+/// The formats that the other nodes have reported. A node that has its new version keeps it, so
+/// a report holds for good; a node that has not reported counts as the oldest.
 #[derive(Debug, Default)]
 pub struct FormatNegotiation {
     reported_formats: BTreeMap<String, u32>,
+    /// Something has shown that all nodes have this version.
     confirmed: bool,
+    /// This node's reads of the stored format.
     pub gate: FormatGateProbe,
 }
 
-/// This node's looks at the format that is stored as read by all. One that has just begun has
-/// heard nobody; what it cannot know from that it reads there.
+/// This node's reads of the format that is stored as read by all nodes. A node that has just started
+/// has no reports of others, and learns it from there.
 #[derive(Debug, Default)]
 pub struct FormatGateProbe {
     in_flight: bool,
@@ -25,34 +27,37 @@
 }
 
 impl FormatGateProbe {
-    /// Whether the gate has been seen, open or not.
+    /// Whether the stored format, or its absence, has been read.
     pub fn was_answered(&self) -> bool {
         self.was_answered
     }
 
-    /// Whether to look `now`; again `every` seconds later.
-    pub fn begin(&mut self, now: Time, every: Time) -> bool {
-        let due = !self.in_flight && now >= self.probe_at;
-        if due {
-            (self.in_flight, self.probe_at) = (true, now + every);
+    /// Whether to read the stored format `now`. If so, the next read is `interval_s` later, and
+    /// `end` is to be called with the outcome.
+    pub fn begin(&mut self, now: Time, interval_s: Time) -> bool {
+        if self.in_flight || now < self.probe_at {
+            return false;
         }
-        due
+        self.in_flight = true;
+        self.probe_at = now + interval_s;
+        true
     }
 
-    /// A look has ended; whether it was answered.
+    /// A read has ended, with an answer or without.
     pub fn end(&mut self, answered: bool) {
-        (self.in_flight, self.was_answered) = (false, self.was_answered || answered);
+        self.in_flight = false;
+        self.was_answered |= answered;
     }
 }
 
 impl FormatNegotiation {
     /// Node `node` reads formats up to `format`.
     pub fn record(&mut self, node: &str, format: u32) {
-        let said = self.reported_formats.entry(node.to_string()).or_insert(0);
-        *said = (*said).max(format);
+        let reported = self.reported_formats.entry(node.to_string()).or_insert(0);
+        *reported = (*reported).max(format);
     }
 
-    /// Something was asked, or refused, that only comes after all nodes have this version.
+    /// A request or a refusal was seen that occurs only after all nodes have this version.
     /// True the first time.
     pub fn confirm(&mut self) -> bool {
         !std::mem::replace(&mut self.confirmed, true)
@@ -63,7 +68,7 @@
         if self.confirmed {
             return FORMAT;
         }
-        let said = |p: &Peer| self.reported_formats.get(&p.node).copied().unwrap_or(0);
-        peers.iter().map(said).min().unwrap_or(FORMAT).min(FORMAT)
+        let reported = |peer: &Peer| self.reported_formats.get(&peer.node).copied().unwrap_or(0);
+        peers.iter().map(reported).min().unwrap_or(FORMAT).min(FORMAT)
     }
 }
--- a/crates/controller/src/storage/spec_chunks.rs
+++ b/crates/controller/src/storage/spec_chunks.rs
@@ -1,99 +1,153 @@
-//! Jobs whose specification is too large for their record: it lies beside it in parts, which
-//! were stored before the record that names them.
+//! Jobs whose specification is too large for their record: it is stored beside the record in chunks,
+//! which are written before the record that refers to them.
 
-use crate::model::records::*;
+use crate::model::records::{job_key, json_size, over_key, JobRecord, SpecChunks, Value};
 use crate::storage::store_limits::TARGET_TRANSACTION_BYTES;
 use crate::{CallContext, Controller, StoreReply, StoreRequest, Time};
 use protocol::state::{Compare, Mutation, Transaction};
 use std::collections::BTreeMap;
 
-/// What a leader has read of parts, before the records that name them.
+/// Bytes in JSON of a chunk's mutation beside its key and value.
+const PUT_OVERHEAD_BYTES: usize = 40;
+/// Retries of a failed read in a renewal interval of the lease.
+const RETRIES_PER_RENEWAL_INTERVAL: f64 = 2.0;
+
+/// The submission that chunks belong to.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct Submission {
+    job_id: String,
+    nonce: String,
+}
+
+/// A chunk as it was read.
+struct Chunk {
+    key: String,
+    text: String,
+}
+
+/// The chunks that a new leader has read, before the records that refer to them.
 #[derive(Default)]
 pub struct ChunkReader {
-    chunks: BTreeMap<(String, String), Vec<(String, String)>>,
+    chunks: BTreeMap<Submission, Vec<Chunk>>,
 }
 
 impl ChunkReader {
-    /// A part was listed; parts come in the order of their keys.
+    /// A chunk was listed; chunks come in the order of their keys.
     pub fn add(&mut self, key: &str, text: String) {
-        if let Some((id, nonce)) = SpecChunks::of_key(key) {
-            let of = self.chunks.entry((id.to_string(), nonce.to_string())).or_default();
-            of.push((key.to_string(), text));
-        }
+        let Some((job_id, nonce)) = SpecChunks::of_key(key) else { return };
+        let submission = Submission { job_id: job_id.to_string(), nonce: nonce.to_string() };
+        self.chunks.entry(submission).or_default().push(Chunk { key: key.to_string(), text });
     }
 
-    /// Completes a record; false if its parts are not there.
+    /// Restores the specification of a record; false if its chunks are missing.
     pub fn complete(&mut self, record: &mut JobRecord) -> bool {
-        let Some(parts) = record.spec_chunks.clone() else { return true };
-        let pieces = self.chunks.remove(&(record.spec.id.clone(), parts.nonce)).unwrap_or_default();
-        let pieces: Vec<String> = pieces.into_iter().map(|p| p.1).collect();
-        record.join_spec(&pieces)
+        let Some(spec_chunks) = &record.spec_chunks else { return true };
+        let submission = Submission { job_id: record.spec.id.clone(), nonce: spec_chunks.nonce.clone() };
+        let chunks = self.chunks.remove(&submission).unwrap_or_default();
+        let texts: Vec<String> = chunks.into_iter().map(|chunk| chunk.text).collect();
+        record.join_spec(&texts)
     }
 
-    /// Keys of parts that no record names, and that were begun before `wall`: of
-    /// submissions that were given up. (Others' records may be about to be written.)
-    pub fn abandoned_keys(self, wall: Time) -> Vec<String> {
-        let old = |nonce: &str| begun(nonce).is_some_and(|at| at < wall);
-        let all = self.chunks.into_iter().filter(|((_, nonce), _)| old(nonce));
-        all.flat_map(|(_, keys)| keys.into_iter().map(|k| k.0)).collect()
+    /// Keys of chunks that no record refers to and whose submission began before time of day
+    /// `wall_s`: it was given up. (The record of a later one may be about to be written.)
+    pub fn abandoned_keys(self, wall_s: Time) -> Vec<String> {
+        let is_abandoned =
+            |submission: &Submission| submission_wall_s(&submission.nonce).is_some_and(|at| at < wall_s);
+        self.chunks
+            .into_iter()
+            .filter(|(submission, _)| is_abandoned(submission))
+            .flat_map(|(_, chunks)| chunks.into_iter().map(|chunk| chunk.key))
+            .collect()
     }
 }
 
-/// A name for a submission's parts: when it was made, and what tells it from others.
-pub fn nonce(wall: Time, draw: u32) -> String {
-    format!("{:x}-{draw:x}", wall.max(0.0) as u64)
+/// A nonce for a submission's chunks: its time of day in seconds and a random number.
+pub fn nonce(wall_s: Time, random: u32) -> String {
+    format!("{:x}-{random:x}", wall_s.max(0.0) as u64)
 }
 
-/// What has to hold for a job to be new.
+/// The time of day in a nonce, in seconds.
+fn submission_wall_s(nonce: &str) -> Option<Time> {
+    let (wall_s, _) = nonce.split_once('-')?;
+    u64::from_str_radix(wall_s, 16).ok().map(|wall_s| wall_s as Time)
+}
+
+/// The conditions under which a job is new: there is neither a live nor a terminal one of that id.
 pub fn new_job(id: &str) -> Vec<Compare> {
     [job_key(id), over_key(id)].map(|key| Compare { key, version: 0 }).into()
 }
 
-fn begun(nonce: &str) -> Option<Time> {
-    let (at, _) = nonce.split_once('-')?;
-    u64::from_str_radix(at, 16).ok().map(|at| at as Time)
+/// A record whose chunks could not be read, to be tried again.
+pub struct SpecChunkRetry {
+    failed_at: Time,
+    record: Box<JobRecord>,
+    version: u64,
+}
+
+/// Takes the chunks, from the end of `pending`, that fit one transaction; at least one.
+fn take_chunks(pending: &mut Vec<(String, Value)>, max_mutations: usize) -> Vec<Mutation<Value>> {
+    let mut bytes_left = TARGET_TRANSACTION_BYTES;
+    let mut mutations = Vec::new();
+    while let Some((key, value)) = pending.pop() {
+        let size = json_size(&value) + key.len() + PUT_OVERHEAD_BYTES;
+        let fits = size <= bytes_left || mutations.is_empty();
+        if mutations.len() >= max_mutations || !fits {
+            pending.push((key, value));
+            break;
+        }
+        bytes_left = bytes_left.saturating_sub(size);
+        mutations.push(Mutation::Put { key, value, lease: None });
+    }
+    mutations
 }
 
 impl Controller {
-    /// Stores the next parts of a submission, or at last its record.
+    /// Stores the next chunks of a submission, or after the last its record.
     pub(crate) fn store_next_chunks(&mut self, id: &str) {
-        let most = self.store_limits.mutations();
-        let (mut room, mut changes) = (TARGET_TRANSACTION_BYTES, Vec::new());
-        let left = self.client_requests.pending_chunks(id);
-        while let Some((key, value)) = left.pop() {
-            let size = json_size(&value) + key.len() + 40;
-            if changes.len() >= most || size > room && !changes.is_empty() {
-                left.push((key, value));
-                break;
-            }
-            room = room.saturating_sub(size);
-            changes.push(Mutation::Put { key, value, lease: None });
-        }
-        if changes.is_empty() {
+        let max_mutations = self.store_limits.mutations();
+        let mutations = take_chunks(self.client_requests.pending_chunks(id), max_mutations);
+        if mutations.is_empty() {
             return self.store_job_record(id);
         }
-        self.client_writes.try_acquire(self.now, changes.len() as f64);
-        // (Repetitions of a known submission once left parts that nobody named.)
-        let txn = Transaction { compares: new_job(id), mutations: changes };
+        self.client_writes.try_acquire(self.now, mutations.len() as f64);
+        // (Without these conditions repetitions of a known submission once left chunks that no
+        // record referred to.)
+        let txn = Transaction { compares: new_job(id), mutations };
         self.commit_hedged(CallContext::CreateChunks { id: id.to_string() }, txn);
     }
 
+    /// The reply to a write of chunks.
     pub(crate) fn on_chunks_stored(&mut self, id: &str, reply: StoreReply) {
         match reply {
             StoreReply::Committed(_) => self.store_next_chunks(id),
-            // Nothing counts yet: the submission comes again, with another name for its parts.
+            // No record refers to them yet: the submission is repeated with another nonce.
             reply => self.on_job_created(id, reply),
         }
     }
 
-    /// Reads the parts of a record's specification.
+    /// Reads the chunks of a record's specification; with a token for the leader, without for a
+    /// status query.
     pub(crate) fn read_spec_chunks(&mut self, token: Option<u64>, record: JobRecord, version: u64) {
-        let Some(prefix) = record.spec_chunks.as_ref().map(|p| p.prefix(&record.spec.id)) else { return };
-        let purpose =
-            CallContext::SpecChunks { token, record: Box::new(record), version, pieces: Vec::new() };
-        self.call_store(purpose, StoreRequest::List { prefix, after: None });
+        let record = Box::new(record);
+        self.list_spec_chunks(token, record, version, Vec::new(), None);
+    }
+
+    /// Lists the chunks after key `after`; `pieces` are the texts of those before.
+    fn list_spec_chunks(
+        &mut self,
+        token: Option<u64>,
+        record: Box<JobRecord>,
+        version: u64,
+        pieces: Vec<String>,
+        after: Option<String>,
+    ) {
+        let Some(chunks) = &record.spec_chunks else { return };
+        let prefix = chunks.prefix(&record.spec.id);
+        let context = CallContext::SpecChunks { token, record, version, pieces };
+        self.call_store(context, StoreRequest::List { prefix, after });
     }
 
+    /// A page of chunks was listed.
     pub(crate) fn on_spec_chunks(
         &mut self,
         token: Option<u64>,
@@ -102,54 +156,53 @@
         mut pieces: Vec<String>,
         reply: StoreReply,
     ) {
-        let page = match reply {
-            StoreReply::Page(page) => page,
-            _ => return self.on_spec_chunks_failed(token, record, version),
+        let StoreReply::Page(page) = reply else {
+            return self.on_spec_chunks_failed(token, record, version);
         };
-        let last = page.items.last().map(|i| i.key.clone());
-        pieces.extend(page.items.into_iter().filter_map(|i| match i.value {
+        let last_key = page.items.last().map(|item| item.key.clone());
+        pieces.extend(page.items.into_iter().filter_map(|item| match item.value {
             Value::SpecChunk(text) => Some(text),
             _ => None,
         }));
-        if let (true, Some(after)) = (page.more, last) {
-            let Some(prefix) = record.spec_chunks.as_ref().map(|p| p.prefix(&record.spec.id)) else { return };
-            let purpose = CallContext::SpecChunks { token, record, version, pieces };
-            self.call_store(purpose, StoreRequest::List { prefix, after: Some(after) });
-            return;
+        if page.more && last_key.is_some() {
+            return self.list_spec_chunks(token, record, version, pieces, last_key);
         }
         if !record.join_spec(&pieces) {
             return self.on_spec_chunks_failed(token, record, version);
         }
-        match token {
-            Some(token) if self.leader_state(token).is_some() => {
-                let key = job_key(&record.spec.id);
-                self.observe_record(&key, Value::Job(record), version);
-            }
-            Some(_) => {}
-            None => self.answer_from_joined_record(&record, version),
+        self.on_record_complete(token, record, version);
+    }
+
+    fn on_record_complete(&mut self, token: Option<u64>, record: Box<JobRecord>, version: u64) {
+        let Some(token) = token else {
+            return self.answer_from_joined_record(&record, version);
+        };
+        if self.leader_state(token).is_some() {
+            let key = job_key(&record.spec.id);
+            self.observe_record(&key, Value::Job(record), version);
         }
     }
 
-    /// They are there, since the record is, but cannot be read now.
+    /// The chunks exist, since the record does, but cannot be read now.
     fn on_spec_chunks_failed(&mut self, token: Option<u64>, record: Box<JobRecord>, version: u64) {
-        match token {
-            // The leader cannot go on without: the watch would not show it again.
-            Some(token) if self.leader_state(token).is_some() => {
-                self.spec_chunk_retries.push((self.now, record, version))
-            }
-            Some(_) => {}
-            None => self.on_job_read_failed(&record.spec.id),
+        let Some(token) = token else {
+            return self.on_job_read_failed(&record.spec.id);
+        };
+        // The leader needs the job, and the watch does not show it again.
+        if self.leader_state(token).is_some() {
+            self.spec_chunk_retries.push(SpecChunkRetry { failed_at: self.now, record, version });
         }
     }
 
-    /// Parts that could not be read are asked for again.
+    /// Reads chunks again that could not be read.
     pub(crate) fn tick_spec_chunks(&mut self) {
-        let (now, retry) = (self.now, self.timing.renewal_interval_s / 2.0);
+        let now = self.now;
+        let retry_s = self.timing.renewal_interval_s / RETRIES_PER_RENEWAL_INTERVAL;
         let Some(token) = self.token() else { return self.spec_chunk_retries.clear() };
-        let again = std::mem::take(&mut self.spec_chunk_retries);
-        let (due, later) = again.into_iter().partition(|(at, ..)| now - at >= retry);
+        let retries = std::mem::take(&mut self.spec_chunk_retries);
+        let (due, later) = retries.into_iter().partition(|retry| now - retry.failed_at >= retry_s);
         self.spec_chunk_retries = later;
-        for (_, record, version) in due {
+        for SpecChunkRetry { record, version, .. } in due {
             self.read_spec_chunks(Some(token), *record, version);
         }
     }
