--- a/crates/controller/src/model/job.rs
+++ b/crates/controller/src/model/job.rs
@@ -34,7 +34,7 @@
     pub spec_chunks: Option<SpecChunks>,
     /// The priority that it had from its dependents when it was last planned.
     pub inherited_priority: Option<dependencies::InheritedPriority>,
-    /// The status; final only if the record is over, or is to be stored so.
+    /// The status: final once it is stored so, or is about to be.
     pub status: JobStatus,
     /// Whether each task is done.
     pub done_tasks: Vec<bool>,
--- a/crates/controller/src/model/job/record.rs
+++ b/crates/controller/src/model/job/record.rs
@@ -47,8 +47,8 @@
         keys
     }
 
-    /// A cancellation mark was found. A user was told of the cancellation, so it wins even over an
-    /// end that this leader was about to store.
+    /// A cancellation mark was found. A user has seen the cancellation, so it wins even over a
+    /// final status that this leader was about to store.
     pub fn on_cancellation_mark(&mut self, version: u64) {
         self.cancellation_mark.version = Some(version);
         if self.status != JobStatus::Cancelled {
@@ -146,7 +146,7 @@
         }
         self.version = version;
         // A stored final status wins even over one that this leader was about
-        // to store: a user may have been told of it.
+        // to store: a user may have seen it.
         if record.status.is_final() {
             self.status = record.status;
         }
--- a/crates/controller/src/model/machine.rs
+++ b/crates/controller/src/model/machine.rs
@@ -136,7 +136,8 @@
     }
 
     /// A heartbeat came to a node at `received_at`: its response may have renewed the machine's
-    /// lease, unless it is an old copy. `check_order`: whether positions tell old copies.
+    /// lease, unless it is an old copy. `check_order`: whether old copies are recognized by
+    /// their position.
     /// (Heartbeats that the answer to a direct command had overtaken were once ignored, and tasks
     /// were started elsewhere before the lease had expired.)
     pub fn record_heartbeat(&mut self, position: HeartbeatPosition, received_at: Time, check_order: bool) {
--- a/crates/controller/src/model/records/values.rs
+++ b/crates/controller/src/model/records/values.rs
@@ -16,7 +16,7 @@
 /// Bytes of a stored placement in JSON beside its numbers and its machine's name.
 const PLACEMENT_OVERHEAD_BYTES: usize = 10;
 
-/// Any stored value, told apart by the only key of the map that it is stored as.
+/// Any stored value. It is stored as a map whose only key names the variant.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Value {
     /// Who leads.
--- a/crates/controller/src/storage/write_queue/outcome.rs
+++ b/crates/controller/src/storage/write_queue/outcome.rs
@@ -38,7 +38,7 @@
             StoreReply::Invalid => self.on_transaction_invalid(token, &txn.entries),
             _ => {
                 // It may have been applied, or may be later. The stored
-                // versions tell; a late application fails on them.
+                // versions show it; a late application fails on them.
                 warn!(serial, "write outcome unknown, reading back");
                 let keys = leader.written_keys(&txn.entries);
                 self.read_back_keys(token, keys);
