--- a/crates/controller/src/election/leadership.rs
+++ b/crates/controller/src/election/leadership.rs
@@ -2,7 +2,7 @@
 
 use crate::agents::one_way_partition::LeaderResponsiveness;
 use crate::election::lease_authority::LeaseAuthority;
-use crate::leader::state::LeadershipTenure;
+use crate::election::tenure::LeadershipTenure;
 use crate::messages::{CallId, Time};
 
 /// The lease of the leader key, and since when this node has held it.
@@ -24,7 +24,7 @@
 }
 
 impl Leadership {
-    /// Of a node that was elected `now` with that lease.
+    /// The state of a node that was elected `now` with `lease`.
     pub fn new(lease: u64, now: Time, authority: LeaseAuthority) -> Self {
         Leadership {
             lease,
--- /dev/null
+++ b/crates/controller/src/election/machine_types.rs
@@ -0,0 +1,39 @@
+//! Reading the catalogue of machine types from the store, at every node.
+
+use crate::model::records::{read_catalogue, Value, CATALOGUE_PREFIX, TYPES_KEY};
+use crate::{CallContext, Controller, StoreReply, StoreRequest};
+use protocol::state::Item;
+
+impl Controller {
+    /// Reads the machine types until they are known.
+    pub(super) fn read_stored_machine_types(&mut self) {
+        if self.machine_types.is_some() || self.now < self.read_types_at {
+            return;
+        }
+        self.read_types_at = self.now + self.timing.renewal_interval_s;
+        self.call_store(CallContext::TypesRead, StoreRequest::Get(TYPES_KEY.to_string()));
+    }
+
+    /// Handles the reply to a read of the machine types, stored as one value or in chunks.
+    pub(crate) fn on_types_read(&mut self, reply: StoreReply) {
+        match reply {
+            StoreReply::Item(Item { value: Value::Types(types), .. }) => self.machine_types = Some(types),
+            StoreReply::Missing(_) => {
+                let request = StoreRequest::List { prefix: CATALOGUE_PREFIX.to_string(), after: None };
+                self.call_store(CallContext::TypesRead, request);
+            }
+            StoreReply::Page(page) if self.machine_types.is_none() => {
+                let chunks: Vec<String> = page.items.into_iter().filter_map(chunk_text).collect();
+                self.machine_types = read_catalogue(&chunks);
+            }
+            _ => {}
+        }
+    }
+}
+
+fn chunk_text(item: Item<Value>) -> Option<String> {
+    match item.value {
+        Value::SpecChunk(text) => Some(text),
+        _ => None,
+    }
+}
--- a/crates/controller/src/election/state.rs
+++ b/crates/controller/src/election/state.rs
@@ -1,7 +1,8 @@
 //! What this node knows of the leader key, and its own campaign.
 
 use crate::election::campaign::ElectionAttempt;
-use crate::leader::state::{PreviousIncarnation, WatchCursor};
+use crate::election::previous_incarnation::PreviousIncarnation;
+use crate::leader::state::WatchCursor;
 use crate::messages::Time;
 
 /// A node's part in the election, whether it leads or not.
@@ -9,7 +10,7 @@
 pub(crate) struct ElectionState {
     /// The leader as last read: node name and fencing token.
     pub(crate) known_leader: Option<(String, u64)>,
-    /// Leadership of this node before its last restart.
+    /// The leader key, while it names this node before its last restart.
     pub(crate) previous_incarnation: PreviousIncarnation,
     /// The watch of the leader key.
     pub(crate) leader_watch: WatchCursor,
--- a/crates/controller/src/leader.rs
+++ b/crates/controller/src/leader.rs
@@ -1,4 +1,9 @@
-//! The leader's state, its recovery from the stored records, and its periodic work.
+//! The leader: its state, recovery from the stored records, the watch on jobs, and periodic work.
 
+mod record_watch;
 pub(crate) mod recovery;
 pub(crate) mod state;
+mod step_down;
+mod summary;
+mod terminal_jobs;
+mod tick;
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -1,28 +1,88 @@
-//! Progress of reading the stored records after an election.
+//! Recovery: a new leader reads the stored records, page by page, before it acts.
 
+use crate::leader::state::LeaderState;
+use crate::leader::terminal_jobs::terminal_job;
 use crate::messages::Time;
-use crate::model::records::IMAGES_PREFIX;
+use crate::model::job::Job;
+use crate::model::records::{
+    page_of_key, ImagesRecord, JobRecord, PageRecord, TerminalRecord, Value, IMAGES_PREFIX, JOB_PREFIX,
+    MARK_PREFIX, PAGE_PREFIX, PARTS_PREFIX,
+};
+use crate::storage::archive::{over_record, TerminalJob};
 use crate::storage::spec_chunks::ChunkReader;
+use crate::storage::store_limits::StoreLimits;
+use crate::{CallContext, Controller, StoreReply, StoreRequest};
+use protocol::job::JobSpec;
+use protocol::state::{Item, Page};
 use std::collections::BTreeMap;
+use tracing::info;
 
-/// How far a new leader has read the stored records: prefix by prefix, page by page.
+/// Jobs submitted longer ago say nothing about the images that machines hold now.
+const MAX_IMAGE_AGE_S: f64 = 3600.0;
+
+/// Any job's record may hold that many tasks; more are in pages of their own.
+const MIN_TASKS_PER_PAGE: u32 = 4;
+
+/// The kinds of stored records, in the order in which they are read.
+///
+/// Chunks of specifications come before the jobs that name them; marks and pages come after the
+/// jobs that they belong to.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RecoveryPhase {
+    /// Which images the machines hold.
+    CachedImages,
+    /// Specifications that are too large for their job's record.
+    SpecChunks,
+    /// Records of live jobs.
+    Jobs,
+    /// Cancellations of jobs whose records are too large to be written again.
+    CancellationMarks,
+    /// Placements and finished tasks of jobs with more than one page.
+    Pages,
+}
+
+impl RecoveryPhase {
+    /// The prefix of the keys that are read in this phase.
+    fn prefix(self) -> &'static str {
+        match self {
+            RecoveryPhase::CachedImages => IMAGES_PREFIX,
+            RecoveryPhase::SpecChunks => PARTS_PREFIX,
+            RecoveryPhase::Jobs => JOB_PREFIX,
+            RecoveryPhase::CancellationMarks => MARK_PREFIX,
+            RecoveryPhase::Pages => PAGE_PREFIX,
+        }
+    }
+
+    /// The phase after this one; None: recovery is finished.
+    fn next(self) -> Option<Self> {
+        match self {
+            RecoveryPhase::CachedImages => Some(RecoveryPhase::SpecChunks),
+            RecoveryPhase::SpecChunks => Some(RecoveryPhase::Jobs),
+            RecoveryPhase::Jobs => Some(RecoveryPhase::CancellationMarks),
+            RecoveryPhase::CancellationMarks => Some(RecoveryPhase::Pages),
+            RecoveryPhase::Pages => None,
+        }
+    }
+}
+
+/// How far a new leader has read the stored records.
 pub struct Recovery {
     /// All records are read.
     pub finished: bool,
     /// A page has been asked for and not answered yet.
-    pub read_in_flight: bool,
-    /// The prefix that is being read.
-    pub prefix: &'static str,
-    /// The last key of the prefix that was read.
-    pub cursor: Option<String>,
+    read_in_flight: bool,
+    /// The kind of records that is being read.
+    phase: RecoveryPhase,
+    /// The last key that was read in this phase.
+    cursor: Option<String>,
     /// No page is asked for before then.
-    pub retry_at: Time,
+    retry_at: Time,
     /// The revision of the first page, from which the watch starts.
-    pub revision: Option<u64>,
+    revision: Option<u64>,
     /// Chunks of specifications that were read before the records that name them.
-    pub spec_chunks: ChunkReader,
+    spec_chunks: ChunkReader,
     /// Keys of pages whose jobs are not among the live ones, by job.
-    pub orphaned_pages: BTreeMap<String, Vec<String>>,
+    orphaned_pages: BTreeMap<String, Vec<String>>,
 }
 
 impl Recovery {
@@ -31,7 +91,7 @@
         Recovery {
             finished: false,
             read_in_flight: false,
-            prefix: IMAGES_PREFIX,
+            phase: RecoveryPhase::CachedImages,
             cursor: None,
             retry_at: now,
             revision: None,
@@ -40,3 +100,263 @@
         }
     }
 }
+
+/// What reading a record takes into account besides the leader's state.
+struct RecoveryContext {
+    now: Time,
+    /// Time of day, in seconds.
+    time_of_day: f64,
+    store_limits: StoreLimits,
+    /// Until then, tasks of an undecodable job may run without being reported.
+    unreported_until: Time,
+    /// Chunks of submissions from before that time of day that no record names are deleted.
+    chunks_abandoned_before: f64,
+}
+
+impl RecoveryContext {
+    /// A job's submission by the steady clock.
+    fn submitted_at(&self, record: &JobRecord) -> Time {
+        self.now - (self.time_of_day - record.submitted_wall_s).max(0.0)
+    }
+}
+
+/// A job without dependencies, submitted at a time by the steady clock.
+struct JobArrival {
+    spec: JobSpec,
+    submitted_at: Time,
+}
+
+/// What follows from a page of records outside of the leader's own state.
+#[derive(Default)]
+struct PageOutcome {
+    /// Terminal jobs that are to be archived.
+    terminal_jobs: Vec<TerminalJob>,
+    /// Terminal states of jobs that are not archived yet.
+    terminal_states: Vec<(String, TerminalRecord)>,
+    /// Jobs that count in the statistics of arrivals.
+    arrivals: Vec<JobArrival>,
+}
+
+impl LeaderState {
+    fn recover_records(
+        &mut self,
+        token: u64,
+        sent: Time,
+        page: Page<Value>,
+        context: &RecoveryContext,
+    ) -> PageOutcome {
+        // The watch starts from the first page's revision: later changes are seen again.
+        if self.recovery.revision.is_none() {
+            self.recovery.revision = Some(page.revision);
+            self.leadership.authority.record_read(sent);
+        }
+        let mut outcome = PageOutcome::default();
+        for item in page.items {
+            self.recover_item(item, context, &mut outcome);
+        }
+        if !page.more {
+            self.recovery.cursor = None;
+            match self.recovery.phase.next() {
+                Some(phase) => self.recovery.phase = phase,
+                None => self.finish_recovery(token, page.revision, context),
+            }
+        }
+        outcome
+    }
+
+    fn recover_item(&mut self, item: Item<Value>, context: &RecoveryContext, outcome: &mut PageOutcome) {
+        let Item { key, value, version } = item;
+        self.recovery.cursor = Some(key.clone());
+        match value {
+            Value::SpecChunk(text) => self.recovery.spec_chunks.add(&key, text),
+            Value::Undecodable => self.recover_undecodable(&key, context, outcome),
+            Value::Job(record) => self.recover_job(&key, record, version, context, outcome),
+            Value::Page(record) => self.recover_page(key, &record, version, context.now),
+            Value::Terminal(record) => self.recover_cancellation_mark(key, record, version, outcome),
+            Value::Images(record) => self.recover_cached_images(&key, record, version, context.now),
+            Value::Leader(_) | Value::Types(_) | Value::Format(_) => {}
+        }
+    }
+
+    fn recover_undecodable(&mut self, key: &str, context: &RecoveryContext, outcome: &mut PageOutcome) {
+        let job = self.quarantine_undecodable(key, context.unreported_until);
+        if let Some(job) = job.filter(Job::is_final) {
+            let terminal = over_record(job.status, job.done_count, job.submitted_wall_s);
+            outcome.terminal_states.push((job.spec.id, terminal));
+        }
+    }
+
+    fn recover_job(
+        &mut self,
+        key: &str,
+        mut record: Box<JobRecord>,
+        version: u64,
+        context: &RecoveryContext,
+        outcome: &mut PageOutcome,
+    ) {
+        let spec_complete = self.recovery.spec_chunks.complete(&mut record);
+        if !spec_complete && !record.status.is_final() {
+            // What was submitted since recovery began is shown by the watch, and its chunks read.
+            if self.recovery.revision.is_none_or(|began| version <= began) {
+                self.undecodable.record(key);
+            }
+            return;
+        }
+        let submitted_at = context.submitted_at(&record);
+        if context.now - submitted_at < MAX_IMAGE_AGE_S {
+            self.recover_images_of_job(&record, submitted_at);
+        }
+        if is_settled(&record) {
+            outcome.terminal_jobs.push(terminal_job(&record.spec.id, &record, version));
+            return;
+        }
+        if record.dependencies().is_empty() {
+            outcome.arrivals.push(JobArrival { spec: record.spec.clone(), submitted_at });
+        }
+        self.cluster.insert_job(Job::from_record(&record, version, submitted_at, &context.store_limits));
+    }
+
+    /// The machines that ran a job's tasks hold its image.
+    fn recover_images_of_job(&mut self, record: &JobRecord, submitted_at: Time) {
+        let image = self.cluster.image_id(&record.spec.image);
+        for machine in &record.machines_with_image {
+            let images = self.cluster.cached_images.entry(machine.clone()).or_default();
+            images.push((image, submitted_at, record.spec.image_gb));
+        }
+    }
+
+    fn recover_page(&mut self, key: String, record: &PageRecord, version: u64, now: Time) {
+        let Some((id, number, layout)) = page_of_key(&key) else { return };
+        if self.undecodable.contains_job(id) {
+            return;
+        }
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
+            let id = id.to_string();
+            self.recovery.orphaned_pages.entry(id).or_default().push(key);
+            return;
+        };
+        job.load_page(number, layout, record, version, now);
+    }
+
+    fn recover_cancellation_mark(
+        &mut self,
+        key: String,
+        terminal: TerminalRecord,
+        version: u64,
+        outcome: &mut PageOutcome,
+    ) {
+        let Some(id) = key.strip_prefix(MARK_PREFIX) else { return };
+        let Some(job) = self.cluster.jobs.get_mut(id) else {
+            self.archive.discard_keys(vec![key]);
+            return;
+        };
+        job.on_cancellation_mark(version);
+        outcome.terminal_states.push((id.to_string(), terminal));
+    }
+
+    /// What an earlier leader knew of the machines' images.
+    fn recover_cached_images(&mut self, key: &str, record: ImagesRecord, version: u64, now: Time) {
+        self.cluster.learn_cached_images(&record, now);
+        if let Some(Ok(part)) = key.strip_prefix(IMAGES_PREFIX).map(str::parse) {
+            self.archive.read_images(part, record, version);
+        }
+    }
+
+    fn finish_recovery(&mut self, token: u64, last_revision: u64, context: &RecoveryContext) {
+        self.recovery.finished = true;
+        self.leadership.authority.record_applied();
+        self.assign_orphaned_pages();
+        let chunks = std::mem::take(&mut self.recovery.spec_chunks);
+        self.archive.discard_keys(chunks.abandoned_keys(context.chunks_abandoned_before));
+        self.watch.revision = Some(self.recovery.revision.unwrap_or(last_revision));
+        let placed: usize = self.cluster.jobs.values().map(|job| job.placements.len()).sum();
+        info!(token, jobs = self.cluster.jobs.len(), placed, "recovery finished");
+    }
+
+    /// Pages of terminal jobs are deleted with them, or by themselves if their job's record was
+    /// archived already. (Such a job was once taken for done, and its dependents started.)
+    fn assign_orphaned_pages(&mut self) {
+        for (id, keys) in std::mem::take(&mut self.recovery.orphaned_pages) {
+            match self.archive.waiting.get_mut(&id) {
+                Some(terminal_job) => terminal_job.keys.extend(keys),
+                None => self.archive.discard_keys(keys),
+            }
+        }
+    }
+}
+
+/// Whether a job is terminal and has no placements, on its own page or possibly on others.
+fn is_settled(record: &JobRecord) -> bool {
+    let one_page = record.spec.tasks <= record.per_page.max(MIN_TASKS_PER_PAGE);
+    record.status.is_final() && record.first_page.placements.is_empty() && one_page
+}
+
+impl Controller {
+    /// Asks for the next page of records when one is due.
+    pub(super) fn tick_recovery(&mut self, token: u64) {
+        let now = self.now;
+        let Some(leader) = self.leader_state(token) else { return };
+        let recovery = &mut leader.recovery;
+        if recovery.finished || recovery.read_in_flight || now < recovery.retry_at {
+            return;
+        }
+        recovery.read_in_flight = true;
+        let request = StoreRequest::List {
+            prefix: recovery.phase.prefix().to_string(),
+            after: recovery.cursor.clone(),
+        };
+        self.call_store(CallContext::RecoveryPage { token, sent: now }, request);
+    }
+
+    /// Handles a page of records that was asked for at `sent`.
+    pub(crate) fn on_recovery_page(&mut self, token: u64, sent: Time, reply: StoreReply) {
+        let context = self.recovery_context();
+        let retry_at = self.now + self.timing.renewal_interval_s / 4.0;
+        let Some(leader) = self.leader_state(token) else { return };
+        leader.recovery.read_in_flight = false;
+        let StoreReply::Page(page) = reply else {
+            leader.recovery.retry_at = retry_at;
+            return;
+        };
+        let outcome = leader.recover_records(token, sent, page, &context);
+        self.apply_page_outcome(token, outcome);
+    }
+
+    fn recovery_context(&self) -> RecoveryContext {
+        RecoveryContext {
+            now: self.now,
+            time_of_day: self.time_of_day,
+            store_limits: self.store_limits.clone(),
+            unreported_until: self.unreported_work_expiry(),
+            chunks_abandoned_before: self.time_of_day - self.timing.abandoned_submission_s,
+        }
+    }
+
+    fn apply_page_outcome(&mut self, token: u64, outcome: PageOutcome) {
+        let PageOutcome { terminal_jobs, terminal_states, mut arrivals } = outcome;
+        for (id, terminal) in terminal_states {
+            self.terminal_states.insert(&id, terminal.status, terminal.done);
+        }
+        for terminal_job in terminal_jobs {
+            let terminal = &terminal_job.record;
+            self.terminal_states.insert(&terminal_job.id, terminal.status, terminal.done);
+            self.archive_job(terminal_job);
+        }
+        if self.has_recovered_as(token) {
+            self.settle_all_terminal();
+            self.build_graph();
+        }
+        arrivals.sort_by(|a, b| a.submitted_at.total_cmp(&b.submitted_at));
+        for arrival in arrivals {
+            self.record_arrival(&arrival.spec, arrival.submitted_at);
+        }
+        self.register_machines_of_placements();
+        if self.has_recovered_as(token) {
+            self.process_early_heartbeats();
+        }
+    }
+
+    fn has_recovered_as(&mut self, token: u64) -> bool {
+        self.leader_state(token).is_some_and(|leader| leader.recovery.finished)
+    }
+}
