--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,6 +1,6 @@
 //! The planner of the Cura scheduler as a pure function.
 //!
-//! [`plan`] takes a [`Problem`] (jobs that wait, machines as they are) and returns a [`Plan`]:
+//! [`plan()`] takes a [`Problem`] (jobs that wait, machines as they are) and returns a [`Plan`]:
 //! reservations by falling priority, of which those that begin now are started. The same problem
 //! always gives the same plan, to the last bit: callers compare plans across nodes and in tests.
 //! There is no clock, no I/O and no randomness in here.
