--- a/crates/simulation/tests/meetings.rs
+++ b/crates/simulation/tests/combined_faults.rs
@@ -1,4 +1,4 @@
-//! Where two troubles meet: what the operators saw break rules (`docs/safety.md`).
+//! Pairs of faults that overlap, as the operators saw them break rules (`docs/safety.md`).
 
 mod common;
 
@@ -12,9 +12,9 @@
 
 /// Long arrays, most of which their users cancel at `ASKED`, on machines that hold them all.
 fn cancelled_arrays(seed: u64, checks: SafetyChecks) -> Setup {
-    let mut s = setup(seed, vec![]);
-    unlimited(&mut s);
-    s.jobs = (0..24)
+    let mut setup = seeded_day(seed, vec![]);
+    without_quotas(&mut setup);
+    setup.jobs = (0..24)
         .map(|n| {
             let spec = JobSpec {
                 id: format!("req-{}", 100 + n),
@@ -29,29 +29,17 @@
             Submission::new(1.0 + f64::from(n) * 0.3, spec).cancelled_at(cancel)
         })
         .collect();
-    Setup { capacity: 8, checks, loss: 0.0, ..s }
+    Setup { capacity: 8, checks, loss: 0.0, ..setup }
 }
 
-/// Cancellations that have been told since `at`.
+/// The number of cancellations that users were told of since `at`.
 fn told_since(sim: &Simulation, at: f64) -> usize {
     sim.ledger.cancelled_at.values().filter(|t| **t >= at).count()
 }
 
-/// Runs until `until` holds, for `most` seconds at most.
-fn run_until(sim: &mut Simulation, most: f64, until: impl Fn(&Simulation) -> bool) -> bool {
-    let end = sim.now + most;
-    while sim.now < end && sim.ledger.violations.is_empty() {
-        if until(sim) {
-            return true;
-        }
-        sim.run(sim.now + 0.01);
-    }
-    false
-}
-
-/// The state service refuses the leader alone, others confirm cancellations, a successor
-/// claims, and the service is down for all before that one has read anything. It
-/// once renewed the workers' leases all the same, by the date of its claim.
+/// The store refuses the leader alone, other controllers confirm cancellations, a successor is
+/// elected, and the store is down for all before the successor has recovered. (It once renewed the
+/// workers' leases all the same, from the time of its election.)
 fn unread_takeover(seed: u64, checks: SafetyChecks) -> Simulation {
     let mut sim = Simulation::new(cancelled_arrays(seed, checks));
     sim.run(ASKED - 1.0);
@@ -69,7 +57,7 @@
 }
 
 #[test]
-fn a_successor_that_has_read_nothing_renews_no_lease() {
+fn successor_without_recovery_renews_no_lease() {
     for seed in 0..8 {
         let sim = unread_takeover(seed, SafetyChecks::default());
         assert_eq!(sim.ledger.violations, [], "seed {seed}");
@@ -77,35 +65,37 @@
     }
 }
 
-/// The guard of it: who renews leases without having read keeps what is cancelled.
+/// The safety check of it: a leader that renews leases without having recovered keeps cancelled
+/// tasks alive.
 #[test]
-fn without_the_grace_an_unread_successor_keeps_what_is_cancelled() {
+fn without_response_grace_an_unrecovered_successor_keeps_cancelled_tasks() {
     let checks = SafetyChecks { response_grace: false, ..SafetyChecks::default() };
     let broken = |seed| unread_takeover(seed, checks).ledger.violations;
     assert!((0..8).any(|seed| broken(seed).iter().any(|b| b.rule == Rule::RanCancelled)));
 }
 
-/// The operators' meetings of troubles that are begun within seconds of each other; the first eight
+/// The operators' combinations of faults that are begun within seconds of each other; the first eight
 /// are their first page's.
 const MEETINGS: usize = 19;
 
-/// Begins meeting `n` at the node that leads now: troubles, each so many seconds later.
+/// Begins the operators' fault combination `n` around the current leader.
 fn begin(sim: &mut Simulation, n: usize, duration_s: f64) {
     let leader = sim.leader().unwrap_or(0);
     let nodes = sim.workers_by_node().len();
     let next = (leader + 1) % nodes;
-    let troubles = match n {
+    let faults = match n {
         0..=7 => first_page(n, duration_s, (leader, next, nodes))
             .into_iter()
             .map(|fault| ScheduledFault::new(0.0, fault))
             .collect(),
         _ => later_pages(n, duration_s, (leader, next, nodes)),
     };
-    for ScheduledFault { at, fault } in troubles {
+    for ScheduledFault { at, fault } in faults {
         sim.inject_after(at, fault);
     }
 }
 
+/// The combinations of the operators' first page, which begin at once.
 fn first_page(n: usize, duration_s: f64, (leader, next, nodes): (usize, usize, usize)) -> Vec<Fault> {
     match n {
         0 => vec![Fault::DelayedWrites { share: 0.3, duration_s }],
@@ -144,7 +134,7 @@
     }
 }
 
-/// What the later pages name, some of it at once and some seconds later.
+/// The combinations of the later pages, some of whose faults begin seconds later.
 fn later_pages(
     n: usize,
     duration_s: f64,
@@ -153,13 +143,13 @@
     let cancel = |hang_s| Fault::CancelRunningJobs { count: 5, hang_s };
     let ends = |back_s| Fault::LeaderCrash { duration_s: back_s };
     match n {
-        // Refused alone while users cancel, then out for longer than a cancellation has.
+        // The leader is refused while users cancel, then the store is down for longer than `cancel_s`.
         8 => vec![
             ScheduledFault::new(0.0, Fault::StoreRefusesNode { node: leader, duration_s: 6.0 }),
             ScheduledFault::new(0.1, cancel(0.0)),
             ScheduledFault::new(1.1, Fault::StoreOutage { duration_s: duration_s.max(45.0) }),
         ],
-        // Ten changes of the leader, also inside an outage.
+        // Ten failovers, also during an outage.
         9 => {
             let every = duration_s.max(10.0) / 10.0;
             let mut all: Vec<_> =
@@ -167,18 +157,18 @@
             all.push(ScheduledFault::new(duration_s / 2.0, Fault::StoreOutage { duration_s: every * 3.0 }));
             all
         }
-        // Only answers are lost, while users look closely.
+        // Only responses are lost, while users ask everywhere.
         10 => vec![
             ScheduledFault::new(0.0, Fault::LostWriteResponses { share: 0.4, duration_s }),
             ScheduledFault::new(0.0, Fault::ConcurrentQueries { duration_s }),
         ],
-        // Wishes and questions meet the end of the last task.
+        // Cancellations and queries coincide with the end of the last task.
         11 => vec![
             ScheduledFault::new(0.0, Fault::CancelAtCompletion { share: 0.5, duration_s }),
             ScheduledFault::new(0.0, Fault::ConcurrentQueries { duration_s }),
             ScheduledFault::new(0.0, Fault::InvalidRequests { duration_s }),
         ],
-        // Machines are up at once and get work while writes lag, and the leader ends.
+        // Machines boot at once and get tasks while writes lag, and the leader crashes.
         12 => vec![
             ScheduledFault::new(0.0, Fault::FastBoots { duration_s }),
             ScheduledFault::new(0.0, Fault::MachineLost { machine: 0 }),
@@ -187,7 +177,7 @@
             ScheduledFault::new(4.0, ends(0.2)),
             ScheduledFault::new(9.0, ends(8.0)),
         ],
-        // Old reports reach every controller as a new leader begins, and a moment after.
+        // Old heartbeats reach every controller as a new leader begins, and a moment after.
         13 => vec![
             ScheduledFault::new(
                 0.0,
@@ -204,7 +194,7 @@
                 ScheduledFault::new(0.0, Fault::ControllerCrash { node, duration_s: duration_s.max(25.0) })
             })
             .collect(),
-        // Workers reach no controller, which reach them.
+        // Heartbeats of a zone arrive nowhere, while direct commands reach it.
         15 => vec![
             ScheduledFault::new(0.0, Fault::HeartbeatsLostInZone { zone: "a", duration_s }),
             ScheduledFault::new(0.5, cancel(0.0)),
@@ -224,7 +214,7 @@
             ScheduledFault::new(duration_s / 2.0, Fault::MachineLost { machine: 0 }),
             ScheduledFault::new(duration_s / 2.0, Fault::MachineLost { machine: 1 }),
         ],
-        // Cancelled in the seconds in which the leader's work changes hands.
+        // Jobs are cancelled in the seconds of a failover.
         _ => {
             let cancels = [0.0, 0.1, 0.5, 1.0, 2.0, 4.0, 6.0].map(|at| ScheduledFault::new(at, cancel(0.0)));
             cancels
@@ -235,20 +225,20 @@
     }
 }
 
-/// Two meetings, one `apart` seconds after the other, and then once more the other way round.
-/// For odd seeds the service is then down for all, for longer than `cancel_s`. Returns how many
-/// transactions came after newer ones of the same node.
+/// Two combinations, one `apart` seconds after the other, and then again in reverse order. With
+/// odd seeds the store is then down for all for longer than `cancel_s`. Returns how many
+/// transactions were overtaken by newer ones of the same controller.
 fn pair(seed: u64, nodes: usize, (a, b): (usize, usize), duration_s: f64, apart: f64) -> u64 {
     let what = format!("seed {seed}: {a} and {b} for {duration_s} s, {apart} s apart, {nodes} nodes");
-    let mut s = setup(seed, vec![]);
-    for (n, Submission { at, spec, cancel_at: cancel }) in s.jobs.iter_mut().enumerate() {
+    let mut setup = seeded_day(seed, vec![]);
+    for (n, Submission { at, spec, cancel_at: cancel }) in setup.jobs.iter_mut().enumerate() {
         // Many are cancelled while it goes on, and some would run on.
         *cancel = cancel.or((n % 2 == 0).then_some(at.max(45.0) + (n % 7) as f64));
         if n % 4 == 1 {
             spec.estimated_run_s *= 4.0;
         }
     }
-    let mut sim = Simulation::new(Setup { nodes, ..s });
+    let mut sim = Simulation::new(Setup { nodes, ..setup });
     for (at, first, second) in [(45.0, a, b), (125.0, b, a)] {
         sim.run(at);
         begin(&mut sim, first, duration_s);
@@ -278,36 +268,30 @@
     all.map(play).sum()
 }
 
-/// Plays `pairs` on eight threads; the transactions that came late, in all.
-fn on_threads(play: impl Fn(usize) -> u64 + Sync) -> u64 {
-    let play = &play;
-    std::thread::scope(|s| {
-        let threads: Vec<_> = (0..8).map(|part| s.spawn(move || play(part))).collect();
-        threads.into_iter().map(|t| t.join().expect("no rule breaks")).sum()
-    })
-}
-
-/// Every meeting with some of the others.
+/// Every combination with some of the others.
 #[test]
-fn meetings_in_pairs_break_no_rule() {
-    assert!(on_threads(|part| pairs(part * 19, 152, 0)) > 0, "no write came late");
+fn fault_pairs_break_no_rule() {
+    assert!(
+        on_threads(8, |part| pairs(part * 19, 152, 0)).into_iter().sum::<u64>() > 0,
+        "no write came late"
+    );
 }
 
-/// Every meeting with every other, over minutes and by hand: `cargo test --release
-/// -p anisecroft-simulation --test meetings -- --ignored`.
+/// Every combination with every other, in minutes: `cargo test --release -p anisecroft-simulation
+/// --test combined_faults -- --ignored`.
 #[test]
 #[ignore = "minutes"]
-fn meetings_in_all_pairs_break_no_rule() {
-    assert!(on_threads(|part| (0..5).map(|round| pairs(part, 8, round * 1001)).sum()) > 0);
+fn all_fault_pairs_break_no_rule() {
+    let overtaken = on_threads(8, |part| (0..5).map(|round| pairs(part, 8, round * 1001)).sum::<u64>());
+    assert!(overtaken.into_iter().sum::<u64>() > 0);
 }
 
-/// The operators' first meeting, twice in a row: the service refuses the leader alone, the others
-/// confirm cancellations, and then it is down for all, for longer than `cancel_s`, while workers
-/// report on.
+/// Twice in a row, the store refuses the leader alone, other controllers confirm cancellations,
+/// and then the store is down for all for longer than `cancel_s`, while workers go on.
 fn gap(seed: u64, checks: SafetyChecks) -> Simulation {
     let mut s = cancelled_arrays(seed, checks);
-    let w = &mut s.settings.params.workers;
-    (w.heartbeat_interval_s, w.lease_s, w.cancel_s) = (6.0, 31.0, 51.0);
+    let workers = &mut s.settings.params.workers;
+    (workers.heartbeat_interval_s, workers.lease_s, workers.cancel_s) = (6.0, 31.0, 51.0);
     // Some come moments before, on machines that are busy already.
     let late: Vec<_> = s.jobs.iter().map(|Submission { spec, .. }| spec.clone()).collect();
     for (n, spec) in late.into_iter().enumerate() {
@@ -333,14 +317,14 @@
 }
 
 #[test]
-fn what_is_cancelled_in_a_gap_is_gone_in_time() {
+fn tasks_cancelled_before_an_outage_end_in_time() {
     for seed in 0..6 {
         assert_eq!(gap(seed, SafetyChecks::default()).ledger.violations, [], "seed {seed}");
     }
 }
 
 #[test]
-fn without_the_grace_what_is_cancelled_in_a_gap_stays() {
+fn without_response_grace_tasks_cancelled_before_an_outage_stay() {
     let checks = SafetyChecks { response_grace: false, ..SafetyChecks::default() };
     assert!((0..6).any(|seed| gap(seed, checks)
         .ledger
--- a/crates/simulation/tests/common/mod.rs
+++ b/crates/simulation/tests/common/mod.rs
@@ -1,6 +1,8 @@
-//! What the simulated days have in common.
+//! Builders that the simulated days share: settings, jobs, faults and runs.
 
-use anisecroft_simulation::{Fault, ScheduledFault, Setup, Submission};
+#![allow(dead_code)] // Each test file uses a part.
+
+use anisecroft_simulation::{Fault, Rule, ScheduledFault, Setup, Simulation, Submission};
 use controller::SafetyChecks;
 use protocol::cloud::MachineType;
 use protocol::job::*;
@@ -8,16 +10,18 @@
 use settings::Settings;
 use std::collections::BTreeSet;
 
+/// The documented example, with tight quotas.
 pub fn settings() -> Settings {
-    let mut s = Settings::parse(include_str!("../../../../docs/example.toml")).unwrap();
+    let mut settings = example_settings();
     // A tight limit, so that quota and placement are under pressure.
-    for t in &mut s.params.teams {
-        t.accelerators = 4.0;
-        t.accelerators_max = 8.0;
+    for team in &mut settings.params.teams {
+        team.accelerators = 4.0;
+        team.accelerators_max = 8.0;
     }
-    s
+    settings
 }
 
+/// One machine type, in two zones.
 pub fn types() -> Vec<MachineType> {
     vec![MachineType {
         name: "big".into(),
@@ -33,6 +37,7 @@
     }]
 }
 
+/// The random job number `n`.
 pub fn job(rng: &mut SmallRng, n: usize) -> JobSpec {
     let shape = [Shape::Array, Shape::Array, Shape::Gang, Shape::Service][rng.gen_range(0..4usize)];
     let tasks = if shape == Shape::Array { rng.gen_range(1..6) } else { rng.gen_range(1..4) };
@@ -61,7 +66,8 @@
     }
 }
 
-pub fn setup(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
+/// Forty random jobs within 150 s, some of them cancelled, on up to six machines.
+pub fn seeded_day(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
     let jobs = (0..40)
         .map(|n| {
@@ -93,13 +99,12 @@
     }
 }
 
-#[allow(dead_code)]
-pub fn derived() -> settings::Timing {
+/// The timing that follows from the settings.
+pub fn timing() -> settings::Timing {
     settings::Timing::from(&settings())
 }
 
-/// A small array that nothing binds, of short tasks.
-#[allow(dead_code)]
+/// A small array of short tasks that may run anywhere.
 pub fn plain_array(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         id: id.into(),
@@ -126,8 +131,7 @@
     }
 }
 
-/// An array without a bound to zones or kinds of machine.
-#[allow(dead_code)]
+/// An array of long tasks that may run anywhere.
 pub fn long_array() -> JobSpec {
     JobSpec {
         id: "req-1".into(),
@@ -145,35 +149,31 @@
 }
 
 /// Takes the teams' guarantees and limits away.
-#[allow(dead_code)]
-pub fn unlimited(s: &mut Setup) {
-    for t in &mut s.settings.params.teams {
-        (t.accelerators, t.accelerators_max) = (0.0, 0.0);
+pub fn without_quotas(setup: &mut Setup) {
+    for team in &mut setup.settings.params.teams {
+        team.accelerators = 0.0;
+        team.accelerators_max = 0.0;
     }
 }
 
-/// How soon a process that ended is started again: at once or within seconds, each for
-/// half of the ends.
-#[allow(dead_code)]
+/// How soon a process that ended is restarted: at once or within seconds, each for half of the
+/// crashes.
 pub fn returns(seed: u64) -> impl FnMut() -> f64 {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0xba_c4);
     move || if rng.gen() { rng.gen_range(0.0..0.5) } else { rng.gen_range(0.5..10.0) }
 }
 
-/// Eight troubles of all kinds.
-#[allow(dead_code)]
-pub fn troubles(seed: u64) -> Vec<ScheduledFault> {
-    troubles_with(seed, returns(seed))
+/// Eight faults of all kinds.
+pub fn seeded_faults(seed: u64) -> Vec<ScheduledFault> {
+    faults_with(seed, returns(seed))
 }
 
-/// The same with processes that are back after 8 s, as the seeds below were found.
-#[allow(dead_code)]
-pub fn late_returns(seed: u64) -> Vec<ScheduledFault> {
-    troubles_with(seed, || 8.0)
+/// The same with processes that are back after 8 s, as the seeds of past failures were found.
+pub fn faults_with_late_restarts(seed: u64) -> Vec<ScheduledFault> {
+    faults_with(seed, || 8.0)
 }
 
-#[allow(dead_code)]
-fn troubles_with(seed: u64, mut back: impl FnMut() -> f64) -> Vec<ScheduledFault> {
+fn faults_with(seed: u64, mut back: impl FnMut() -> f64) -> Vec<ScheduledFault> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0xfa17);
     (0..8)
         .map(|_| {
@@ -198,41 +198,83 @@
         .collect()
 }
 
-/// The same with the operators' newest: a controller with its workers only, late copies, a
-/// machine that hears nothing.
-#[allow(dead_code)]
-pub fn newest_troubles(seed: u64) -> Vec<ScheduledFault> {
+/// The same with a controller isolated with its workers, delayed duplicates of heartbeats, and a
+/// machine that receives no responses.
+pub fn one_way_faults(seed: u64) -> Vec<ScheduledFault> {
     let duration_s = [5.0, 40.0, 120.0][seed as usize % 3];
     let alone = Fault::IsolatedWithWorkers { node: seed as usize % 3, duration_s: 30.0 };
-    let mut faults = troubles(seed);
+    let mut faults = seeded_faults(seed);
     faults.push(ScheduledFault::new(30.0 + (seed % 11) as f64 * 7.0, alone));
     faults.push(ScheduledFault::new(20.0, Fault::DuplicatedHeartbeats { max_delay_s: 60.0, duration_s }));
     faults.push(ScheduledFault::new(60.0, Fault::ResponsesLost { machine: seed as usize % 5, duration_s }));
     faults
 }
 
-/// The usual day, with every job but the services made part of something: chains, diamonds,
-/// ancestors in common, other teams' jobs and ordinary ones.
-#[allow(dead_code)]
-pub fn linked(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
-    let mut s = setup(seed, faults);
+/// The usual day, with dependencies between all jobs but the services: chains, diamonds, common
+/// ancestors, also across teams.
+pub fn dependent_day(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
+    let mut setup = seeded_day(seed, faults);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x11a6);
-    s.jobs.sort_by(|a, b| a.at.total_cmp(&b.at));
+    setup.jobs.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut earlier: Vec<String> = Vec::new();
-    for Submission { spec, cancel_at: cancel, .. } in &mut s.jobs {
+    for Submission { spec, cancel_at: cancel, .. } in &mut setup.jobs {
         if spec.shape == Shape::Service {
             continue;
         }
-        let most = rng.gen_range(0..4usize).min(earlier.len());
-        let awaits: BTreeSet<String> = (0..most)
+        let count = rng.gen_range(0..4usize).min(earlier.len());
+        let dependencies: BTreeSet<String> = (0..count)
             .map(|_| earlier[earlier.len() - 1 - rng.gen_range(0..earlier.len().min(6))].clone())
             .collect();
-        spec.dependencies = awaits.into_iter().collect();
+        spec.dependencies = dependencies.into_iter().collect();
         spec.estimated_run_s = spec.estimated_run_s.min(12.0);
         if rng.gen_bool(0.6) {
             *cancel = None;
         }
         earlier.push(spec.id.clone());
     }
-    s
+    setup
+}
+
+/// Runs until `done` holds, for `max_s` seconds at most. Whether it does.
+pub fn run_until(sim: &mut Simulation, max_s: f64, done: impl Fn(&Simulation) -> bool) -> bool {
+    let end = sim.now + max_s;
+    while sim.now < end && sim.ledger.violations.is_empty() {
+        if done(sim) {
+            return true;
+        }
+        sim.run(sim.now + 0.01);
+    }
+    false
+}
+
+/// Whether some seed's day breaks one of `rules` before `end`.
+pub fn some_seed_breaks(
+    rules: &[Rule],
+    mut seeds: std::ops::Range<u64>,
+    end: f64,
+    day: impl Fn(u64) -> Setup,
+) -> bool {
+    seeds.any(|seed| {
+        let mut sim = Simulation::new(day(seed));
+        sim.run(end).iter().any(|violation| rules.contains(&violation.rule))
+    })
+}
+
+/// Plays on `count` threads, each with its number.
+pub fn on_threads<T: Send>(count: usize, play: impl Fn(usize) -> T + Sync) -> Vec<T> {
+    let play = &play;
+    std::thread::scope(|scope| {
+        let threads: Vec<_> = (0..count).map(|part| scope.spawn(move || play(part))).collect();
+        threads.into_iter().map(|thread| thread.join().expect("no rule breaks")).collect()
+    })
+}
+
+/// The machine type of all tests, in one zone only.
+pub fn single_zone_type() -> MachineType {
+    MachineType { zones: vec!["a".into()], ..types().remove(0) }
+}
+
+/// The documented example, as it is.
+pub fn example_settings() -> Settings {
+    Settings::parse(include_str!("../../../../docs/example.toml")).unwrap()
 }
--- a/crates/simulation/tests/anyorder/machines.rs
+++ b/crates/simulation/tests/common/reordered/machines.rs
@@ -1,4 +1,4 @@
-//! The cloud and the workers of a world whose nodes lead themselves.
+//! The cloud and the workers of a cluster whose controllers elect a leader among themselves.
 
 use anisecroft_simulation::cloud::Cloud;
 use anisecroft_simulation::worker::{HeartbeatInFlight, Launch, Task, TaskKey, TaskPhase, Worker};
--- a/crates/simulation/tests/anyorder/mod.rs
+++ b/crates/simulation/tests/common/reordered/mod.rs
@@ -1,9 +1,10 @@
-//! Several nodes and the state service, with every message in any order: lost, late, its sender
-//! ended. Users ask at all nodes; what they are told is judged by when each question was sent.
+//! Several controllers and the store, with every message delivered in any order, lost or late, and
+//! controllers that restart. Users ask at all controllers; what they are told is judged by when
+//! each request was sent.
 
 pub mod machines;
 
-use crate::common::{plain_array, types};
+use crate::common::{example_settings, plain_array, types};
 use anisecroft_simulation::state::Store;
 use controller::records::*;
 use controller::*;
@@ -15,7 +16,7 @@
 use settings::{NextLimits, Operator, Peer, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 
-pub const NAMES: [&str; 5] = ["n-0", "n-1", "n-2", "n-3", "n-4"];
+pub const NODE_NAMES: [&str; 5] = ["n-0", "n-1", "n-2", "n-3", "n-4"];
 
 pub fn spec(id: &str) -> JobSpec {
     plain_array(id, 3)
@@ -26,19 +27,19 @@
 }
 
 /// KiB of a value under the limits to come, and the bytes that are used of it.
-pub const TIGHT_KB: f64 = 2.0;
-pub const TIGHT: usize = 1984;
+pub const NEXT_VALUE_KB: f64 = 2.0;
+pub const NEXT_VALUE_BYTES: usize = 1984;
 
 /// Node `n` of `nodes`, whose limits will fall.
 pub fn settings(n: usize, nodes: usize) -> Settings {
-    let mut s = Settings::parse(include_str!("../../../../docs/example.toml")).unwrap();
-    s.node = NAMES[n].into();
+    let mut s = example_settings();
+    s.node = NODE_NAMES[n].into();
     let peer = |name: &&str| Peer { node: (*name).into(), zone: String::new(), addr: s.peer_addr };
-    s.peers = NAMES[..nodes].iter().filter(|m| **m != NAMES[n]).map(peer).collect();
+    s.peers = NODE_NAMES[..nodes].iter().filter(|m| **m != NODE_NAMES[n]).map(peer).collect();
     s.params.nodes = nodes as u32;
     let state = &mut s.params.store;
     state.value_kb = 64.0;
-    state.next = Some(NextLimits { value_kb: Some(TIGHT_KB), ..NextLimits::default() });
+    state.next = Some(NextLimits { value_kb: Some(NEXT_VALUE_KB), ..NextLimits::default() });
     s
 }
 
@@ -59,30 +60,30 @@
 
 /// What a user was told of a job, in the order in which it may be told.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Told {
+pub enum ReportedStatus {
     Nothing,
     Accepted,
     Over(JobStatus),
 }
 
-impl Told {
+impl ReportedStatus {
     pub fn rank(self) -> u8 {
         match self {
-            Told::Nothing => 0,
-            Told::Accepted => 1,
-            Told::Over(_) => 2,
+            ReportedStatus::Nothing => 0,
+            ReportedStatus::Accepted => 1,
+            ReportedStatus::Over(_) => 2,
         }
     }
     /// Whether this may be told once `before` was.
-    pub fn may_follow(self, before: Told) -> bool {
-        let changed = matches!((before, self), (Told::Over(a), Told::Over(b)) if a != b);
+    pub fn may_follow(self, before: ReportedStatus) -> bool {
+        let changed = matches!((before, self), (ReportedStatus::Over(a), ReportedStatus::Over(b)) if a != b);
         self.rank() >= before.rank() && !changed
     }
 }
 
 /// What was brought about, so that no run shows nothing.
 #[derive(Default, Debug)]
-pub struct Met {
+pub struct Coverage {
     /// Questions at all nodes in the moment of an answer that told something new.
     pub close: u64,
     /// Submissions of jobs that were accepted before, and those that are not well formed.
@@ -101,8 +102,8 @@
     pub lost: u64,
 }
 
-impl Met {
-    pub fn add(&mut self, m: &Met) {
+impl Coverage {
+    pub fn add(&mut self, m: &Coverage) {
         self.close += m.close;
         self.repeated += m.repeated;
         self.odd += m.odd;
@@ -120,21 +121,21 @@
 
 /// How much goes wrong.
 #[derive(Clone, Copy)]
-pub struct Course {
+pub struct Scenario {
     pub nodes: usize,
     pub ids: usize,
     /// The nodes lead themselves; else another does, which is played here.
     pub lead: bool,
-    pub trouble: bool,
+    pub faults: bool,
     /// How often users cancel.
     pub cancels: f64,
 }
 
-pub struct World {
-    pub course: Course,
+pub struct Cluster {
+    pub scenario: Scenario,
     pub rng: SmallRng,
     pub now: f64,
-    pub cores: Vec<Controller>,
+    pub controllers: Vec<Controller>,
     pub starts: Vec<u64>,
     pub store: Store,
     /// Calls on their way to the store, and replies on their way back, with the start of the
@@ -143,50 +144,50 @@
     pub replies: Vec<(usize, u64, Input)>,
     /// The cloud and the workers, if the nodes lead themselves.
     pub machines: Option<Machines>,
-    /// Transactions that have been given up and are carried out some time.
+    /// Transactions that have been abandoned and are carried out some time.
     pub overdue: Vec<StoreRequest>,
     /// Open questions: job, and what had been told when it was sent.
-    pub open: BTreeMap<(usize, RequestId), (String, Told)>,
-    pub told: BTreeMap<String, Told>,
+    pub open: BTreeMap<(usize, RequestId), (String, ReportedStatus)>,
+    pub told: BTreeMap<String, ReportedStatus>,
     /// The statuses of all answers, by job.
     pub statuses: BTreeMap<String, Vec<u16>>,
     pub submitted: BTreeSet<String>,
     pub cancel_asked: BTreeSet<String>,
     /// Jobs of which something new was told just now.
-    pub news: Vec<String>,
+    pub changed_jobs: Vec<String>,
     pub next: RequestId,
-    pub met: Met,
-    pub broken: Option<String>,
+    pub coverage: Coverage,
+    pub violation: Option<String>,
 }
 
-impl World {
-    pub fn new(seed: u64, course: Course) -> Self {
+impl Cluster {
+    pub fn new(seed: u64, scenario: Scenario) -> Self {
         let mut store = Store::default();
         let mut first = vec![
             put(TYPES_KEY.into(), Value::Types(vec![big()])),
             put(FORMAT_KEY.into(), Value::Format(FORMAT)),
         ];
-        if !course.lead {
+        if !scenario.lead {
             let leader =
                 LeaderRecord { node: "elsewhere".into(), elected_wall_s: 0.0, quick_restarts: 0, lease: 0 };
             first.push(put(LEADER_KEY.into(), Value::Leader(leader)));
         }
         let mut rng = SmallRng::seed_from_u64(seed);
-        let machines = course.lead.then(|| {
-            let record = large()[seed as usize / 3 % 2].clone();
-            let lease_s = settings(0, course.nodes).params.workers.lease_s;
+        let machines = scenario.lead.then(|| {
+            let record = oversized_records()[seed as usize / 3 % 2].clone();
+            let lease_s = settings(0, scenario.nodes).params.workers.lease_s;
             let machines = Machines::running(&record.spec, big(), lease_s, &mut rng);
             first.push(put(job_key("req-0"), Value::Job(Box::new(record))));
             machines
         });
         store.execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: first }));
-        let mut w = World {
-            course,
+        let mut world = Cluster {
+            scenario,
             rng,
             machines,
             now: 0.0,
-            cores: Vec::new(),
-            starts: vec![0; course.nodes],
+            controllers: Vec::new(),
+            starts: vec![0; scenario.nodes],
             store,
             calls: vec![],
             replies: vec![],
@@ -194,33 +195,33 @@
             open: BTreeMap::new(),
             told: BTreeMap::new(),
             statuses: BTreeMap::new(),
-            submitted: if course.lead { BTreeSet::from(["req-0".into()]) } else { BTreeSet::new() },
+            submitted: if scenario.lead { BTreeSet::from(["req-0".into()]) } else { BTreeSet::new() },
             cancel_asked: BTreeSet::new(),
-            news: vec![],
+            changed_jobs: vec![],
             next: 0,
-            met: Met::default(),
-            broken: None,
+            coverage: Coverage::default(),
+            violation: None,
         };
-        w.cores = (0..course.nodes).map(|n| w.core(n)).collect();
-        w.exchange_views();
-        w
+        world.controllers = (0..scenario.nodes).map(|n| world.core(n)).collect();
+        world.exchange_views();
+        world
     }
 
     pub fn core(&mut self, n: usize) -> Controller {
-        Controller::new(settings(n, self.course.nodes), Operator::default(), self.rng.gen())
+        Controller::new(settings(n, self.scenario.nodes), Operator::default(), self.rng.gen())
     }
 
     pub fn exchange_views(&mut self) {
-        for a in 0..self.cores.len() {
-            let view = self.cores[a].view_for_peers();
-            for b in (0..self.cores.len()).filter(|b| *b != a) {
+        for a in 0..self.controllers.len() {
+            let view = self.controllers[a].view_for_peers();
+            for b in (0..self.controllers.len()).filter(|b| *b != a) {
                 self.feed(b, Input::PeerView(view.clone()));
             }
         }
     }
 
     pub fn feed(&mut self, n: usize, input: Input) {
-        for o in self.cores[n].handle(self.now, 1e9 + self.now, input) {
+        for o in self.controllers[n].handle(self.now, 1e9 + self.now, input) {
             match o {
                 Output::Response(id, a) => self.answered(n, id, &a),
                 Output::Store(call, op) => self.calls.push((n, self.starts[n], call, op)),
@@ -259,11 +260,11 @@
 
     pub fn ask(&mut self, n: usize, id: &str, r: Request) {
         self.next += 1;
-        let told = self.told.get(id).copied().unwrap_or(Told::Nothing);
+        let told = self.told.get(id).copied().unwrap_or(ReportedStatus::Nothing);
         match &r {
             Request::Submit(_) => {
                 self.submitted.insert(id.to_string());
-                self.met.repeated += u64::from(told != Told::Nothing);
+                self.coverage.repeated += u64::from(told != ReportedStatus::Nothing);
             }
             Request::Cancel(_) => {
                 self.cancel_asked.insert(id.to_string());
@@ -274,8 +275,8 @@
         self.feed(n, Input::Request(self.next, r));
     }
 
-    pub fn break_rule(&mut self, what: String) {
-        self.broken.get_or_insert(what);
+    pub fn violate(&mut self, what: String) {
+        self.violation.get_or_insert(what);
     }
 
     pub fn answered(&mut self, n: usize, id: RequestId, a: &HttpResponse) {
@@ -288,48 +289,45 @@
             200 | 201 => {
                 let v: JobView = protocol::decode(&a.body).unwrap();
                 if v.status.is_final() {
-                    Told::Over(v.status)
+                    ReportedStatus::Over(v.status)
                 } else {
-                    Told::Accepted
+                    ReportedStatus::Accepted
                 }
             }
-            400 | 404 | 422 => Told::Nothing,
+            400 | 404 | 422 => ReportedStatus::Nothing,
             _ => return,
         };
-        let known = self.told.get(&job).copied().unwrap_or(Told::Nothing);
+        let known = self.told.get(&job).copied().unwrap_or(ReportedStatus::Nothing);
         let asked = self.chain(&job).iter().any(|j| self.cancel_asked.contains(j));
-        let changed = matches!((known, said), (Told::Over(x), Told::Over(y)) if x != y);
+        let changed = matches!((known, said), (ReportedStatus::Over(x), ReportedStatus::Over(y)) if x != y);
         if !said.may_follow(then) || changed {
-            self.break_rule(format!(
-                "{job}: {then:?} when asked, {known:?} now, said {said:?} ({})",
-                a.status
-            ));
+            self.violate(format!("{job}: {then:?} when asked, {known:?} now, said {said:?} ({})", a.status));
         }
-        if said != Told::Nothing && !self.submitted.contains(&job) {
-            self.break_rule(format!("{job} was invented"));
+        if said != ReportedStatus::Nothing && !self.submitted.contains(&job) {
+            self.violate(format!("{job} was invented"));
         }
-        if said == Told::Over(JobStatus::Cancelled) && !asked {
-            self.break_rule(format!("{job} was not cancelled"));
+        if said == ReportedStatus::Over(JobStatus::Cancelled) && !asked {
+            self.violate(format!("{job} was not cancelled"));
         }
-        if said == Told::Over(JobStatus::Done) && !self.is_done(&job) {
-            self.break_rule(format!("{job} is not done"));
+        if said == ReportedStatus::Over(JobStatus::Done) && !self.is_done(&job) {
+            self.violate(format!("{job} is not done"));
         }
         if said.rank() <= known.rank() {
             return;
         }
         self.told.insert(job.clone(), said);
-        if said == Told::Over(JobStatus::Cancelled) {
-            self.met.cancelled += 1;
-            self.met.lineage += u64::from(!self.cancel_asked.contains(&job));
+        if said == ReportedStatus::Over(JobStatus::Cancelled) {
+            self.coverage.cancelled += 1;
+            self.coverage.lineage += u64::from(!self.cancel_asked.contains(&job));
         }
-        self.met.done += u64::from(said == Told::Over(JobStatus::Done));
-        self.news.push(job);
+        self.coverage.done += u64::from(said == ReportedStatus::Over(JobStatus::Done));
+        self.changed_jobs.push(job);
     }
 
     /// Whether a job's tasks all have results, as far as that is played.
     pub fn is_done(&self, id: &str) -> bool {
         let Some(m) = &self.machines else { return true };
-        let [many, few] = large().map(|r| r.spec);
+        let [many, few] = oversized_records().map(|r| r.spec);
         // The first job was there from the beginning, one or the other.
         if id == "req-0" {
             return m.is_done(&many) || m.is_done(&few);
@@ -338,13 +336,13 @@
     }
 
     /// At all nodes at once: questions, and repeated submissions or cancellations among them.
-    pub fn ask_everywhere(&mut self, id: &str) {
-        let cancels = self.rng.gen_bool(self.course.cancels);
-        for n in 0..self.cores.len() {
-            self.met.close += 1;
+    pub fn query_all_nodes(&mut self, id: &str) {
+        let cancels = self.rng.gen_bool(self.scenario.cancels);
+        for n in 0..self.controllers.len() {
+            self.coverage.close += 1;
             let r = match self.rng.gen_range(0..6) {
                 0 => Request::Submit(protocol::encode(&self.spec(id))),
-                1 => self.odd(id),
+                1 => self.invalid_submission(id),
                 2 if cancels => Request::Cancel(id.to_string()),
                 _ => Request::QueryStatus(id.to_string()),
             };
@@ -353,8 +351,8 @@
     }
 
     /// A submission that no new job may be made of.
-    pub fn odd(&mut self, id: &str) -> Request {
-        self.met.odd += 1;
+    pub fn invalid_submission(&mut self, id: &str) -> Request {
+        self.coverage.odd += 1;
         let s = self.spec(id);
         let odd = match self.rng.gen_range(0..6) {
             0 => JobSpec { cores: f64::NAN, ..s },
@@ -380,7 +378,7 @@
             let over =
                 TerminalRecord { status: j.status, done: j.done, submitted_wall_s: j.submitted_wall_s };
             changes = vec![Mutation::Delete { key: job_key(id) }, put(over_key(id), Value::Terminal(over))];
-            self.met.moved += 1;
+            self.coverage.moved += 1;
         } else if mark.is_some() || before == Some(JobStatus::Cancelled) {
             // It may be stored late.
             if self.rng.gen_bool(0.7) {
@@ -391,7 +389,7 @@
             changes.extend(mark.map(|_| Mutation::Delete { key: mark_key(id) }));
         } else if before.is_none_or(|s| s == JobStatus::Done) {
             let freed_at = before.map(|_| 1e9 + self.now);
-            let record = self.gone_on(JobRecord { ready_wall_s: freed_at, ..*j });
+            let record = self.advanced(JobRecord { ready_wall_s: freed_at, ..*j });
             changes.push(put(job_key(id), Value::Job(Box::new(record))));
         }
         if !changes.is_empty() {
@@ -412,27 +410,27 @@
     }
 
     /// A job's record when it runs, or is done.
-    fn gone_on(&mut self, record: JobRecord) -> JobRecord {
+    fn advanced(&mut self, record: JobRecord) -> JobRecord {
         match self.rng.gen_range(0..5) {
             0 => JobRecord { status: JobStatus::Done, done: 3, first_page: PageRecord::default(), ..record },
             running => self.padded(JobRecord { status: JobStatus::Running, running, ..record }),
         }
     }
 
-    /// The same with a placement such that the record is small, too large to be written again, or
+    /// The same with a placement such that the record is small, too oversized_records to be written again, or
     /// just about so.
     pub fn padded(&mut self, mut record: JobRecord) -> JobRecord {
         match self.rng.gen_range(0..3) {
             0 => {}
-            1 => pad(&mut record, TIGHT + 500),
-            _ => pad(&mut record, TIGHT - 4 + self.rng.gen_range(0..8)),
+            1 => pad(&mut record, NEXT_VALUE_BYTES + 500),
+            _ => pad(&mut record, NEXT_VALUE_BYTES - 4 + self.rng.gen_range(0..8)),
         }
         record
     }
 
-    /// Time passes for machines, and one of them reports, to the leader or to node `n`.
+    /// Time passes for machines, and one of them sends a heartbeat, to the leader or to `node`.
     pub fn report(&mut self, n: usize) {
-        let leader = (0..self.cores.len()).max_by_key(|n| self.cores[*n].token());
+        let leader = (0..self.controllers.len()).max_by_key(|n| self.controllers[*n].token());
         let n = leader.filter(|_| self.rng.gen_bool(0.9)).unwrap_or(n);
         let Some(m) = &mut self.machines else { return };
         m.advance(self.now, &mut self.rng);
@@ -441,34 +439,34 @@
         }
     }
 
-    /// A call reaches the store, which carries it out, or may not, and answers, or may not.
+    /// A request reaches the store, which may execute it and may reply.
     pub fn serve(&mut self) {
         let (n, start, call, op) = self.calls.remove(self.rng.gen_range(0..self.calls.len()));
-        let trouble = self.course.trouble;
+        let faults = self.scenario.faults;
         let is_commit = matches!(&op, StoreRequest::Commit(t) if !t.mutations.is_empty());
         if let (StoreRequest::Commit(t), true) = (&op, is_commit) {
             let marked =
                 |c: &Mutation<Value>| matches!(c, Mutation::Put { key, .. } if key.starts_with(MARK_PREFIX));
-            self.met.marks += u64::from(t.mutations.iter().any(marked));
+            self.coverage.marks += u64::from(t.mutations.iter().any(marked));
         }
-        if trouble && self.rng.gen_bool(0.06) {
+        if faults && self.rng.gen_bool(0.06) {
             let reply = match self.rng.gen_range(0..3) {
                 0 => StoreReply::Refused,
                 1 if is_commit => {
-                    self.met.late += 1;
+                    self.coverage.late += 1;
                     self.overdue.push(op);
                     StoreReply::Unknown
                 }
                 _ => {
-                    self.met.lost += 1;
+                    self.coverage.lost += 1;
                     self.store.execute(self.now, &op);
                     StoreReply::Unknown
                 }
             };
             return self.replies.push((n, start, Input::Store(call, reply)));
         }
-        if trouble && matches!(op, StoreRequest::Watch { .. }) && self.rng.gen_bool(0.08) {
-            self.met.gone += 1;
+        if faults && matches!(op, StoreRequest::Watch { .. }) && self.rng.gen_bool(0.08) {
+            self.coverage.gone += 1;
             return self.replies.push((n, start, Input::Store(call, StoreReply::Gone)));
         }
         let r = self.store.execute(self.now, &op).unwrap_or_else(|| self.store.no_events());
@@ -476,39 +474,39 @@
     }
 
     pub fn step(&mut self) {
-        for id in std::mem::take(&mut self.news) {
+        for id in std::mem::take(&mut self.changed_jobs) {
             if self.rng.gen_bool(0.4) {
-                self.ask_everywhere(&id);
+                self.query_all_nodes(&id);
             }
         }
         self.now += self.rng.gen_range(0.0..0.05);
-        let n = self.rng.gen_range(0..self.cores.len());
-        let id = format!("req-{}", self.rng.gen_range(0..self.course.ids));
-        let trouble = self.course.trouble;
+        let n = self.rng.gen_range(0..self.controllers.len());
+        let id = format!("req-{}", self.rng.gen_range(0..self.scenario.ids));
+        let faults = self.scenario.faults;
         match self.rng.gen_range(0..40) {
             0 | 1 => self.ask(n, &id, Request::Submit(protocol::encode(&self.spec(&id)))),
-            2 if self.submitted.contains(&id) && self.rng.gen_bool(self.course.cancels) => {
+            2 if self.submitted.contains(&id) && self.rng.gen_bool(self.scenario.cancels) => {
                 self.ask(n, &id, Request::Cancel(id.clone()));
             }
             3..=5 => self.ask(n, &id, Request::QueryStatus(id.clone())),
             6 if self.submitted.contains(&id) => {
-                let r = self.odd(&id);
+                let r = self.invalid_submission(&id);
                 self.ask(n, &id, r);
             }
-            7 if trouble && self.rng.gen_bool(0.1) => self.now += self.rng.gen_range(0.0..8.0),
-            8 if trouble && self.rng.gen_bool(0.2) => {
+            7 if faults && self.rng.gen_bool(0.1) => self.now += self.rng.gen_range(0.0..8.0),
+            8 if faults && self.rng.gen_bool(0.2) => {
                 // Back at once with nothing in memory.
-                self.met.returns += 1;
+                self.coverage.returns += 1;
                 self.starts[n] += 1;
                 self.open.retain(|(m, _), _| *m != n);
-                self.cores[n] = self.core(n);
+                self.controllers[n] = self.core(n);
                 self.exchange_views();
             }
             9 if !self.overdue.is_empty() => {
                 let op = self.overdue.remove(self.rng.gen_range(0..self.overdue.len()));
                 self.store.execute(self.now, &op);
             }
-            10..=12 if self.course.lead => self.report(n),
+            10..=12 if self.scenario.lead => self.report(n),
             10..=12 => self.lead(&id),
             13 => self.exchange_views(),
             14..=24 if !self.calls.is_empty() => self.serve(),
@@ -530,7 +528,7 @@
     led && t.compares.iter().any(|c| c.key == job_key(id))
 }
 
-impl World {
+impl Cluster {
     /// Carries all out at once for `duration_s` seconds, but for what is held.
     pub fn settle(&mut self, duration_s: f64, held: impl Fn(&StoreRequest) -> bool) {
         let end = self.now + duration_s;
@@ -543,13 +541,13 @@
                 let r = self.store.execute(self.now, &op).unwrap_or_else(|| self.store.no_events());
                 self.feed(n, Input::Store(call, r));
             }
-            (0..self.cores.len()).for_each(|n| self.feed(n, Input::Tick));
+            (0..self.controllers.len()).for_each(|n| self.feed(n, Input::Tick));
         }
     }
 
     /// The node that leads and has read all records.
     pub fn leader(&self) -> Option<usize> {
-        self.cores.iter().position(Controller::has_recovered)
+        self.controllers.iter().position(Controller::has_recovered)
     }
 
     pub fn stored(&mut self, key: String) -> Option<Value> {
@@ -565,14 +563,14 @@
     }
 }
 
-/// Jobs of an earlier version, too large to be written again under the limits to come: for the
+/// Jobs of an earlier version, too oversized_records to be written again under the limits to come: for the
 /// places of many tasks, or for what they ask for.
-pub fn large() -> [JobRecord; 2] {
+pub fn oversized_records() -> [JobRecord; 2] {
     let small = JobSpec { cores: 0.1, accelerators: 0.0, memory_gb: 0.1, ..spec("req-0") };
     let names = (0..60).map(|n| format!("{}{n}", "type-with-a-long-name-".repeat(4)));
     let types = Some(names.chain(["big".to_string()]).collect());
     let many = JobRecord::new(JobSpec { tasks: 100, ..small.clone() }, 1e9, 63 * 1024);
-    let long = JobRecord::new(JobSpec { machine_types: types, ..small }, 1e9, TIGHT);
+    let long = JobRecord::new(JobSpec { machine_types: types, ..small }, 1e9, NEXT_VALUE_BYTES);
     [many, long].map(|mut r| {
         let place = |task| StoredPlacement { task, attempt: 1, machine: "vm-000001".into() };
         r.first_page.placements = (0..r.spec.tasks).map(place).collect();
--- a/crates/simulation/tests/common/by_hand.rs
+++ b/crates/simulation/tests/common/single_controller.rs
@@ -1,5 +1,5 @@
-//! One controller whose workers are the test's own: every report, copy, answer and direct command
-//! goes through its hands. The state service and the cloud answer at once.
+//! One controller whose workers are played by the test: every heartbeat, duplicate, response and
+//! direct command passes through its hands. The store and the cloud answer at once.
 
 #![allow(dead_code)]
 
@@ -11,8 +11,8 @@
 use settings::Operator;
 use std::collections::BTreeMap;
 
-pub struct ByHand {
-    pub core: Controller,
+pub struct SingleController {
+    pub controller: Controller,
     pub store: Store,
     pub now: f64,
     /// Machines that the cloud lists.
@@ -33,11 +33,11 @@
 
 /// A worker as the test holds it.
 #[derive(Debug, Clone)]
-pub struct Hand {
+pub struct ManualWorker {
     pub report: Heartbeat,
 }
 
-impl Hand {
+impl ManualWorker {
     pub fn new(machine: &str) -> Self {
         let report = Heartbeat {
             machine: machine.into(),
@@ -51,16 +51,16 @@
             notice_s: None,
             tasks: Vec::new(),
         };
-        Hand { report }
+        ManualWorker { report }
     }
 
-    /// Its next report, or its next answer to a direct command.
+    /// Its next heartbeat, also as the reply to a direct command.
     pub fn next(&mut self) -> Heartbeat {
         self.report.sequence += 1;
         self.report.clone()
     }
 
-    /// Carries out what it is told; launched tasks run at once.
+    /// Executes the commands of a response; launched tasks run at once.
     pub fn obey(&mut self, answer: &HeartbeatResponse) {
         self.report.fencing_token = self.report.fencing_token.max(answer.fencing_token);
         self.carry_out(&answer.commands);
@@ -112,28 +112,28 @@
     starts.filter_map(|c| split_task(&c.task)).any(|(id, _)| id == job)
 }
 
-impl ByHand {
+impl SingleController {
     /// It leads and has read what `store` holds; the cloud lists `listed`.
     pub fn leading(store: Store, listed: &[&str], now: f64) -> Self {
-        let mut w = ByHand::starting(store, listed, now);
-        w.run_until(20.0, |w| w.core.has_recovered());
-        w.run(1.0);
-        w
+        let mut driver = SingleController::starting(store, listed, now);
+        driver.run_until(20.0, |driver| driver.controller.has_recovered());
+        driver.run(1.0);
+        driver
     }
 
     /// It has just been started.
     pub fn starting(store: Store, listed: &[&str], now: f64) -> Self {
         let listed = listed.iter().map(|m| (*m).to_string()).collect();
-        ByHand::node("n-0", store, listed, now)
+        SingleController::node("n-0", store, listed, now)
     }
 
     fn node(name: &str, store: Store, listed: Vec<String>, now: f64) -> Self {
         let mut s = super::common::settings();
         s.node = name.into();
         s.peers.clear();
-        ByHand {
-            // No machine goes back for being idle.
-            core: Controller::new(s, Operator { idle_hold: 1000.0, ..Operator::default() }, 1),
+        SingleController {
+            // No idle machine is scaled in.
+            controller: Controller::new(s, Operator { idle_hold: 1000.0, ..Operator::default() }, 1),
             store,
             now,
             listed,
@@ -150,7 +150,7 @@
 
     /// Another node, on what is stored, as this one ends.
     pub fn successor(self) -> Self {
-        ByHand::node("n-9", self.store, self.listed, self.now)
+        SingleController::node("n-9", self.store, self.listed, self.now)
     }
 
     /// The next leader begins after this one, whose lease has ended.
@@ -159,7 +159,7 @@
         self.now += 30.0;
         self.store.expire_leases(self.now);
         let listed: Vec<&str> = listed.iter().map(String::as_str).collect();
-        ByHand::leading(self.store, &listed, self.now)
+        SingleController::leading(self.store, &listed, self.now)
     }
 
     fn list(&self) -> MachineList {
@@ -191,7 +191,7 @@
     }
 
     pub fn feed(&mut self, input: Input) {
-        for o in self.core.handle(self.now, 1e9 + self.now, input) {
+        for o in self.controller.handle(self.now, 1e9 + self.now, input) {
             match o {
                 Output::Response(id, answer) => {
                     self.answers.insert(id, answer);
@@ -231,7 +231,7 @@
 
     pub fn run(&mut self, seconds: f64) {
         let end = self.now + seconds;
-        self.run_until(seconds, |w| w.now >= end - 1e-9);
+        self.run_until(seconds, |driver| driver.now >= end - 1e-9);
     }
 
     /// Until `done` holds, at most for so long. Whether it does.
@@ -258,10 +258,10 @@
         self.last_request
     }
 
-    /// Asks, and waits for the answer.
+    /// Sends a request, and waits for the status of the response.
     pub fn status(&mut self, request: Request) -> u16 {
         let id = self.ask(request);
-        self.run_until(6.0, |w| w.answers.contains_key(&id));
+        self.run_until(6.0, |driver| driver.answers.contains_key(&id));
         self.answers.get(&id).map_or(0, |a| a.status)
     }
 
@@ -277,45 +277,45 @@
         self.ask(Request::Heartbeat(protocol::encode(report)))
     }
 
-    /// The 200 that a report was answered with by now.
+    /// The response with which a heartbeat was accepted by now.
     pub fn answer(&self, id: RequestId) -> Option<HeartbeatResponse> {
         let answer = self.answers.get(&id).filter(|a| a.status == 200)?;
         protocol::decode(&answer.body).ok()
     }
 
-    /// `hand` reports, waits and obeys; what it was told.
-    pub fn turn(&mut self, hand: &mut Hand) -> Vec<Command> {
-        let id = self.deliver(&hand.next());
-        self.run_until(4.0, |w| w.answers.contains_key(&id));
+    /// `worker` sends a heartbeat, waits and executes the commands, which are returned.
+    pub fn turn(&mut self, worker: &mut ManualWorker) -> Vec<Command> {
+        let id = self.deliver(&worker.next());
+        self.run_until(4.0, |driver| driver.answers.contains_key(&id));
         let Some(answer) = self.answer(id) else { return Vec::new() };
-        hand.obey(&answer);
+        worker.obey(&answer);
         answer.commands
     }
 
-    /// `hand` has what it is to run, and the leader knows.
-    pub fn settle(&mut self, hand: &mut Hand, jobs: &[&str]) {
+    /// `worker` has what it is to run, and the leader knows.
+    pub fn settle(&mut self, worker: &mut ManualWorker, jobs: &[&str]) {
         for _ in 0..12 {
-            self.turn(hand);
+            self.turn(worker);
             self.run(0.5);
         }
-        assert!(jobs.iter().all(|j| hand.has(j)), "{jobs:?} not launched: {:?}", hand.report.tasks);
+        assert!(jobs.iter().all(|j| worker.has(j)), "{jobs:?} not launched: {:?}", worker.report.tasks);
         self.direct.clear();
     }
 
-    /// Direct commands to `hand` so far.
-    pub fn told(&self, hand: &Hand) -> Vec<(f64, CallId, DirectCommands)> {
-        let to = self.direct.iter().filter(|d| d.2 == hand.report.addr);
+    /// Direct commands to `worker` so far.
+    pub fn told(&self, worker: &ManualWorker) -> Vec<(f64, CallId, DirectCommands)> {
+        let to = self.direct.iter().filter(|d| d.2 == worker.report.addr);
         to.map(|d| (d.0, d.1, d.3.clone())).collect()
     }
 
-    /// `hand` takes a direct command and answers it.
-    pub fn take_direct(&mut self, hand: &mut Hand, call: CallId, body: &DirectCommands) {
-        let executed = body.fencing_token >= hand.report.fencing_token && body.epoch == hand.report.epoch;
-        hand.report.fencing_token = hand.report.fencing_token.max(body.fencing_token);
+    /// `worker` executes a direct command and replies.
+    pub fn take_direct(&mut self, worker: &mut ManualWorker, call: CallId, body: &DirectCommands) {
+        let executed = body.fencing_token >= worker.report.fencing_token && body.epoch == worker.report.epoch;
+        worker.report.fencing_token = worker.report.fencing_token.max(body.fencing_token);
         if executed {
-            hand.carry_out(&body.commands);
+            worker.carry_out(&body.commands);
         }
-        let report = Box::new(hand.next());
+        let report = Box::new(worker.next());
         self.feed(Input::Worker(call, WorkerReply::Heartbeat { executed, report }));
     }
 }
--- a/crates/simulation/tests/stage/mod.rs
+++ b/crates/simulation/tests/common/store_harness.rs
@@ -1,6 +1,6 @@
-//! One controller before a state service whose answers a test loses or holds back as it likes.
+//! One controller before a store whose replies a test loses, delays or holds back.
 
-use crate::common::{plain_array, types};
+use crate::common::{example_settings, single_zone_type};
 use anisecroft_simulation::state::Store;
 use controller::records::{Value, FORMAT, FORMAT_KEY};
 use controller::*;
@@ -28,8 +28,8 @@
     Refused,
 }
 
-pub struct Stage {
-    pub core: Controller,
+pub struct StoreHarness {
+    pub controller: Controller,
     pub store: Store,
     pub now: f64,
     /// What becomes of calls from now on.
@@ -49,14 +49,6 @@
     next: RequestId,
 }
 
-pub fn big() -> MachineType {
-    MachineType { zones: vec!["a".into()], ..types().remove(0) }
-}
-
-pub fn spec(id: &str, tasks: u32) -> JobSpec {
-    plain_array(id, tasks)
-}
-
 pub fn task(id: &str, number: u32, state: TaskState) -> TaskStatus {
     let cause = (state == TaskState::Exited).then_some(ExitCause::Done);
     // An array that is placed in order has these attempts.
@@ -69,19 +61,15 @@
     }
 }
 
-pub fn settings() -> Settings {
-    Settings::parse(include_str!("../../../../docs/example.toml")).unwrap()
-}
-
-impl Stage {
+impl StoreHarness {
     pub fn new() -> Self {
-        Stage::with(settings(), [(FORMAT_KEY.to_string(), Value::Format(FORMAT))])
+        StoreHarness::with(example_settings(), [(FORMAT_KEY.to_string(), Value::Format(FORMAT))])
     }
 
     /// With `items` in the store.
     pub fn with(settings: Settings, items: impl IntoIterator<Item = (String, Value)>) -> Self {
-        Stage {
-            core: Controller::new(settings, Operator::default(), 1),
+        StoreHarness {
+            controller: Controller::new(settings, Operator::default(), 1),
             store: Store::holding(items),
             before_list: None,
             now: 0.0,
@@ -100,14 +88,14 @@
 
     /// One that leads.
     pub fn leading() -> Self {
-        let mut s = Stage::new();
+        let mut s = StoreHarness::new();
         s.run(1.0);
-        assert!(s.core.has_recovered());
+        assert!(s.controller.has_recovered());
         s
     }
 
     pub fn feed(&mut self, input: Input) {
-        for o in self.core.handle(self.now, 1e9 + self.now, input) {
+        for o in self.controller.handle(self.now, 1e9 + self.now, input) {
             match o {
                 Output::Response(id, a) => {
                     self.answers.insert(id, (self.now, a));
@@ -164,7 +152,7 @@
         }
     }
 
-    /// Delivers what has been held longest; false if there is nothing.
+    /// Delivers the reply that has been held longest; false if there is none.
     pub fn release(&mut self) -> bool {
         let held = !self.held.is_empty();
         if held {
@@ -174,10 +162,11 @@
         held
     }
 
-    /// All other nodes say that they have this version.
+    /// All other controllers announce this version.
     pub fn all_have_this_version(&mut self) {
         for node in ["chiefs-1", "chiefs-2"] {
-            let view = protocol::peer::View { node: node.into(), token: 0, ..self.core.view_for_peers() };
+            let view =
+                protocol::peer::View { node: node.into(), token: 0, ..self.controller.view_for_peers() };
             self.feed(Input::PeerView(view));
         }
     }
@@ -230,7 +219,7 @@
         self.ask(Request::Submit(protocol::encode(spec)))
     }
 
-    /// The machine reports these tasks. Its answer may come later.
+    /// The machine sends a heartbeat with these tasks. Its response may come later.
     pub fn report(&mut self, tasks: &[TaskStatus]) -> RequestId {
         self.seq += 1;
         let report = Heartbeat {
@@ -241,14 +230,14 @@
             spot: false,
             epoch: 1,
             sequence: self.seq,
-            fencing_token: self.core.token().unwrap_or(0),
+            fencing_token: self.controller.token().unwrap_or(0),
             notice_s: None,
             tasks: tasks.to_vec(),
         };
         self.ask(Request::Heartbeat(protocol::encode(&report)))
     }
 
-    /// What the answer to a report starts.
+    /// The tasks that the response to a heartbeat starts.
     pub fn started(&self, request: RequestId) -> Vec<String> {
         let answer = self.answers.get(&request).filter(|a| a.1.status == 200);
         let commands = answer.map(|a| protocol::decode::<HeartbeatResponse>(&a.1.body).unwrap().commands);
@@ -256,7 +245,7 @@
         starts.map(|c| c.task).collect()
     }
 
-    /// Status and state that a user was told, and when.
+    /// Status code and job status that a user was told, and when.
     pub fn told(&self, request: RequestId) -> Option<(f64, u16, Option<JobStatus>)> {
         let (at, a) = self.answers.get(&request)?;
         Some((*at, a.status, protocol::decode::<JobView>(&a.body).ok().map(|v| v.status)))
@@ -288,7 +277,7 @@
 
 fn cloud(op: &CloudRequest) -> CloudReply {
     match op {
-        CloudRequest::Types => CloudReply::Types(MachineTypes { types: vec![big()] }),
+        CloudRequest::Types => CloudReply::Types(MachineTypes { types: vec![single_zone_type()] }),
         CloudRequest::List { .. } => CloudReply::List(MachineList {
             machines: vec![ListedMachine {
                 id: "vm-1".into(),
--- a/crates/simulation/tests/pipelines.rs
+++ b/crates/simulation/tests/dependencies.rs
@@ -1,4 +1,4 @@
-//! Pipelines of dependent jobs among all troubles.
+//! Jobs that depend on others, under all faults.
 
 mod common;
 
@@ -10,76 +10,73 @@
 use settings::NextLimits;
 
 #[test]
-fn a_quiet_day_runs_every_pipeline_in_order() {
+fn dependent_jobs_run_in_order_without_faults() {
     for seed in [1, 2] {
-        let mut sim = Simulation::new(linked(seed, vec![]));
+        let mut sim = Simulation::new(dependent_day(seed, vec![]));
         assert_eq!(sim.run(600.0), []);
         assert_eq!(sim.unfinished(), Vec::<String>::new());
         assert!(sim.metrics.task_starts > 30, "{}", sim.metrics.task_starts);
     }
 }
 
-/// Every trouble and cancellations everywhere: nothing starts too early, nothing is called
-/// pending long after one before it was cancelled, and all of it ends.
+/// Under all faults, and with cancellations everywhere, no task starts too early, no job is called
+/// pending long after its dependency was cancelled, and all jobs end.
 #[test]
-fn pipelines_among_troubles_break_no_rule() {
+fn dependent_jobs_under_faults_break_no_rule() {
     for seed in 300..324 {
-        let faults = troubles(seed);
-        let mut sim = Simulation::new(linked(seed, faults.clone()));
+        let faults = seeded_faults(seed);
+        let mut sim = Simulation::new(dependent_day(seed, faults.clone()));
         assert_eq!(sim.run(900.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
     }
 }
 
-/// Hundreds of days of pipelines with all troubles, the operators' newest among them, huge
-/// arrays awaited, and the state service's limits falling in the middle.
+/// Hundreds of days with all faults, huge arrays as dependencies, and the store's limits falling
+/// in the middle.
 #[test]
 #[ignore = "minutes"]
-fn hundreds_of_days_of_pipelines() {
+fn dependent_jobs_over_hundreds_of_days_break_no_rule() {
     (2000..2400).for_each(a_day_of_everything);
 }
 
-/// 2012: a zone whose machines had all been given back while it was out of reach was never
-/// rented in again.
+/// 2012: a zone whose machines had all been scaled in while it was out of reach was never rented
+/// in again.
 #[test]
-fn seeds_that_once_failed_hold() {
+fn seeds_of_past_failures_pass() {
     [2012].into_iter().for_each(a_day_of_everything);
 }
 
 fn a_day_of_everything(seed: u64) {
-    let mut faults = newest_troubles(seed);
+    let mut faults = one_way_faults(seed);
     faults.push(ScheduledFault::new(20.0 + (seed % 13) as f64 * 8.0, Fault::StoreLimitsReduced));
-    let mut s = linked(seed, faults.clone());
-    s.settings.params.store.next =
+    let mut setup = dependent_day(seed, faults.clone());
+    setup.settings.params.store.next =
         Some(NextLimits { value_kb: Some(2.0), txn_ops: Some(8), ..NextLimits::default() });
-    for Submission { spec, .. } in s.jobs.iter_mut().step_by(9).filter(|j| j.spec.shape == Shape::Array) {
+    for Submission { spec, .. } in setup.jobs.iter_mut().step_by(9).filter(|j| j.spec.shape == Shape::Array) {
         (spec.tasks, spec.cores, spec.accelerators, spec.memory_gb) = (300, 0.25, 0.0, 0.25);
     }
     let nodes = if seed % 2 == 0 { 3 } else { 5 };
-    let mut sim = Simulation::new(Setup { nodes, capacity: 10, ..s });
+    let mut sim = Simulation::new(Setup { nodes, capacity: 10, ..setup });
     assert_eq!(sim.run(900.0), [], "seed {seed}: {faults:?}");
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
 }
 
-/// Whether some seed breaks one of `rules` with checks off.
-fn caught(rules: &[Rule], checks: SafetyChecks, faults: impl Fn(u64) -> Vec<ScheduledFault>) -> bool {
-    (300..400).any(|seed| {
-        let s = Setup { checks, ..linked(seed, faults(seed)) };
-        Simulation::new(s).run(400.0).iter().any(|b| rules.contains(&b.rule))
-    })
+/// Whether some seed breaks one of `rules` under these checks and faults.
+fn breaks(rules: &[Rule], checks: SafetyChecks, faults: impl Fn(u64) -> Vec<ScheduledFault>) -> bool {
+    some_seed_breaks(rules, 300..400, 400.0, |seed| Setup { checks, ..dependent_day(seed, faults(seed)) })
 }
 
 #[test]
-fn without_the_order_a_task_starts_too_early() {
+fn without_dependency_order_a_task_starts_too_early() {
     let checks = SafetyChecks { dependency_order: false, ..SafetyChecks::default() };
-    assert!(caught(&[Rule::TooEarly], checks, |_| vec![]));
+    assert!(breaks(&[Rule::TooEarly], checks, |_| vec![]));
 }
 
-/// While nobody leads for long, what comes after a cancelled job is called cancelled all
-/// the same: no leader's write is needed for it.
+/// While nobody leads for long, jobs that depend on a cancelled one are called cancelled all the
+/// same: that needs no write of a leader.
 #[test]
-fn without_the_lineage_a_job_is_called_pending_for_too_long() {
-    // The leader is cut off from the state service again and again, as all of them are.
+fn without_cancellation_lineage_a_job_stays_pending() {
+    // The leader is cut off from the store again and again, as all of them are.
     let faults = |seed: u64| {
         let cut = |i: u64| {
             let node = ((seed + i) % 3) as usize;
@@ -88,29 +85,28 @@
         (0..150).map(cut).collect()
     };
     let checks = SafetyChecks { cancellation_lineage: false, ..SafetyChecks::default() };
-    assert!(caught(&[Rule::Orphaned], checks, faults));
+    assert!(breaks(&[Rule::Orphaned], checks, faults));
     for seed in 300..306 {
-        assert_eq!(Simulation::new(linked(seed, faults(seed))).run(400.0), [], "seed {seed}");
+        assert_eq!(Simulation::new(dependent_day(seed, faults(seed))).run(400.0), [], "seed {seed}");
     }
 }
 
-/// The jobs of a chain on machines that stand idle: the next one's placement is stored right
-/// after the end of the one before, and a stage takes no more changes than any job. (One seed
-/// decided this once, by whether two of its seven messages were among the slow ones; the same
-/// share is asked of six seeds now.)
+/// On idle machines, the next job of a chain is placed right after the end of the one before,
+/// without more writes than any job. (One seed once decided this, by two slow messages of seven;
+/// the same share is asked of six seeds now.)
 #[test]
-fn a_stage_is_placed_right_after_the_one_before() {
+fn dependent_job_is_placed_right_after_its_dependency() {
     let pauses: Vec<f64> = (5..11).flat_map(stage_pauses).collect();
-    // Two ways to the state service and one plan; a slow answer now and then.
+    // Two ways to the store and one plan; a slow answer now and then.
     let prompt = pauses.iter().filter(|p| **p < 0.1).count();
     assert!(prompt * 7 >= pauses.len() * 6, "{pauses:?}");
     assert!(pauses.iter().all(|p| *p < 0.7), "{pauses:?}");
 }
 
-/// From the end of each stage of a chain until the next one's placement is stored.
+/// From the end of each job of a chain until the next one's placement is stored, in seconds.
 fn stage_pauses(seed: u64) -> Vec<f64> {
-    let mut s = setup(seed, vec![]);
-    unlimited(&mut s);
+    let mut setup = seeded_day(seed, vec![]);
+    without_quotas(&mut setup);
     let stage = |n: usize| JobSpec {
         id: format!("req-{}", 700 + n),
         tasks: 2,
@@ -119,7 +115,7 @@
         ..long_array()
     };
     let jobs = (0..8).map(|n| Submission::new(2.0 + n as f64 * 0.1, stage(n))).collect();
-    let mut sim = Simulation::new(Setup { jobs, capacity: 2, loss: 0.0, ..s });
+    let mut sim = Simulation::new(Setup { jobs, capacity: 2, loss: 0.0, ..setup });
     assert_eq!(sim.run(300.0), []);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
     let mut pauses = Vec::new();
@@ -137,12 +133,12 @@
     pauses
 }
 
-/// Far more jobs come after a cancelled one than a transaction takes: all of them are called
-/// cancelled at once, whoever is asked, and the state service is not held up by them.
+/// Far more jobs depend on a cancelled one than fit a transaction: all are called cancelled at
+/// once by every controller, and the store is not blocked by them.
 #[test]
-fn a_wide_fall_is_told_at_once() {
-    let mut s = setup(6, vec![]);
-    unlimited(&mut s);
+fn wide_cancellation_cascade_is_reported_at_once() {
+    let mut setup = seeded_day(6, vec![]);
+    without_quotas(&mut setup);
     let wide = |n: usize| JobSpec {
         id: format!("req-{}", 2000 + n),
         tasks: 1,
@@ -155,7 +151,7 @@
     // Something urgent goes on beside it.
     let beside = JobSpec { id: "req-2".into(), tasks: 1, estimated_run_s: 5.0, ..long_array() };
     jobs.push(Submission::new(41.0, beside));
-    let mut sim = Simulation::new(Setup { jobs, capacity: 3, loss: 0.0, ..s });
+    let mut sim = Simulation::new(Setup { jobs, capacity: 3, loss: 0.0, ..setup });
     assert_eq!(sim.run(52.0), []);
     let open = sim.unfinished();
     assert!(open.len() <= 2, "{} not told", open.len());
@@ -165,11 +161,12 @@
     assert!(sim.store().history("j/req-2", placed).first_match_at.unwrap() < 46.0);
 }
 
-/// Wrong submissions get their final answer at once; a known job's repetition gets its state.
+/// Submissions with invalid dependencies get their final response at once; a known job gets its
+/// status.
 #[test]
-fn wrong_names_are_refused_for_good() {
-    let mut s = setup(7, vec![]);
-    unlimited(&mut s);
+fn invalid_dependencies_are_refused() {
+    let mut setup = seeded_day(7, vec![]);
+    without_quotas(&mut setup);
     let array = |id: &str, awaits: &[&str]| JobSpec {
         id: id.into(),
         tasks: 1,
@@ -178,9 +175,9 @@
         ..long_array()
     };
     let service = JobSpec { shape: Shape::Service, ..array("req-2", &[]) };
-    s.jobs =
+    setup.jobs =
         vec![Submission::new(1.0, array("req-1", &[])), Submission::new(1.0, service).cancelled_at(150.0)];
-    let mut sim = Simulation::new(Setup { capacity: 2, loss: 0.0, ..s });
+    let mut sim = Simulation::new(Setup { capacity: 2, loss: 0.0, ..setup });
     assert_eq!(sim.run(40.0), []);
     for (awaits, status, word) in [
         (&["req-9"][..], 422, "never accepted"),
--- a/crates/simulation/tests/digests.rs
+++ b/crates/simulation/tests/digests.rs
@@ -19,7 +19,7 @@
 use rayon::prelude::*;
 use std::path::Path;
 
-/// How long most days go on: all troubles of the helpers have begun by 160 s.
+/// How long most days go on: all faults of the helpers have begun by 160 s.
 const DAY_S: f64 = 230.0;
 
 /// A day by name, and how it is played.
@@ -40,10 +40,10 @@
     sim
 }
 
-/// Eight troubles of those that the other helpers have not.
-fn further_troubles(seed: u64) -> Vec<ScheduledFault> {
+/// Eight faults of those that the other helpers have not.
+fn further_faults(seed: u64) -> Vec<ScheduledFault> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0xd19e);
-    let trouble = |_| {
+    let fault = |_| {
         let at = rng.gen_range(5.0..160.0);
         let duration_s: f64 = rng.gen_range(5.0..40.0);
         let (node, machine) = (rng.gen_range(0..3), rng.gen_range(0..6));
@@ -75,7 +75,7 @@
         };
         ScheduledFault::new(at, fault)
     };
-    (0..8).map(trouble).collect()
+    (0..8).map(fault).collect()
 }
 
 /// Jobs that fail everywhere until their users cancel them.
@@ -90,19 +90,25 @@
 /// Jobs of every kind on machines of three types that hold a part of them: with checkpoints,
 /// deadlines, chosen types and all priorities, so that running work is stopped for other work.
 fn varied(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
-    let mut s = setup(seed, faults);
-    unlimited(&mut s);
+    let mut setup = seeded_day(seed, faults);
+    without_quotas(&mut setup);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x7a61);
-    let big = s.types[0].clone();
-    s.types.push(MachineType {
+    let big = setup.types[0].clone();
+    setup.types.push(MachineType {
         name: "small".into(),
         cores: 8.0,
         accelerators: 2.0,
         price: 2.2,
         ..big.clone()
     });
-    s.types.push(MachineType { name: "fast".into(), fetch_gb_per_s: 3.0, price: 6.0, boot_s: 4.0, ..big });
-    for Submission { spec, .. } in s.jobs.iter_mut() {
+    setup.types.push(MachineType {
+        name: "fast".into(),
+        fetch_gb_per_s: 3.0,
+        price: 6.0,
+        boot_s: 4.0,
+        ..big
+    });
+    for Submission { spec, .. } in setup.jobs.iter_mut() {
         spec.priority =
             [Priority::Low, Priority::Normal, Priority::High, Priority::Production][rng.gen_range(0..4)];
         spec.deadline_s = rng.gen_bool(0.4).then(|| rng.gen_range(20.0..200.0));
@@ -114,30 +120,30 @@
                 Some(vec![["big", "small", "fast"][rng.gen_range(0..3)].into(), "big".into()]);
         }
     }
-    Setup { capacity: 5, ..s }
+    Setup { capacity: 5, ..setup }
 }
 
-/// Wide arrays in pages, a state service whose limits fall, and users that ask often.
+/// Wide arrays in pages, a store whose limits fall, and users that ask often.
 fn at_limits(seed: u64) -> Setup {
-    let mut s = setup(seed, troubles(seed));
-    unlimited(&mut s);
-    s.settings.params.store.next = Some(settings::NextLimits {
+    let mut setup = seeded_day(seed, seeded_faults(seed));
+    without_quotas(&mut setup);
+    setup.settings.params.store.next = Some(settings::NextLimits {
         value_kb: Some(2.0),
         txn_ops: Some(8),
         ..settings::NextLimits::default()
     });
-    for Submission { spec, .. } in s.jobs.iter_mut().step_by(5).filter(|j| j.spec.shape == Shape::Array) {
+    for Submission { spec, .. } in setup.jobs.iter_mut().step_by(5).filter(|j| j.spec.shape == Shape::Array) {
         (spec.tasks, spec.cores, spec.accelerators, spec.memory_gb) = (200, 0.25, 0.0, 0.25);
     }
-    s.faults.push(ScheduledFault::new(60.0 + seed as f64 % 30.0, Fault::StoreLimitsReduced));
-    s.faults.push(ScheduledFault::new(70.0, Fault::QueryFlood { factor: 8.0, duration_s: 20.0 }));
-    Setup { capacity: 12, ..s }
+    setup.faults.push(ScheduledFault::new(60.0 + seed as f64 % 30.0, Fault::StoreLimitsReduced));
+    setup.faults.push(ScheduledFault::new(70.0, Fault::QueryFlood { factor: 8.0, duration_s: 20.0 }));
+    Setup { capacity: 12, ..setup }
 }
 
-/// The state service refuses the leader alone, users cancel, and the service is down for all
+/// The store refuses the leader alone, users cancel, and the service is down for all
 /// while the successor takes over.
 fn meeting(seed: u64) -> Simulation {
-    let mut sim = Simulation::new(setup(seed, vec![]));
+    let mut sim = Simulation::new(seeded_day(seed, vec![]));
     sim.record_digest();
     sim.run(69.0 + seed as f64 % 7.0);
     if let Some(node) = sim.leader() {
@@ -152,7 +158,7 @@
     sim
 }
 
-/// A script of the explorer's with a trouble of each of some kinds, at messages that the seed draws.
+/// A script of the explorer's with a fault of each of some kinds, at messages that the seed draws.
 fn scripted(machine: usize, seed: u64) -> Simulation {
     let script = &SCRIPTS[machine];
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5c71);
@@ -183,22 +189,29 @@
 fn days() -> Vec<Day> {
     let mut days = Vec::new();
     let five = |s: Setup| Setup { nodes: 5, ..s };
-    days.extend((0..2).map(|n| day("quiet", n, move || run(setup(n, vec![]), DAY_S))));
-    days.extend((0..30).map(|n| day("troubles", n, move || run(setup(n, troubles(n)), DAY_S))));
-    days.extend((3080..3092).map(|n| day("late-returns", n, move || run(setup(n, late_returns(n)), DAY_S))));
-    days.extend((0..16).map(|n| day("newest", n, move || run(setup(n, newest_troubles(n)), DAY_S))));
-    days.extend((0..36).map(|n| day("further", n, move || run(setup(n, further_troubles(n)), DAY_S))));
-    days.extend((100..112).map(|n| day("five", n, move || run(five(setup(n, troubles(n))), DAY_S))));
+    days.extend((0..2).map(|n| day("quiet", n, move || run(seeded_day(n, vec![]), DAY_S))));
+    days.extend((0..30).map(|n| day("troubles", n, move || run(seeded_day(n, seeded_faults(n)), DAY_S))));
+    days.extend(
+        (3080..3092)
+            .map(|n| day("late-returns", n, move || run(seeded_day(n, faults_with_late_restarts(n)), DAY_S))),
+    );
+    days.extend((0..16).map(|n| day("newest", n, move || run(seeded_day(n, one_way_faults(n)), DAY_S))));
+    days.extend((0..36).map(|n| day("further", n, move || run(seeded_day(n, further_faults(n)), DAY_S))));
+    days.extend(
+        (100..112).map(|n| day("five", n, move || run(five(seeded_day(n, seeded_faults(n))), DAY_S))),
+    );
     days.extend(
-        (100..108).map(|n| day("five-further", n, move || run(five(setup(n, further_troubles(n))), DAY_S))),
+        (100..108)
+            .map(|n| day("five-further", n, move || run(five(seeded_day(n, further_faults(n))), DAY_S))),
     );
+    days.extend((200..212).map(|n| {
+        day("broken-jobs", n, move || run(with_broken_jobs(seeded_day(n, seeded_faults(n))), DAY_S))
+    }));
     days.extend(
-        (200..212)
-            .map(|n| day("broken-jobs", n, move || run(with_broken_jobs(setup(n, troubles(n))), DAY_S))),
+        (300..316).map(|n| day("pipelines", n, move || run(dependent_day(n, seeded_faults(n)), DAY_S))),
     );
-    days.extend((300..316).map(|n| day("pipelines", n, move || run(linked(n, troubles(n)), DAY_S))));
     days.extend((600..608).map(|n| day("varied", n, move || run(varied(n, vec![]), DAY_S))));
-    days.extend((608..624).map(|n| day("varied", n, move || run(varied(n, troubles(n)), DAY_S))));
+    days.extend((608..624).map(|n| day("varied", n, move || run(varied(n, seeded_faults(n)), DAY_S))));
     days.extend((400..410).map(|n| day("limits", n, move || run(at_limits(n), DAY_S))));
     days.extend((500..512).map(|n| day("meeting", n, move || meeting(n))));
     for (machine, script) in SCRIPTS.iter().enumerate() {
@@ -237,7 +250,7 @@
 /// Two plays of one day are equal, and another seed's day is another.
 #[test]
 fn a_day_repeats_exactly() {
-    let play = |n| run(setup(n, troubles(n)), 60.0).digest().expect("it was taken");
+    let play = |n| run(seeded_day(n, seeded_faults(n)), 60.0).digest().expect("it was taken");
     assert_eq!(play(7), play(7));
     assert_ne!(play(7), play(8));
 }
--- a/crates/simulation/tests/explore.rs
+++ b/crates/simulation/tests/explorer.rs
@@ -1,5 +1,5 @@
-//! The explorer: what it plays repeats exactly, it finds what the checks keep, and bad input is
-//! refused in one line.
+//! The explorer: its runs repeat exactly, it finds what each safety check prevents, and bad input
+//! is refused in one line.
 
 use anisecroft_simulation::explore::*;
 use anisecroft_simulation::{MessageFault, MessageKind, PlannedFault, Simulation};
@@ -23,7 +23,7 @@
     text.parse().expect("the line is one that a run printed")
 }
 
-/// Of all scripts one run in many; every run without trouble, and messages of rare meaning, are
+/// Of all scripts one run in many; every run without fault, and messages of rare meaning, are
 /// among them. All of it: `cargo run --release -p anisecroft-simulation --bin explore`.
 #[test]
 fn a_selection_of_all_scripts_breaks_no_rule() {
@@ -40,8 +40,9 @@
 /// Of the runs of a script one in so many.
 const SELECTED: usize = 800;
 
-/// Without a guard the plan of a script comes to a run that breaks one of `rules`, and with it the
-/// same run does not. Of the plan one run in `every` may be played, with one kind of trouble if it is named.
+/// Without a safety check, the plan of a script reaches a run that breaks one of `rules`; with the
+/// check the same run breaks none. One run in `every` is played, with one kind of fault if it is
+/// named.
 fn found(guard_name: &'static str, rules: &[&str], script: &str, only: &[&'static str], every: usize) {
     let o = Options { without: Some(guard_name), stop_at_first: true, only: only.to_vec(), ..options(every) };
     let e = explore(find_script(script).expect("it is there"), &o, &|_| {});
@@ -58,35 +59,35 @@
 }
 
 #[test]
-fn what_a_guard_keeps_is_found() {
+fn disabled_safety_checks_are_found() {
     found("quota", &["Quota"], "limit", &[], 1000);
     found("awaits", &["TooEarly"], "await", &[], 1000);
     found("lineage", &["Orphaned", "WentBack"], "leaderless", &[], 1000);
     found("gateway.leave", &["RanCancelled", "RanTwice"], "zone", &["cut"], 50);
 }
 
-/// Each guard of the core has a name here that switches it off, and only it.
+/// Each safety check of the controller has a name that switches it off, and only it.
 #[test]
-fn every_guard_has_a_name() {
+fn every_safety_check_has_a_name() {
     let on = |without| format!("{:?}", checks_without(without)).matches("true").count();
     assert_eq!(on(None), check_names().count());
     assert!(check_names().all(|name| on(Some(name)) == on(None) - 1));
 }
 
-/// The others take hundreds or thousands of runs: `cargo test --release -p anisecroft-simulation --test explore --
-/// --ignored`.
+/// The others take hundreds or thousands of runs: `cargo test --release -p anisecroft-simulation
+/// --test explorer -- --ignored`.
 #[test]
 #[ignore = "a minute"]
-fn what_other_guards_keep_is_found() {
+fn other_disabled_safety_checks_are_found() {
     found("grace", &["RanCancelled"], "gap", &[], 30);
     found("write_ahead", &["RanTwice"], "steady", &[], 6);
     found("versions", &["WentBack"], "cancel", &[], 12);
     found("relay_wait", &["RanTwice"], "zone", &[], 12);
 }
 
-/// A trouble that the failure doesn't need is left out, and the others last less long.
+/// A fault that the failure does not need is left out, and the others get shorter.
 #[test]
-fn a_failure_is_made_smaller() {
+fn failures_are_reduced() {
     let large = line("await 30:late:2 40:ask 50:cancel seed:1 without:awaits");
     let rule = play(&large, false).failure.expect("it breaks a rule").rule;
     let small = reduce(&large, &rule);
@@ -94,9 +95,9 @@
     assert_eq!(play(&small, false).failure.map(|failure| failure.rule), Some(rule), "{small}");
 }
 
-/// Nothing is drawn for the record: the run is the same with and without.
+/// Recording draws nothing at random: the run is the same with and without.
 #[test]
-fn a_record_changes_nothing() {
+fn recording_does_not_change_a_run() {
     for script in SCRIPTS.iter().step_by(3) {
         let run = |recorded: Option<bool>| {
             let mut sim = Simulation::new(script.setup(5, checks_without(None)));
@@ -119,26 +120,23 @@
     }
 }
 
-/// Every kind of trouble at every border comes about, and all but a wait that nobody
-/// notices change what crosses afterwards.
+/// Every kind of fault at every kind of message comes about, and all but a delay that nobody
+/// notices change later messages.
 #[test]
-fn every_trouble_strikes() {
+fn every_message_fault_takes_effect() {
     let quiet = line("cancel");
     let crossings = play(&quiet, true).messages;
     let borders: std::collections::BTreeSet<&MessageKind> = crossings.iter().map(|c| &c.kind).collect();
     assert_eq!(borders.len(), 14, "{borders:?}");
     for border in borders {
         // Late enough that machines are there, and others where one changes nothing: the answer to a
-        // stop may be lost unnoticed, since the next report says the same.
+        // stop may be lost unnoticed, since the next heartbeat says the same.
         let alike: Vec<_> = crossings.iter().filter(|c| c.kind == *border).collect();
         let points = [2, 4, 1].map(|part| alike[(alike.len() / part).min(alike.len() - 1)].number);
-        for trouble in faults_at(border) {
-            let mut changed = matches!(trouble, MessageFault::JobsCancelled);
+        for fault in faults_at(border) {
+            let mut changed = matches!(fault, MessageFault::JobsCancelled);
             for number in points {
-                let one = ReplayLine {
-                    plan: vec![PlannedFault { message: number, fault: trouble }],
-                    ..quiet.clone()
-                };
+                let one = ReplayLine { plan: vec![PlannedFault { message: number, fault }], ..quiet.clone() };
                 let outcome = play(&one, true);
                 assert_eq!((outcome.faults_injected, outcome.failure), (1, None), "{one}");
                 let before = crossings.iter().take_while(|c| c.number <= number);
@@ -148,14 +146,14 @@
                     break;
                 }
             }
-            assert!(changed, "{border:?}: {trouble:?} changes nothing");
+            assert!(changed, "{border:?}: {fault:?} changes nothing");
         }
     }
 }
 
-/// Second troubles come within a lease after the first, and what is thinned is counted.
+/// Second faults come within a lease after the first, and what is thinned is counted.
 #[test]
-fn pairs_are_counted() {
+fn fault_pairs_are_counted() {
     let o = Options { depth: 2, only: vec!["copied"], ..options(500) };
     let e = explore(find_script("await").expect("it is there"), &o, &|_| {});
     assert_eq!(e.failures, []);
@@ -164,16 +162,16 @@
 }
 
 #[test]
-fn lines_are_read_as_they_are_written() {
+fn replay_lines_round_trip() {
     let text = "cancel 12:lost 40:late:2.5 41:copied:24 50:ends-before:0.2 51:ends-after:20 60:cut:3 \
                 61:refused:43 62:hangs:20 70:cancel 71:ask seed:9 without:gateway.token";
     assert_eq!(line(text).to_string(), text);
     assert_eq!(line("cancel").to_string(), "cancel seed:1");
 }
 
-/// What the command says on the wrong line or option, and its exit code.
+/// What the command prints on a bad line or option, and its exit code.
 #[test]
-fn bad_input_gets_one_line() {
+fn bad_input_is_reported_in_one_line() {
     for (args, word) in [
         (&["--replay", "nothing 1:lost"][..], "arrays"),
         (&["--replay", "cancel 1:gone"], "ends-before"),
@@ -207,7 +205,7 @@
 
 /// The exit code tells whether a rule broke.
 #[test]
-fn the_exit_code_tells() {
+fn exit_code_reports_broken_rules() {
     for (text, code) in [("await", 0), ("await seed:1 without:awaits", 1)] {
         let out = Command::new(env!("CARGO_BIN_EXE_explore")).args(["--replay", text]).output();
         assert_eq!(out.expect("it runs").status.code(), Some(code), "{text}");
--- a/crates/simulation/tests/explored.rs
+++ b/crates/simulation/tests/explorer_regressions.rs
@@ -1,4 +1,4 @@
-//! What the explorer found, each as a run of its own that needs no numbers of messages.
+//! Failures that the explorer found, each as a run of its own that needs no numbers of messages.
 
 mod common;
 
@@ -6,17 +6,17 @@
 use common::*;
 use protocol::job::*;
 
-/// Work that nobody waits for loses its machine when it has waited for long, and there is no other
-/// work: a machine is rented for it again. (It was taken for one place that is free anyway, for
-/// which nothing is rented, and never ran again. Found by `explore`, script `gang`, a machine that hangs.)
+/// A best-effort job that has waited for long loses its machine, and there is no other job: a
+/// machine is rented for it again. (It was taken for a job that only fills free capacity, and
+/// never ran again. Found by `explore`, script `gang`, with a machine that hangs.)
 #[test]
-fn idle_work_alone_is_rented_for_again() {
+fn best_effort_job_alone_gets_a_new_machine() {
     for seed in 0..6 {
-        let mut s = setup(seed, vec![]);
-        unlimited(&mut s);
+        let mut setup = seeded_day(seed, vec![]);
+        without_quotas(&mut setup);
         let idle = JobSpec { priority: Priority::Low, tasks: 2, estimated_run_s: 110.0, ..long_array() };
-        s.jobs = vec![Submission::new(1.0, idle)];
-        let mut sim = Simulation::new(Setup { capacity: 2, loss: 0.0, ..s });
+        setup.jobs = vec![Submission::new(1.0, idle)];
+        let mut sim = Simulation::new(Setup { capacity: 2, loss: 0.0, ..setup });
         assert_eq!(sim.run(70.0), [], "seed {seed}");
         assert!(
             sim.metrics.task_starts > 0 && !sim.unfinished().is_empty(),
--- a/crates/simulation/tests/hand_over.rs
+++ b/crates/simulation/tests/failover.rs
@@ -1,69 +1,70 @@
-//! Work that changes hands, and reports that are older than the leader (`docs/safety.md`).
+//! Failovers while jobs are cancelled, and heartbeats that are older than the leader
+//! (`docs/safety.md`).
 
 mod common;
 
-#[path = "common/by_hand.rs"]
-mod by_hand;
+#[path = "common/single_controller.rs"]
+mod single_controller;
 
 use anisecroft_simulation::state::Store;
 use anisecroft_simulation::{Fault, ScheduledFault, Setup, Simulation, Submission};
-use by_hand::*;
 use common::*;
 use controller::records::LEADER_KEY;
 use protocol::job::JobSpec;
+use single_controller::*;
 
-/// An old copy of a report comes to a new leader that reads its records yet, after a live one: it
-/// is the live one's answer that a worker waits for.
+/// A new leader is still recovering when an old duplicate arrives after a live heartbeat: the live
+/// one gets the response, since its worker waits for it.
 #[test]
-fn a_copy_does_not_take_an_early_report_s_place() {
-    let mut w = ByHand::starting(Store::default(), &["vm-1"], 0.0);
-    w.lists_down = true;
-    assert!(w.run_until(10.0, |w| w.core.is_leader()));
-    let mut hand = Hand::new("vm-1");
-    let old = hand.next();
-    (0..5).for_each(|_| drop(hand.next()));
-    let live = w.deliver(&hand.next());
-    w.deliver(&old);
-    w.run(0.2);
-    w.lists_down = false;
-    w.run(4.0);
-    assert!(w.answer(live).is_some(), "{:?}", w.answers.get(&live));
+fn duplicate_does_not_replace_a_newer_early_heartbeat() {
+    let mut driver = SingleController::starting(Store::default(), &["vm-1"], 0.0);
+    driver.lists_down = true;
+    assert!(driver.run_until(10.0, |driver| driver.controller.is_leader()));
+    let mut worker = ManualWorker::new("vm-1");
+    let old = worker.next();
+    (0..5).for_each(|_| drop(worker.next()));
+    let live = driver.deliver(&worker.next());
+    driver.deliver(&old);
+    driver.run(0.2);
+    driver.lists_down = false;
+    driver.run(4.0);
+    assert!(driver.answer(live).is_some(), "{:?}", driver.answers.get(&live));
 }
 
-/// Copies of the reports of a machine that is gone come one after another to the next leader:
-/// none of them shows that it is there. A report with this leader's token does.
+/// Duplicates of a lost machine's heartbeats reach the next leader one after another: none shows
+/// that the machine is there. A heartbeat with this leader's token does.
 #[test]
-fn copies_of_the_past_make_no_machine() {
-    let mut w = ByHand::leading(Store::default(), &[], 100.0);
-    let mut hand = Hand::new("vm-9");
-    let copies = [hand.next(), hand.next()];
+fn old_duplicates_do_not_create_a_machine() {
+    let mut driver = SingleController::leading(Store::default(), &[], 100.0);
+    let mut worker = ManualWorker::new("vm-9");
+    let copies = [worker.next(), worker.next()];
     for copy in &copies {
-        w.deliver(copy);
-        w.run(2.5);
+        driver.deliver(copy);
+        driver.run(2.5);
     }
-    assert_eq!(w.core.usable_machines().count(), 0);
-    w.turn(&mut hand);
-    w.run(0.5);
-    w.turn(&mut hand);
-    assert_eq!(w.core.usable_machines().collect::<Vec<_>>(), ["vm-9"]);
+    assert_eq!(driver.controller.usable_machines().count(), 0);
+    driver.turn(&mut worker);
+    driver.run(0.5);
+    driver.turn(&mut worker);
+    assert_eq!(driver.controller.usable_machines().collect::<Vec<_>>(), ["vm-9"]);
 }
 
-/// A worker refuses a direct command since it has seen a higher token: whoever sent it leads no
+/// A worker refuses a direct command because it has seen a higher token: the sender leads no
 /// longer.
 #[test]
-fn a_refused_direct_command_tells_of_the_next_leader() {
-    let mut w = ByHand::leading(Store::default(), &["vm-1"], 0.0);
-    let mut hand = Hand::new("vm-1");
+fn refused_direct_command_reveals_a_newer_leader() {
+    let mut driver = SingleController::leading(Store::default(), &["vm-1"], 0.0);
+    let mut worker = ManualWorker::new("vm-1");
     let job = JobSpec { id: "req-1".into(), tasks: 1, accelerators: 0.5, ..long_array() };
-    w.submit(&job);
-    w.settle(&mut hand, &["req-1"]);
-    w.cancel("req-1");
-    w.run(0.2);
-    let (_, call, body) = w.told(&hand)[0].clone();
-    hand.report.fencing_token += 100;
-    let before = w.core.token();
-    w.take_direct(&mut hand, call, &body);
-    assert_ne!(w.core.token(), before);
+    driver.submit(&job);
+    driver.settle(&mut worker, &["req-1"]);
+    driver.cancel("req-1");
+    driver.run(0.2);
+    let (_, call, body) = driver.told(&worker)[0].clone();
+    worker.report.fencing_token += 100;
+    let before = driver.controller.token();
+    driver.take_direct(&mut worker, call, &body);
+    assert_ne!(driver.controller.token(), before);
 }
 
 /// Around when each run's cancellations fall, and for how long before and after.
@@ -71,11 +72,11 @@
 const BEFORE: f64 = 6.0;
 const AFTER: f64 = 12.0;
 
-/// Long jobs that run by then, of which most are cancelled in the seconds around the change, in
-/// each of them; the others end.
+/// Long jobs that run by then, most of which are cancelled in each of the seconds around the
+/// failover; the others end.
 fn cancelled_around(seed: u64, nodes: usize) -> Setup {
-    let mut s = setup(seed, vec![]);
-    unlimited(&mut s);
+    let mut setup = seeded_day(seed, vec![]);
+    without_quotas(&mut setup);
     let job = |n: usize, long: bool| JobSpec {
         id: format!("req-{}", 100 + n),
         tasks: 1 + n as u32 % 2,
@@ -85,7 +86,7 @@
         estimated_run_s: if long { 900.0 } else { 70.0 },
         ..long_array()
     };
-    s.jobs = (0..48)
+    setup.jobs = (0..48)
         .map(|n| {
             // A third comes in those seconds only, and is fetched or launched when it is cancelled.
             let cancel = CHANGE - BEFORE + n as f64 * (BEFORE + AFTER) / 48.0;
@@ -94,30 +95,30 @@
             Submission::new(at, job(n, long)).cancelled_at(long.then_some(cancel))
         })
         .collect();
-    Setup { nodes, capacity: 8, ..s }
+    Setup { nodes, capacity: 8, ..setup }
 }
 
-/// How work changes hands.
+/// How work changes workers.
 const CHANGES: usize = 9;
 
-/// The troubles of change `n`, each with how long after the first; `leader` leads then.
+/// The faults of failover `n`, each with its delay after the first; `leader` leads then.
 fn change(n: usize, leader: usize, nodes: usize) -> Vec<ScheduledFault> {
     let crash = |node, duration_s| Fault::ControllerCrash { node: node % nodes, duration_s };
     let next = (leader + 1) % nodes;
     match n {
         0 => vec![ScheduledFault::new(0.0, crash(leader, 0.2))],
         1 => vec![ScheduledFault::new(0.0, crash(leader, 9.0))],
-        // Two tokens are in flight: the old leader answers on, and so do its gateways.
+        // Two tokens are in use: the old leader goes on, and so do its proxies.
         2 => vec![ScheduledFault::new(0.0, Fault::StoreRefusesNode { node: leader, duration_s: 9.0 })],
         3 => vec![ScheduledFault::new(0.0, Fault::IsolatedWithWorkers { node: leader, duration_s: 12.0 })],
         // A rolling restart.
         4 => (0..nodes).map(|k| ScheduledFault::new(k as f64 * 2.5, crash(leader + k, 0.2))).collect(),
-        // A gateway's leave ends with it, or is lost on the way.
+        // A proxy's delegated lease ends with it, or is lost on the way.
         5 => vec![
             ScheduledFault::new(0.0, Fault::PeerPartition { node: next, duration_s: 8.0 }),
             ScheduledFault::new(3.0, crash(next, 0.2)),
         ],
-        // Every worker goes to another node with every report.
+        // Every worker goes to another node with every heartbeat.
         6 => vec![
             ScheduledFault::new(0.0, Fault::RotatingHeartbeatTargets { duration_s: 10.0 }),
             ScheduledFault::new(1.0, crash(leader, 5.0)),
@@ -128,14 +129,14 @@
             ScheduledFault::new(5.5, crash(next, 4.0)),
             ScheduledFault::new(11.0, crash(leader, 0.2)),
         ],
-        // All end, one returns.
+        // All crash, one restarts soon.
         _ => (0..nodes)
             .map(|k| ScheduledFault::new(0.0, crash(k, if k == next { 0.2 } else { 15.0 })))
             .collect(),
     }
 }
 
-/// Reports that are older than the leader, or come twice.
+/// Heartbeats that are older than the leader, or are duplicated.
 fn old_reports(n: u64) -> Vec<Fault> {
     let next = |delay_s| Fault::HeartbeatsReplayedAfterFailover { delay_s, duration_s: 40.0 };
     match n % 5 {
@@ -164,10 +165,10 @@
     }
 }
 
-/// Plays `troubles` from now on.
-fn play(sim: &mut Simulation, troubles: Vec<ScheduledFault>) {
+/// Injects `faults` from now on.
+fn play(sim: &mut Simulation, faults: Vec<ScheduledFault>) {
     let begun = sim.now;
-    for ScheduledFault { at, fault } in troubles {
+    for ScheduledFault { at, fault } in faults {
         sim.run(begun + at);
         sim.inject(fault);
     }
@@ -183,7 +184,7 @@
     play(&mut sim, change(n, leader, nodes));
     assert_eq!(sim.run(CHANGE + AFTER + 3.0), [], "{what}");
     if (seed + seed / CHANGES as u64) % 3 == 1 {
-        // No leader can see the last of them for longer than `cancel_s`.
+        // No leader can see the last cancellations for longer than `cancel_s`.
         sim.inject(Fault::StoreOutage { duration_s: 45.0 });
     }
     assert_eq!(sim.run(500.0), [], "{what}");
@@ -199,7 +200,7 @@
     shown
 }
 
-/// All changes with some old reports, `part` of `parts`.
+/// All failovers with some old heartbeats: `part` of `parts`.
 fn all_changes(part: usize, parts: usize, first_seed: u64) -> Shown {
     let mut sum = Shown::default();
     for n in (0..CHANGES * 10).filter(|n| n % parts == part) {
@@ -208,8 +209,8 @@
     sum
 }
 
-/// Ten changes in two minutes, at times in an outage, while jobs are cancelled all along. Returns
-/// how often a leader began, and how many tasks after their job's cancellation.
+/// Ten failovers in two minutes, some within an outage, while jobs are cancelled all along.
+/// Returns how often a leader was elected, and how many tasks began after their job was cancelled.
 fn ten_changes(seed: u64, nodes: usize) -> (usize, usize) {
     let what = format!("seed {seed}: ten changes, {nodes} nodes");
     let mut s = cancelled_around(seed, nodes);
@@ -241,38 +242,30 @@
     (sim.store().history(LEADER_KEY, |_| true).writes, sim.late_starts.len())
 }
 
-/// Plays on two threads.
-fn on_threads<T: Send>(play: impl Fn(usize) -> T + Sync) -> Vec<T> {
-    let play = &play;
-    std::thread::scope(|s| {
-        let threads: Vec<_> = (0..2).map(|part| s.spawn(move || play(part))).collect();
-        threads.into_iter().map(|t| t.join().expect("no rule breaks")).collect()
-    })
-}
-
 #[test]
-fn cancellations_around_a_change_of_hands_end_their_tasks() {
+fn cancellations_around_a_failover_end_their_tasks() {
     let mut sum = Shown::default();
-    on_threads(|part| all_changes(part * 2, 4, 0)).into_iter().for_each(|s| sum.add(s));
+    on_threads(2, |part| all_changes(part * 2, 4, 0)).into_iter().for_each(|s| sum.add(s));
     assert!(sum.seconds[..17].iter().all(|n| *n > 3) && sum.copies > 100, "{sum:?}");
 }
 
 #[test]
-fn ten_changes_in_two_minutes_break_no_rule() {
-    let runs = on_threads(|part| (0..3).map(|n| ten_changes(n * 2 + part as u64, 3 + part * 2).0).collect());
+fn ten_failovers_in_two_minutes_break_no_rule() {
+    let runs =
+        on_threads(2, |part| (0..3).map(|n| ten_changes(n * 2 + part as u64, 3 + part * 2).0).collect());
     let runs: Vec<Vec<usize>> = runs;
     assert!(runs.iter().flatten().all(|leaders| *leaders >= 6), "{runs:?}");
 }
 
-/// All of them, over many seeds and by hand: `cargo test --release -p anisecroft-simulation --test
-/// hand_over -- --ignored --nocapture`.
+/// All of them, over many seeds: `cargo test --release -p anisecroft-simulation --test failover --
+/// --ignored --nocapture`.
 #[test]
 #[ignore = "minutes"]
-fn hand_overs_break_no_rule_over_many_seeds() {
+fn failovers_over_many_seeds_break_no_rule() {
     for round in 0..20 {
-        println!("{:?}", on_threads(|part| all_changes(part, 2, round * 1000)));
+        println!("{:?}", on_threads(2, |part| all_changes(part, 2, round * 1000)));
         let ten = |part: usize| (0..8).map(|n| ten_changes(round * 100 + n, 3 + part * 2)).collect();
-        let ten: Vec<Vec<(usize, usize)>> = on_threads(ten);
+        let ten: Vec<Vec<(usize, usize)>> = on_threads(2, ten);
         println!("{ten:?}");
     }
 }
--- a/crates/simulation/tests/returns.rs
+++ b/crates/simulation/tests/failure_detection.rs
@@ -1,5 +1,5 @@
-//! What comes back: zones, gateways and nodes that were away, and machines that
-//! are gone for good.
+//! Failure detection: zones, proxies and controllers that return, and machines that are gone for
+//! good.
 
 mod common;
 
@@ -7,15 +7,14 @@
 use common::*;
 use protocol::job::*;
 
-/// A zone is cut off for so long that its machines are given back. When its
-/// gateway returns it passes on all that it knew, to a leader that gave them
-/// back or to one that never knew them. (A third of a fleet that was long gone
-/// was once taken for up again, and had work placed on it.)
+/// A zone is partitioned for so long that its machines are scaled in. When its proxy returns it
+/// forwards all that it knew, to the leader that scaled them in or to one that never knew them. (A
+/// third of a fleet that was long gone was once taken for alive and given tasks.)
 #[test]
-fn what_is_gone_does_not_come_back_with_its_gateway() {
+fn deleted_machines_do_not_return_with_their_proxy() {
     let mut given_back = 0;
     for seed in 0..16 {
-        let (cut, hold) = (40.0 + seed as f64, derived().unreachable_zone_retention_s + 40.0);
+        let (cut, hold) = (40.0 + seed as f64, timing().unreachable_zone_retention_s + 40.0);
         let mut faults = vec![ScheduledFault::new(cut, Fault::ZonePartition { zone: "b", duration_s: hold })];
         // All nodes outside start anew, so that nobody there knows any more.
         if seed % 2 == 1 {
@@ -24,7 +23,7 @@
             };
             faults.extend([0, 2].map(crash));
         }
-        let mut sim = Simulation::new(setup(seed, faults));
+        let mut sim = Simulation::new(seeded_day(seed, faults));
         assert_eq!(sim.run(300.0), [], "seed {seed}");
         given_back += sim.deleted.len();
         assert!(sim.usable_after_loss.is_empty(), "seed {seed}: {:?}", sim.usable_after_loss);
@@ -32,34 +31,33 @@
     assert!(given_back > 0);
 }
 
-/// Work that fills `machines` machines for longer than the day.
+/// A job that fills `machines` machines for longer than the day.
 fn full(seed: u64, machines: usize) -> Simulation {
     full_of(3, seed, machines)
 }
 
 fn full_of(nodes: usize, seed: u64, machines: usize) -> Simulation {
     let spec = JobSpec { tasks: machines as u32 * 4, ..long_array() };
-    let mut s = setup(seed, vec![]);
-    unlimited(&mut s);
+    let mut setup = seeded_day(seed, vec![]);
+    without_quotas(&mut setup);
     let mut sim = Simulation::new(Setup {
         jobs: vec![Submission::new(1.0, spec)],
         capacity: machines,
         loss: 0.0,
         nodes,
-        ..s
+        ..setup
     });
     assert_eq!(sim.run(100.0), []);
     sim
 }
 
-/// A zone that is away for longer than a lease has its work placed anew, but its
-/// machines are kept and nothing is rented there; when it comes back they work
-/// on, and no task runs twice. (They were once given back after three reports,
-/// and as many rented in the very zone that nobody reached.) With the odd pairs of
-/// seeds a controller outside crashes meanwhile. (A new leader once gave the zone's
-/// machines up at once, by the age of the reports that another node passed on.)
+/// The tasks of a zone that is away for longer than a lease are placed elsewhere, but its machines
+/// are kept and nothing is rented there; when the zone returns they work on, and no task runs
+/// twice. (They were once scaled in after three heartbeats, and as many rented in the zone that
+/// nobody reached.) With the odd pairs of seeds a controller outside crashes meanwhile. (A new
+/// leader once declared the zone's machines dead at once, by the age of forwarded heartbeats.)
 #[test]
-fn a_zone_that_comes_back_is_still_there() {
+fn partitioned_zone_keeps_its_machines() {
     for seed in 0..12 {
         let mut sim = full(seed, 24);
         let (deleted, starts) = (sim.deleted.len(), sim.metrics.task_starts);
@@ -81,11 +79,11 @@
     }
 }
 
-/// Every live machine is heard within a report's interval after nodes and links
-/// are back, whichever way its report comes.
+/// Every live machine is heard within a heartbeat interval after controllers and links are back,
+/// whichever way its heartbeat comes.
 #[test]
-fn who_comes_back_is_heard_within_a_report() {
-    let d = derived();
+fn reappearing_workers_are_heard_within_a_heartbeat() {
+    let d = timing();
     let report_s = settings().params.workers.heartbeat_interval_s;
     for seed in 0..8 {
         let mut sim = full(seed, 40);
@@ -101,7 +99,7 @@
                 sim.inject(Fault::ControllerCrash { node, duration_s: away });
             }
         }
-        // A worker gives its report up and tries the next node a second later.
+        // A worker's heartbeat times out, and it tries the next node a second later.
         let retry = d.worker_timeout_s + 1.0;
         let takeover = d.leader_lease_s + d.renewal_interval_s;
         assert_eq!(sim.run(100.0 + away + takeover + report_s * 1.25 + retry), [], "seed {seed}");
@@ -110,12 +108,12 @@
     }
 }
 
-/// Nodes that hear one another and the state service, but no workers, or none of one
-/// zone: their workers try one after the other until they find a node that does, and
-/// are kept meanwhile. (With four of five nodes cut off from the workers the one that
-/// was left gave a quarter of the fleet up.)
+/// Controllers that reach each other and the store, but no workers, or none of one zone: the
+/// workers try one after the other until they find one that hears them, and are kept meanwhile.
+/// (With four of five controllers cut off, the last one once declared a quarter of the fleet
+/// dead.)
 #[test]
-fn workers_that_few_nodes_hear_are_not_given_up() {
+fn workers_heard_by_few_controllers_are_not_declared_dead() {
     for seed in 0..12 {
         let nodes = 3 + seed as usize % 3;
         let mut sim = full_of(nodes, seed, 40);
@@ -145,10 +143,10 @@
     }
 }
 
-/// All controllers crash while a third of the machines hang: what goes on is kept,
-/// and what hangs for good is replaced.
+/// All controllers crash while a third of the machines hang: live machines are kept, and those
+/// that hang for good are replaced.
 #[test]
-fn all_controllers_crash_while_a_third_hangs() {
+fn all_controllers_crash_while_a_third_of_machines_hang() {
     for seed in 0..6 {
         let mut sim = full(seed, 24);
         for machine in (0..24).step_by(3) {
@@ -168,12 +166,11 @@
     }
 }
 
-/// A leader that the state service does not reach, or alone is refused by, is replaced. It
-/// asks nothing of the cloud from then on and judges no machine, and it leads no longer once
-/// another node says that there is a newer one. (It once went on for a minute: it
-/// listed the cloud beside its successor and gave the whole fleet up in its own books.)
+/// A leader that the store does not reach, or refuses, is replaced. From then on it makes no call
+/// to the cloud and declares no machine dead, and it steps down once another controller announces
+/// a newer leader. (It once led on for a minute, beside its successor.)
 #[test]
-fn a_replaced_leader_rests() {
+fn replaced_leader_stays_passive() {
     for seed in 0..12 {
         let mut sim = full_of(3 + seed as usize % 3, seed, 24);
         let Some(leader) = sim.leader() else { panic!("seed {seed}: nobody leads") };
@@ -194,7 +191,7 @@
         if !apart {
             // Views go out that often; one may be lost.
             assert!(
-                sim.metrics.max_dual_leadership_s < derived().renewal_interval_s * 2.5,
+                sim.metrics.max_dual_leadership_s < timing().renewal_interval_s * 2.5,
                 "seed {seed}: {}",
                 sim.metrics.max_dual_leadership_s
             );
@@ -202,14 +199,13 @@
     }
 }
 
-/// The state service is away for longer than the leader's grace: the workers go from node
-/// to node in vain meanwhile, and what is silent when it comes back is kept until it
-/// could have been heard.
+/// The store is down for longer than the leader's grace: workers go from controller to controller
+/// in vain, and those that are silent afterwards are kept until they could have been heard.
 #[test]
-fn nobody_is_given_up_for_an_outage() {
+fn no_worker_is_declared_dead_for_a_store_outage() {
     for seed in 0..8 {
         let mut sim = full_of(3 + seed as usize % 3, seed, 24);
-        sim.inject(Fault::StoreOutage { duration_s: derived().response_grace_s + 4.0 + 3.0 * seed as f64 });
+        sim.inject(Fault::StoreOutage { duration_s: timing().response_grace_s + 4.0 + 3.0 * seed as f64 });
         if seed % 2 == 1 {
             sim.inject(Fault::NodePartition { node: 0, store: false, workers: true, duration_s: 40.0 });
         }
@@ -219,12 +215,12 @@
     }
 }
 
-/// All controllers end and are back at once, some while the state service is down: the
-/// one that led goes on from its own key instead of waiting for a lease that nobody
-/// renews any more, and no work is lost. (Nobody led for a whole lease each time.)
+/// All controllers crash and restart at once, some during a store outage: the former leader
+/// resumes from its own key instead of waiting for a lease that nobody renews, and no task is
+/// lost. (There was no leader for a whole lease each time.)
 #[test]
-fn who_led_goes_on_after_a_quick_return() {
-    let d = derived();
+fn former_leader_resumes_after_a_quick_restart() {
+    let d = timing();
     for seed in 0..12 {
         let mut sim = full_of(3 + seed as usize % 3, seed, 24);
         let nodes = sim.workers_by_node().len();
@@ -239,7 +235,7 @@
             sim.inject(Fault::ControllerCrash { node, duration_s: back });
         }
         sim.metrics.max_leaderless_s = 0.0;
-        // The outage's rest, a look and a claim, each of which may be slow.
+        // The rest of the outage, a read and an election, each of which may be slow.
         let most = if outage { 3.0 } else { back } + d.renewal_interval_s * 2.0;
         assert_eq!(sim.run(200.0), [], "seed {seed}");
         assert!(
@@ -253,9 +249,9 @@
     }
 }
 
-/// A controller that ends soon after every start does not keep the others from leading.
+/// A controller that crashes soon after every start does not keep the others from leading.
 #[test]
-fn a_leader_that_ends_again_and_again_is_followed_by_another() {
+fn crash_looping_leader_is_replaced() {
     for seed in 0..6 {
         let mut sim = full_of(3, seed, 24);
         let Some(first) = sim.leader() else { panic!("seed {seed}: nobody leads") };
--- a/crates/simulation/tests/gateways.rs
+++ b/crates/simulation/tests/heartbeat_proxying.rs
@@ -1,4 +1,5 @@
-//! Reports through every node, under troubles of the links between nodes.
+//! Heartbeats that reach the leader through other controllers, under faults of the links between
+//! them.
 
 mod common;
 
@@ -8,17 +9,17 @@
 use protocol::job::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 
-/// Troubles of gateways above all, and the older ones among them.
-fn troubles(seed: u64) -> Vec<ScheduledFault> {
-    troubles_with(seed, returns(seed))
+/// Faults of the links between controllers above all, and the others among them.
+fn seeded_faults(seed: u64) -> Vec<ScheduledFault> {
+    faults_with(seed, returns(seed))
 }
 
 /// The same with processes that are back after 8 s, as the seeds below were found.
-fn late_returns(seed: u64) -> Vec<ScheduledFault> {
-    troubles_with(seed, || 8.0)
+fn faults_with_late_restarts(seed: u64) -> Vec<ScheduledFault> {
+    faults_with(seed, || 8.0)
 }
 
-fn troubles_with(seed: u64, mut back: impl FnMut() -> f64) -> Vec<ScheduledFault> {
+fn faults_with(seed: u64, mut back: impl FnMut() -> f64) -> Vec<ScheduledFault> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x9a7e);
     (0..10)
         .map(|_| {
@@ -43,10 +44,10 @@
         .collect()
 }
 
-fn holds(seeds: std::ops::Range<u64>, troubles: impl Fn(u64) -> Vec<ScheduledFault>) {
+fn holds(seeds: std::ops::Range<u64>, faults_of: impl Fn(u64) -> Vec<ScheduledFault>) {
     for seed in seeds {
-        let faults = troubles(seed);
-        let mut sim = Simulation::new(setup(seed, faults.clone()));
+        let faults = faults_of(seed);
+        let mut sim = Simulation::new(seeded_day(seed, faults.clone()));
         assert_eq!(sim.run(700.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
         assert!(sim.metrics.forwarded_heartbeats > 0, "seed {seed} relayed nothing");
@@ -54,41 +55,37 @@
 }
 
 #[test]
-fn gateways_among_troubles_break_no_rule() {
-    holds(1000..1030, troubles);
+fn proxies_under_faults_break_no_rule() {
+    holds(1000..1030, seeded_faults);
 }
 
-/// Of these, 2437 divided an array bound to a zone for its floor, and its parts ran in
-/// two zones; 2177 left a gang that may not use spot machines waiting for ever beside
-/// an idle one, which was counted as its own.
+/// 2437 split an array bound to a zone so that its parts ran in two zones; 2177 left a gang that
+/// may not use spot machines waiting forever beside an idle one, which was counted as its own.
 #[test]
-fn seeds_that_once_failed_hold() {
-    holds(2437..2438, late_returns);
-    holds(2177..2178, late_returns);
+fn seeds_of_past_failures_pass() {
+    holds(2437..2438, faults_with_late_restarts);
+    holds(2177..2178, faults_with_late_restarts);
 }
 
-/// The same over hundreds of seeds; minutes, so not in CI.
+/// The same over hundreds of seeds, in minutes.
 #[test]
 #[ignore = "minutes"]
-fn gateways_among_many_troubles_break_no_rule() {
+fn proxies_over_many_seeds_break_no_rule() {
     std::thread::scope(|s| {
         for part in 0..8 {
-            s.spawn(move || holds(2000 + part * 100..2100 + part * 100, troubles));
+            s.spawn(move || holds(2000 + part * 100..2100 + part * 100, seeded_faults));
         }
     });
 }
 
-/// Runs many seeds with a guard off until a rule breaks.
-fn caught(rules: &[Rule], checks: SafetyChecks, setup: impl Fn(u64) -> Setup) -> bool {
-    (0..200).any(|seed| {
-        let broken = Simulation::new(Setup { checks, ..setup(seed) }).run(300.0).to_vec();
-        broken.iter().any(|b| rules.contains(&b.rule))
-    })
+/// Whether some seed breaks one of `rules` under these checks.
+fn breaks(rules: &[Rule], checks: SafetyChecks, day: impl Fn(u64) -> Setup) -> bool {
+    some_seed_breaks(rules, 0..200, 300.0, |seed| Setup { checks, ..day(seed) })
 }
 
 const ANY: [Rule; 4] = [Rule::RanTwice, Rule::Quota, Rule::WrongPlace, Rule::RanCancelled];
 
-/// A zone that is cut off with a gateway and its workers inside.
+/// A zone is partitioned with a proxy and its workers inside.
 fn cut_zones(seed: u64) -> Setup {
     let cut = |i: u64| {
         let zone = ["a", "b"][((seed + i) % 2) as usize];
@@ -98,51 +95,51 @@
         )
     };
     let cloud = ScheduledFault::new(25.0, Fault::CloudOutage { duration_s: 250.0 });
-    setup(seed, (0..2).map(cut).chain([cloud]).collect())
+    seeded_day(seed, (0..2).map(cut).chain([cloud]).collect())
 }
 
-/// A gateway that answers on after its leave keeps cancelled tasks alive, and
-/// those of machines that were given up.
+/// A proxy that answers after its delegated lease keeps cancelled tasks alive, and those of
+/// machines that were declared dead.
 #[test]
-fn without_the_leave_a_rule_breaks() {
+fn without_proxy_lease_expiry_a_rule_breaks() {
     let gateway = ProxySafetyChecks { lease_expiry: false, ..ProxySafetyChecks::default() };
-    assert!(caught(&ANY, SafetyChecks { proxy: gateway, ..SafetyChecks::default() }, cut_zones));
+    assert!(breaks(&ANY, SafetyChecks { proxy: gateway, ..SafetyChecks::default() }, cut_zones));
 }
 
-/// What a gateway answered before it was lost is not known to the leader.
+/// The leader does not know what a proxy answered before it was lost.
 #[test]
-fn without_the_wait_for_a_lost_gateway_a_task_runs_twice() {
+fn without_waiting_for_lost_proxies_a_task_runs_twice() {
     let checks = SafetyChecks { wait_for_lost_proxies: false, ..SafetyChecks::default() };
     let long_leave = |seed| {
         // Most seeds find no free machine within the few seconds that are missing.
-        let mut s = cut_zones(200 + seed);
-        s.settings.params.workers.lease_s = 30.0;
-        s.settings.params.workers.cancel_s = 90.0;
-        s
+        let mut setup = cut_zones(200 + seed);
+        setup.settings.params.workers.lease_s = 30.0;
+        setup.settings.params.workers.cancel_s = 90.0;
+        setup
     };
-    assert!(caught(&[Rule::RanTwice, Rule::Quota, Rule::WrongPlace], checks, long_leave));
+    assert!(breaks(&[Rule::RanTwice, Rule::Quota, Rule::WrongPlace], checks, long_leave));
 }
 
-/// An old report by way of a held relay, taken for the newest, shows tasks as
-/// gone that run.
+/// An old heartbeat in a delayed forward request, taken for the newest, shows running tasks as
+/// gone.
 #[test]
-fn without_the_order_of_reports_a_rule_breaks() {
+fn without_heartbeat_order_a_rule_breaks() {
     let checks = SafetyChecks { heartbeat_order: false, ..SafetyChecks::default() };
     let wandering = |seed: u64| {
         let cut = |i: u64| Fault::PeerPartition { node: ((seed + i) % 3) as usize, duration_s: 8.0 };
         let cuts = (0..10).map(|i| ScheduledFault::new(20.0 + 13.0 * i as f64, cut(i)));
-        setup(
+        seeded_day(
             seed,
             cuts.chain([ScheduledFault::new(15.0, Fault::RotatingHeartbeatTargets { duration_s: 200.0 })])
                 .collect(),
         )
     };
-    assert!(caught(&ANY, checks, wandering));
+    assert!(breaks(&ANY, checks, wandering));
 }
 
-/// Relays that are held for long, while their sender waits on for the reply: what
-/// keeps them harmless is not how soon they are given up. Machines hang now and
-/// then, so that gangs which were told to start are taken back.
+/// Forward requests that are held for long while their sender waits on: their safety must not
+/// depend on the timeout. Machines hang now and then, so that gangs that were told to start are
+/// preempted.
 fn held_relays(seed: u64) -> Setup {
     let mut faults = vec![ScheduledFault::new(15.0, Fault::RotatingHeartbeatTargets { duration_s: 220.0 })];
     for i in 0..20u64 {
@@ -156,11 +153,11 @@
             Fault::MachineHang { machine: (seed + i) as usize, duration_s: 12.0 },
         ));
     }
-    Setup { forward_timeout_s: Some(60.0), ..setup(seed, faults) }
+    Setup { forward_timeout_s: Some(60.0), ..seeded_day(seed, faults) }
 }
 
 #[test]
-fn relays_held_for_long_break_no_rule() {
+fn delayed_forward_requests_break_no_rule() {
     for seed in 300..312 {
         let mut sim = Simulation::new(held_relays(seed));
         assert_eq!(sim.run(700.0), [], "seed {seed}");
@@ -168,20 +165,21 @@
     }
 }
 
-/// Machines that are full for the whole run, and what their reports cost.
+/// Machines that are full for the whole run.
 fn busy_fleet(capacity: usize) -> Simulation {
     let spec = JobSpec { tasks: capacity as u32 * 4, ..long_array() };
-    let mut s = setup(31, vec![]);
-    unlimited(&mut s);
-    let mut sim = Simulation::new(Setup { jobs: vec![Submission::new(1.0, spec)], capacity, loss: 0.0, ..s });
+    let mut setup = seeded_day(31, vec![]);
+    without_quotas(&mut setup);
+    let mut sim =
+        Simulation::new(Setup { jobs: vec![Submission::new(1.0, spec)], capacity, loss: 0.0, ..setup });
     assert_eq!(sim.run(150.0), []);
     sim
 }
 
-/// What passes between controllers for a report: few messages however many
-/// workers there are, and a dozen bytes for one that says nothing new.
+/// What controllers exchange for heartbeats: few messages however many workers there are, and a
+/// dozen bytes for a heartbeat without news.
 #[test]
-fn reports_that_say_nothing_new_cost_little_between_nodes() {
+fn unchanged_heartbeats_are_cheap_to_forward() {
     for capacity in [30, 120] {
         let mut sim = busy_fleet(capacity);
         let before = (
@@ -198,7 +196,7 @@
             (sim.metrics.forwarded_heartbeats - before.2) as f64,
         );
         let bytes = (sim.metrics.forward_bytes - before.3) as f64;
-        // Two of three nodes pass theirs on, each at most every relay's hold.
+        // Two of three nodes forward theirs, each at most once per forwarding interval.
         let most = 2.0 * 100.0 / (settings().params.workers.heartbeat_interval_s / 60.0);
         assert!(relays <= most, "{relays} relays for {reports} reports, {most} at most");
         assert!(relayed <= reports * 0.75, "{relayed} of {reports} reports passed on");
@@ -208,10 +206,10 @@
     }
 }
 
-/// Workers are shared out: no node has more than 1.25 times its part, and it stays
-/// so through a crash and the node's return.
+/// No controller has more than 1.25 times its share of the workers, also after a crash and its
+/// restart.
 #[test]
-fn workers_are_spread_evenly() {
+fn workers_are_balanced_across_controllers() {
     let mut sim = busy_fleet(120);
     let even = |sim: &Simulation| {
         let counts = sim.workers_by_node();
@@ -226,16 +224,16 @@
     assert!(even(&sim), "{:?}", sim.workers_by_node());
 }
 
-/// No machine is rented that the nodes could not take.
+/// No machine is rented that the controllers could not serve.
 #[test]
-fn rentals_stop_at_the_nodes_room() {
+fn scale_out_stops_at_controller_capacity() {
     let spec = JobSpec { tasks: 400, estimated_run_s: 100.0, ..long_array() };
-    let mut s = setup(33, vec![]);
-    unlimited(&mut s);
+    let mut setup = seeded_day(33, vec![]);
+    without_quotas(&mut setup);
     // Seven tenths of 20 sockets at each of three nodes: 42 workers.
-    s.settings.params.resources.max_connections = 20;
+    setup.settings.params.resources.max_connections = 20;
     let mut sim =
-        Simulation::new(Setup { jobs: vec![Submission::new(1.0, spec)], capacity: 100, loss: 0.0, ..s });
+        Simulation::new(Setup { jobs: vec![Submission::new(1.0, spec)], capacity: 100, loss: 0.0, ..setup });
     for end in 1..40 {
         assert_eq!(sim.run(f64::from(end) * 5.0), []);
         assert!(sim.machine_count() <= 42, "{} machines for 42 workers' room", sim.machine_count());
@@ -243,17 +241,17 @@
     assert!(sim.rented() >= 40, "{}", sim.rented());
 }
 
-/// The one node that is left takes workers only up to the part of its sockets that
-/// is the users'. (It once took all of them, and no user got through.)
+/// The only controller that is left takes workers up to its share of sockets; the rest is the
+/// users'. (It once took workers on all of them, and no user got through.)
 #[test]
-fn users_keep_their_part_of_the_last_node() {
-    let mut s = setup(34, vec![]);
-    unlimited(&mut s);
-    s.settings.params.resources.max_connections = 40;
-    let most = settings::Timing::from(&s.settings).max_workers as usize;
+fn users_keep_their_share_of_the_last_controller() {
+    let mut setup = seeded_day(34, vec![]);
+    without_quotas(&mut setup);
+    setup.settings.params.resources.max_connections = 40;
+    let most = settings::Timing::from(&setup.settings).max_workers as usize;
     let spec = JobSpec { tasks: 400, estimated_run_s: 100.0, ..long_array() };
     let mut sim =
-        Simulation::new(Setup { jobs: vec![Submission::new(1.0, spec)], capacity: 60, loss: 0.0, ..s });
+        Simulation::new(Setup { jobs: vec![Submission::new(1.0, spec)], capacity: 60, loss: 0.0, ..setup });
     assert_eq!(sim.run(100.0), []);
     assert!(sim.machine_count() > most + 20, "{}", sim.machine_count());
     for node in [1, 2] {
--- a/crates/simulation/tests/takeover.rs
+++ b/crates/simulation/tests/leader_recovery.rs
@@ -1,6 +1,9 @@
-//! What a takeover costs the state service, with any history.
+//! What the recovery of a new leader costs the store, with any history, and what it must not lose.
+
+mod common;
 
 use anisecroft_simulation::state::{Limits, Store};
+use common::{example_settings, plain_array};
 use controller::records::*;
 use controller::*;
 use protocol::job::*;
@@ -8,36 +11,13 @@
 use settings::{NextLimits, Operator, Peer, Settings};
 
 fn settings() -> Settings {
-    let mut s = Settings::parse(include_str!("../../../docs/example.toml")).unwrap();
+    let mut s = example_settings();
     s.peers.clear();
     s.params.store.next = Some(NextLimits { value_kb: Some(2.0), txn_ops: Some(8), ..NextLimits::default() });
     s
 }
 
 fn record(id: &str, status: JobStatus) -> JobRecord {
-    let spec = JobSpec {
-        id: id.into(),
-        class: "work".into(),
-        team: "dispatch".into(),
-        shape: Shape::Array,
-        priority: Priority::Normal,
-        tasks: 3,
-        cores: 1.0,
-        accelerators: 1.0,
-        memory_gb: 1.0,
-        image: "img-1".into(),
-        image_gb: 1.0,
-        machine_types: None,
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: false,
-        estimated_run_s: 10.0,
-        checkpoint_interval_s: 0.0,
-        save_s: 0.0,
-        deadline_s: None,
-        dependencies: Vec::new(),
-    };
     let done = if status == JobStatus::Done { 3 } else { 0 };
     JobRecord {
         status,
@@ -47,20 +27,20 @@
             done: if done == 3 { "7".into() } else { String::new() },
             placements: vec![],
         },
-        ..JobRecord::new(spec, 1e9, 30_000)
+        ..JobRecord::new(plain_array(id, 3), 1e9, 30_000)
     }
 }
 
-/// One core, alone with the state service; the cloud does not answer.
+/// One controller, alone with the store; the cloud does not answer.
 struct World {
-    core: Controller,
+    controller: Controller,
     store: Store,
     now: f64,
     requests: u64,
     bytes: u64,
     changes: u64,
     answers: std::collections::BTreeMap<RequestId, HttpResponse>,
-    /// The state service is down, or only its watches answer nothing.
+    /// The store is down, or only its watches answer nothing.
     down: bool,
     watches_down: bool,
     /// Writes of jobs wait for an answer, and those that do.
@@ -74,10 +54,10 @@
 
 impl World {
     fn new(store: Store) -> Self {
-        let core = Controller::new(settings(), Operator::default(), 1);
+        let controller = Controller::new(settings(), Operator::default(), 1);
         let answers = Default::default();
         World {
-            core,
+            controller,
             store,
             now: 0.0,
             requests: 0,
@@ -99,15 +79,15 @@
         let node = "n-1".to_string();
         s.peers = vec![Peer { node: node.clone(), zone: String::new(), addr: s.peer_addr }];
         let view = protocol::peer::View { node, state_reached: true, format: FORMAT, ..Default::default() };
-        let core = Controller::new(s, Operator::default(), 1);
-        let mut w = World { core, peer: Some(view), now, ..World::new(store) };
-        w.store.expire_leases(now);
-        w.take_over();
-        w
+        let controller = Controller::new(s, Operator::default(), 1);
+        let mut world = World { controller, peer: Some(view), now, ..World::new(store) };
+        world.store.expire_leases(now);
+        world.take_over();
+        world
     }
 
     fn feed(&mut self, input: Input) {
-        for o in self.core.handle(self.now, 1e9 + self.now, input) {
+        for o in self.controller.handle(self.now, 1e9 + self.now, input) {
             if let Output::Response(id, answer) = &o {
                 self.answers.insert(*id, answer.clone());
             }
@@ -176,7 +156,7 @@
     }
 
     fn take_over(&mut self) {
-        while !self.core.has_recovered() {
+        while !self.controller.has_recovered() {
             assert!(self.now < 600.0, "records are not read");
             self.run(0.05);
         }
@@ -190,26 +170,26 @@
     })
 }
 
-/// Requests and bytes until all live work is known, after `over` jobs.
+/// Requests and bytes until all live jobs are known, after `over` finished ones.
 fn takeover(over: usize) -> (u64, u64) {
     let finished = (0..over).map(|n| {
         let o = TerminalRecord { status: JobStatus::Done, done: 3, submitted_wall_s: 1e9 };
         (over_key(&format!("req-{}", 1_000 + n)), Value::Terminal(o))
     });
     let format = (FORMAT_KEY.to_string(), Value::Format(FORMAT));
-    let mut w = World::new(Store::holding(live().chain(finished).chain([format])));
-    w.take_over();
-    (w.requests, w.bytes)
+    let mut world = World::new(Store::holding(live().chain(finished).chain([format])));
+    world.take_over();
+    (world.requests, world.bytes)
 }
 
 fn within_a_tenth(a: u64, b: u64) -> bool {
     a.abs_diff(b) * 10 <= a
 }
 
-/// A new leader once read all jobs that there ever were: 125 pages and 41 MB
-/// after 100,000 of them.
+/// A new leader once read all jobs that there ever were: 125 pages and 41 MB after 100,000 of
+/// them.
 #[test]
-fn a_takeover_does_not_grow_with_history() {
+fn recovery_cost_does_not_grow_with_history() {
     let (requests, bytes) = takeover(0);
     for over in [1_000, 100_000] {
         let (r, b) = takeover(over);
@@ -221,37 +201,37 @@
 /// The same at a million, with the figures; see `docs/performance.md`.
 #[test]
 #[ignore = "for its figures"]
-fn a_takeover_after_a_million_jobs() {
+fn recovery_after_a_million_jobs() {
     for over in [0, 1_000, 100_000, 1_000_000] {
         let (requests, bytes) = takeover(over);
         println!("{over:>9} jobs over: {requests} requests, {bytes} bytes");
     }
 }
 
-/// Records of the version before lie among those that run; they move at a part of
-/// the rate, and nothing of them is lost.
+/// Finished records of the version before are stored among the live ones; they are archived at a
+/// part of the write rate, and nothing of them is lost.
 #[test]
-fn older_records_move_at_a_part_of_the_rate() {
+fn older_records_are_archived_at_a_limited_rate() {
     let old = (0..300).map(|n| {
         let id = format!("req-{}", 1_000 + n);
         (job_key(&id), Value::Job(Box::new(record(&id, JobStatus::Done))))
     });
     let pages = (0..90).map(|n| (page_key("req-1007", n + 1, 0), Value::Page(PageRecord::default())));
-    let mut w = World::new(Store::holding(live().chain(old).chain(pages)));
-    w.take_over();
-    let (before, at) = (w.changes, w.now);
-    w.run(10.0);
-    let rate = (w.changes - before) as f64 / (w.now - at);
+    let mut world = World::new(Store::holding(live().chain(old).chain(pages)));
+    world.take_over();
+    let (before, at) = (world.changes, world.now);
+    world.run(10.0);
+    let rate = (world.changes - before) as f64 / (world.now - at);
     let most = settings().params.store.write_rps / 8.0 * 1.2;
     assert!(rate > 1.0 && rate <= most, "{rate} changes a second, {most} allowed");
-    w.run(200.0);
-    assert_eq!(w.store.count(OVER_PREFIX), 300);
-    assert_eq!(w.store.count(JOB_PREFIX), 60);
-    assert_eq!(w.store.count(PAGE_PREFIX), 0);
+    world.run(200.0);
+    assert_eq!(world.store.count(OVER_PREFIX), 300);
+    assert_eq!(world.store.count(JOB_PREFIX), 60);
+    assert_eq!(world.store.count(PAGE_PREFIX), 0);
 }
 
-/// `waiting` jobs, each of which waits for one that is done, whose record is kept for that,
-/// and for one that lives; `moved` of them name one that has left.
+/// `waiting` jobs, each of which depends on one that is done, whose record is kept for that, and
+/// on one that is live; `moved` of them depend on one that is archived.
 fn waiting_jobs(waiting: usize, moved: usize) -> Vec<(String, Value)> {
     let job = |id: String, awaits: Vec<String>, status| {
         let r = record(&id, status);
@@ -275,20 +255,20 @@
     items
 }
 
-/// Requests of a takeover beyond the pages of its lists.
+/// Requests of a recovery beyond the pages of its lists.
 fn reads_beyond_lists(waiting: usize, moved: usize) -> u64 {
-    let mut w = World::new(Store::holding(waiting_jobs(waiting, moved)));
-    w.take_over();
-    w.run(1.0);
-    assert_eq!(w.core.waiting_job_count(), waiting);
+    let mut world = World::new(Store::holding(waiting_jobs(waiting, moved)));
+    world.take_over();
+    world.run(1.0);
+    assert_eq!(world.controller.waiting_job_count(), waiting);
     // Prefixes without a key take one list each.
-    w.requests - (waiting as u64 + 2).div_ceil(7)
+    world.requests - (waiting as u64 + 2).div_ceil(7)
 }
 
-/// Who waits for whom is known from the lists alone, and from one read for each awaited job
-/// that has left; not from one for each job that waits.
+/// Dependencies are known from the lists alone, and from one read for each archived job that
+/// others depend on; not from one for each job that waits.
 #[test]
-fn a_takeover_learns_who_waits_from_the_lists() {
+fn recovery_learns_dependencies_from_the_lists() {
     let few = reads_beyond_lists(10, 0);
     assert!(reads_beyond_lists(2_000, 0) <= few + 60, "{few} with ten");
     assert!(reads_beyond_lists(2_000, 2_000) <= few + 62, "{few} with ten");
@@ -296,7 +276,7 @@
 
 #[test]
 #[ignore = "for its figures"]
-fn a_takeover_with_twenty_thousand_jobs_that_wait() {
+fn recovery_with_twenty_thousand_waiting_jobs() {
     for waiting in [0, 2_000, 20_000] {
         let began = std::time::Instant::now();
         let reads = reads_beyond_lists(waiting, 0);
@@ -314,44 +294,44 @@
     (job_key(id), value)
 }
 
-/// What production left is larger than the service takes by now: it is cancelled all the same, by
-/// a mark beside it; what nobody cancels is divided while nothing presses, and can end. All
-/// of it goes in the end, and nothing was asked that the service had to refuse.
+/// Records of production are larger than the store accepts by now: such a job is cancelled all the
+/// same, by a mark beside its record; others are split when nothing urgent is pending, and can
+/// end. All of them go in the end, and the store had to refuse nothing.
 #[test]
-fn records_too_large_to_be_written_again_are_cancelled_and_divided() {
+fn oversized_records_are_cancelled_and_split() {
     let format = (FORMAT_KEY.to_string(), Value::Format(FORMAT));
     let items = [wide("req-1"), wide("req-2"), format];
-    let mut w = World::new(Store::holding(items));
-    w.store.limit(Limits { value_bytes: 2048, txn_ops: 8, write_rps: f64::MAX });
-    assert!(w.store.largest(JOB_PREFIX) > 6000);
-    w.take_over();
+    let mut world = World::new(Store::holding(items));
+    world.store.limit(Limits { value_bytes: 2048, txn_ops: 8, write_rps: f64::MAX });
+    assert!(world.store.largest(JOB_PREFIX) > 6000);
+    world.take_over();
     // Before the leader has had the time to divide it.
-    w.feed(Input::Request(1, Request::Cancel("req-1".into())));
-    assert_eq!(w.answers.get(&1).map(|a| a.status), Some(200));
-    assert_eq!(w.store.count(MARK_PREFIX), 1);
-    w.feed(Input::Request(2, Request::QueryStatus("req-1".into())));
-    w.run(1.0);
-    assert!(String::from_utf8_lossy(&w.answers[&2].body).contains("withdrawn"));
-    w.run(20.0);
-    assert!(w.store.largest("") <= 2048, "{}", w.store.largest(""));
-    assert_eq!((w.store.count(MARK_PREFIX), w.store.invalid), (0, 0));
-    w.feed(Input::Request(3, Request::QueryStatus("req-2".into())));
-    w.run(1.0);
-    assert!(String::from_utf8_lossy(&w.answers[&3].body).contains("running"));
+    world.feed(Input::Request(1, Request::Cancel("req-1".into())));
+    assert_eq!(world.answers.get(&1).map(|a| a.status), Some(200));
+    assert_eq!(world.store.count(MARK_PREFIX), 1);
+    world.feed(Input::Request(2, Request::QueryStatus("req-1".into())));
+    world.run(1.0);
+    assert!(String::from_utf8_lossy(&world.answers[&2].body).contains("withdrawn"));
+    world.run(20.0);
+    assert!(world.store.largest("") <= 2048, "{}", world.store.largest(""));
+    assert_eq!((world.store.count(MARK_PREFIX), world.store.invalid), (0, 0));
+    world.feed(Input::Request(3, Request::QueryStatus("req-2".into())));
+    world.run(1.0);
+    assert!(String::from_utf8_lossy(&world.answers[&3].body).contains("running"));
     // A new leader finds all of both.
-    let mut next = World::new(std::mem::take(&mut w.store));
-    next.now = w.now + 20.0;
+    let mut next = World::new(std::mem::take(&mut world.store));
+    next.now = world.now + 20.0;
     next.store.expire_leases(next.now);
     next.take_over();
-    assert_eq!(next.core.placement_count(), 512);
+    assert_eq!(next.controller.placement_count(), 512);
 }
 
 /// The largest array there may be, as production left it: pages of more than a thousand tasks,
-/// some ended, some placed on machines with long names. It is divided a few values at a
-/// time; a leader that ends in the middle of that leaves nothing half done, and the next one
-/// begins anew. No end and no place is lost.
+/// some ended, some placed on machines with long names. It is split a few values at a time; a
+/// leader that crashes in the middle leaves a consistent state, and the next one begins anew. No
+/// end and no placement is lost.
 #[test]
-fn the_largest_array_is_divided_a_few_values_at_a_time() {
+fn largest_array_is_split_a_few_values_at_a_time() {
     let (per_page, tasks) = (1224, protocol::job::MAX_TASKS);
     let page_of = |n: u32| {
         let first = n * per_page;
@@ -371,25 +351,25 @@
     });
     let main = (job_key("req-1"), Value::Job(Box::new(job)));
     let format = (FORMAT_KEY.to_string(), Value::Format(FORMAT));
-    let mut w = World::new(Store::holding([main, format].into_iter().chain(pages)));
-    w.store.limit(Limits { value_bytes: 2048, txn_ops: 8, write_rps: f64::MAX });
-    let mut w = World::beside(w.store, 0.0);
-    let places = w.core.placement_count();
+    let mut world = World::new(Store::holding([main, format].into_iter().chain(pages)));
+    world.store.limit(Limits { value_bytes: 2048, txn_ops: 8, write_rps: f64::MAX });
+    let mut world = World::beside(world.store, 0.0);
+    let places = world.controller.placement_count();
     assert!(places > 1500, "{places}");
     // No worker is heard, so that what is placed counts for a lease only.
     for seconds in [5.0, 8.0, 25.0] {
-        w.run(seconds);
-        w = World::beside(std::mem::take(&mut w.store), w.now + 20.0);
-        assert_eq!(w.core.placement_count(), places);
+        world.run(seconds);
+        world = World::beside(std::mem::take(&mut world.store), world.now + 20.0);
+        assert_eq!(world.controller.placement_count(), places);
     }
-    assert!(w.store.largest(JOB_PREFIX) <= 2048);
-    w.run(240.0);
-    assert_eq!(w.store.invalid, 0);
-    assert!(w.store.largest("") <= 2048, "{}", w.store.largest(""));
+    assert!(world.store.largest(JOB_PREFIX) <= 2048);
+    world.run(240.0);
+    assert_eq!(world.store.invalid, 0);
+    assert!(world.store.largest("") <= 2048, "{}", world.store.largest(""));
     // What is left of the old layouts is gone as well.
     let expected = (0..tasks.div_ceil(per_page)).map(page_of);
     let ended: usize = expected.map(|p| p.done.len() * 4).sum();
-    assert_eq!(w.core.completed_task_count(), ended);
+    assert_eq!(world.controller.completed_task_count(), ended);
 }
 
 fn report(machine: &str, seq: u64, tasks: Vec<TaskStatus>) -> Input {
@@ -408,20 +388,20 @@
     Input::Request(seq, Request::Heartbeat(protocol::encode(&report)))
 }
 
-/// Another node's cancellation is seen while a write of the same job is on its way, which the service
-/// then refuses: the task is stopped all the same. (What was seen meanwhile was taken up only
-/// after the next write that went through.)
+/// Another controller's cancellation is seen while a write of the same job is pending, which the
+/// store then refuses: the task is stopped all the same. (The cancellation once took effect only
+/// after the next write that succeeded.)
 #[test]
-fn a_cancellation_seen_during_a_refused_write_counts() {
+fn cancellation_seen_during_a_refused_write_takes_effect() {
     let format = (FORMAT_KEY.to_string(), Value::Format(FORMAT));
-    let mut w = World::new(Store::holding([wide("req-2"), format]));
+    let mut world = World::new(Store::holding([wide("req-2"), format]));
     // It is to be divided as soon as nothing presses.
-    w.hold_writes = true;
-    w.take_over();
-    w.run(2.0);
-    assert!(!w.held_writes.is_empty());
+    world.hold_writes = true;
+    world.take_over();
+    world.run(2.0);
+    assert!(!world.held_writes.is_empty());
     let key = job_key("req-2");
-    let Some(StoreReply::Item(item)) = w.store.execute(w.now, &StoreRequest::Get(key.clone())) else {
+    let Some(StoreReply::Item(item)) = world.store.execute(world.now, &StoreRequest::Get(key.clone())) else {
         panic!()
     };
     let Value::Job(record) = item.value else { panic!() };
@@ -430,12 +410,15 @@
         compares: vec![protocol::state::Compare { key: key.clone(), version: item.version }],
         mutations: vec![protocol::state::Mutation::Put { key, value, lease: None }],
     };
-    assert!(matches!(w.store.execute(w.now, &StoreRequest::Commit(txn)), Some(StoreReply::Committed(_))));
-    w.run(0.2);
-    for call in std::mem::take(&mut w.held_writes) {
-        w.feed(Input::Store(call, StoreReply::Refused));
+    assert!(matches!(
+        world.store.execute(world.now, &StoreRequest::Commit(txn)),
+        Some(StoreReply::Committed(_))
+    ));
+    world.run(0.2);
+    for call in std::mem::take(&mut world.held_writes) {
+        world.feed(Input::Store(call, StoreReply::Refused));
     }
-    w.run(2.0);
+    world.run(2.0);
     let running = TaskStatus {
         task: "req-2/4".into(),
         attempt: 1,
@@ -443,33 +426,33 @@
         exit_cause: None,
         checkpointed: None,
     };
-    w.feed(report("vm-000004", 1, vec![running]));
-    w.run(3.9);
-    let answer: HeartbeatResponse = protocol::decode(&w.answers[&1].body).unwrap();
+    world.feed(report("vm-000004", 1, vec![running]));
+    world.run(3.9);
+    let answer: HeartbeatResponse = protocol::decode(&world.answers[&1].body).unwrap();
     let stops = answer.commands.iter().filter(|c| c.kind == CommandKind::Stop && c.task == "req-2/4");
     assert_eq!(stops.count(), 1, "{:?}", answer.commands);
 }
 
-/// A lease that is confirmed again after an outage says nothing of what was cancelled before it:
-/// a leader that its watch has told nothing yet answers no report, since that renews a lease
-/// or launches what was placed. (It once did so by the renewal alone.)
+/// A leader lease that is renewed after an outage says nothing of cancellations before it: until
+/// its watch has answered, the leader accepts no heartbeat, since that renews a lease or launches
+/// placed tasks. (It once did so after the renewal alone.)
 #[test]
-fn a_lease_confirmed_again_is_no_knowledge() {
-    let mut w = World::beside(Store::holding(live()), 0.0);
-    w.run(2.0);
-    let status = |w: &mut World, seq: u64| {
-        w.feed(report("vm-000001", seq, Vec::new()));
-        w.run(3.9);
-        w.answers.get(&seq).map(|a| a.status)
+fn renewed_leader_lease_does_not_imply_current_knowledge() {
+    let mut world = World::beside(Store::holding(live()), 0.0);
+    world.run(2.0);
+    let status = |world: &mut World, seq: u64| {
+        world.feed(report("vm-000001", seq, Vec::new()));
+        world.run(3.9);
+        world.answers.get(&seq).map(|a| a.status)
     };
-    assert_eq!(status(&mut w, 1), Some(200));
-    w.down = true;
-    w.run(30.0);
-    w.store.refresh(w.now);
-    (w.down, w.watches_down) = (false, true);
-    w.run(1.0);
-    assert_eq!(status(&mut w, 2), Some(503));
-    w.watches_down = false;
-    w.run(1.0);
-    assert_eq!(status(&mut w, 3), Some(200));
+    assert_eq!(status(&mut world, 1), Some(200));
+    world.down = true;
+    world.run(30.0);
+    world.store.refresh(world.now);
+    (world.down, world.watches_down) = (false, true);
+    world.run(1.0);
+    assert_eq!(status(&mut world, 2), Some(503));
+    world.watches_down = false;
+    world.run(1.0);
+    assert_eq!(status(&mut world, 3), Some(200));
 }
--- a/crates/simulation/tests/day_end.rs
+++ b/crates/simulation/tests/one_way_partitions.rs
@@ -1,5 +1,5 @@
-//! What the operators check at the end of a day: nobody forgotten, the largest begun, and
-//! three troubles of one-way links, late copies and a controller with only its workers.
+//! One-way partitions, delayed duplicates of heartbeats and controllers isolated with their
+//! workers; at the end of such days no job is forgotten, and the largest have begun.
 
 mod common;
 
@@ -9,19 +9,19 @@
 use controller::SafetyChecks;
 use protocol::job::*;
 
-/// Machines that hear nothing, one or a third of a zone, for less and for more than a lease:
-/// what was placed there runs elsewhere, gangs too, and the machine works again or goes.
+/// Machines that receive no responses, one or a third of a zone, for less and for more than a
+/// lease: their tasks run elsewhere, gangs too, and the machine works again or goes.
 #[test]
-fn work_leaves_a_machine_that_hears_nothing() {
+fn tasks_leave_a_machine_that_receives_no_responses() {
     for seed in 0..12 {
         assert_eq!(left_by_the_deaf(seed, SafetyChecks::default()), Vec::<String>::new(), "seed {seed}");
     }
 }
 
-/// The guard of it: without a look at its sessions a gang waits there for twice as long. (On about one
-/// seed in ten: which ones moves with every change of timing.)
+/// The safety check of it: without it a gang waits there for twice as long. (With about one seed
+/// in ten; which ones moves with every change of timing.)
 #[test]
-fn without_a_look_at_its_sessions_work_stays_on_a_deaf_machine() {
+fn without_one_way_partition_detection_tasks_stay() {
     let checks = SafetyChecks { one_way_partitions: false, ..SafetyChecks::default() };
     assert!((0..72).any(|seed| !left_by_the_deaf(seed, checks).is_empty()));
 }
@@ -47,31 +47,32 @@
     if seed % 3 != 0 {
         faults.push(ScheduledFault::new(43.0, Fault::ResponsesLost { machine: 4, duration_s }));
     }
-    let mut s = setup(seed, faults);
-    unlimited(&mut s);
-    // Reports so far apart that a try of another node in between is no silence.
-    let w = &mut s.settings.params.workers;
-    (w.heartbeat_interval_s, w.lease_s, w.cancel_s) = (6.0, 31.0, 51.0);
-    let lease_s = w.lease_s;
-    s.jobs = vec![
+    let mut setup = seeded_day(seed, faults);
+    without_quotas(&mut setup);
+    // Heartbeat intervals so long that trying another node in between is no silence.
+    let workers = &mut setup.settings.params.workers;
+    (workers.heartbeat_interval_s, workers.lease_s, workers.cancel_s) = (6.0, 31.0, 51.0);
+    let lease_s = workers.lease_s;
+    setup.jobs = vec![
         Submission::new(1.0, array),
         Submission::new(44.0, gang("req-2")),
         Submission::new(70.0, gang("req-3")),
     ];
-    let mut sim = Simulation::new(Setup { capacity: 6, checks, ..s });
+    let mut sim = Simulation::new(Setup { capacity: 6, checks, ..setup });
     assert_eq!(sim.run(70.0 + 2.5 * lease_s), [], "seed {seed}");
     sim.unfinished()
 }
 
-/// A new leader takes no machine for alive by a copy of what it said long before it ended.
+/// A new leader does not take a machine for alive by a duplicate of a heartbeat from long before
+/// the machine was lost.
 #[test]
-fn a_late_copy_revives_no_machine() {
+fn delayed_duplicate_heartbeat_revives_no_machine() {
     for seed in 0..12 {
         let copies = Fault::DuplicatedHeartbeats { max_delay_s: 60.0, duration_s: 30.0 };
-        let mut s = setup(seed, vec![ScheduledFault::new(40.0, copies)]);
-        unlimited(&mut s);
-        s.jobs = vec![Submission::new(1.0, JobSpec { tasks: 24, ..long_array() })];
-        let mut sim = Simulation::new(Setup { capacity: 6, loss: 0.0, ..s });
+        let mut setup = seeded_day(seed, vec![ScheduledFault::new(40.0, copies)]);
+        without_quotas(&mut setup);
+        setup.jobs = vec![Submission::new(1.0, JobSpec { tasks: 24, ..long_array() })];
+        let mut sim = Simulation::new(Setup { capacity: 6, loss: 0.0, ..setup });
         assert_eq!(sim.run(62.0), [], "seed {seed}");
         (0..2).for_each(|machine| sim.inject(Fault::MachineLost { machine }));
         if seed % 2 == 0 {
@@ -83,13 +84,13 @@
     }
 }
 
-/// A controller that has only its workers left answers them for a while, and no users are sent
-/// to it: it can tell them nothing, and no other node can tell it that it is the one.
+/// A controller that reaches only its workers answers them for a while, but gets no users: it can
+/// tell them nothing, and no other controller can tell it who leads.
 #[test]
-fn a_controller_with_only_its_workers_is_not_healthy() {
-    let d = derived();
+fn controller_isolated_with_workers_is_unhealthy() {
+    let d = timing();
     for node in 0..3 {
-        let mut sim = Simulation::new(Setup { loss: 0.0, ..setup(9, vec![]) });
+        let mut sim = Simulation::new(Setup { loss: 0.0, ..seeded_day(9, vec![]) });
         assert_eq!(sim.run(40.0), []);
         assert!((0..3).all(|n| sim.is_healthy(n)), "{node}");
         sim.inject(Fault::IsolatedWithWorkers { node, duration_s: 60.0 });
@@ -102,11 +103,11 @@
     }
 }
 
-/// All of it among the other troubles, singly and together.
+/// All of these among the other faults, one by one and together.
 #[test]
-fn the_operators_troubles_break_no_rule() {
+fn one_way_partitions_duplicates_and_isolation_break_no_rule() {
     for seed in 500..524u64 {
-        let mut faults = troubles(seed);
+        let mut faults = seeded_faults(seed);
         let duration_s: f64 = [5.0, 40.0, 120.0][seed as usize % 3];
         let at = 20.0 + (seed % 7) as f64 * 15.0;
         match seed % 4 {
@@ -126,21 +127,20 @@
                 ScheduledFault::new(at + 9.0, Fault::ResponsesLost { machine: 1, duration_s }),
             ]),
         }
-        let mut sim = Simulation::new(setup(seed, faults.clone()));
+        let mut sim = Simulation::new(seeded_day(seed, faults.clone()));
         assert_eq!(sim.run(800.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
     }
 }
 
-/// The largest begin: a gang of whole machines that have to be together, and an array of
-/// thousands, behind a steady flow of small and of urgent work that is as much as the
-/// machines can take.
+/// The largest jobs begin, a gang of whole machines in one zone and an array of thousands, beside
+/// a steady flow of small and of urgent jobs that takes all machines.
 #[test]
-fn the_largest_begin_within_four_minutes() {
+fn largest_jobs_begin_within_four_minutes() {
     // The last two did not begin when machines gathered now in one zone and now in another.
     for seed in (0..4).chain([8, 11]) {
-        let mut s = setup(seed, vec![]);
-        unlimited(&mut s);
+        let mut setup = seeded_day(seed, vec![]);
+        without_quotas(&mut setup);
         let plain = long_array();
         let whole = |id: String, tasks, priority| JobSpec {
             id,
@@ -151,13 +151,13 @@
             ..plain.clone()
         };
         // Twenty urgent machines' worth of thirty, and small normal tasks for the rest.
-        s.jobs = (0..180)
+        setup.jobs = (0..180)
             .map(|n| {
                 let spec = whole(format!("req-{}", 1000 + n), 1, Priority::High);
                 Submission::new(2.0 + n as f64 * 2.0, JobSpec { estimated_run_s: 40.0, ..spec })
             })
             .collect();
-        s.jobs.extend((0..180).map(|n| {
+        setup.jobs.extend((0..180).map(|n| {
             let spec = JobSpec { id: format!("req-{}", 2000 + n), tasks: 6, ..plain.clone() };
             Submission::new(2.5 + n as f64 * 2.0, JobSpec { estimated_run_s: 8.0, ..spec })
         }));
@@ -171,8 +171,8 @@
             deadline_s: Some(400.0),
             ..plain.clone()
         };
-        s.jobs.extend([Submission::new(60.0, gang), Submission::new(61.0, array)]);
-        let mut sim = Simulation::new(Setup { capacity: 30, ..s });
+        setup.jobs.extend([Submission::new(60.0, gang), Submission::new(61.0, array)]);
+        let mut sim = Simulation::new(Setup { capacity: 30, ..setup });
         assert_eq!(sim.run(61.0 + 240.0), [], "seed {seed}");
         let running =
             |v: &Value| matches!(v, Value::Job(j) if j.running > 0 || j.status == JobStatus::Running);
@@ -182,10 +182,10 @@
     }
 }
 
-/// Each of the operators' troubles with each of the others, for 5, 40 and 120 s.
+/// Each of these faults with each of the others, for 5, 40 and 120 s.
 #[test]
 #[ignore = "minutes"]
-fn the_operators_troubles_in_pairs() {
+fn pairs_of_one_way_partitions_duplicates_and_isolation() {
     for (seed, duration_s) in
         (0..120u64).flat_map(|seed| [5.0, 40.0, 120.0].map(|duration_s| (seed, duration_s)))
     {
@@ -225,20 +225,20 @@
             );
         }
         let nodes = if seed % 2 == 0 { 3 } else { 5 };
-        let mut sim = Simulation::new(Setup { nodes, ..setup(seed, faults.clone()) });
+        let mut sim = Simulation::new(Setup { nodes, ..seeded_day(seed, faults.clone()) });
         assert_eq!(sim.run(800.0), [], "seed {seed}, {duration_s} s: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}, {duration_s} s: {faults:?}");
     }
 }
 
-/// Hundreds of days with pipelines left out and all troubles in.
+/// Hundreds of days with all faults.
 #[test]
 #[ignore = "minutes"]
-fn hundreds_of_days_forget_nobody() {
+fn no_job_is_forgotten_over_hundreds_of_days() {
     for seed in 1000..1400u64 {
-        let faults = newest_troubles(seed);
+        let faults = one_way_faults(seed);
         let nodes = if seed % 2 == 0 { 3 } else { 5 };
-        let mut sim = Simulation::new(Setup { nodes, ..setup(seed, faults.clone()) });
+        let mut sim = Simulation::new(Setup { nodes, ..seeded_day(seed, faults.clone()) });
         assert_eq!(sim.run(800.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
     }
--- a/crates/simulation/tests/rules.rs
+++ b/crates/simulation/tests/rule_checks.rs
@@ -1,4 +1,4 @@
-//! The simulation's newer rules can fail, and its newer troubles come about.
+//! The simulation's rules can fail, and its faults of users, heartbeats and writes come about.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use controller::SafetyChecks;
 use protocol::job::*;
 
-/// What users were told of one accepted job, by when they asked and were answered.
+/// The rules that break when users are told these statuses of one accepted job.
 fn told(answers: &[(f64, f64, JobStatus)]) -> Vec<Rule> {
     let mut l = Ledger { cancel_s: 50.0, ..Ledger::default() };
     let spec = JobSpec { tasks: 1, ..long_array() };
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn older_counts_from_when_the_question_was_sent() {
+fn staleness_counts_from_when_the_query_was_sent() {
     use JobStatus::{Cancelled, Done, Pending};
     assert_eq!(told(&[(1.0, 1.1, Pending), (2.0, 2.1, Cancelled), (2.05, 2.2, Pending)]), []);
     assert_eq!(told(&[(2.0, 2.1, Cancelled), (2.1, 2.2, Pending)]), [Rule::WentBack]);
@@ -30,7 +30,7 @@
     assert_eq!(told(&[(2.0, 2.1, Cancelled), (2.0, 2.2, Done)]), [Rule::NotDone, Rule::WentBack]);
 }
 
-/// All troubles of users, reports and writes at once.
+/// All faults of users, heartbeats and writes at once.
 fn all_new(seed: u64, checks: SafetyChecks) -> Simulation {
     let duration_s = 60.0;
     let faults = vec![
@@ -48,13 +48,13 @@
             Fault::ControllerCrash { node: ((seed + 1) % 3) as usize, duration_s: 9.0 },
         ),
     ];
-    let mut sim = Simulation::new(Setup { checks, ..setup(seed, faults) });
+    let mut sim = Simulation::new(Setup { checks, ..seeded_day(seed, faults) });
     sim.run(500.0);
     sim
 }
 
 #[test]
-fn the_newest_troubles_come_about_and_break_no_rule() {
+fn user_heartbeat_and_write_faults_occur_and_break_no_rule() {
     let sims: Vec<Simulation> = (0..6).map(|seed| all_new(seed, SafetyChecks::default())).collect();
     for (seed, sim) in sims.iter().enumerate() {
         assert_eq!(sim.ledger.violations, [], "seed {seed}");
@@ -71,10 +71,10 @@
 }
 
 /// The controllers take a team to be at its limit that is not. (Its last machine has room for one
-/// task more, since none is rented for work beyond a limit.)
+/// task more, since none is rented beyond a limit.)
 #[test]
-fn what_waits_beside_room_is_noticed() {
-    let mut s = setup(3, vec![]);
+fn waiting_beside_capacity_is_detected() {
+    let mut s = seeded_day(3, vec![]);
     let spec = JobSpec { team: "clinics".into(), accelerators: 1.5, ..long_array() };
     s.jobs = (1..7)
         .map(|n| Submission::new(1.0, JobSpec { id: format!("req-{n}"), tasks: 1, ..spec.clone() }))
@@ -82,7 +82,7 @@
     let mut without = s.settings.clone();
     without.params.teams.iter_mut().for_each(|t| t.accelerators_max = 0.0);
     let run = |judged: bool| {
-        let mut sim = Simulation::new(Setup { jobs: s.jobs.clone(), ..setup(3, vec![]) });
+        let mut sim = Simulation::new(Setup { jobs: s.jobs.clone(), ..seeded_day(3, vec![]) });
         if judged {
             sim.judge_by(without.clone());
         }
--- a/crates/simulation/tests/scale.rs
+++ b/crates/simulation/tests/scale.rs
@@ -1,5 +1,5 @@
-//! The operators' size: 4,500 machines at work, through the end of the leader, an outage of the
-//! state service and a cold start.
+//! The operators' size: 4,500 machines through a failover, a store outage and a cold start of all
+//! controllers.
 
 mod common;
 
@@ -10,16 +10,16 @@
 
 const MACHINES: u32 = 4_500;
 
-/// Settings as in a deployment of that size: reports seldom, sockets for all workers at two of
-/// three controllers.
+/// Settings as in a deployment of that size: long heartbeat intervals, and sockets for all workers
+/// at two of three controllers.
 fn large(run_s: f64, faults: Vec<ScheduledFault>) -> Setup {
-    let mut s = setup(1, faults);
-    unlimited(&mut s);
-    let w = &mut s.settings.params.workers;
-    (w.heartbeat_interval_s, w.lease_s, w.cancel_s) = (6.0, 31.0, 62.0);
-    s.settings.params.resources.max_connections = 4_000;
-    s.settings.params.cloud.rps = 6.0;
-    s.capacity = MACHINES as usize;
+    let mut setup = seeded_day(1, faults);
+    without_quotas(&mut setup);
+    let workers = &mut setup.settings.params.workers;
+    (workers.heartbeat_interval_s, workers.lease_s, workers.cancel_s) = (6.0, 31.0, 62.0);
+    setup.settings.params.resources.max_connections = 4_000;
+    setup.settings.params.cloud.rps = 6.0;
+    setup.capacity = MACHINES as usize;
     // Every task takes a machine to itself, so that all of them have to come up and work.
     let array = |n: u32| JobSpec {
         team: "fleet".into(),
@@ -29,17 +29,17 @@
         estimated_run_s: run_s,
         ..plain_array(&format!("req-{n}"), MACHINES / 9)
     };
-    s.jobs = (0..9).map(|n| Submission::new(1.0 + f64::from(n) * 0.1, array(n))).collect();
-    (s.failing_jobs, s.loss) = (BTreeSet::new(), 0.0);
-    s
+    setup.jobs = (0..9).map(|n| Submission::new(1.0 + f64::from(n) * 0.1, array(n))).collect();
+    (setup.failing_jobs, setup.loss) = (BTreeSet::new(), 0.0);
+    setup
 }
 
 fn all_crash(at: f64) -> impl Iterator<Item = ScheduledFault> {
     (0..3).map(move |node| ScheduledFault::new(at, Fault::ControllerCrash { node, duration_s: 5.0 }))
 }
 
-/// Until `rest_s` after the last trouble: all machines are up and at work before the first, and
-/// known again.
+/// Runs until `rest_s` after the last fault: all machines are up and at work before the first, and
+/// known again at the end.
 fn returns(run_s: f64, faults: &[ScheduledFault], rest_s: f64) -> Simulation {
     let first = faults[0].at;
     let last = faults[faults.len() - 1].at;
@@ -54,7 +54,7 @@
     sim
 }
 
-/// Each machine was rented once and each task started once: nothing that lived was given up.
+/// Each machine was rented once and each task started once: no live machine was declared dead.
 fn stays_whole(sim: &Simulation) {
     eprintln!(
         "{} reports, {} relayed, {} changes, leaderless {:.1} s, {} refused by the cloud",
@@ -69,8 +69,8 @@
     assert!(sim.usable_after_loss.is_empty(), "{} ghosts", sim.usable_after_loss.len());
 }
 
-/// The leader ends, the state service is down for a while, and all controllers end and are back.
-fn troubles_at(first: f64, apart_s: f64) -> Vec<ScheduledFault> {
+/// The leader crashes, the store is down for a while, and all controllers crash and restart.
+fn failover_outage_and_restart(first: f64, apart_s: f64) -> Vec<ScheduledFault> {
     let mut faults = vec![
         ScheduledFault::new(first, Fault::LeaderCrash { duration_s: 10.0 }),
         ScheduledFault::new(first + apart_s, Fault::StoreOutage { duration_s: 15.0 }),
@@ -80,17 +80,17 @@
 }
 
 #[test]
-fn thousands_of_machines_work_through_every_return() {
-    let mut sim = returns(600.0, &troubles_at(105.0, 25.0), 45.0);
+fn thousands_of_machines_survive_failovers_and_outages() {
+    let mut sim = returns(600.0, &failover_outage_and_restart(105.0, 25.0), 45.0);
     assert_eq!(sim.run(205.0), []);
     stays_whole(&sim);
 }
 
-/// The same with work that lasts through all of it.
+/// The same with jobs that last through all of it.
 #[test]
 #[ignore = "takes minutes"]
-fn long_work_on_thousands_of_machines_lasts_through_every_return() {
-    let mut sim = returns(800.0, &troubles_at(120.0, 90.0), 60.0);
+fn long_jobs_on_thousands_of_machines_survive_failovers_and_outages() {
+    let mut sim = returns(800.0, &failover_outage_and_restart(120.0, 90.0), 60.0);
     assert_eq!(sim.run(1600.0), []);
     stays_whole(&sim);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
@@ -98,9 +98,9 @@
 
 /// Gangs were once cut to the first 256 of their tasks, and waited for the others for ever.
 #[test]
-fn a_gang_of_hundreds_starts_as_a_whole() {
-    let mut s = setup(1, vec![]);
-    unlimited(&mut s);
+fn gang_of_hundreds_starts_as_a_whole() {
+    let mut s = seeded_day(1, vec![]);
+    without_quotas(&mut s);
     s.capacity = 30;
     let gang = JobSpec {
         shape: Shape::Gang,
--- a/crates/simulation/tests/simulation.rs
+++ b/crates/simulation/tests/seeded_faults.rs
@@ -1,4 +1,4 @@
-//! Three and five cores against the stand-ins, under seeded troubles.
+//! Three and five controllers against the stand-ins, under seeded faults.
 
 mod common;
 
@@ -9,8 +9,8 @@
 use rand::{rngs::SmallRng, SeedableRng};
 
 #[test]
-fn a_quiet_day_runs_every_job() {
-    let mut sim = Simulation::new(setup(1, vec![]));
+fn every_job_runs_without_faults() {
+    let mut sim = Simulation::new(seeded_day(1, vec![]));
     assert_eq!(sim.run(400.0), []);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
     assert_eq!(sim.ledger.accepted.len(), 40);
@@ -18,21 +18,21 @@
 }
 
 #[test]
-fn seeded_troubles_break_no_rule_and_lose_no_job() {
+fn seeded_faults_break_no_rule_and_lose_no_job() {
     // 3087: a late watch event brought a settled job's placements back. 6233: a leader
-    // that was cut off took its failed move of a job for done.
+    // that was partitioned took its failed archiving of a job for done.
     for seed in (0..24).chain([3087, 6233]) {
-        let faults = if seed < 24 { troubles(seed) } else { late_returns(seed) };
-        let mut sim = Simulation::new(setup(seed, faults.clone()));
+        let faults = if seed < 24 { seeded_faults(seed) } else { faults_with_late_restarts(seed) };
+        let mut sim = Simulation::new(seeded_day(seed, faults.clone()));
         assert_eq!(sim.run(700.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
     }
 }
 
 #[test]
-fn five_controllers_break_no_rule_either() {
+fn five_controllers_break_no_rule() {
     for seed in 100..108 {
-        let mut faults = troubles(seed);
+        let mut faults = seeded_faults(seed);
         // All five crash together, in the middle of whatever goes on.
         faults.extend((0..5).map(|node| {
             ScheduledFault::new(
@@ -40,19 +40,19 @@
                 Fault::ControllerCrash { node, duration_s: [0.2, 5.0][seed as usize % 2] },
             )
         }));
-        let mut sim = Simulation::new(Setup { nodes: 5, ..setup(seed, faults.clone()) });
+        let mut sim = Simulation::new(Setup { nodes: 5, ..seeded_day(seed, faults.clone()) });
         assert_eq!(sim.run(700.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
     }
 }
 
-/// Every trouble, with jobs that fail everywhere until they are cancelled.
+/// Every fault, with jobs that fail everywhere until they are cancelled.
 #[test]
-fn broken_jobs_among_troubles_break_no_rule() {
+fn failing_jobs_under_faults_break_no_rule() {
     // 6198: a gang waited for ever beside an idle machine that it had failed on.
     for seed in (200..212).chain([6198]) {
-        let faults = if seed < 212 { troubles(seed) } else { late_returns(seed) };
-        let mut s = setup(seed, faults.clone());
+        let faults = if seed < 212 { seeded_faults(seed) } else { faults_with_late_restarts(seed) };
+        let mut s = seeded_day(seed, faults.clone());
         for Submission { at, spec, cancel_at: cancel } in s.jobs.iter_mut().step_by(5) {
             s.failing_jobs.insert(spec.id.clone());
             *cancel = Some(*at + 120.0);
@@ -63,10 +63,9 @@
     }
 }
 
-/// Each job submitted with a mistake once took up to three machines out of the
-/// fleet, and was tried again without much of a pause.
+/// Each failing job once quarantined up to three machines, and was retried almost without a pause.
 #[test]
-fn a_broken_job_costs_no_machine() {
+fn failing_jobs_quarantine_no_machine() {
     let mut jobs = long_jobs();
     for n in 10..16 {
         let shape = [Shape::Array, Shape::Gang][n % 2];
@@ -88,10 +87,10 @@
     assert!(sim.quarantined.len() <= 1, "{:?}", sim.quarantined);
 }
 
-/// The pages of a huge array were once put into one transaction, which was over
-/// the service's limit for ever, and ends were stored before new placements.
+/// The pages of a huge array once went into one transaction, which was over the store's limit
+/// forever, and ends were stored before new placements.
 #[test]
-fn a_huge_array_is_stored_in_parts() {
+fn huge_array_is_stored_in_pages() {
     let array = JobSpec {
         cores: 0.5,
         accelerators: 0.0,
@@ -110,10 +109,10 @@
     assert!(sim.metrics.mutations < 2000, "{} changes", sim.metrics.mutations);
 }
 
-/// The machines of a gang that has to be together were once rented in all zones
-/// alike, went back idle and were rented anew, for ever.
+/// The machines of a gang that has to be together were once rented in all zones alike, scaled in
+/// idle and rented anew, forever.
 #[test]
-fn a_large_gangs_machines_come_together() {
+fn machines_of_a_large_gang_share_a_zone() {
     let gang = JobSpec { one_zone: true, ..wide("req-1", 5, Priority::High, 4.0) };
     let mut sim = Simulation::new(roomy(vec![Submission::new(1.0, gang)], 12));
     assert_eq!(sim.run(300.0), []);
@@ -121,11 +120,11 @@
     assert!(sim.rented() <= 7, "{} rented for five", sim.rented());
 }
 
-/// An image takes longer on some machines than a gang's tasks wait for each other; some
-/// seeds have a takeover meanwhile, some a cancellation. (Those that had it gave up, and
-/// with their attempt every fetch ended: such gangs never started.)
+/// An image takes longer on some machines than a gang's tasks wait for each other; with some seeds
+/// there is a failover meanwhile, with some a cancellation. (The tasks that had it gave up, and
+/// every fetch ended with their attempt: such gangs never started.)
 #[test]
-fn a_gang_outlasts_a_long_fetch() {
+fn gang_survives_a_slow_image_fetch() {
     let wait_s = settings().params.workers.gang_wait_s;
     for seed in 0..12 {
         let first = JobSpec { estimated_run_s: 5.0, ..wide("req-1", 3, Priority::Normal, 4.0) };
@@ -151,9 +150,9 @@
     }
 }
 
-/// A machine that fails its tasks is still found after a few of them.
+/// A machine that fails its tasks is found after a few of them.
 #[test]
-fn a_sick_machine_is_found_within_a_few_failures() {
+fn faulty_machine_is_quarantined_after_few_failures() {
     let jobs = (0..60u32)
         .map(|n| {
             let spec =
@@ -175,14 +174,13 @@
     assert!(failures <= 8 * 12, "{failures} failures");
 }
 
-/// A silent leader, gone for a minute and then back, is one that crashed: the
-/// others serve without it and it disturbs nobody when it comes back.
+/// A leader that pauses for a minute is replaced, and disturbs nobody when it resumes.
 #[test]
-fn a_silent_leader_is_replaced_and_comes_back_quietly() {
+fn paused_leader_is_replaced_and_resumes_as_follower() {
     for (nodes, node) in [(3, 0), (3, 1), (3, 2), (5, 0), (5, 3)] {
         let faults = vec![ScheduledFault::new(60.0, Fault::ControllerPause { node, duration_s: 60.0 })];
-        // A lost report and a frozen node in turn would be a silent machine.
-        let s = Setup { nodes, jobs: long_jobs(), capacity: 4, loss: 0.0, ..setup(13, faults) };
+        // A lost heartbeat and a frozen node in turn would be a silent machine.
+        let s = Setup { nodes, jobs: long_jobs(), capacity: 4, loss: 0.0, ..seeded_day(13, faults) };
         let mut sim = Simulation::new(s);
         assert_eq!(sim.run(59.0), []);
         let (deleted, starts) = (sim.deleted.len(), sim.metrics.task_starts);
@@ -192,7 +190,12 @@
     }
 }
 
-/// An array of `tasks` small tasks, all of one team without a tight limit.
+/// Whether some seed breaks one of `rules` under these checks and faults.
+fn breaks(rules: &[Rule], checks: SafetyChecks, faults: impl Fn(u64) -> Vec<ScheduledFault>) -> bool {
+    some_seed_breaks(rules, 0..150, 300.0, |seed| Setup { checks, ..seeded_day(seed, faults(seed)) })
+}
+
+/// An array or gang of `tasks` small tasks, of a team without a tight limit.
 fn wide(id: &str, tasks: u32, priority: Priority, accelerators: f64) -> JobSpec {
     let shape = if priority == Priority::High { Shape::Gang } else { Shape::Array };
     JobSpec {
@@ -212,18 +215,18 @@
 }
 
 fn roomy(jobs: Vec<Submission>, capacity: usize) -> Setup {
-    let mut s = setup(21, vec![]);
-    for t in &mut s.settings.params.teams {
+    let mut setup = seeded_day(21, vec![]);
+    for t in &mut setup.settings.params.teams {
         t.accelerators_max = 0.0;
         t.accelerators = 0.0;
     }
-    Setup { jobs, capacity, loss: 0.0, ..s }
+    Setup { jobs, capacity, loss: 0.0, ..setup }
 }
 
-/// Stopping an array's tasks once sent all of the job's stops again for each of
-/// them, one call for each: thousands of connections within seconds.
+/// Stopping an array's tasks once sent all of the job's stops again for each of them: thousands of
+/// connections within seconds.
 #[test]
-fn a_stop_goes_to_each_machine_once() {
+fn each_machine_gets_one_stop() {
     let jobs = vec![
         Submission::new(1.0, JobSpec { estimated_run_s: 400.0, ..wide("req-1", 32, Priority::Low, 1.0) }),
         Submission::new(90.0, wide("req-2", 8, Priority::High, 4.0)),
@@ -236,10 +239,10 @@
     assert!((1..=16).contains(&calls), "{calls} calls to stop 32 tasks on 8 machines");
 }
 
-/// Ends of an array's tasks share changes of its record, so that what the state
-/// service is asked for grows with time and jobs, not with tasks.
+/// Ends of an array's tasks share writes of its record, so that the store's load grows with time
+/// and jobs, not with tasks.
 #[test]
-fn changes_per_task_fall_with_an_arrays_size() {
+fn mutations_per_task_fall_with_array_size() {
     let changes = |tasks: u32, capacity: usize| {
         let mut sim = Simulation::new(roomy(
             vec![Submission::new(1.0, wide("req-1", tasks, Priority::Normal, 1.0))],
@@ -254,14 +257,14 @@
 }
 
 #[test]
-fn a_crashed_leader_is_replaced_within_half_a_worker_lease() {
+fn crashed_leader_is_replaced_within_half_a_worker_lease() {
     // Whoever leads, one of the three crashes ends its leadership.
     let faults = (0..3)
         .map(|n| {
             ScheduledFault::new(30.0 + 40.0 * n as f64, Fault::ControllerCrash { node: n, duration_s: 8.0 })
         })
         .collect();
-    let mut sim = Simulation::new(setup(3, faults));
+    let mut sim = Simulation::new(seeded_day(3, faults));
     assert_eq!(sim.run(200.0), []);
     assert!(
         sim.metrics.max_leaderless_s > 0.5
@@ -271,11 +274,11 @@
     );
 }
 
-/// Followers once took revision 0 of a fresh store for "unknown", missed the
-/// first leader and claimed over and over.
+/// Followers once took revision 0 of a fresh store for "unknown", missed the first leader and
+/// stood for election over and over.
 #[test]
 fn followers_see_the_first_leader_of_a_fresh_store() {
-    let mut sim = Simulation::new(Setup { jobs: vec![], ..setup(5, vec![]) });
+    let mut sim = Simulation::new(Setup { jobs: vec![], ..seeded_day(5, vec![]) });
     assert_eq!(sim.run(60.0), []);
     assert!(sim.metrics.conflicts <= 2, "{}", sim.metrics.conflicts);
 }
@@ -301,15 +304,15 @@
         .collect()
 }
 
-/// A leader that loses only the workers must not give up the fleet, and
-/// another has to answer the workers before their leases are over.
+/// A leader that loses only the workers must not declare the fleet dead, and another has to answer
+/// the workers before their leases expire.
 #[test]
-fn a_leader_without_workers_resigns_and_deletes_nothing() {
+fn leader_without_workers_resigns_and_deletes_nothing() {
     for node in 0..3 {
         let cut = Fault::NodePartition { node, store: false, workers: true, duration_s: 60.0 };
-        let s = setup(11, vec![ScheduledFault::new(60.0, cut)]);
-        // A lost report and a cut node in turn would be a silent machine.
-        let mut sim = Simulation::new(Setup { jobs: long_jobs(), capacity: 4, loss: 0.0, ..s });
+        let setup = seeded_day(11, vec![ScheduledFault::new(60.0, cut)]);
+        // A lost heartbeat and a cut node in turn would be a silent machine.
+        let mut sim = Simulation::new(Setup { jobs: long_jobs(), capacity: 4, loss: 0.0, ..setup });
         assert_eq!(sim.run(59.0), []);
         let (before, starts) = (sim.deleted.len(), sim.metrics.task_starts);
         assert_eq!(sim.run(140.0), []);
@@ -318,14 +321,13 @@
     }
 }
 
-/// A new leader once took machines that had been up for long, but that it had
-/// not heard yet, for stuck boots.
+/// A new leader once took running machines that it had not heard from yet for stuck boots.
 #[test]
-fn a_takeover_deletes_no_machine_that_is_up() {
+fn failover_deletes_no_running_machine() {
     let crashes = (0..3)
         .map(|node| ScheduledFault::new(100.0, Fault::ControllerCrash { node, duration_s: 3.0 }))
         .collect();
-    let mut sim = Simulation::new(Setup { jobs: long_jobs(), ..setup(12, crashes) });
+    let mut sim = Simulation::new(Setup { jobs: long_jobs(), ..seeded_day(12, crashes) });
     assert_eq!(sim.run(99.0), []);
     let (before, starts) = (sim.deleted.len(), sim.metrics.task_starts);
     assert_eq!(sim.run(150.0), []);
@@ -333,24 +335,14 @@
     assert_eq!(sim.metrics.task_starts, starts, "running work went on");
 }
 
-/// Runs many seeds with a guard off until the rule breaks.
-fn caught(rules: &[Rule], checks: SafetyChecks, faults: impl Fn(u64) -> Vec<ScheduledFault>) -> bool {
-    (0..150).any(|seed| {
-        let mut s = setup(seed, faults(seed));
-        s.checks = checks;
-        let broken = Simulation::new(s).run(300.0).to_vec();
-        broken.iter().any(|b| rules.contains(&b.rule))
-    })
-}
-
 #[test]
-fn without_the_quota_guard_a_limit_breaks() {
+fn without_the_quota_check_a_limit_breaks() {
     let checks = SafetyChecks { quota: false, ..SafetyChecks::default() };
-    assert!(caught(&[Rule::Quota], checks, |_| vec![]));
+    assert!(breaks(&[Rule::Quota], checks, |_| vec![]));
 }
 
 #[test]
-fn without_the_lease_wait_a_task_runs_twice() {
+fn without_lease_expiry_wait_a_task_runs_twice() {
     let checks = SafetyChecks { wait_for_lease_expiry: false, ..SafetyChecks::default() };
     // The cloud is out, or deleting the silent machine would end its tasks.
     let faults = |seed: u64| {
@@ -362,22 +354,22 @@
         });
         hangs.chain([ScheduledFault::new(28.0, Fault::CloudOutage { duration_s: 250.0 })]).collect()
     };
-    assert!(caught(&[Rule::RanTwice, Rule::Quota, Rule::WrongPlace], checks, faults));
+    assert!(breaks(&[Rule::RanTwice, Rule::Quota, Rule::WrongPlace], checks, faults));
 }
 
 #[test]
-fn without_write_ahead_a_takeover_breaks_a_rule() {
+fn without_write_ahead_a_failover_breaks_a_rule() {
     let checks =
         SafetyChecks { launch_after_commit: false, version_checks: false, ..SafetyChecks::default() };
-    assert!(caught(
+    assert!(breaks(
         &[Rule::RanTwice, Rule::Quota, Rule::WrongPlace, Rule::WentBack, Rule::RanCancelled],
         checks,
-        troubles
+        seeded_faults
     ));
 }
 
 #[test]
-fn without_versions_a_final_state_goes_back() {
+fn without_version_checks_a_final_status_goes_back() {
     let checks = SafetyChecks { version_checks: false, ..SafetyChecks::default() };
     // Held writes of a cut leader arrive after its successor's.
     let faults = |seed: u64| {
@@ -389,13 +381,13 @@
         };
         (0..12).map(|i| ScheduledFault::new(15.0 + 11.0 * i as f64 + (seed % 5) as f64, cut(i))).collect()
     };
-    assert!(caught(&[Rule::WentBack, Rule::RanTwice, Rule::RanCancelled, Rule::NotDone], checks, faults));
+    assert!(breaks(&[Rule::WentBack, Rule::RanTwice, Rule::RanCancelled, Rule::NotDone], checks, faults));
 }
 
 #[test]
-fn without_the_grace_a_cancelled_task_stays() {
+fn without_response_grace_a_cancelled_task_stays() {
     let checks = SafetyChecks { response_grace: false, ..SafetyChecks::default() };
-    assert!(caught(&[Rule::RanCancelled, Rule::RanTwice, Rule::Quota, Rule::WrongPlace], checks, |_| {
+    assert!(breaks(&[Rule::RanCancelled, Rule::RanTwice, Rule::Quota, Rule::WrongPlace], checks, |_| {
         (0..3)
             .map(|n| ScheduledFault::new(40.0, Fault::StoreRefusesNode { node: n, duration_s: 0.0 }))
             .chain([
--- a/crates/simulation/tests/short_work.rs
+++ b/crates/simulation/tests/short_jobs.rs
@@ -1,4 +1,4 @@
-//! Machines that are up at once, and jobs of one task that come by the second.
+//! Machines that boot at once, and jobs of one task that are submitted several times a second.
 
 mod common;
 
@@ -8,20 +8,8 @@
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use settings::NextLimits;
 
-/// Runs until `until` holds, for `most` seconds at most.
-fn run_until(sim: &mut Simulation, most: f64, until: impl Fn(&Simulation) -> bool) -> bool {
-    let end = sim.now + most;
-    while sim.now < end && sim.ledger.violations.is_empty() {
-        if until(sim) {
-            return true;
-        }
-        sim.run(sim.now + 0.01);
-    }
-    false
-}
-
-/// Nothing of the day is left: every job is over, known and nothing more; no machine is rented that
-/// nobody knows of or needs.
+/// Nothing of the day is left: every job is over and archived, and no machine is left that nobody
+/// knows of or needs.
 fn nothing_stays_behind(sim: &Simulation, what: &str) {
     assert_eq!(sim.ledger.violations, [], "{what}");
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "{what}");
@@ -32,8 +20,8 @@
     assert_eq!(sim.machine_count(), 0, "{what}");
 }
 
-/// Short jobs of one task, four a second from `from` on for `duration_s`, a quarter of them cancelled: as
-/// they are accepted, launched or about to run.
+/// Jobs of one short task, four a second from `from` on for `duration_s`, a quarter of them
+/// cancelled as they are accepted, launched or about to run.
 fn short_jobs(rng: &mut SmallRng, from: f64, duration_s: f64) -> Vec<Submission> {
     let one = |n: usize, rng: &mut SmallRng| JobSpec {
         id: format!("req-{}", 1000 + n),
@@ -55,13 +43,13 @@
 
 /// A day of such jobs while `faults` strike.
 fn day(seed: u64, duration_s: f64, faults: Vec<ScheduledFault>) -> Setup {
-    let mut s = setup(seed, faults);
-    unlimited(&mut s);
-    s.jobs = short_jobs(&mut SmallRng::seed_from_u64(seed ^ 0x5407), 10.0, duration_s);
-    Setup { capacity: 12, nodes: 3 + 2 * (seed % 2) as usize, loss: 0.0, ..s }
+    let mut setup = seeded_day(seed, faults);
+    without_quotas(&mut setup);
+    setup.jobs = short_jobs(&mut SmallRng::seed_from_u64(seed ^ 0x5407), 10.0, duration_s);
+    Setup { capacity: 12, nodes: 3 + 2 * (seed % 2) as usize, loss: 0.0, ..setup }
 }
 
-/// What lags on the way to and from the state service.
+/// What disturbs the way to and from the store.
 fn lag(seed: u64, duration_s: f64) -> Fault {
     match seed % 4 {
         0 => Fault::DelayedWrites { share: 0.2, duration_s },
@@ -71,9 +59,9 @@
     }
 }
 
-/// Machines are up within two seconds and get work at once, writes lag, and the leader ends in the moment
-/// in which the cloud has carried out its rental and it does not know, four times; it is back at once
-/// or later. Machines rented so.
+/// Machines boot at once and get tasks, writes lag, and the leader crashes when the cloud has
+/// carried out a rental that it does not know of, four times. Returns the number of machines
+/// rented so.
 fn rented_unawares(seed: u64) -> u32 {
     let mut sim = Simulation::new(day(
         seed,
@@ -105,13 +93,13 @@
 }
 
 #[test]
-fn machines_rented_unawares_are_used_or_returned() {
+fn machines_rented_without_a_reply_are_used_or_scaled_in() {
     let unawares: Vec<u32> = (0..8).map(rented_unawares).collect();
     assert!(unawares.iter().all(|n| *n >= 1) && unawares.iter().sum::<u32>() > 10, "{unawares:?}");
 }
 
-/// Such jobs for two minutes at nine tenths of the rate that the state service takes, with others
-/// cancelled at their end; the leader ends in the middle, and answers are lost or late.
+/// Such jobs for two minutes at nine tenths of the store's rate, with others cancelled at their
+/// end; the leader crashes in the middle, and responses are lost or late.
 fn flood(seed: u64) -> Simulation {
     let cancels = Fault::CancelAtCompletion { share: 0.1, duration_s: 150.0 };
     let faults = vec![
--- a/crates/simulation/tests/floors.rs
+++ b/crates/simulation/tests/starvation.rs
@@ -1,4 +1,4 @@
-//! No class and no team gets nothing for long, whatever outranks it.
+//! No class and no team is starved, whatever has a higher priority.
 
 mod common;
 
@@ -12,16 +12,15 @@
 }
 
 fn day(seed: u64, jobs: Vec<Submission>, capacity: usize) -> Simulation {
-    let mut s = setup(seed, vec![]);
-    unlimited(&mut s);
-    Simulation::new(Setup { jobs, capacity, loss: 0.0, ..s })
+    let mut setup = seeded_day(seed, vec![]);
+    without_quotas(&mut setup);
+    Simulation::new(Setup { jobs, capacity, loss: 0.0, ..setup })
 }
 
-/// Urgent work asks for twice the fleet all day long; a small job of another class
-/// and team has nothing running. It is served within its patience and some runs,
-/// and the urgent work has nearly all of the fleet.
+/// Urgent jobs ask for twice the fleet all day long; a small job of another class and team has
+/// nothing running. It is served soon, and the urgent jobs get nearly all of the fleet.
 #[test]
-fn a_rush_leaves_a_class_its_floor() {
+fn urgent_load_does_not_starve_another_class() {
     for seed in 0..3 {
         let rush = (0..150).map(|n| {
             let id = format!("req-{n}");
@@ -38,10 +37,9 @@
     }
 }
 
-/// A class whose every gang needs more machines than there are holds no machine
-/// back from the others for long.
+/// Gangs that need more machines than there are do not keep machines from other jobs for long.
 #[test]
-fn what_can_never_be_complete_starves_nobody() {
+fn impossible_gangs_starve_nobody() {
     for seed in 0..3 {
         let gangs = (0..10).map(|n| {
             let mut s = spec(format!("req-{n}"), "train", "dispatch", Shape::Gang, Priority::High, 8);
