--- a/crates/simulation/tests/answers.rs
+++ b/crates/simulation/tests/status_consistency.rs
@@ -1,13 +1,13 @@
-//! What users are told, at every node, by the time each question was sent: nothing older than
-//! what any node has told of that job before (`docs/safety.md`, `went_back`).
+//! What users are told, at every controller, judged by when each request was sent: nothing older
+//! than what any controller has told of that job before (`docs/safety.md`, `went_back`).
 
-mod anyorder;
 mod common;
+#[path = "common/reordered/mod.rs"]
+mod reordered;
 
 use anisecroft_simulation::sim::QueryCounts;
 use anisecroft_simulation::{Fault, ScheduledFault, Setup, Simulation, Submission};
-use anyorder::*;
-use common::{setup, unlimited};
+use common::{seeded_day, without_quotas};
 use controller::records::*;
 use controller::*;
 use protocol::cloud::MachineType;
@@ -15,61 +15,63 @@
 use protocol::state::{Mutation, Transaction};
 use protocol::worker::{task_name, ExitCause, Heartbeat, TaskState, TaskStatus};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
+use reordered::*;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-fn play(seed: u64, course: Course, steps: usize) -> World {
-    let mut w = World::new(seed, course);
+fn play(seed: u64, scenario: Scenario, steps: usize) -> Cluster {
+    let mut world = Cluster::new(seed, scenario);
     for _ in 0..steps {
-        w.step();
-        if w.broken.is_some() {
+        world.step();
+        if world.violation.is_some() {
             break;
         }
     }
-    w
+    world
 }
 
-/// The course that `seed` stands for.
-fn course(seed: u64) -> Course {
+/// The scenario that `seed` stands for.
+fn scenario(seed: u64) -> Scenario {
     let ids = [1, 2, 3, 6, 9][seed as usize / 8 % 5];
-    Course {
+    Scenario {
         nodes: 3 + seed as usize % 2 * 2,
         ids,
         lead: seed % 8 >= 5,
-        trouble: seed / 2 % 3 > 0,
+        faults: seed / 2 % 3 > 0,
         cancels: [0.02, 0.1, 0.4][seed as usize / 5 % 3],
     }
 }
 
-/// Plays so many courses, with every message in any order, lost, late, or its sender ended.
-fn play_all(seeds: Range<u64>) -> Met {
-    let mut met = Met::default();
+/// Plays so many scenarios, with every message in any order, lost or late, and controllers that
+/// restart.
+fn play_all(seeds: Range<u64>) -> Coverage {
+    let mut coverage = Coverage::default();
     for seed in seeds {
-        let w = play(seed, course(seed), 3000);
-        assert_eq!(w.broken, None, "seed {seed}");
-        met.add(&w.met);
+        let world = play(seed, scenario(seed), 3000);
+        assert_eq!(world.violation, None, "seed {seed}");
+        coverage.add(&world.coverage);
     }
-    met
+    coverage
 }
 
 #[test]
-fn no_node_tells_what_is_older() {
+fn status_never_goes_back_at_any_node() {
     let m = play_all(0..200);
     assert!(m.close > 1000 && m.repeated > 1000 && m.odd > 1000, "{m:?}");
     assert!(m.cancelled > 100 && m.done > 100 && m.lineage > 50 && m.marks > 50, "{m:?}");
     assert!(m.moved > 100 && m.gone > 100 && m.returns > 100 && m.late > 50 && m.lost > 100, "{m:?}");
 }
 
-/// The same for minutes and by hand: `cargo test --release -p anisecroft-simulation --test answers
+/// The same for minutes: `cargo test --release -p anisecroft-simulation --test status_consistency
 /// -- --ignored`.
 #[test]
 #[ignore = "minutes"]
-fn no_node_tells_what_is_older_in_many_courses() {
+fn status_never_goes_back_over_many_seeds() {
     assert!(play_all(200..20_000).marks > 1000);
 }
 
-/// A report of the only machine that all tasks of a job are done.
+/// A heartbeat of the only machine that all tasks of a job have completed.
 fn all_done(job: &JobSpec, token: u64) -> Request {
     let done = |task| TaskStatus {
         task: task_name(&job.id, task),
@@ -93,49 +95,49 @@
 }
 
 /// The leader's write of the end is on its way when a cancellation is confirmed by a mark, since
-/// the record is too large to be written again. The mark once came too late for the leader,
-/// which held the job for done and wrote that over the mark; and of a job whose
-/// specification alone is too large it did not expect one.
+/// the record is too large to be written again. (The leader once wrote the end over the mark; and
+/// of a job whose specification alone is too large it did not expect one.)
 #[test]
-fn a_mark_beside_a_job_that_ends_counts() {
-    for (nodes, record) in [3, 5].into_iter().flat_map(|n| large().map(|r| (n, r))) {
-        let mut w = World::new(1, Course { nodes, ids: 1, lead: true, trouble: false, cancels: 0.0 });
+fn cancellation_mark_wins_over_completion_in_flight() {
+    for (nodes, record) in [3, 5].into_iter().flat_map(|n| oversized_records().map(|r| (n, r))) {
+        let mut world = Cluster::new(1, Scenario { nodes, ids: 1, lead: true, faults: false, cancels: 0.0 });
         let (id, job) = ("req-0", record.spec.clone());
         let changes = vec![put(job_key(id), Value::Job(Box::new(record)))];
-        w.store.execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
-        w.submitted.insert(id.into());
-        while w.leader().is_none() {
-            w.settle(0.02, |op| writes(op, id));
+        world.store.execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
+        world.submitted.insert(id.into());
+        while world.leader().is_none() {
+            world.settle(0.02, |op| writes(op, id));
         }
-        let leader = w.leader().unwrap();
-        let token = w.cores[leader].token().unwrap();
-        w.feed(leader, Input::Request(RequestId::MAX, all_done(&job, token)));
-        w.settle(1.0, |op| writes(op, id));
-        assert!(w.calls.iter().any(|c| writes(&c.3, id)), "its end is on its way");
-        w.ask((leader + 1) % nodes, id, Request::Cancel(id.into()));
-        w.settle(1.0, |op| writes(op, id));
-        assert_eq!(w.told.get(id), Some(&Told::Over(JobStatus::Cancelled)));
-        assert!(matches!(w.stored(mark_key(id)), Some(Value::Terminal(_))), "by a mark");
-        w.settle(20.0, |_| false);
-        (0..nodes).for_each(|n| w.ask(n, id, Request::QueryStatus(id.into())));
-        w.settle(1.0, |_| false);
-        assert_eq!(w.broken, None, "{nodes} nodes");
-        let over = w.stored(over_key(id));
+        let leader = world.leader().unwrap();
+        let token = world.controllers[leader].token().unwrap();
+        world.feed(leader, Input::Request(RequestId::MAX, all_done(&job, token)));
+        world.settle(1.0, |op| writes(op, id));
+        assert!(world.calls.iter().any(|c| writes(&c.3, id)), "its end is on its way");
+        world.ask((leader + 1) % nodes, id, Request::Cancel(id.into()));
+        world.settle(1.0, |op| writes(op, id));
+        assert_eq!(world.told.get(id), Some(&ReportedStatus::Over(JobStatus::Cancelled)));
+        assert!(matches!(world.stored(mark_key(id)), Some(Value::Terminal(_))), "by a mark");
+        world.settle(20.0, |_| false);
+        (0..nodes).for_each(|n| world.ask(n, id, Request::QueryStatus(id.into())));
+        world.settle(1.0, |_| false);
+        assert_eq!(world.violation, None, "{nodes} nodes");
+        let over = world.stored(over_key(id));
         assert!(matches!(&over, Some(Value::Terminal(o)) if o.status == JobStatus::Cancelled), "{over:?}");
     }
 }
 
-impl World {
+impl Cluster {
     /// A job that runs, whose record takes so many bytes.
     fn running(seed: u64, nodes: usize, bytes: usize) -> Self {
-        let mut w = World::new(seed, Course { nodes, ids: 1, lead: false, trouble: false, cancels: 0.0 });
-        let mut record = JobRecord::new(spec("req-0"), 1e9, TIGHT);
+        let mut world =
+            Cluster::new(seed, Scenario { nodes, ids: 1, lead: false, faults: false, cancels: 0.0 });
+        let mut record = JobRecord::new(spec("req-0"), 1e9, NEXT_VALUE_BYTES);
         record.status = JobStatus::Running;
         pad(&mut record, bytes);
         let changes = vec![put(job_key("req-0"), Value::Job(Box::new(record)))];
-        w.store.execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
-        w.submitted.insert("req-0".into());
-        w
+        world.store.execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
+        world.submitted.insert("req-0".into());
+        world
     }
 
     /// Another leader stores that a job is done.
@@ -148,7 +150,7 @@
     }
 
     /// Another leader takes a mark in: one write removes it and stores the cancellation.
-    fn take_in(&mut self, id: &str) {
+    fn apply_mark(&mut self, id: &str) {
         let Some(Value::Job(j)) = self.stored(job_key(id)) else { return };
         let record = JobRecord { status: JobStatus::Cancelled, first_page: PageRecord::default(), ..*j };
         let changes =
@@ -158,23 +160,25 @@
     }
 }
 
-/// A record that fits by a byte or two and would not if it named the cancellation is cancelled
-/// by a mark, which a node that read the record once did not look for.
+/// A record that fits by a byte or two, and would not if it named the cancellation, is cancelled
+/// by a mark. (A controller that had read the record once did not look for it.)
 #[test]
-fn a_mark_beside_a_record_that_just_fits_is_seen() {
-    for (nodes, bytes) in [3, 5].into_iter().flat_map(|n| (TIGHT - 12..TIGHT + 4).map(move |b| (n, b))) {
-        let mut w = World::running(1, nodes, bytes);
-        w.ask(0, "req-0", Request::Cancel("req-0".into()));
-        w.settle(1.0, |_| false);
-        assert_eq!(w.told.get("req-0"), Some(&Told::Over(JobStatus::Cancelled)));
-        (1..nodes).for_each(|n| w.ask(n, "req-0", Request::QueryStatus("req-0".into())));
-        w.settle(1.0, |_| false);
-        assert_eq!((w.broken, w.open.len()), (None, 0), "{bytes} bytes, {nodes} nodes");
+fn cancellation_mark_beside_a_full_record_is_seen() {
+    for (nodes, bytes) in
+        [3, 5].into_iter().flat_map(|n| (NEXT_VALUE_BYTES - 12..NEXT_VALUE_BYTES + 4).map(move |b| (n, b)))
+    {
+        let mut world = Cluster::running(1, nodes, bytes);
+        world.ask(0, "req-0", Request::Cancel("req-0".into()));
+        world.settle(1.0, |_| false);
+        assert_eq!(world.told.get("req-0"), Some(&ReportedStatus::Over(JobStatus::Cancelled)));
+        (1..nodes).for_each(|n| world.ask(n, "req-0", Request::QueryStatus("req-0".into())));
+        world.settle(1.0, |_| false);
+        assert_eq!((world.violation, world.open.len()), (None, 0), "{bytes} bytes, {nodes} nodes");
     }
 }
 
-/// Whether a node looks for the mark beside the first job's record.
-fn looks(op: &StoreRequest) -> bool {
+/// Whether a request looks for the mark beside the first job's record.
+fn reads_mark(op: &StoreRequest) -> bool {
     match op {
         StoreRequest::Get(key) => *key == mark_key("req-0"),
         StoreRequest::Commit(t) => {
@@ -184,41 +188,41 @@
     }
 }
 
-/// The first job has been cancelled by a mark, and node 1, which is asked, looks for it.
-fn looking(nodes: usize) -> World {
-    let mut w = World::running(1, nodes, TIGHT + 500);
-    w.ask(0, "req-0", Request::Cancel("req-0".into()));
-    w.settle(1.0, |_| false);
-    w.ask(1, "req-0", Request::QueryStatus("req-0".into()));
-    w.settle(0.2, looks);
-    assert!(w.calls.iter().any(|c| looks(&c.3)), "it is looking for the mark");
-    w
+/// The first job has been cancelled by a mark, and node 1, which was asked, looks for it.
+fn reading_mark(nodes: usize) -> Cluster {
+    let mut world = Cluster::running(1, nodes, NEXT_VALUE_BYTES + 500);
+    world.ask(0, "req-0", Request::Cancel("req-0".into()));
+    world.settle(1.0, |_| false);
+    world.ask(1, "req-0", Request::QueryStatus("req-0".into()));
+    world.settle(0.2, reads_mark);
+    assert!(world.calls.iter().any(|c| reads_mark(&c.3)), "it is reading_mark for the mark");
+    world
 }
 
-/// A node has read such a record, and the leader takes the mark in before the node looks for it: the
-/// job was once called running by what it had read.
+/// A controller has read such a record, and the leader applies the mark before the controller
+/// looks for it. (The job was once called running.)
 #[test]
-fn a_mark_that_goes_while_a_node_looks_is_not_missed() {
+fn cancellation_mark_removed_during_a_read_is_not_missed() {
     for nodes in [3, 5] {
-        let mut w = looking(nodes);
-        w.take_in("req-0");
-        w.settle(1.0, |_| false);
-        assert_eq!((w.broken, w.open.len()), (None, 0), "{nodes} nodes");
+        let mut world = reading_mark(nodes);
+        world.apply_mark("req-0");
+        world.settle(1.0, |_| false);
+        assert_eq!((world.violation, world.open.len()), (None, 0), "{nodes} nodes");
     }
 }
 
-/// The answer to that look is lost: it is asked again before the user gives up.
+/// That read gets no reply: it is repeated before the user times out.
 #[test]
-fn a_look_for_a_mark_without_an_answer_is_repeated() {
+fn lost_read_of_a_cancellation_mark_is_retried() {
     for nodes in [3, 5] {
-        let mut w = looking(nodes);
-        w.calls.retain(|c| !looks(&c.3));
-        w.settle(1.0, |_| false);
-        assert_eq!((w.broken, w.open.len()), (None, 0), "{nodes} nodes");
+        let mut world = reading_mark(nodes);
+        world.calls.retain(|c| !reads_mark(&c.3));
+        world.settle(1.0, |_| false);
+        assert_eq!((world.violation, world.open.len()), (None, 0), "{nodes} nodes");
     }
 }
 
-impl World {
+impl Cluster {
     /// Has job `id` read by node `n` and keeps the reply on its way.
     fn read_slowly(&mut self, n: usize, id: &str) -> (CallId, StoreReply) {
         let read = StoreRequest::Get(job_key(id));
@@ -244,60 +248,64 @@
     }
 }
 
-/// A read that is answered after the end was seen once left the job among those that run: hidden
-/// behind the end in memory, until that had made room for twenty thousand later ones.
+/// A read that is answered after the end was seen once left the job among the live ones, hidden
+/// behind the cached end until that was evicted.
 #[test]
-fn a_read_that_comes_after_the_end_leaves_nothing() {
+fn late_read_does_not_revive_a_finished_job() {
     for nodes in [3, 5] {
-        let mut w = World::running(1, nodes, 1000);
-        let (call, reply) = w.read_slowly(1, "req-0");
-        w.finish("req-0");
-        w.ask(1, "req-0", Request::QueryStatus("req-0".into()));
-        w.settle(1.0, |_| false);
-        assert_eq!(w.told.get("req-0"), Some(&Told::Over(JobStatus::Done)));
-        w.feed(1, Input::Store(call, reply));
-        w.end_others(20_500);
+        let mut world = Cluster::running(1, nodes, 1000);
+        let (call, reply) = world.read_slowly(1, "req-0");
+        world.finish("req-0");
+        world.ask(1, "req-0", Request::QueryStatus("req-0".into()));
+        world.settle(1.0, |_| false);
+        assert_eq!(world.told.get("req-0"), Some(&ReportedStatus::Over(JobStatus::Done)));
+        world.feed(1, Input::Store(call, reply));
+        world.end_others(20_500);
         for id in ["req-1000", "req-0"] {
-            w.submitted.insert(id.into());
-            w.ask(1, id, Request::QueryStatus(id.into()));
-            w.settle(1.0, |_| false);
+            world.submitted.insert(id.into());
+            world.ask(1, id, Request::QueryStatus(id.into()));
+            world.settle(1.0, |_| false);
         }
-        assert_eq!((w.broken, w.open.len()), (None, 0), "{nodes} nodes");
+        assert_eq!((world.violation, world.open.len()), (None, 0), "{nodes} nodes");
     }
 }
 
-/// A page is left of a cancelled job whose record has moved. A new leader took it for one that was
-/// done, and let go what waits for it.
+/// A page is left of a cancelled job whose record is archived. (A new leader once took the job for
+/// done, and released its dependents.)
 #[test]
-fn a_page_left_of_a_cancelled_job_frees_nobody() {
+fn leftover_page_of_a_cancelled_job_releases_no_dependents() {
     for nodes in [3, 5] {
-        let mut w = World::new(1, Course { nodes, ids: 1, lead: true, trouble: false, cancels: 0.0 });
+        let mut world = Cluster::new(1, Scenario { nodes, ids: 1, lead: true, faults: false, cancels: 0.0 });
         let over = TerminalRecord { status: JobStatus::Cancelled, done: 0, submitted_wall_s: 1e9 };
-        let next = JobRecord::new(w.spec("req-4"), 1e9, TIGHT);
+        let next = JobRecord::new(world.spec("req-4"), 1e9, NEXT_VALUE_BYTES);
         let changes = vec![
             put(over_key("req-3"), Value::Terminal(over)),
             put(page_key("req-3", 1, 0), Value::Page(PageRecord::default())),
             put(job_key("req-4"), Value::Job(Box::new(next))),
         ];
-        w.store.execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
-        w.submitted.insert("req-4".into());
-        w.cancel_asked.insert("req-3".into());
+        world.store.execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
+        world.submitted.insert("req-4".into());
+        world.cancel_asked.insert("req-3".into());
         for _ in 0..3 {
-            w.settle(5.0, |_| false);
-            (0..nodes).for_each(|n| w.ask(n, "req-4", Request::QueryStatus("req-4".into())));
+            world.settle(5.0, |_| false);
+            (0..nodes).for_each(|n| world.ask(n, "req-4", Request::QueryStatus("req-4".into())));
         }
-        w.settle(1.0, |_| false);
-        assert_eq!(w.broken, None, "{nodes} nodes");
-        assert_eq!(w.told.get("req-4"), Some(&Told::Over(JobStatus::Cancelled)), "{nodes} nodes");
+        world.settle(1.0, |_| false);
+        assert_eq!(world.violation, None, "{nodes} nodes");
+        assert_eq!(
+            world.told.get("req-4"),
+            Some(&ReportedStatus::Over(JobStatus::Cancelled)),
+            "{nodes} nodes"
+        );
     }
 }
 
-/// Short jobs at four a second, some waiting for the one before, some wide; users that look closely,
-/// cancel at the end and ask oddly; and by `seed` a trouble beside, or none.
+/// Short jobs at four a second, some with dependencies, some wide; users that ask everywhere,
+/// cancel at the end and send invalid requests; and by `seed` a fault beside, or none.
 fn crowd(seed: u64) -> Setup {
     let rng = &mut SmallRng::seed_from_u64(seed ^ 0xc201d);
-    let mut s = setup(seed, vec![]);
-    unlimited(&mut s);
+    let mut setup = seeded_day(seed, vec![]);
+    without_quotas(&mut setup);
     let job = |n: u32, rng: &mut SmallRng| JobSpec {
         tasks: if n % 20 == 7 { 120 } else { rng.gen_range(1..4) },
         cores: 0.1,
@@ -307,7 +315,7 @@
         dependencies: (n % 4 == 3).then(|| format!("req-{}", 100 + n - 1)).into_iter().collect(),
         ..spec(&format!("req-{}", 100 + n))
     };
-    s.jobs = (0..100)
+    setup.jobs = (0..100)
         .map(|n| {
             let at = 25.0 + f64::from(n) * 0.25;
             let cancel = rng.gen_bool(0.2).then(|| at + rng.gen_range(0.0..8.0));
@@ -316,13 +324,13 @@
         .collect();
     let duration_s = 60.0;
     let node = rng.gen_range(0..3);
-    s.faults = vec![
+    setup.faults = vec![
         ScheduledFault::new(20.0, Fault::ConcurrentQueries { duration_s: 100.0 }),
         ScheduledFault::new(20.0, Fault::InvalidRequests { duration_s }),
         ScheduledFault::new(20.0, Fault::CancelAtCompletion { share: 0.4, duration_s: 100.0 }),
     ];
     let at = rng.gen_range(26.0..48.0);
-    s.faults.extend(match seed / 2 % 8 {
+    setup.faults.extend(match seed / 2 % 8 {
         0 => vec![],
         1 => vec![ScheduledFault::new(at, Fault::SlowStore { max_delay_s: 0.4, duration_s: 30.0 })],
         2 => vec![ScheduledFault::new(at, Fault::LostWriteResponses { share: 0.3, duration_s: 30.0 })],
@@ -348,7 +356,7 @@
             ScheduledFault::new(at + 5.0, Fault::ControllerPause { node, duration_s: 7.0 }),
         ],
     });
-    Setup { nodes: 3 + seed as usize % 2 * 2, capacity: 20, ..s }
+    Setup { nodes: 3 + seed as usize % 2 * 2, capacity: 20, ..setup }
 }
 
 /// Plays so many crowds; what was asked in each.
@@ -363,21 +371,24 @@
 }
 
 #[test]
-fn close_looks_odd_requests_and_cancellations_at_the_end_break_no_rule() {
-    let looks = crowds(0..16);
-    assert!(looks.iter().all(|l| l.concurrent_answered > 500 && l.invalid_refused > 50), "{looks:?}");
+fn concurrent_queries_invalid_requests_and_late_cancellations_break_no_rule() {
+    let reads_mark = crowds(0..16);
     assert!(
-        looks.iter().all(|l| l.cancelled_at_acceptance > 0 && l.cancelled_at_completion > 10),
-        "{looks:?}"
+        reads_mark.iter().all(|l| l.concurrent_answered > 500 && l.invalid_refused > 50),
+        "{reads_mark:?}"
+    );
+    assert!(
+        reads_mark.iter().all(|l| l.cancelled_at_acceptance > 0 && l.cancelled_at_completion > 10),
+        "{reads_mark:?}"
     );
     // A tenth of those that are accepted, of a hundred each.
-    let at_once: u64 = looks.iter().map(|l| l.cancelled_at_acceptance).sum();
-    assert!(at_once > 16 * 5, "{looks:?}");
+    let at_once: u64 = reads_mark.iter().map(|l| l.cancelled_at_acceptance).sum();
+    assert!(at_once > 16 * 5, "{reads_mark:?}");
 }
 
 #[test]
 #[ignore = "minutes"]
-fn many_close_looks_break_no_rule() {
+fn concurrent_queries_over_many_seeds_break_no_rule() {
     assert_eq!(crowds(16..816).len(), 800);
 }
 
@@ -490,63 +501,68 @@
 
 /// What is malformed gets 400, and what can never run 422.
 #[test]
-fn what_is_odd_is_refused() {
+fn invalid_submissions_are_refused() {
     for nodes in [3, 5] {
-        let mut w = World::new(1, Course { nodes, ids: 1, lead: false, trouble: false, cancels: 0.0 });
-        w.settle(1.0, |_| false);
+        let mut world = Cluster::new(1, Scenario { nodes, ids: 1, lead: false, faults: false, cancels: 0.0 });
+        world.settle(1.0, |_| false);
         let all = submissions();
         let ids: Vec<String> = (0..all.len()).map(|n| format!("req-{}", 100 + n)).collect();
         for (n, (id, (_, body, _))) in ids.iter().zip(&all).enumerate() {
-            w.ask(n % nodes, id, sent(body, id));
-            w.settle(0.1, |_| false);
+            world.ask(n % nodes, id, sent(body, id));
+            world.settle(0.1, |_| false);
         }
-        w.settle(1.0, |_| false);
-        let got: Vec<_> = ids.iter().zip(&all).map(|(id, a)| (&a.0, w.statuses[id].clone())).collect();
+        world.settle(1.0, |_| false);
+        let got: Vec<_> = ids.iter().zip(&all).map(|(id, a)| (&a.0, world.statuses[id].clone())).collect();
         let wanted: Vec<_> = all.iter().map(|a| (&a.0, vec![a.2])).collect();
         assert_eq!(got, wanted);
-        assert_eq!(w.broken, None);
+        assert_eq!(world.violation, None);
     }
 }
 
-/// Whatever comes under the id of a known job, at any node, is told how that job is: while it
-/// waits, once it is done and once it is cancelled, and when the types that it could run on are gone.
+/// Whatever is submitted under the id of a known job, at any controller, gets the status of that
+/// job: while it waits, once it is done or cancelled, and when the types that it could run on are
+/// gone.
 #[test]
-fn what_is_known_is_told_whatever_it_is_submitted_as() {
+fn resubmission_of_a_known_job_returns_its_status() {
     for (nodes, end) in [(3, JobStatus::Pending), (5, JobStatus::Done), (3, JobStatus::Cancelled)] {
-        let mut w = World::new(1, Course { nodes, ids: 1, lead: false, trouble: false, cancels: 0.0 });
-        w.settle(1.0, |_| false);
-        w.ask(0, "req-0", sent(&body(), "req-0"));
-        w.settle(1.0, |_| false);
+        let mut world = Cluster::new(1, Scenario { nodes, ids: 1, lead: false, faults: false, cancels: 0.0 });
+        world.settle(1.0, |_| false);
+        world.ask(0, "req-0", sent(&body(), "req-0"));
+        world.settle(1.0, |_| false);
         if end.is_final() {
-            let Some(Value::Job(j)) = w.stored(job_key("req-0")) else { panic!("it is not stored") };
+            let Some(Value::Job(j)) = world.stored(job_key("req-0")) else { panic!("it is not stored") };
             let over = Value::Terminal(TerminalRecord {
                 status: end,
                 done: j.done,
                 submitted_wall_s: j.submitted_wall_s,
             });
             let changes = vec![Mutation::Delete { key: job_key("req-0") }, put(over_key("req-0"), over)];
-            w.store
-                .execute(w.now, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
-            w.cancel_asked.insert("req-0".into());
+            world.store.execute(
+                world.now,
+                &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }),
+            );
+            world.cancel_asked.insert("req-0".into());
         }
         let other = Value::Types(vec![MachineType { name: "other".into(), ..big() }]);
         let changes = vec![put(TYPES_KEY.into(), other)];
-        w.store.execute(w.now, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
-        w.settle(4.0, |_| false);
+        world
+            .store
+            .execute(world.now, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
+        world.settle(4.0, |_| false);
         let Request::Submit(whole) = sent(&body(), "req-0") else { return };
         let mut all: Vec<Request> = submissions().iter().map(|(_, body, _)| sent(body, "req-0")).collect();
         all.push(Request::Submit([&whole[..], &[0xc0]].concat()));
         let count = all.len() + 1;
         for (n, request) in all.into_iter().enumerate() {
-            w.ask(n % nodes, "req-0", request);
-            w.settle(0.1, |_| false);
+            world.ask(n % nodes, "req-0", request);
+            world.settle(0.1, |_| false);
         }
-        w.ask(0, "req-1", sent(&body(), "req-1"));
-        w.settle(1.0, |_| false);
-        assert_eq!(w.statuses["req-1"], [422], "no new job may ask for such a type");
-        let statuses = &w.statuses["req-0"];
+        world.ask(0, "req-1", sent(&body(), "req-1"));
+        world.settle(1.0, |_| false);
+        assert_eq!(world.statuses["req-1"], [422], "no new job may ask for such a type");
+        let statuses = &world.statuses["req-0"];
         assert_eq!((statuses.len(), statuses[0]), (count, 201));
         assert!(statuses[1..].iter().all(|s| *s == 200), "{end:?}: {statuses:?}");
-        assert_eq!(w.broken, None);
+        assert_eq!(world.violation, None);
     }
 }
--- a/crates/simulation/tests/polls.rs
+++ b/crates/simulation/tests/status_queries.rs
@@ -1,102 +1,63 @@
-//! What nodes answer about jobs, with every message delivered in any order.
+//! Status queries with all messages delivered in any order, and what they cost the store.
+
+mod common;
 
 use anisecroft_simulation::state::Store;
+use common::*;
 use controller::records::{Value, FORMAT, FORMAT_KEY, TYPES_KEY};
 use controller::*;
 use proptest::prelude::*;
-use protocol::cloud::MachineType;
 use protocol::job::*;
 use protocol::state::{Mutation, Transaction};
 use rand::{rngs::SmallRng, Rng, SeedableRng};
-use settings::{Operator, Settings};
+use settings::Operator;
 use std::collections::{BTreeMap, BTreeSet};
 
 const NODES: usize = 3;
 
-fn spec(id: &str) -> JobSpec {
-    JobSpec {
-        id: id.into(),
-        class: "work".into(),
-        team: "dispatch".into(),
-        shape: Shape::Array,
-        priority: Priority::Normal,
-        tasks: 3,
-        cores: 1.0,
-        accelerators: 1.0,
-        memory_gb: 1.0,
-        image: "img-1".into(),
-        image_gb: 1.0,
-        machine_types: None,
-        zone: None,
-        one_zone: false,
-        spread: false,
-        spot: false,
-        estimated_run_s: 10.0,
-        checkpoint_interval_s: 0.0,
-        save_s: 0.0,
-        deadline_s: None,
-        dependencies: Vec::new(),
-    }
-}
-
-fn big() -> MachineType {
-    MachineType {
-        name: "big".into(),
-        cores: 16.0,
-        accelerators: 4.0,
-        memory_gb: 64.0,
-        cache_gb: 50.0,
-        fetch_gb_per_s: 1.0,
-        price: 4.0,
-        spot_price: 1.5,
-        boot_s: 10.0,
-        zones: vec!["a".into()],
-    }
-}
-
 /// What users have been told of a job by any node.
 #[derive(Clone, Copy, PartialEq, PartialOrd, Debug)]
-enum Told {
+enum ReportedStatus {
     Nothing,
     Accepted,
     Over,
 }
 
-struct World {
+struct Cluster {
     rng: SmallRng,
     now: f64,
-    cores: Vec<Controller>,
+    controllers: Vec<Controller>,
     store: Store,
     /// Calls on their way to the store, and replies on their way back.
     calls: Vec<(usize, CallId, StoreRequest)>,
     replies: Vec<(usize, CallId, StoreReply)>,
     /// Open questions: job, and what had been told when it was asked.
-    open: BTreeMap<(usize, RequestId), (String, Told)>,
-    told: BTreeMap<String, Told>,
+    open: BTreeMap<(usize, RequestId), (String, ReportedStatus)>,
+    told: BTreeMap<String, ReportedStatus>,
     submitted: BTreeSet<String>,
     next: RequestId,
-    polls: u64,
+    queries: u64,
     answered: u64,
-    /// Requests that polls cost the state service.
+    /// Requests that queries cost the store.
     reads: u64,
 }
 
-impl World {
+impl Cluster {
     fn new(seed: u64) -> Self {
         let mut store = Store::default();
         let put = |key: &str, value| Transaction {
             compares: vec![],
             mutations: vec![Mutation::Put { key: key.into(), value, lease: None }],
         };
-        store.execute(0.0, &StoreRequest::Commit(put(TYPES_KEY, Value::Types(vec![big()]))));
+        store.execute(0.0, &StoreRequest::Commit(put(TYPES_KEY, Value::Types(vec![single_zone_type()]))));
         store.execute(0.0, &StoreRequest::Commit(put(FORMAT_KEY, Value::Format(FORMAT))));
-        let settings = Settings::parse(include_str!("../../../docs/example.toml")).unwrap();
-        let cores =
+        let settings = example_settings();
+        let controllers =
             (0..NODES as u64).map(|n| Controller::new(settings.clone(), Operator::default(), n)).collect();
-        World {
+        Cluster {
             rng: SmallRng::seed_from_u64(seed),
             now: 0.0,
-            cores,
+            controllers,
             store,
             calls: vec![],
             replies: vec![],
@@ -104,14 +65,14 @@
             told: BTreeMap::new(),
             submitted: BTreeSet::new(),
             next: 0,
-            polls: 0,
+            queries: 0,
             answered: 0,
             reads: 0,
         }
     }
 
     fn feed(&mut self, n: usize, input: Input) {
-        for o in self.cores[n].handle(self.now, 1e9 + self.now, input) {
+        for o in self.controllers[n].handle(self.now, 1e9 + self.now, input) {
             match o {
                 Output::Response(id, a) => self.answered(n, id, &a),
                 Output::Store(call, op) => {
@@ -130,7 +91,7 @@
 
     fn ask(&mut self, n: usize, id: &str, r: Request) {
         self.next += 1;
-        let told = self.told.get(id).copied().unwrap_or(Told::Nothing);
+        let told = self.told.get(id).copied().unwrap_or(ReportedStatus::Nothing);
         self.open.insert((n, self.next), (id.to_string(), told));
         self.feed(n, Input::Request(self.next, r));
     }
@@ -143,39 +104,39 @@
                 let v: JobView = protocol::decode(&a.body).unwrap();
                 assert!(self.submitted.contains(&job), "{job} was invented");
                 if v.status.is_final() {
-                    Told::Over
+                    ReportedStatus::Over
                 } else {
-                    Told::Accepted
+                    ReportedStatus::Accepted
                 }
             }
-            404 => Told::Nothing,
+            404 => ReportedStatus::Nothing,
             _ => return,
         };
         assert!(said >= told, "{job}: told {told:?} before it was asked, now {said:?}");
-        let known = self.told.entry(job).or_insert(Told::Nothing);
+        let known = self.told.entry(job).or_insert(ReportedStatus::Nothing);
         if said > *known {
             *known = said;
         }
     }
 
-    fn step(&mut self, ids: usize, trouble: bool) {
+    fn step(&mut self, ids: usize, faults: bool) {
         self.now += self.rng.gen_range(0.0..0.05);
         let n = self.rng.gen_range(0..NODES);
         let id = format!("req-{}", self.rng.gen_range(0..ids));
         match self.rng.gen_range(0..20) {
             0 => {
                 self.submitted.insert(id.clone());
-                self.ask(n, &id, Request::Submit(protocol::encode(&spec(&id))));
+                self.ask(n, &id, Request::Submit(protocol::encode(&plain_array(&id, 3))));
             }
             1 if self.submitted.contains(&id) => self.ask(n, &id, Request::Cancel(id.clone())),
             2..=6 => {
-                self.polls += 1;
+                self.queries += 1;
                 self.ask(n, &id, Request::QueryStatus(id.clone()));
             }
-            7 if trouble => self.now += self.rng.gen_range(0.0..8.0),
+            7 if faults => self.now += self.rng.gen_range(0.0..8.0),
             8..=12 if !self.calls.is_empty() => {
                 let (n, call, op) = self.calls.remove(self.rng.gen_range(0..self.calls.len()));
-                if trouble && self.rng.gen_bool(0.05) {
+                if faults && self.rng.gen_bool(0.05) {
                     self.replies.push((n, call, StoreReply::Refused));
                 } else if let Some(r) = self.store.execute(self.now, &op) {
                     self.replies.push((n, call, r));
@@ -200,66 +161,66 @@
         ..ProptestConfig::default()
     })]
 
-    /// A node's copy once took in what it had read before the copy began: a job
-    /// that another node had cancelled since was called pending.
+    /// A controller's copy once took in a read from before the copy began: a job that another
+    /// controller had cancelled since was called pending.
     #[test]
-    fn no_answer_is_older_than_what_was_told(seed in any::<u64>(), ids in 1usize..12, trouble in any::<bool>()) {
-        let mut w = World::new(seed);
+    fn status_answers_never_go_back(seed in any::<u64>(), ids in 1usize..12, faults in any::<bool>()) {
+        let mut world = Cluster::new(seed);
         for _ in 0..1500 {
-            w.step(ids, trouble);
+            world.step(ids, faults);
         }
-        prop_assert!(w.answered > 20);
+        prop_assert!(world.answered > 20);
     }
 }
 
 /// Delivers everything at once, so that only the number of reads counts.
-fn settle(w: &mut World, duration_s: f64) {
-    let end = w.now + duration_s;
-    while w.now < end {
-        w.now += 0.01;
-        for (n, call, op) in std::mem::take(&mut w.calls) {
-            let r = w.store.execute(w.now, &op);
-            let r = r.unwrap_or_else(|| w.store.no_events());
-            w.feed(n, Input::Store(call, r));
+fn settle(world: &mut Cluster, duration_s: f64) {
+    let end = world.now + duration_s;
+    while world.now < end {
+        world.now += 0.01;
+        for (n, call, op) in std::mem::take(&mut world.calls) {
+            let r = world.store.execute(world.now, &op);
+            let r = r.unwrap_or_else(|| world.store.no_events());
+            world.feed(n, Input::Store(call, r));
         }
         for n in 0..NODES {
-            w.feed(n, Input::Tick);
+            world.feed(n, Input::Tick);
         }
     }
 }
 
-/// Every poll once cost a read of its own, from the budget of all.
+/// Every query once cost a read of its own, from the budget of all.
 #[test]
-fn a_flood_of_polls_costs_few_reads() {
-    let mut w = World::new(1);
-    settle(&mut w, 2.0);
+fn query_flood_costs_few_reads() {
+    let mut world = Cluster::new(1);
+    settle(&mut world, 2.0);
     for n in 0..100 {
         let id = format!("req-{n}");
-        w.submitted.insert(id.clone());
-        w.ask(n % NODES, &id, Request::Submit(protocol::encode(&spec(&id))));
-        settle(&mut w, 0.1);
+        world.submitted.insert(id.clone());
+        world.ask(n % NODES, &id, Request::Submit(protocol::encode(&plain_array(&id, 3))));
+        settle(&mut world, 0.1);
     }
-    assert_eq!(w.told.values().filter(|t| **t == Told::Accepted).count(), 100);
-    let (before, answered) = (w.reads, w.answered);
+    assert_eq!(world.told.values().filter(|t| **t == ReportedStatus::Accepted).count(), 100);
+    let (before, answered) = (world.reads, world.answered);
     for _ in 0..10 {
         for n in 0..300 {
             // Half of them ask for jobs that nobody submitted.
             let id = format!("req-{}", n % 200);
-            w.ask(n % NODES, &id, Request::QueryStatus(id.clone()));
+            world.ask(n % NODES, &id, Request::QueryStatus(id.clone()));
         }
-        settle(&mut w, 1.0);
+        settle(&mut world, 1.0);
     }
-    assert_eq!(w.answered - answered, 3000);
-    let reads = w.reads - before;
+    assert_eq!(world.answered - answered, 3000);
+    let reads = world.reads - before;
     // 10 s of three nodes' shared reads, and one read of each job per node.
-    assert!(reads < 900, "{reads} reads for 3000 polls");
-    let before = w.reads;
+    assert!(reads < 900, "{reads} reads for 3000 queries");
+    let before = world.reads;
     for _ in 0..10 {
         for n in 0..300 {
             let id = format!("req-{}", n % 100);
-            w.ask(n % NODES, &id, Request::QueryStatus(id.clone()));
+            world.ask(n % NODES, &id, Request::QueryStatus(id.clone()));
         }
-        settle(&mut w, 1.0);
+        settle(&mut world, 1.0);
     }
-    assert!(w.reads - before < 300, "{} reads for polls of known jobs", w.reads - before);
+    assert!(world.reads - before < 300, "{} reads for queries of known jobs", world.reads - before);
 }
--- a/crates/simulation/tests/limits.rs
+++ b/crates/simulation/tests/store_limits.rs
@@ -1,4 +1,4 @@
-//! The state service's limits fall without notice, to a quarter or a sixteenth.
+//! The store's limits fall without notice, to a quarter or a sixteenth.
 
 mod common;
 
@@ -10,10 +10,10 @@
 
 /// Wide arrays beside the usual jobs, under limits of `kb` KiB that may fall to a part.
 fn wide(seed: u64, kb: f64, part: f64, faults: Vec<ScheduledFault>) -> Setup {
-    let mut s = setup(seed, faults);
+    let mut setup = seeded_day(seed, faults);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x11417);
-    unlimited(&mut s);
-    let state = &mut s.settings.params.store;
+    without_quotas(&mut setup);
+    let state = &mut setup.settings.params.store;
     (state.value_kb, state.txn_ops) = (kb, 24);
     state.next = Some(NextLimits {
         rps: None,
@@ -21,7 +21,7 @@
         value_kb: Some(kb * part),
         txn_ops: Some(8),
     });
-    for (n, Submission { at, spec, .. }) in s.jobs.iter_mut().enumerate().filter(|(n, _)| n % 4 == 0) {
+    for (n, Submission { at, spec, .. }) in setup.jobs.iter_mut().enumerate().filter(|(n, _)| n % 4 == 0) {
         if spec.shape != Shape::Array {
             continue;
         }
@@ -30,17 +30,17 @@
         spec.image = format!("img-{}", "x".repeat(if n % 8 == 0 { 100 } else { 5 }));
         *at = at.min(60.0);
     }
-    s
+    setup
 }
 
-/// With troubles, takeovers and cancellations around it, everybody down, a node cut off that
-/// leads: nothing is lost, and after the fall nothing is asked that the service has to refuse
-/// for its size, but by those that have yet to learn of it.
+/// With faults, failovers, cancellations, a crash of all controllers and a partitioned leader
+/// around it, nothing is lost, and after the fall only controllers that have yet to learn of it
+/// send what the store has to refuse for its size.
 #[test]
-fn limits_fall_in_the_middle_of_everything() {
+fn store_limits_fall_during_faults() {
     for seed in 0..12 {
         let (kb, part) = [(8.0, 0.25), (32.0, 1.0 / 16.0)][seed as usize % 2];
-        let mut faults = if seed % 3 == 0 { troubles(seed) } else { vec![] };
+        let mut faults = if seed % 3 == 0 { seeded_faults(seed) } else { vec![] };
         let at = 40.0 + seed as f64 * 2.0;
         faults.push(ScheduledFault::new(at, Fault::StoreLimitsReduced));
         match seed % 6 {
@@ -76,13 +76,13 @@
     }
 }
 
-/// A job that names hundreds of others and dozens of long machine types goes into parts
-/// that fit, through crashes of everybody, and starts after all of them; when it ends nothing
-/// of it is left but its end. Its cancellation, or that of one before it, reaches it too.
+/// A job that names hundreds of others and dozens of long machine types is stored in chunks that
+/// fit, through crashes of all controllers, and starts after all its dependencies; when it ends
+/// only its end is left. Its cancellation, or that of a dependency, reaches it too.
 #[test]
-fn a_specification_larger_than_any_value_is_kept_in_parts() {
+fn oversized_specification_is_stored_in_chunks() {
     for seed in 0..6 {
-        let mut s = wide(seed, 8.0, 0.25, vec![ScheduledFault::new(3.0, Fault::StoreLimitsReduced)]);
+        let mut setup = wide(seed, 8.0, 0.25, vec![ScheduledFault::new(3.0, Fault::StoreLimitsReduced)]);
         let rng = &mut SmallRng::seed_from_u64(seed);
         let small = |n: usize, rng: &mut SmallRng| JobSpec {
             id: format!("req-{n:08}"),
@@ -95,28 +95,28 @@
             estimated_run_s: 2.0,
             ..job(rng, n)
         };
-        s.jobs = (0..300).map(|n| Submission::new(4.0 + n as f64 * 0.05, small(n, rng))).collect();
-        let awaits: Vec<String> = s.jobs.iter().map(|j| j.spec.id.clone()).collect();
+        setup.jobs = (0..300).map(|n| Submission::new(4.0 + n as f64 * 0.05, small(n, rng))).collect();
+        let awaits: Vec<String> = setup.jobs.iter().map(|j| j.spec.id.clone()).collect();
         let names = (0..60).map(|n| format!("{}{n}", "type-with-a-long-name-".repeat(4)));
         let types = Some(names.chain(["big".to_string()]).collect());
         let last = JobSpec { dependencies: awaits, machine_types: types, ..small(400, rng) };
         let cancel = (seed % 3 == 2).then_some(40.0);
-        s.jobs.push(Submission::new(6.0, last).cancelled_at(cancel));
+        setup.jobs.push(Submission::new(6.0, last).cancelled_at(cancel));
         if seed % 3 == 1 {
-            s.jobs[77].cancel_at = Some(20.0);
+            setup.jobs[77].cancel_at = Some(20.0);
         }
-        s.faults.extend((0..3).map(|node| {
+        setup.faults.extend((0..3).map(|node| {
             ScheduledFault::new(30.0 + seed as f64, Fault::ControllerCrash { node, duration_s: 2.0 })
         }));
-        let mut sim = Simulation::new(Setup { capacity: 8, ..s });
+        let mut sim = Simulation::new(Setup { capacity: 8, ..setup });
         assert_eq!(sim.run(25.0), [], "seed {seed}");
         assert!(sim.store().largest("") <= 2048, "seed {seed}: {}", sim.store().largest(""));
         assert_eq!(sim.run(500.0), [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
         assert_eq!(sim.store().count("j/"), 0, "seed {seed}");
         // A submission whose write got no answer began anew; the first parts go with the
-        // first takeover that is late enough to know.
-        let late = derived().abandoned_submission_s + 60.0;
+        // first failover that is late enough to know.
+        let late = timing().abandoned_submission_s + 60.0;
         assert_eq!(sim.run(late), [], "seed {seed}");
         (0..3).for_each(|node| sim.inject(Fault::ControllerCrash { node, duration_s: 2.0 }));
         assert_eq!(sim.run(late + 60.0), [], "seed {seed}");
--- a/crates/simulation/tests/stored.rs
+++ b/crates/simulation/tests/stored.rs
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn the_pieces_of_split_values_keep_their_bytes() {
+fn chunks_of_split_values_keep_their_bytes() {
     let types = [machine_type(), MachineType { name: "small".into(), ..machine_type() }];
     let pieces = catalogue(&types, 500);
     assert!(pieces.len() > 1);
@@ -285,7 +285,7 @@
 
 /// Nothing lies there that no test reads.
 #[test]
-fn every_file_is_read() {
+fn every_fixture_is_read() {
     let source = include_str!("stored.rs");
     let files = std::fs::read_dir(path("")).expect("the folder is there");
     for file in files {
--- a/crates/simulation/tests/versions.rs
+++ b/crates/simulation/tests/version_compatibility.rs
@@ -1,5 +1,5 @@
-//! The version in production and this one on each other's data. What production wrote stands
-//! in `production/` (made by `scripts/fixtures`); what it reads is frozen below.
+//! The version in production and this one on each other's data. What production wrote is in
+//! `production/` (made by `scripts/fixtures`); what it can read is frozen below.
 
 mod common;
 
@@ -83,7 +83,7 @@
 
 /// Everything that production stored is read, field by field.
 #[test]
-fn what_production_stored_is_read() {
+fn production_records_are_read() {
     let page: Page<Value> = protocol::decode(include_bytes!("production/page.msgpack")).unwrap();
     assert_eq!(page.items.len(), 9);
     let mut kinds = Vec::new();
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn what_production_says_is_understood() {
+fn production_messages_are_understood() {
     let view = protocol::peer::View::decode(&include_bytes!("production/view.protobuf")[..]).unwrap();
     assert_eq!((&view.node[..], view.token, view.format, view.room), ("n-1", 41, 2, 100));
     let relay =
@@ -130,11 +130,11 @@
     assert_eq!(reply.token, 41);
 }
 
-/// Days on which some node has production's version yet: with the coming limits known, with
-/// takeovers and every trouble. All that is written is read by production, and written back
-/// by it byte for byte: it drops nothing.
+/// Days on which some controller still runs production's version: with the coming limits known,
+/// with failovers and every fault. Production can read all that is written, and writes it back
+/// byte for byte.
 #[test]
-fn what_is_written_before_the_gate_is_productions() {
+fn writes_before_the_format_gate_are_readable_by_production() {
     fn look(key: &str, value: &Value) {
         let bytes = protocol::encode(value);
         let read = protocol::decode::<frozen::Value>(&bytes).unwrap_or_else(|e| panic!("{key}: {e}"));
@@ -145,14 +145,16 @@
         assert!(!format, "the gate is open while a node has the version before");
     }
     for seed in 0..10 {
-        let mut s = setup(seed, if seed % 2 == 0 { troubles(seed) } else { vec![] });
-        unlimited(&mut s);
-        let state = &mut s.settings.params.store;
+        let mut setup = seeded_day(seed, if seed % 2 == 0 { seeded_faults(seed) } else { vec![] });
+        without_quotas(&mut setup);
+        let state = &mut setup.settings.params.store;
         state.next = Some(NextLimits { value_kb: Some(2.0), txn_ops: Some(8), ..NextLimits::default() });
-        for Submission { spec, .. } in s.jobs.iter_mut().step_by(5).filter(|j| j.spec.shape == Shape::Array) {
+        for Submission { spec, .. } in
+            setup.jobs.iter_mut().step_by(5).filter(|j| j.spec.shape == Shape::Array)
+        {
             (spec.tasks, spec.cores, spec.accelerators, spec.memory_gb) = (200, 0.25, 0.0, 0.25);
         }
-        let mut sim = Simulation::new(Setup { capacity: 12, ..s });
+        let mut sim = Simulation::new(Setup { capacity: 12, ..setup });
         sim.inspect_writes(look);
         sim.announce_format(FORMAT_MOVES);
         assert_eq!(sim.run(500.0), [], "seed {seed}");
@@ -161,15 +163,15 @@
     }
 }
 
-/// Once all have said that they have this version, the new forms are used, and what
-/// production left is brought into them.
+/// Once all controllers have announced this version, the new formats are used, and what production
+/// left is converted.
 #[test]
-fn the_gate_opens_when_all_have_said_so() {
-    let mut s = setup(3, vec![]);
-    unlimited(&mut s);
-    s.settings.params.store.next = Some(NextLimits { value_kb: Some(2.0), ..NextLimits::default() });
+fn format_gate_opens_when_all_controllers_announce_it() {
+    let mut setup = seeded_day(3, vec![]);
+    without_quotas(&mut setup);
+    setup.settings.params.store.next = Some(NextLimits { value_kb: Some(2.0), ..NextLimits::default() });
     let array = JobSpec { tasks: 900, cores: 0.25, accelerators: 0.0, memory_gb: 0.25, ..long_array() };
-    let mut sim = Simulation::new(Setup { jobs: vec![Submission::new(1.0, array)], capacity: 12, ..s });
+    let mut sim = Simulation::new(Setup { jobs: vec![Submission::new(1.0, array)], capacity: 12, ..setup });
     sim.announce_format(FORMAT_MOVES);
     assert_eq!(sim.run(60.0), []);
     assert_eq!(sim.store().format(), Some(FORMAT_MOVES));
--- a/crates/simulation/tests/left_lying.rs
+++ b/crates/simulation/tests/work_conservation.rs
@@ -1,4 +1,5 @@
-//! Work that is left lying beside room that fits, and what is rented or given back for nothing.
+//! No job waits beside machines that have room for it, and nothing is rented or scaled in for no
+//! reason.
 
 mod common;
 
@@ -21,18 +22,16 @@
     JobSpec { zone: Some(zone.into()), ..s }
 }
 
-type Jobs = Vec<Submission>;
-
 /// A day of `jobs` and nothing else on up to `capacity` machines, with three or five controllers.
-fn day(seed: u64, checks: SafetyChecks, capacity: usize, jobs: Jobs) -> Simulation {
-    let mut s = setup(seed, vec![]);
-    unlimited(&mut s);
+fn day(seed: u64, checks: SafetyChecks, capacity: usize, jobs: Vec<Submission>) -> Simulation {
+    let mut setup = seeded_day(seed, vec![]);
+    without_quotas(&mut setup);
     let nodes = 3 + 2 * (seed % 2) as usize;
-    Simulation::new(Setup { jobs, capacity, nodes, checks, loss: 0.0, ..s })
+    Simulation::new(Setup { jobs, capacity, nodes, checks, loss: 0.0, ..setup })
 }
 
-/// Fourteen machines stand idle when an outage of the state service ends that was longer than three
-/// leases, and work comes at once. Machines rented since, and those given back.
+/// Fourteen machines are idle when a store outage of more than three leases ends, and jobs are
+/// submitted at once. Returns the machines rented since, and those scaled in.
 fn after_an_outage(seed: u64, checks: SafetyChecks) -> (u32, usize) {
     let first = Submission::new(2.0, array(1, 12, 4.0, 60.0));
     let later = (2..4).map(|n| Submission::new(95.0, array(n, 2, 4.0, 60.0)));
@@ -49,9 +48,10 @@
     (all, sim.deleted.iter().filter(|deleted| deleted.at < 117.5).count())
 }
 
-/// They take it: none is given back as deaf, since nobody was answered meanwhile, and none is rented.
+/// They take the jobs: none is scaled in as unreachable, since nobody was answered meanwhile, and
+/// none is rented.
 #[test]
-fn after_an_outage_idle_machines_take_the_work() {
+fn idle_machines_take_jobs_after_a_store_outage() {
     for seed in 0..6 {
         // (Two at most for what usually comes.)
         let (rented, deleted) = after_an_outage(seed, SafetyChecks::default());
@@ -62,8 +62,8 @@
     assert!(rented > 2 && deleted >= 12, "{rented} rented, {deleted} given back");
 }
 
-/// Nothing reaches the leader but the state service for eight seconds, in which work comes.
-/// Machines rented by the end of that.
+/// Only the store reaches the leader for eight seconds, in which jobs are submitted. Returns the
+/// machines rented by the end of that.
 fn unheard_for_a_moment(seed: u64, checks: SafetyChecks) -> u32 {
     // (All machines in one zone, so that it is not taken for one that is out of reach.)
     let idle = JobSpec { priority: Priority::Low, class: "spare".into(), ..array(1, 12, 4.0, 20.0) };
@@ -80,9 +80,10 @@
     sim.rented() - rented
 }
 
-/// What fell silent a moment ago is probably there; that is waited for, for one gap of reports.
+/// A machine that fell silent a moment ago is probably there, and is waited for, for one heartbeat
+/// gap.
 #[test]
-fn nothing_is_rented_for_what_silent_machines_may_take() {
+fn no_scale_out_for_jobs_that_silent_machines_may_take() {
     for seed in 0..6 {
         assert_eq!(unheard_for_a_moment(seed, SafetyChecks::default()), 0, "seed {seed}");
     }
@@ -90,11 +91,11 @@
     assert!((0..6).any(|seed| unheard_for_a_moment(seed, off) > 0));
 }
 
-/// Work bound to a zone that is full, while fewer machines stand in the other: of one zone by name, an
-/// array that has begun there, a service of which half may be in each. The jobs that
-/// have not ended, or begun.
+/// Jobs bound to a zone that is full, while fewer machines are in the other: jobs of one zone by
+/// name, an array that has begun there, a service of which half may be in each. Returns the jobs
+/// that have not ended, or begun.
 fn bound(seed: u64, checks: SafetyChecks) -> Vec<String> {
-    let mut jobs: Jobs = (1..25).map(|n| Submission::new(2.0, in_zone("b", service(n)))).collect();
+    let mut jobs: Vec<Submission> = (1..25).map(|n| Submission::new(2.0, in_zone("b", service(n)))).collect();
     jobs.push(Submission::new(150.0, in_zone("b", array(100, 1, 4.0, 20.0))));
     let pair = JobSpec { tasks: 2, spread: true, ..service(101) };
     jobs.push(Submission::new(150.0, pair));
@@ -105,10 +106,10 @@
     sim.unfinished().into_iter().chain(services).collect()
 }
 
-/// Machines for it are rented there. (They were once rented where fewest stood, given back and rented
-/// there anew, for ever.)
+/// Machines for them are rented there. (They were once rented where fewest were, scaled in and
+/// rented there anew, forever.)
 #[test]
-fn machines_for_bound_work_come_where_it_may_run() {
+fn scale_out_for_zonal_jobs_happens_in_their_zone() {
     for seed in 0..6 {
         assert_eq!(bound(seed, SafetyChecks::default()), Vec::<String>::new(), "seed {seed}");
     }
@@ -116,26 +117,26 @@
     assert!((0..6).any(|seed| !bound(seed, off).is_empty()));
 }
 
-/// Nothing is rented for work that a team's limit lets nobody run. (Sixty machines were once, for a
-/// team of two.)
+/// Nothing is rented for jobs that a team's limit keeps from running. (Sixty machines were once,
+/// for a team of two.)
 #[test]
-fn a_team_at_its_limit_has_nothing_rented() {
+fn no_scale_out_for_a_team_at_its_limit() {
     for seed in 0..3 {
-        let mut s = setup(seed, vec![]);
-        unlimited(&mut s);
-        for t in &mut s.settings.params.teams {
+        let mut setup = seeded_day(seed, vec![]);
+        without_quotas(&mut setup);
+        for t in &mut setup.settings.params.teams {
             t.accelerators_max = 8.0;
         }
         let late = |n| JobSpec { deadline_s: Some(60.0), ..array(n, 1, 4.0, 30.0) };
         let jobs = (10..60).map(|n| Submission::new(2.0 + n as f64 * 0.2, late(n))).collect();
-        let mut sim = Simulation::new(Setup { jobs, capacity: 60, loss: 0.0, ..s });
+        let mut sim = Simulation::new(Setup { jobs, capacity: 60, loss: 0.0, ..setup });
         assert_eq!(sim.run(200.0), [], "seed {seed}");
         assert!(sim.rented() < 10, "seed {seed}: {} rented", sim.rented());
     }
 }
 
-/// A gang needs room on all three machines, of which one is full for the whole day; work that takes
-/// longer than that comes, and work that does not.
+/// A gang needs room on all three machines, of which one is full for the whole day; jobs that take
+/// longer than that are submitted, and jobs that do not.
 fn held_for_a_gang(seed: u64, checks: SafetyChecks) -> Vec<Rule> {
     let gang = JobSpec { shape: Shape::Gang, deadline_s: Some(10.0), ..array(10, 3, 1.5, 30.0) };
     let jobs = vec![
@@ -149,9 +150,9 @@
     sim.run(400.0).iter().map(|b| b.rule).collect()
 }
 
-/// A place that is held for a gang is given to others in the end.
+/// Capacity that is reserved for a gang goes to other jobs in the end.
 #[test]
-fn no_place_is_held_for_long() {
+fn gang_reservation_is_released() {
     for seed in 0..6 {
         assert_eq!(held_for_a_gang(seed, SafetyChecks::default()), [], "seed {seed}");
     }
@@ -159,23 +160,27 @@
     assert!((0..6).any(|seed| held_for_a_gang(seed, off) == [Rule::LeftWaiting]));
 }
 
-/// What nobody waits for may use the cheaper type only, which cannot be had, while a dearer machine
-/// that others use has room.
+/// A best-effort job may use the cheaper type only, which cannot be had, while a more expensive
+/// machine that others use has room.
 fn left_beside_a_dear_machine(seed: u64, checks: SafetyChecks) -> Vec<Rule> {
-    let mut s = setup(seed, vec![]);
-    unlimited(&mut s);
-    s.types.push(protocol::cloud::MachineType { name: "dear".into(), price: 40.0, ..s.types[0].clone() });
+    let mut setup = seeded_day(seed, vec![]);
+    without_quotas(&mut setup);
+    setup.types.push(protocol::cloud::MachineType {
+        name: "dear".into(),
+        price: 40.0,
+        ..setup.types[0].clone()
+    });
     let dear = JobSpec { machine_types: Some(vec!["dear".into()]), ..array(1, 1, 1.0, 3000.0) };
     let idle = JobSpec { priority: Priority::Low, class: "spare".into(), ..array(2, 3, 1.0, 30.0) };
     let jobs = vec![Submission::new(2.0, dear), Submission::new(60.0, idle)];
     let nodes = 3 + 2 * (seed % 2) as usize;
-    let mut sim = Simulation::new(Setup { jobs, capacity: 1, nodes, checks, loss: 0.0, ..s });
+    let mut sim = Simulation::new(Setup { jobs, capacity: 1, nodes, checks, loss: 0.0, ..setup });
     sim.run(300.0).iter().map(|b| b.rule).collect()
 }
 
-/// It gets room that is free anyway.
+/// It gets capacity that is free anyway.
 #[test]
-fn what_nobody_waits_for_gets_what_is_free() {
+fn best_effort_jobs_get_free_capacity() {
     for seed in 0..4 {
         assert_eq!(left_beside_a_dear_machine(seed, SafetyChecks::default()), [], "seed {seed}");
     }
@@ -183,8 +188,9 @@
     assert_eq!(left_beside_a_dear_machine(0, off), [Rule::LeftWaiting]);
 }
 
-/// More work than room, urgent and not, of every shape, bound to zones and types; machines are lost,
-/// cut off, mute, deaf, faulty or slow, links are slow, leaders end. Then all is well again.
+/// More jobs than room, urgent and not, of every shape, bound to zones and types; machines are
+/// lost, partitioned one way or both, faulty or slow, links are slow, leaders crash. Then all
+/// faults are over.
 fn crowded(seed: u64) -> Simulation {
     let rng = &mut SmallRng::seed_from_u64(seed ^ 0x1e_f7);
     let mut faults: Vec<ScheduledFault> = (0..8)
@@ -212,31 +218,35 @@
         // All machines of one zone at a time.
         faults.extend((0..6).map(|machine| ScheduledFault::new(60.0, Fault::MachineLost { machine })));
     }
-    let mut s = setup(seed, faults);
+    let mut setup = seeded_day(seed, faults);
     let types = [None, Some(vec!["big".to_string()]), Some(vec!["dear".to_string()])];
-    s.types.push(protocol::cloud::MachineType { name: "dear".into(), price: 12.0, ..s.types[0].clone() });
-    for Submission { at, spec, .. } in &mut s.jobs {
+    setup.types.push(protocol::cloud::MachineType {
+        name: "dear".into(),
+        price: 12.0,
+        ..setup.types[0].clone()
+    });
+    for Submission { at, spec, .. } in &mut setup.jobs {
         *at = at.min(100.0);
         spec.machine_types = types[rng.gen_range(0..3usize)].clone();
         (spec.accelerators, spec.class) = ([0.5, 1.0, 2.0, 4.0][rng.gen_range(0..4usize)], "work".into());
         if spec.priority == Priority::Low {
             spec.class = "spare".into();
         }
-        // What can never be whole is no fault.
+        // A gang that can never be complete is no fault.
         spec.tasks = spec.tasks.min(2);
     }
     if seed % 2 == 0 {
-        unlimited(&mut s);
+        without_quotas(&mut setup);
     }
     let nodes = 3 + 2 * (seed / 2 % 2) as usize;
-    Simulation::new(Setup { capacity: 3 + (seed % 5) as usize, nodes, ..s })
+    Simulation::new(Setup { capacity: 3 + (seed % 5) as usize, nodes, ..setup })
 }
 
 #[test]
-fn once_troubles_are_over_nothing_is_left_lying() {
+fn no_job_waits_beside_capacity_after_faults() {
     let mut waited = 0;
     // 30: machines kept for gangs that could not be whole were the last to be had. 50: nothing was
-    // rented for what nobody waits for, once it had waited long.
+    // rented for best-effort jobs that had waited for long.
     for seed in (0..14).chain([30, 50]) {
         let mut sim = crowded(seed);
         assert_eq!(sim.run(160.0), [], "seed {seed}");
@@ -244,13 +254,13 @@
         assert_eq!(sim.run(900.0), [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
-    assert!(waited > 80, "{waited} jobs waited or ran as the troubles ended");
+    assert!(waited > 80, "{waited} jobs waited or ran as the faults ended");
 }
 
-/// What nobody waits for fails on the machine that is used already, and goes to another. (It once came
-/// back to the same one for ever.)
+/// A best-effort job fails on the machine that is in use already, and goes to another. (It once
+/// came back to the same one forever.)
 #[test]
-fn what_nobody_waits_for_leaves_a_faulty_machine() {
+fn best_effort_jobs_leave_a_faulty_machine() {
     for seed in 0..4 {
         let idle = JobSpec { priority: Priority::Low, class: "spare".into(), ..array(2, 1, 1.0, 20.0) };
         let jobs = vec![Submission::new(2.0, array(1, 1, 1.0, 3000.0)), Submission::new(40.0, idle)];
