--- a/crates/controller/src/agents/failure_timeouts.rs
+++ b/crates/controller/src/agents/failure_timeouts.rs
@@ -12,7 +12,7 @@
     pub(crate) fn record_observation(&mut self, via: Option<&ProxyId>, zone: &str, received_at: Time) {
         let max_gap_s = self.timing.max_heartbeat_gap_s;
         let Role::Leader(leader) = &mut self.role else { return };
-        let node = via.map_or(&self.settings.node, |(node, _)| node);
+        let node = via.map_or(&self.settings.node, |proxy| &proxy.node);
         leader.forwarding.observations.record(received_at, node, zone, max_gap_s);
     }
 
--- a/crates/controller/src/proxy/follower.rs
+++ b/crates/controller/src/proxy/follower.rs
@@ -4,7 +4,7 @@
 use crate::{CallContext, Controller, Output, RequestId, Time};
 use protocol::peer::ForwardReply;
 use protocol::worker::{Heartbeat, Redirect};
-use sharding::ProxyAction;
+use sharding::{LeaderIdentity, ProxyAction};
 use tracing::{info, warn};
 
 impl Controller {
@@ -56,6 +56,7 @@
         let leader = self.newest_known_leader();
         let stored_token = self.election.known_leader.as_ref().map_or(0, |(_, token)| *token);
         self.election.last_stored_token = self.election.last_stored_token.max(stored_token);
+        let leader = leader.map(|(node, fencing_token)| LeaderIdentity { node, fencing_token });
         self.sharding.proxy.set_leader(self.now, leader);
         self.sharding.proxy.tick(self.now);
         self.perform_proxy_actions();
@@ -84,7 +85,8 @@
             return;
         }
         self.sharding.was_proxying = may_respond;
-        let (leader, token) = self.sharding.proxy.leader().cloned().unwrap_or_default();
+        let LeaderIdentity { node: leader, fencing_token: token } =
+            self.sharding.proxy.leader().cloned().unwrap_or_default();
         if may_respond {
             info!(leader, token, "delegated lease granted, responding to heartbeats");
         } else {
--- a/crates/controller/src/proxy/forwarded_heartbeats.rs
+++ b/crates/controller/src/proxy/forwarded_heartbeats.rs
@@ -78,7 +78,7 @@
         if !is_ready {
             return;
         }
-        let proxy: ProxyId = (request.node, request.incarnation);
+        let proxy = ProxyId { node: request.node, incarnation: request.incarnation };
         for entry in request.entries {
             self.on_forwarded_heartbeat(&proxy, entry);
         }
@@ -139,7 +139,7 @@
                     machine.record_unsolicited_heartbeat(received_at);
                     machine.reports_here = false;
                     let observations = &mut leader.forwarding.observations;
-                    observations.record(received_at, &proxy.0, &machine.zone, max_gap_s);
+                    observations.record(received_at, &proxy.node, &machine.zone, max_gap_s);
                 }
                 return None;
             }
--- a/crates/sharding/src/forwarding.rs
+++ b/crates/sharding/src/forwarding.rs
@@ -1,188 +1,254 @@
-//! The leader's side: what it knows of the nodes that answer for it.
+//! The leader's side of heartbeat forwarding: what it knows of each proxy, and the
+//! leases that it delegates to them.
 
-use crate::{HeartbeatObservations, RequestId, Time};
+use crate::{HeartbeatObservations, ProxyId, RequestId, Time};
 use protocol::peer::{ForwardReply, ForwardRequest, LeaderOnly, MachineCommands};
 use settings::DRIFT;
 use std::collections::{BTreeMap, VecDeque};
 
-/// A start of a node's process.
-pub type ProxyId = (String, u64);
+/// Replies whose times are remembered; one request of a proxy is open at a time.
+const MAX_RECENT_REPLIES: usize = 8;
+/// Proxies, counting each start of a node, that are remembered.
+const MAX_PROXIES: usize = 64;
 
 /// A reply that is due, for the request that waits for it.
 #[derive(Debug, PartialEq)]
 pub struct DueReply {
+    /// The request that waits.
     pub request: RequestId,
+    /// What to reply.
     pub reply: ForwardReply,
 }
 
-/// A request that waits for something to tell.
+/// A request that waits until there is something to reply.
 struct OpenForward {
     request: RequestId,
     sequence: u64,
     received_at: Time,
+    /// Its heartbeats were processed.
     ready: bool,
 }
 
+struct SentReply {
+    sequence: u64,
+    sent_at: Time,
+}
+
+/// The machines that only the leader answers, at some version; true if a task there
+/// has to be killed.
+struct LeaderOnlySnapshot {
+    version: u64,
+    machines: BTreeMap<String, bool>,
+}
+
+/// A snapshot that was sent and not acknowledged yet.
+struct SentSnapshot {
+    sequence: u64,
+    snapshot: LeaderOnlySnapshot,
+}
+
 #[derive(Default)]
 struct ForwardingProxy {
-    /// Until when it may answer reports, by this node's clock.
+    /// Until when it may answer heartbeats, by this node's clock.
     lease_expires_at: Time,
-    /// Every report that it answered before then has come here.
-    known_until: Time,
-    /// Replies that it may have, with when they were sent.
-    recent_replies: VecDeque<(u64, Time)>,
+    /// Every heartbeat that it answered before then has been forwarded.
+    complete_until: Time,
+    /// Replies that it may have received.
+    recent_replies: VecDeque<SentReply>,
     open: Option<OpenForward>,
     commands: Vec<MachineCommands>,
+    /// Machines whose content is wanted in full.
     unknown: Vec<String>,
-    /// What it attends as of the last reply that it acknowledged; None: unknown.
-    acknowledged_leader_only: Option<(u64, BTreeMap<String, bool>)>,
-    /// What it attends once it has the last reply.
-    sent_leader_only: Option<(u64, u64, BTreeMap<String, bool>)>,
+    /// The snapshot of the last reply that it acknowledged; None: unknown.
+    acknowledged_leader_only: Option<LeaderOnlySnapshot>,
+    /// The snapshot that it has once the last reply arrives.
+    sent_leader_only: Option<SentSnapshot>,
 }
 
-/// Replies whose times are remembered; one is on its way at a time.
-const MOST_REPLIES: usize = 8;
-/// Nodes' starts that are remembered.
-const MOST_RELAYS: usize = 64;
+impl ForwardingProxy {
+    /// Takes in that the proxy has received the reply of that sequence number.
+    fn acknowledge(&mut self, request: &ForwardRequest, ready: bool) {
+        let Some(reply) = self.recent_replies.iter().find(|reply| reply.sequence == request.acked) else {
+            return;
+        };
+        // It made this request after that reply had arrived.
+        if request.complete && ready {
+            self.complete_until = self.complete_until.max(reply.sent_at);
+        }
+        if let Some(sent) = self.sent_leader_only.take_if(|sent| sent.sequence == request.acked) {
+            self.acknowledged_leader_only = Some(sent.snapshot);
+        }
+    }
+
+    fn is_leader_only_outdated(&self, version: u64) -> bool {
+        self.acknowledged_leader_only.as_ref().is_none_or(|snapshot| snapshot.version != version)
+    }
+
+    /// Whether the open request is to be replied to at once.
+    fn is_urgent(&self, version: u64) -> bool {
+        let has_unsent_change = self.is_leader_only_outdated(version) && self.sent_leader_only.is_none();
+        !self.commands.is_empty() || !self.unknown.is_empty() || has_unsent_change
+    }
+
+    /// Adds to `reply` how `current` differs from what the proxy has acknowledged.
+    fn add_leader_only_changes(&self, reply: &mut ForwardReply, current: &BTreeMap<String, bool>) {
+        let empty = BTreeMap::new();
+        let base = self.acknowledged_leader_only.as_ref().map_or(&empty, |snapshot| &snapshot.machines);
+        reply.attend = current
+            .iter()
+            .filter(|(machine, stops)| base.get(*machine) != Some(stops))
+            .map(|(machine, stops)| LeaderOnly { machine: machine.clone(), stops: *stops })
+            .collect();
+        reply.attend_no_more =
+            base.keys().filter(|machine| !current.contains_key(*machine)).cloned().collect();
+    }
+
+    fn record_reply(&mut self, now: Time, sequence: u64, lease_s: f64) {
+        self.lease_expires_at = self.lease_expires_at.max(now + lease_s.max(0.0) * DRIFT);
+        self.recent_replies.push_back(SentReply { sequence, sent_at: now });
+        if self.recent_replies.len() > MAX_RECENT_REPLIES {
+            self.recent_replies.pop_front();
+        }
+    }
 
+    /// Whether a lease that a worker got by `renewed_at` or through this proxy is over.
+    fn surely_expired(&self, renewed_at: Time, worker_lease_s: f64, now: Time) -> bool {
+        renewed_at + worker_lease_s < self.complete_until
+            || renewed_at.max(self.lease_expires_at) + worker_lease_s < now
+    }
+}
+
+/// What the leader knows of the proxies that serve heartbeats for it.
 #[derive(Default)]
 pub struct HeartbeatForwarding {
-    /// Which nodes the workers reach, by the reports that come by each.
+    /// Which nodes the workers reach, by the heartbeats that come through each.
     pub observations: HeartbeatObservations,
     proxies: BTreeMap<ProxyId, ForwardingProxy>,
-    /// Machines that only the leader answers, and whether something is to be
-    /// stopped there.
+    /// Machines that only the leader answers; true if a task there has to be killed.
     leader_only: BTreeMap<String, bool>,
-    /// Counts changes of `attended`.
+    /// Counts changes of `leader_only`.
     leader_only_version: u64,
 }
 
 impl HeartbeatForwarding {
-    /// A node's request; false if there are too many nodes. `ready`: its
-    /// reports are taken in.
-    pub fn on_request(&mut self, now: Time, request: RequestId, r: &ForwardRequest, ready: bool) -> bool {
-        let source = (r.node.clone(), r.incarnation);
-        if self.proxies.len() >= MOST_RELAYS && !self.proxies.contains_key(&source) {
+    /// Registers a proxy's request, which stays open until a reply is due. `ready`: its
+    /// heartbeats are processed. Returns false if there are too many proxies.
+    pub fn on_request(
+        &mut self,
+        now: Time,
+        request_id: RequestId,
+        request: &ForwardRequest,
+        ready: bool,
+    ) -> bool {
+        let source = ProxyId { node: request.node.clone(), incarnation: request.incarnation };
+        if self.proxies.len() >= MAX_PROXIES && !self.proxies.contains_key(&source) {
             return false;
         }
-        let relay = self.proxies.entry(source).or_default();
-        if let Some((_, sent)) = relay.recent_replies.iter().find(|(n, _)| *n == r.acked) {
-            // It made this request after that reply had come.
-            if r.complete && ready {
-                relay.known_until = relay.known_until.max(*sent);
-            }
-            if let Some((_, change, told)) = relay.sent_leader_only.take_if(|(n, ..)| *n == r.acked) {
-                relay.acknowledged_leader_only = Some((change, told));
-            }
-        }
-        relay.open = Some(OpenForward { request, sequence: r.number, received_at: now, ready });
+        let proxy = self.proxies.entry(source).or_default();
+        proxy.acknowledge(request, ready);
+        proxy.open =
+            Some(OpenForward { request: request_id, sequence: request.number, received_at: now, ready });
         true
     }
 
-    /// The answer to a report that came by `source`.
-    pub fn add_commands(&mut self, source: &ProxyId, orders: MachineCommands) {
-        if let Some(r) = self.proxies.get_mut(source) {
-            r.commands.push(orders);
+    /// Adds the response to a heartbeat that came through `source` to its next reply.
+    pub fn add_commands(&mut self, source: &ProxyId, commands: MachineCommands) {
+        if let Some(proxy) = self.proxies.get_mut(source) {
+            proxy.commands.push(commands);
         }
     }
 
-    /// `machine`'s content is wanted in full.
+    /// Asks `source` for the full content of `machine`'s heartbeat.
     pub fn request_content(&mut self, source: &ProxyId, machine: &str) {
-        if let Some(r) = self.proxies.get_mut(source) {
-            r.unknown.push(machine.to_string());
+        if let Some(proxy) = self.proxies.get_mut(source) {
+            proxy.unknown.push(machine.to_string());
         }
     }
 
-    /// Whether only the leader answers `machine`'s reports, and whether
-    /// something is to be stopped there.
-    pub fn set_leader_only(&mut self, machine: &str, stops: Option<bool>) {
-        let before = match stops {
-            Some(s) => self.leader_only.insert(machine.to_string(), s),
+    /// Sets whether only the leader may answer `machine`'s heartbeats, and if so,
+    /// whether a task there has to be killed.
+    pub fn set_leader_only(&mut self, machine: &str, has_pending_kill: Option<bool>) {
+        let before = match has_pending_kill {
+            Some(value) => self.leader_only.insert(machine.to_string(), value),
             None => self.leader_only.remove(machine),
         };
-        self.leader_only_version += u64::from(before != stops);
+        self.leader_only_version += u64::from(before != has_pending_kill);
     }
 
-    /// Whether only the leader answers `machine`'s reports.
+    /// Whether only the leader may answer `machine`'s heartbeats.
     pub fn is_leader_only(&self, machine: &str) -> bool {
         self.leader_only.contains_key(machine)
     }
 
     /// Whether a request waits for its reply.
     pub fn has_open_request(&self) -> bool {
-        self.proxies.values().any(|r| r.open.is_some())
+        self.proxies.values().any(|proxy| proxy.open.is_some())
     }
 
-    /// Replies that are due: those with something to tell, and those that have
-    /// waited for `hold`. Each gives leave for `leave` seconds.
-    pub fn take_due_replies(&mut self, now: Time, token: u64, leave: Time, hold: Time) -> Vec<DueReply> {
+    /// Replies that are due: those with news for the proxy, and those that have waited
+    /// for `max_wait_s`. Each delegates a lease for `lease_s` seconds under `fencing_token`.
+    pub fn take_due_replies(
+        &mut self,
+        now: Time,
+        fencing_token: u64,
+        lease_s: f64,
+        max_wait_s: f64,
+    ) -> Vec<DueReply> {
         let mut due = Vec::new();
-        for relay in self.proxies.values_mut() {
-            let Some(open) = &relay.open else { continue };
-            let news = relay
-                .acknowledged_leader_only
-                .as_ref()
-                .is_none_or(|(change, _)| *change != self.leader_only_version);
-            let urgent = !relay.commands.is_empty()
-                || !relay.unknown.is_empty()
-                || news && relay.sent_leader_only.is_none();
-            if !urgent && now < open.received_at + hold {
-                continue;
-            }
-            let Some(open) = relay.open.take() else { continue };
+        for proxy in self.proxies.values_mut() {
+            let is_urgent = proxy.is_urgent(self.leader_only_version);
+            let is_due = |open: &mut OpenForward| is_urgent || now >= open.received_at + max_wait_s;
+            let Some(open) = proxy.open.take_if(is_due) else { continue };
             let mut reply = ForwardReply {
-                token,
-                leave_ms: (leave.max(0.0) * 1000.0) as u32,
+                token: fencing_token,
+                leave_ms: (lease_s.max(0.0) * 1000.0) as u32,
                 ready: open.ready,
-                afresh: relay.acknowledged_leader_only.is_none(),
-                unknown: std::mem::take(&mut relay.unknown),
-                orders: std::mem::take(&mut relay.commands),
+                afresh: proxy.acknowledged_leader_only.is_none(),
+                unknown: std::mem::take(&mut proxy.unknown),
+                orders: std::mem::take(&mut proxy.commands),
                 ..ForwardReply::default()
             };
-            if news {
-                let empty = BTreeMap::new();
-                let base = relay.acknowledged_leader_only.as_ref().map_or(&empty, |(_, a)| a);
-                let added = self.leader_only.iter().filter(|(m, s)| base.get(*m) != Some(s));
-                reply.attend = added.map(|(m, s)| LeaderOnly { machine: m.clone(), stops: *s }).collect();
-                let gone = base.keys().filter(|m| !self.leader_only.contains_key(*m));
-                reply.attend_no_more = gone.cloned().collect();
-                relay.sent_leader_only =
-                    Some((open.sequence, self.leader_only_version, self.leader_only.clone()));
-            }
-            relay.lease_expires_at = relay.lease_expires_at.max(now + leave.max(0.0) * DRIFT);
-            relay.recent_replies.push_back((open.sequence, now));
-            if relay.recent_replies.len() > MOST_REPLIES {
-                relay.recent_replies.pop_front();
+            if proxy.is_leader_only_outdated(self.leader_only_version) {
+                proxy.add_leader_only_changes(&mut reply, &self.leader_only);
+                let snapshot = LeaderOnlySnapshot {
+                    version: self.leader_only_version,
+                    machines: self.leader_only.clone(),
+                };
+                proxy.sent_leader_only = Some(SentSnapshot { sequence: open.sequence, snapshot });
             }
+            proxy.record_reply(now, open.sequence, lease_s);
             due.push(DueReply { request: open.request, reply });
         }
         due
     }
 
-    /// Requests that wait, for a node that leads no longer.
+    /// Takes the requests that wait, for a node that no longer leads.
     pub fn take_waiting_requests(&mut self) -> Vec<RequestId> {
-        self.proxies.values_mut().filter_map(|r| Some(r.open.take()?.request)).collect()
+        self.proxies.values_mut().filter_map(|proxy| Some(proxy.open.take()?.request)).collect()
     }
 
-    /// Whether the lease of a worker that was last known to be answered at
-    /// `answered` is surely over, leases ending `over` after that. Another node
-    /// may have answered it unbeknown to this one: not before `known_to`, or the
-    /// lease was over already then, and not after its leave.
-    pub fn lease_surely_expired(&self, answered: Time, over: Time, now: Time) -> bool {
-        let by = |r: &ForwardingProxy| {
-            answered + over < r.known_until || answered.max(r.lease_expires_at) + over < now
-        };
-        answered + over < now && self.proxies.values().all(by)
+    /// Whether the lease of a worker that was last known to be renewed at `renewed_at`
+    /// has surely expired, worker leases being `worker_lease_s` long.
+    ///
+    /// A proxy may have renewed it without this node's knowledge: not before the time up
+    /// to which it has forwarded everything (if the lease was over by then, it had not
+    /// been renewed), and not after the proxy's own lease.
+    pub fn lease_surely_expired(&self, renewed_at: Time, worker_lease_s: f64, now: Time) -> bool {
+        renewed_at + worker_lease_s < now
+            && self.proxies.values().all(|proxy| proxy.surely_expired(renewed_at, worker_lease_s, now))
     }
 
-    /// Nodes that may answer reports now.
+    /// Nodes whose delegated lease may be valid at `now`.
     pub fn nodes_that_may_respond(&self, now: Time) -> impl Iterator<Item = &str> {
-        self.proxies.iter().filter(move |(_, r)| now < r.lease_expires_at).map(|((node, _), _)| node.as_str())
+        self.proxies
+            .iter()
+            .filter(move |(_, proxy)| now < proxy.lease_expires_at)
+            .map(|(proxy_id, _)| proxy_id.node.as_str())
     }
 
-    /// Forgets nodes whose last answers can matter no more, leases ending
-    /// `over` after them.
-    pub fn forget_expired(&mut self, now: Time, over: Time) {
-        self.proxies.retain(|_, r| r.open.is_some() || now < r.lease_expires_at + over);
+    /// Forgets proxies whose last responses no longer matter, worker leases being
+    /// `worker_lease_s` long.
+    pub fn forget_expired(&mut self, now: Time, worker_lease_s: f64) {
+        self.proxies.retain(|_, proxy| proxy.open.is_some() || now < proxy.lease_expires_at + worker_lease_s);
     }
 }
--- /dev/null
+++ b/crates/sharding/src/heartbeat_proxy/batch.rs
@@ -0,0 +1,124 @@
+//! Forwarding of heartbeats to the leader, in batches; one batch is in flight at a time.
+
+use super::worker::{HeartbeatPosition, ProxiedWorker};
+use super::{to_millis, HeartbeatProxy, ProxyAction};
+use crate::Time;
+use protocol::peer::{ForwardRequest, ForwardedHeartbeat, HeartbeatContent};
+
+/// Heartbeats in one batch.
+const MAX_BATCH_ENTRIES: usize = 400;
+/// Estimated size at which a batch is closed.
+const MAX_BATCH_BYTES: usize = 48 * 1024;
+/// Estimated size of an entry without its machine's name and content.
+const ENTRY_BYTES: usize = 12;
+/// Estimated size of an entry's content without its tasks.
+const CONTENT_BYTES: usize = 80;
+/// Estimated size of a task's status.
+const TASK_BYTES: usize = 32;
+
+/// A batch that the leader has yet to reply to.
+pub(super) struct InFlightForward {
+    pub(super) sequence: u64,
+    pub(super) sent_at: Time,
+    pub(super) forwarded: Vec<SentEntry>,
+}
+
+/// A heartbeat that was forwarded with a batch.
+pub(super) struct SentEntry {
+    pub(super) machine: String,
+    pub(super) position: HeartbeatPosition,
+    /// It was forwarded with its content.
+    pub(super) in_full: bool,
+}
+
+#[derive(Default)]
+struct Batch {
+    entries: Vec<ForwardedHeartbeat>,
+    sent: Vec<SentEntry>,
+}
+
+fn forwarded_heartbeat(
+    now: Time,
+    machine: String,
+    worker: &ProxiedWorker,
+    fencing_token: u64,
+) -> ForwardedHeartbeat {
+    let known = worker.known_position(fencing_token);
+    ForwardedHeartbeat {
+        machine,
+        session: worker.position.epoch,
+        seq: worker.position.sequence,
+        same_as: known.map_or(0, |position| position.sequence),
+        held: worker.held.is_some(),
+        content: known.is_none().then(|| HeartbeatContent::from(&worker.heartbeat)),
+        age_ms: to_millis(now - worker.received_at) as u32,
+    }
+}
+
+fn estimated_bytes(entry: &ForwardedHeartbeat) -> usize {
+    let content_bytes =
+        entry.content.as_ref().map_or(0, |content| CONTENT_BYTES + TASK_BYTES * content.tasks.len());
+    entry.machine.len() + ENTRY_BYTES + content_bytes
+}
+
+impl HeartbeatProxy {
+    pub(super) fn enqueue(&mut self, machine: &str) {
+        let Some(worker) = self.workers.get_mut(machine) else { return };
+        if !worker.queued {
+            worker.queued = true;
+            self.forward_queue.push_back(machine.to_string());
+        }
+    }
+
+    /// Sends the next batch if none is in flight. An empty one renews the lease.
+    pub(super) fn forward_batch(&mut self, now: Time) {
+        let Some(leader) = &self.leader else { return };
+        if leader.node == self.node || self.in_flight.is_some() || now < self.next_forward_at {
+            return;
+        }
+        // Heartbeats are of use only to a leader that has delegated a lease and is ready.
+        let fencing_token = leader.fencing_token;
+        let leader_ready = self
+            .lease
+            .as_ref()
+            .is_some_and(|lease| lease.leader_ready && lease.fencing_token == fencing_token);
+        let has_news = leader_ready && !self.forward_queue.is_empty();
+        if !has_news && now < self.next_forward_at + self.timing.forward_interval_s {
+            return;
+        }
+        let leader_node = leader.node.clone();
+        let batch = if leader_ready { self.take_batch(now, fencing_token) } else { Batch::default() };
+        self.forward_sequence += 1;
+        self.in_flight =
+            Some(InFlightForward { sequence: self.forward_sequence, sent_at: now, forwarded: batch.sent });
+        let request = ForwardRequest {
+            node: self.node.clone(),
+            incarnation: self.incarnation,
+            number: self.forward_sequence,
+            acked: self.acknowledged_sequence,
+            token: fencing_token,
+            complete: leader_ready && self.forward_queue.is_empty(),
+            entries: batch.entries,
+        };
+        self.actions.push(ProxyAction::Forward(leader_node, request));
+    }
+
+    fn take_batch(&mut self, now: Time, fencing_token: u64) -> Batch {
+        let mut batch = Batch::default();
+        let mut batch_bytes = 0;
+        while batch.entries.len() < MAX_BATCH_ENTRIES && batch_bytes < MAX_BATCH_BYTES {
+            let Some(machine) = self.forward_queue.pop_front() else { break };
+            let Some(worker) = self.workers.get_mut(&machine) else { continue };
+            worker.queued = false;
+            let entry = forwarded_heartbeat(now, machine.clone(), worker, fencing_token);
+            batch_bytes += estimated_bytes(&entry);
+            batch.sent.push(SentEntry {
+                machine,
+                position: worker.position,
+                in_full: entry.content.is_some(),
+            });
+            batch.entries.push(entry);
+        }
+        batch
+    }
+}
