--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -11,116 +11,135 @@
 use std::net::{SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Largest response that is read; the state service's pages are 512 KiB.
-const MOST_RESPONSE: u64 = 4 * 1024 * 1024;
+/// Largest response that is read; the store's pages are 512 KiB.
+const MAX_RESPONSE_BYTES: u64 = 4 * 1024 * 1024;
 /// Kept connections idle longer than this are closed rather than used.
-const IDLE: Duration = Duration::from_secs(8);
-const MOST_IDLE: usize = 8;
+const MAX_IDLE_TIME: Duration = Duration::from_secs(8);
+/// Idle connections that are kept for an address.
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
-pub struct Response {
-    pub status: u16,
-    pub body: Vec<u8>,
+/// A request to a service.
+#[derive(Clone)]
+pub(crate) struct Call {
+    pub(crate) addr: SocketAddrV4,
+    pub(crate) method: Method,
+    /// Path and query.
+    pub(crate) target: String,
+    /// MessagePack, if there is a body.
+    pub(crate) body: Option<Vec<u8>>,
+    /// For the whole call, with connecting.
+    pub(crate) timeout: Duration,
+    /// Kept connections may be used, and the connection is kept afterwards.
+    pub(crate) reuse: bool,
 }
 
-pub enum ClientError {
+/// A response that was read in full.
+pub(crate) struct Response {
+    pub(crate) status: u16,
+    pub(crate) body: Vec<u8>,
+}
+
+/// Why there is no response.
+pub(crate) enum ClientError {
     /// No byte of the request was sent.
     NotSent,
-    /// It may have been carried out, or may be yet.
+    /// The request may have been carried out, or may be yet.
     Unknown,
 }
 
+struct IdleConnection {
+    socket: Socket,
+    since: Instant,
+}
+
+/// The client, with the timeouts of all of the driver's calls.
 #[derive(Default)]
-pub struct Client {
-    pub timeouts: TimeoutWheel,
-    idle: RefCell<HashMap<SocketAddrV4, Vec<(Socket, Instant)>>>,
+pub(crate) struct Client {
+    pub(crate) timeouts: TimeoutWheel,
+    idle: RefCell<HashMap<SocketAddrV4, Vec<IdleConnection>>>,
 }
 
 impl Client {
-    fn kept(&self, addr: SocketAddrV4) -> Option<Socket> {
+    fn take_idle(&self, addr: SocketAddrV4) -> Option<Socket> {
         let mut idle = self.idle.borrow_mut();
-        let list = idle.get_mut(&addr)?;
-        list.retain(|(_, since)| since.elapsed() < IDLE);
-        list.pop().map(|(s, _)| s)
+        let connections = idle.get_mut(&addr)?;
+        connections.retain(|connection| connection.since.elapsed() < MAX_IDLE_TIME);
+        connections.pop().map(|connection| connection.socket)
     }
 
-    fn keep(&self, addr: SocketAddrV4, stream: Socket) {
+    fn keep_idle(&self, addr: SocketAddrV4, socket: Socket) {
         let mut idle = self.idle.borrow_mut();
-        let list = idle.entry(addr).or_default();
-        if list.len() < MOST_IDLE {
-            list.push((stream, Instant::now()));
+        let connections = idle.entry(addr).or_default();
+        if connections.len() < MAX_IDLE_CONNECTIONS {
+            connections.push(IdleConnection { socket, since: Instant::now() });
         }
     }
 
-    /// One call. `reuse`: kept connections may be used and kept.
-    pub async fn call(
-        &self,
-        addr: SocketAddrV4,
-        method: Method,
-        target: &str,
-        body: Option<Vec<u8>>,
-        timeout: Duration,
-        reuse: bool,
-    ) -> Result<Response, ClientError> {
-        let deadline = Instant::now() + timeout;
-        let kept = if reuse { self.kept(addr) } else { None };
-        let safe = method == Method::Get;
-        if let Some(stream) = kept {
-            let r = self.exchange(addr, stream, method, target, body.clone(), deadline, reuse).await;
-            // The other side may have closed a kept connection just then. What
-            // can be asked twice is asked again on a new one.
-            if !(safe && matches!(r, Err(ClientError::Unknown))) || Instant::now() >= deadline {
-                return r;
+    /// Makes a call, on a kept connection if there is one.
+    pub(crate) async fn call(&self, call: Call) -> Result<Response, ClientError> {
+        let deadline = Instant::now() + call.timeout;
+        let addr = call.addr;
+        let kept = if call.reuse { self.take_idle(addr) } else { None };
+        if let Some(socket) = kept {
+            let is_repeatable = call.method == Method::Get;
+            let result = self.exchange(socket, call.clone(), deadline).await;
+            // The other side may have closed a kept connection just then. What can be
+            // repeated is sent again on a new one.
+            let was_lost = matches!(result, Err(ClientError::Unknown));
+            if !(is_repeatable && was_lost) || Instant::now() >= deadline {
+                return result;
             }
         }
         let left = deadline.saturating_duration_since(Instant::now());
-        let stream = match self.timeouts.within(left, Async::<TcpStream>::connect(addr)).await {
-            Some(Ok(s)) => s,
-            _ => return Err(ClientError::NotSent),
+        let Some(Ok(stream)) = self.timeouts.within(left, Async::<TcpStream>::connect(addr)).await else {
+            return Err(ClientError::NotSent);
         };
-        self.exchange(addr, Socket::new(stream), method, target, body, deadline, reuse).await
+        self.exchange(Socket::new(stream), call, deadline).await
     }
 
-    #[allow(clippy::too_many_arguments)]
-    async fn exchange(
-        &self,
-        addr: SocketAddrV4,
-        stream: Socket,
-        method: Method,
-        target: &str,
-        body: Option<Vec<u8>>,
-        deadline: Instant,
-        reuse: bool,
-    ) -> Result<Response, ClientError> {
-        let url = Url::parse(&format!("http://{addr}{target}")).map_err(|_| ClientError::NotSent)?;
-        let mut request = Request::new(method, url);
-        if !reuse {
-            request.insert_header("connection", "close");
-        }
-        if let Some(b) = body {
-            request.set_body(b);
-            request.insert_header("content-type", "application/msgpack");
-        }
+    async fn exchange(&self, socket: Socket, call: Call, deadline: Instant) -> Result<Response, ClientError> {
+        let Call { addr, reuse, .. } = call;
+        let request = http_request(call)?;
         let left = deadline.saturating_duration_since(Instant::now());
-        let io = stream.again();
-        let call = async move {
-            let mut response =
-                async_h1::connect(io, request).await.map_err(|e| io::Error::other(e.to_string()))?;
-            let closing = response
-                .header("connection")
-                .is_some_and(|h| h.last().as_str().eq_ignore_ascii_case("close"));
-            let status: u16 = response.status().into();
-            let mut bytes = Vec::new();
-            response.take_body().take(MOST_RESPONSE).read_to_end(&mut bytes).await?;
-            io::Result::Ok((status, bytes, closing))
+        let received = match self.timeouts.within(left, send(socket.again(), request)).await {
+            Some(Ok(received)) => received,
+            _ => return Err(ClientError::Unknown),
         };
-        match self.timeouts.within(left, call).await {
-            Some(Ok((status, body, closing))) => {
-                if reuse && !closing {
-                    self.keep(addr, stream);
-                }
-                Ok(Response { status, body })
-            }
-            _ => Err(ClientError::Unknown),
+        if reuse && !received.closes {
+            self.keep_idle(addr, socket);
         }
+        Ok(received.response)
     }
 }
+
+/// A response and whether the other side closes the connection after it.
+struct Received {
+    response: Response,
+    closes: bool,
+}
+
+fn http_request(call: Call) -> Result<Request, ClientError> {
+    let Call { addr, method, target, body, reuse, .. } = call;
+    let url = Url::parse(&format!("http://{addr}{target}")).map_err(|_| ClientError::NotSent)?;
+    let mut request = Request::new(method, url);
+    if !reuse {
+        request.insert_header("connection", "close");
+    }
+    if let Some(body) = body {
+        request.set_body(body);
+        request.insert_header("content-type", "application/msgpack");
+    }
+    Ok(request)
+}
+
+async fn send(socket: Socket, request: Request) -> io::Result<Received> {
+    let mut response =
+        async_h1::connect(socket, request).await.map_err(|error| io::Error::other(error.to_string()))?;
+    let closes = response
+        .header("connection")
+        .is_some_and(|values| values.last().as_str().eq_ignore_ascii_case("close"));
+    let status: u16 = response.status().into();
+    let mut body = Vec::new();
+    response.take_body().take(MAX_RESPONSE_BYTES).read_to_end(&mut body).await?;
+    Ok(Received { response: Response { status, body }, closes })
+}
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -1,129 +1,154 @@
-//! The front door: users, workers and health checks over `async-h1`.
+//! HTTP/1.1 server for clients, workers and health checks, over `async-h1`.
 
+use crate::driver::Driver;
 use crate::socket::Socket;
-use crate::Driver;
 use async_h1::server::{decode, Encoder};
 use async_io::{Async, Timer};
-use controller::Request as Input;
+use controller::{HttpResponse, Request as ControllerRequest};
 use futures_lite::{io, AsyncReadExt};
 use http_types::{Method, Request, Response, StatusCode};
+use std::cell::Cell;
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::{debug, warn};
 
-/// Silence before a request, the request and its answer together take this
-/// long at most; then the connection is closed.
-const LONGEST: Duration = Duration::from_secs(60);
+/// Silence before a request, the request and its response together take this long at
+/// most; then the connection is closed.
+const MAX_EXCHANGE_TIME: Duration = Duration::from_secs(60);
 /// A request's body has to be there within this time.
-const BODY: Duration = Duration::from_secs(4);
+const MAX_BODY_TIME: Duration = Duration::from_secs(4);
+/// Pause after a connection could not be accepted.
+const ACCEPT_RETRY: Duration = Duration::from_millis(100);
+/// Where workers send their heartbeats.
+const HEARTBEAT_PATH: &str = "/agent/beat";
+/// Where jobs are submitted.
+const JOBS_PATH: &str = "/api/jobs";
+/// What a job's name follows in the paths of status queries and cancellations.
+const JOB_PREFIX: &str = "/api/jobs/";
+/// Where health checks go.
+const HEALTH_PATH: &str = "/up";
 
-pub async fn serve(driver: Rc<Driver>, listener: Async<TcpListener>, most: usize) {
-    let open = Rc::new(std::cell::Cell::new(0usize));
+/// Accepts connections for as long as the process runs, `max_connections` at a time.
+pub(crate) async fn serve(driver: Rc<Driver>, listener: Async<TcpListener>, max_connections: usize) {
+    let open_connections = Rc::new(Cell::new(0usize));
     loop {
         let stream = match listener.accept().await {
-            Ok((s, _)) => s,
-            Err(e) => {
-                warn!(error = %e, "cannot accept connection");
-                Timer::after(Duration::from_millis(100)).await;
+            Ok((stream, _)) => stream,
+            Err(error) => {
+                warn!(error = %error, "cannot accept connection");
+                Timer::after(ACCEPT_RETRY).await;
                 continue;
             }
         };
-        if open.get() >= most {
+        if open_connections.get() >= max_connections {
             debug!("too many connections");
             continue;
         }
-        open.set(open.get() + 1);
-        let (driver, open) = (driver.clone(), open.clone());
-        driver.clone().spawn(async move {
-            if let Err(e) = connection(driver, stream).await {
-                debug!(error = %e, "connection closed");
+        open_connections.set(open_connections.get() + 1);
+        let this = driver.clone();
+        let open_connections = open_connections.clone();
+        driver.spawn(async move {
+            if let Err(error) = serve_connection(this, stream).await {
+                debug!(error = %error, "connection closed");
             }
-            open.set(open.get() - 1);
+            open_connections.set(open_connections.get() - 1);
         });
     }
 }
 
-/// Serves one connection's requests, one after the other. It uses the library's
-/// decoder and encoder, but not its loop, which sets a timer of a second reactor
-/// with a thread of its own for every request.
-async fn connection(driver: Rc<Driver>, stream: Async<TcpStream>) -> http_types::Result<()> {
+/// Serves one connection's requests, one after the other. It uses the library's decoder
+/// and encoder, but not its loop, which sets a timer of a second reactor with a thread of
+/// its own for every request.
+async fn serve_connection(driver: Rc<Driver>, stream: Async<TcpStream>) -> http_types::Result<()> {
     let mut socket = Socket::new(stream);
     loop {
-        let once = driver.client.timeouts.within(LONGEST, exchange(&driver, &mut socket)).await;
-        if !once.transpose()?.unwrap_or(false) {
+        let exchange = exchange(&driver, &mut socket);
+        let outcome = driver.client.timeouts.within(MAX_EXCHANGE_TIME, exchange).await;
+        let keep_alive = outcome.transpose()?.unwrap_or(false);
+        if !keep_alive {
             return Ok(());
         }
     }
 }
 
-/// One request and its answer; whether another may follow.
+/// Serves one request. Returns whether another may follow.
 async fn exchange(driver: &Rc<Driver>, socket: &mut Socket) -> http_types::Result<bool> {
-    let Some((request, mut rest)) = decode(socket.clone()).await? else { return Ok(false) };
-    let last = request.header("connection").is_some_and(|h| h.as_str().eq_ignore_ascii_case("close"));
+    let Some((request, mut unread_body)) = decode(socket.clone()).await? else { return Ok(false) };
+    let asked_to_close =
+        request.header("connection").is_some_and(|values| values.as_str().eq_ignore_ascii_case("close"));
     let method = request.method();
-    let beat = request.url().path() == "/agent/beat";
+    let is_heartbeat = request.url().path() == HEARTBEAT_PATH;
     let mut response = respond(driver, request).await;
-    // A worker that is not answered here goes on to another node.
-    let last = last || beat && response.status() != StatusCode::Ok;
-    if last {
+    // A worker that is not served here goes on to another node.
+    let closes = asked_to_close || is_heartbeat && response.status() != StatusCode::Ok;
+    if closes {
         response.insert_header("connection", "close");
     }
     io::copy(Encoder::new(response, method), socket).await?;
-    // What the answer did not need of the body.
-    io::copy(&mut rest, io::sink()).await?;
-    Ok(!last)
+    // What the response did not need of the body.
+    io::copy(&mut unread_body, io::sink()).await?;
+    Ok(!closes)
 }
 
-fn plain(status: StatusCode) -> Response {
-    Response::new(status)
+async fn respond(driver: &Rc<Driver>, request: Request) -> Response {
+    let request = match route(driver, request).await {
+        Ok(request) => request,
+        Err(status) => return Response::new(status),
+    };
+    match driver.request(request).await {
+        Some(response) => http_response(response),
+        None => Response::new(StatusCode::ServiceUnavailable),
+    }
 }
 
-async fn respond(driver: &Rc<Driver>, mut request: Request) -> Response {
+/// The controller's request that `request` stands for, or the status to refuse it with.
+async fn route(driver: &Driver, mut request: Request) -> Result<ControllerRequest, StatusCode> {
     let path = request.url().path().to_string();
-    let post = request.method() == Method::Post;
-    let get = request.method() == Method::Get;
-    let job = path.strip_prefix("/api/jobs/");
-    let input = match (path.as_str(), job) {
-        ("/up", _) if get => Input::HealthCheck,
-        ("/api/jobs", _) if post => match body(driver, &mut request).await {
-            Some(b) => Input::Submit(b),
-            None => return plain(StatusCode::RequestTimeout),
-        },
-        ("/agent/beat", _) if post => match body(driver, &mut request).await {
-            Some(b) => Input::Heartbeat(b),
-            None => return plain(StatusCode::RequestTimeout),
-        },
-        (_, Some(rest)) => match rest.strip_suffix("/cancel") {
-            Some(id) if post => Input::Cancel(id.to_string()),
-            None if get => Input::QueryStatus(rest.to_string()),
-            _ => return plain(StatusCode::MethodNotAllowed),
-        },
-        ("/up" | "/api/jobs" | "/agent/beat", _) => return plain(StatusCode::MethodNotAllowed),
-        _ => return plain(StatusCode::NotFound),
-    };
-    let Some(answer) = driver.ask(input).await else {
-        return plain(StatusCode::ServiceUnavailable);
-    };
-    let status = StatusCode::try_from(answer.status).unwrap_or(StatusCode::InternalServerError);
+    let method = request.method();
+    if let Some(job) = path.strip_prefix(JOB_PREFIX) {
+        return route_job(method, job);
+    }
+    match (path.as_str(), method) {
+        (HEALTH_PATH, Method::Get) => Ok(ControllerRequest::HealthCheck),
+        (JOBS_PATH, Method::Post) => read_body(driver, &mut request).await.map(ControllerRequest::Submit),
+        (HEARTBEAT_PATH, Method::Post) => {
+            read_body(driver, &mut request).await.map(ControllerRequest::Heartbeat)
+        }
+        (HEALTH_PATH | JOBS_PATH | HEARTBEAT_PATH, _) => Err(StatusCode::MethodNotAllowed),
+        _ => Err(StatusCode::NotFound),
+    }
+}
+
+/// `path`: what follows [`JOB_PREFIX`].
+fn route_job(method: Method, path: &str) -> Result<ControllerRequest, StatusCode> {
+    match (path.strip_suffix("/cancel"), method) {
+        (Some(id), Method::Post) => Ok(ControllerRequest::Cancel(id.to_string())),
+        (None, Method::Get) => Ok(ControllerRequest::QueryStatus(path.to_string())),
+        _ => Err(StatusCode::MethodNotAllowed),
+    }
+}
+
+fn http_response(from: HttpResponse) -> Response {
+    let status = StatusCode::try_from(from.status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
-    response.set_body(answer.body);
+    response.set_body(from.body);
     response.insert_header("content-type", "application/msgpack");
-    if let Some(s) = answer.retry_after_s {
-        response.insert_header("retry-after", s.to_string());
+    if let Some(retry_after_s) = from.retry_after_s {
+        response.insert_header("retry-after", retry_after_s.to_string());
     }
     response
 }
 
-/// Reads at most one byte over the limit: the core refuses what is longer.
-async fn body(driver: &Driver, request: &mut Request) -> Option<Vec<u8>> {
+/// Reads the body up to one byte over the limit: the controller refuses what is longer.
+/// Fails with the status to respond with if the body is not there in time.
+async fn read_body(driver: &Driver, request: &mut Request) -> Result<Vec<u8>, StatusCode> {
+    let max_bytes = protocol::MAX_BODY_BYTES as u64 + 1;
+    let mut body = request.take_body().take(max_bytes);
     let mut bytes = Vec::new();
-    let most = protocol::MAX_BODY_BYTES as u64 + 1;
-    let taken = request.take_body();
-    let read = async {
-        let mut limited = taken.take(most);
-        limited.read_to_end(&mut bytes).await.is_ok()
-    };
-    let whole = driver.client.timeouts.within(BODY, read).await;
-    (whole == Some(true)).then_some(bytes)
+    let read = async { body.read_to_end(&mut bytes).await.is_ok() };
+    match driver.client.timeouts.within(MAX_BODY_TIME, read).await {
+        Some(true) => Ok(bytes),
+        _ => Err(StatusCode::RequestTimeout),
+    }
 }
--- a/crates/transport/src/socket.rs
+++ b/crates/transport/src/socket.rs
@@ -8,24 +8,26 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Written bytes are kept until they are flushed, as `async-h1` does at the
-/// end of each message: a call and a packet less for each.
-pub struct Socket {
+/// Unsent bytes from which on a write flushes first.
+const MAX_UNSENT_BYTES: usize = 64 * 1024;
+
+/// A socket that buffers written bytes until they are flushed, as `async-h1` does at the
+/// end of each message: that saves a system call and a packet for each.
+pub(crate) struct Socket {
     stream: Arc<Async<TcpStream>>,
     /// None in a clone, which writes through: nobody would flush it.
     unsent: Option<Vec<u8>>,
 }
 
-const MOST_UNSENT: usize = 64 * 1024;
-
 impl Socket {
-    pub fn new(stream: Async<TcpStream>) -> Self {
+    /// A buffering socket on `stream`.
+    pub(crate) fn new(stream: Async<TcpStream>) -> Self {
         let _ = stream.get_ref().set_nodelay(true);
         Socket { stream: Arc::new(stream), unsent: Some(Vec::new()) }
     }
 
-    /// The same socket for another message.
-    pub fn again(&self) -> Self {
+    /// The same socket, buffering for another message.
+    pub(crate) fn again(&self) -> Self {
         Socket { stream: self.stream.clone(), unsent: Some(Vec::new()) }
     }
 }
@@ -37,41 +39,49 @@
 }
 
 impl AsyncRead for Socket {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
-        Pin::new(&mut self.stream).poll_read(cx, buf)
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.stream).poll_read(context, buffer)
     }
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        if self.unsent.as_ref().is_some_and(|u| u.len() >= MOST_UNSENT) {
-            ready!(self.as_mut().poll_flush(cx))?;
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        if self.unsent.as_ref().is_some_and(|unsent| unsent.len() >= MAX_UNSENT_BYTES) {
+            ready!(self.as_mut().poll_flush(context))?;
         }
         match &mut self.unsent {
             Some(unsent) => {
-                unsent.extend_from_slice(buf);
-                Poll::Ready(Ok(buf.len()))
+                unsent.extend_from_slice(buffer);
+                Poll::Ready(Ok(buffer.len()))
             }
-            None => Pin::new(&mut self.stream).poll_write(cx, buf),
+            None => Pin::new(&mut self.stream).poll_write(context, buffer),
         }
     }
 
-    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = &mut *self;
         if let Some(unsent) = &mut this.unsent {
             while !unsent.is_empty() {
-                let n = ready!(Pin::new(&mut this.stream).poll_write(cx, unsent))?;
-                if n == 0 {
+                let written = ready!(Pin::new(&mut this.stream).poll_write(context, unsent))?;
+                if written == 0 {
                     return Poll::Ready(Err(io::ErrorKind::WriteZero.into()));
                 }
-                unsent.drain(..n);
+                unsent.drain(..written);
             }
         }
-        Pin::new(&mut this.stream).poll_flush(cx)
+        Pin::new(&mut this.stream).poll_flush(context)
     }
 
-    fn poll_close(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        ready!(self.as_mut().poll_flush(cx))?;
-        Pin::new(&mut self.stream).poll_close(cx)
+    fn poll_close(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        ready!(self.as_mut().poll_flush(context))?;
+        Pin::new(&mut self.stream).poll_close(context)
     }
 }
--- a/crates/transport/src/timeouts.rs
+++ b/crates/transport/src/timeouts.rs
@@ -1,4 +1,9 @@
-//! Deadlines of calls and connections, looked at once a tick.
+//! Timeouts of calls and connections, checked once a tick.
+//!
+//! Nearly every timeout is dropped unused and none has to be exact, but each timer of
+//! `async-io` wakes its poller and costs several system calls: with one or more for every
+//! message they were most of a busy node's work. The timeouts here cost no system call;
+//! they fire late by up to a tick.
 
 use futures_lite::future;
 use std::cell::{Cell, RefCell};
@@ -8,64 +13,75 @@
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
 
-/// Nearly every deadline is dropped unused, and none needs to be exact, but each
-/// timer of `async-io` wakes its poller and costs several system calls: with one
-/// or more for every message they were most of a busy node's work. These cost
-/// none; they end late by up to a tick.
+/// Orders timeouts by when they are due; the number tells apart those due at once.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct TimeoutKey {
+    due_at: Instant,
+    number: u64,
+}
+
+/// All pending timeouts of a thread. They fire only in [`TimeoutWheel::sweep`], which has
+/// to be called regularly.
 #[derive(Default)]
-pub struct TimeoutWheel {
-    wakers: RefCell<BTreeMap<(Instant, u64), Waker>>,
-    next: Cell<u64>,
+pub(crate) struct TimeoutWheel {
+    /// The tasks to wake, by timeout. An entry that is gone has fired.
+    wakers: RefCell<BTreeMap<TimeoutKey, Waker>>,
+    next_number: Cell<u64>,
 }
 
 impl TimeoutWheel {
-    /// `f`'s outcome, or None if it takes longer than `left`.
-    pub async fn within<T>(&self, left: Duration, f: impl Future<Output = T>) -> Option<T> {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        let due =
-            Timeout { deadlines: self, key: (Instant::now() + left, number), registered: Cell::new(false) };
-        future::or(async { Some(f.await) }, async {
-            due.await;
+    /// The output of `future`, or None if it is not ready within `timeout`.
+    pub(crate) async fn within<T>(&self, timeout: Duration, future: impl Future<Output = T>) -> Option<T> {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        let key = TimeoutKey { due_at: Instant::now() + timeout, number };
+        let timeout = Timeout { wheel: self, key, registered: Cell::new(false) };
+        future::or(async { Some(future.await) }, async {
+            timeout.await;
             None
         })
         .await
     }
 
-    /// Ends whatever is over.
-    pub fn sweep(&self) {
+    /// Fires all timeouts that are due.
+    pub(crate) fn sweep(&self) {
         let now = Instant::now();
         loop {
-            let over = match self.wakers.borrow_mut().first_entry() {
-                Some(e) if e.key().0 <= now => e.remove(),
+            // The borrow ends before the waker runs, which may register other timeouts.
+            let waker = match self.wakers.borrow_mut().first_entry() {
+                Some(entry) if entry.key().due_at <= now => entry.remove(),
                 _ => return,
             };
-            over.wake();
+            waker.wake();
         }
     }
 }
 
+/// Becomes ready once it has been swept out of its wheel; leaves the wheel when dropped.
 struct Timeout<'a> {
-    deadlines: &'a TimeoutWheel,
-    key: (Instant, u64),
+    wheel: &'a TimeoutWheel,
+    key: TimeoutKey,
+    /// It has been put into the wheel.
     registered: Cell<bool>,
 }
 
 impl Future for Timeout<'_> {
     type Output = ();
-    fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
-        // Swept away since: it is over.
-        if self.registered.get() && !self.deadlines.wakers.borrow().contains_key(&self.key) {
+
+    fn poll(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
+        let mut wakers = self.wheel.wakers.borrow_mut();
+        let was_swept = self.registered.get() && !wakers.contains_key(&self.key);
+        if was_swept {
             return Poll::Ready(());
         }
         self.registered.set(true);
-        self.deadlines.wakers.borrow_mut().insert(self.key, cx.waker().clone());
+        wakers.insert(self.key, context.waker().clone());
         Poll::Pending
     }
 }
 
 impl Drop for Timeout<'_> {
     fn drop(&mut self) {
-        self.deadlines.wakers.borrow_mut().remove(&self.key);
+        self.wheel.wakers.borrow_mut().remove(&self.key);
     }
 }
