--- a/crates/anisecroft/src/main.rs
+++ b/crates/anisecroft/src/main.rs
@@ -1,9 +1,10 @@
-//! The daemon: reads settings, sets up logs, serves.
+//! The daemon: reads settings, sets up logging and runs a controller.
 
 use clap::{Parser, Subcommand};
-use settings::{Operator, Settings, Timing};
+use settings::{Operator, Settings, SettingsError, Timing};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use thiserror::Error;
 
 #[derive(Parser)]
 #[command(name = "anisecroft", version, about = "Cluster scheduler for rented machines")]
@@ -34,7 +35,51 @@
     },
 }
 
-fn logs() {
+/// Where the settings are.
+struct SettingsFiles {
+    platform: PathBuf,
+    operator: Option<PathBuf>,
+}
+
+impl SettingsFiles {
+    /// Reads the settings; without a file of the operators' own, those have their defaults.
+    fn load(&self) -> Result<(Settings, Operator), LoadError> {
+        let settings =
+            Settings::load(&self.platform).map_err(|source| LoadError::new(&self.platform, source))?;
+        let operator = match &self.operator {
+            Some(path) => Operator::load(path).map_err(|source| LoadError::new(path, source))?,
+            None => Operator::default(),
+        };
+        Ok((settings, operator))
+    }
+}
+
+/// A file of settings that cannot be used.
+#[derive(Debug, Error)]
+#[error("{}: {source}", path.display())]
+struct LoadError {
+    path: PathBuf,
+    source: SettingsError,
+}
+
+impl LoadError {
+    fn new(path: &Path, source: SettingsError) -> Self {
+        LoadError { path: path.to_path_buf(), source }
+    }
+}
+
+/// Why the program ends.
+#[derive(Debug, Error)]
+enum MainError {
+    #[error(transparent)]
+    Load(#[from] LoadError),
+    #[error("cannot serve: {0}")]
+    Serve(#[source] std::io::Error),
+}
+
+/// Logs to standard error, at the level that the variable `LOG_LEVEL` names: `debug`,
+/// `error`, or anything else for `info`.
+fn init_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => tracing::Level::DEBUG,
         Ok("error") => tracing::Level::ERROR,
@@ -49,37 +94,28 @@
         .init();
 }
 
-fn load(config: &Path, operator: Option<&Path>) -> Option<(Settings, Operator)> {
-    let told = |path: &Path, e: settings::SettingsError| {
-        eprintln!("anisecroft: {}: {e}", path.display());
-    };
-    let s = Settings::load(config).map_err(|e| told(config, e)).ok()?;
-    let own = match operator {
-        Some(path) => Operator::load(path).map_err(|e| told(path, e)).ok()?,
-        None => Operator::default(),
-    };
-    Some((s, own))
+fn check(files: &SettingsFiles) -> Result<(), MainError> {
+    let (settings, operator) = files.load()?;
+    println!("{settings:#?}\n{operator:#?}\n{:#?}", Timing::from(&settings));
+    Ok(())
+}
+
+fn serve(files: &SettingsFiles) -> Result<(), MainError> {
+    init_logging();
+    let (settings, operator) = files.load()?;
+    transport::run(settings, operator).map_err(MainError::Serve)
 }
 
 fn main() -> ExitCode {
-    match Args::parse().command {
-        Command::Check { config, operator } => match load(&config, operator.as_deref()) {
-            Some((s, own)) => {
-                println!("{s:#?}\n{own:#?}\n{:#?}", Timing::from(&s));
-                ExitCode::SUCCESS
-            }
-            None => ExitCode::FAILURE,
-        },
-        Command::Serve { config, operator } => {
-            logs();
-            let Some((s, own)) = load(&config, operator.as_deref()) else { return ExitCode::FAILURE };
-            match transport::run(s, own) {
-                Ok(()) => ExitCode::SUCCESS,
-                Err(e) => {
-                    eprintln!("anisecroft: cannot serve: {e}");
-                    ExitCode::FAILURE
-                }
-            }
+    let result = match Args::parse().command {
+        Command::Check { config, operator } => check(&SettingsFiles { platform: config, operator }),
+        Command::Serve { config, operator } => serve(&SettingsFiles { platform: config, operator }),
+    };
+    match result {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("anisecroft: {error}");
+            ExitCode::FAILURE
         }
     }
 }
