--- a/crates/analysis/src/bench.rs
+++ b/crates/analysis/src/bench.rs
@@ -1,114 +1,186 @@
-//! Playing days on the bench, several at once.
+//! Runs days on the bench, several at once.
 
-use crate::outcome::Outcome;
+use crate::error::{with_path, AnalysisError};
+use crate::outcome::{Outcome, RunId};
 use crate::served::Served;
+use crate::site::Allowance;
 use std::collections::VecDeque;
+use std::fs::File;
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
-use std::process::{Command, Stdio};
+use std::process::{Command, ExitStatus, Stdio};
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// One day to be played.
+/// One day to be run.
 #[derive(Debug, Clone)]
-pub struct Run {
+pub struct BenchRun {
+    /// The site's name.
     pub site: String,
+    /// The name of the site's variant.
     pub variant: String,
+    /// The day's name.
     pub day: String,
+    /// The seed to run it with.
     pub seed: u64,
+    /// The site's file.
     pub site_file: PathBuf,
+    /// The day's file.
     pub day_file: PathBuf,
     /// Where the bench's report goes; its output goes beside it.
     pub report: PathBuf,
-    /// A controller's allowance of memory (MB) and connections.
-    pub allowance: (f64, f64),
+    /// What a controller may use.
+    pub allowance: Allowance,
 }
 
-/// Plays `run`; the error says what the bench said last.
-fn play(bench: &Path, why: &str, run: &Run) -> Result<Outcome, String> {
+impl BenchRun {
+    /// The names of its parts.
+    pub fn id(&self) -> RunId<'_> {
+        RunId { site: &self.site, variant: &self.variant, day: &self.day, seed: self.seed }
+    }
+}
+
+/// What came of a series of runs.
+#[derive(Debug, Default)]
+pub struct RunSummary {
+    /// The outcomes, those that were known before first.
+    pub outcomes: Vec<Outcome>,
+    /// Days that could not be run.
+    pub failed: usize,
+}
+
+/// Runs a day.
+fn run_day(bench: &Path, why: &str, run: &BenchRun) -> Result<Outcome, AnalysisError> {
     let log = run.report.with_extension("log");
-    let out = std::fs::File::create(&log).map_err(|e| format!("{}: {e}", log.display()))?;
-    let errors = out.try_clone().map_err(|e| e.to_string())?;
-    let mut command = Command::new(bench);
-    command.arg("run").arg(&run.site_file).arg(&run.day_file);
-    command.args(["--seed", &run.seed.to_string(), "--log", "info", "--why", why, "--report"]);
-    command.arg(&run.report).stdin(Stdio::null()).stdout(out).stderr(errors);
-    let status = command.status().map_err(|e| format!("{}: {e}", bench.display()))?;
-    let (logged, mark, last) = read(&log, &run.day)?;
-    let text =
-        std::fs::read_to_string(&run.report).map_err(|_| format!("{status}, {}: {last}", log.display()))?;
-    let report = serde_json::from_str(&text).map_err(|e| format!("{}: {e}", run.report.display()))?;
-    let id = (run.site.as_str(), run.variant.as_str(), run.day.as_str(), run.seed);
-    let outcome = Outcome { mark, ..Outcome::new(id, &report, &logged, run.allowance) };
-    // What the controllers wrote is kept where it is needed only.
+    let status = execute(bench, why, run, &log)?;
+    let output = read_output(&log, &run.day)?;
+    let text = std::fs::read_to_string(&run.report).map_err(|source| AnalysisError::NoReport {
+        status,
+        log: log.clone(),
+        last_line: output.last_line,
+        source,
+    })?;
+    let report = with_path(&run.report, serde_json::from_str(&text))?;
+    let outcome = Outcome::new(run.id(), &report, &output.logged, run.allowance);
+    let outcome = Outcome { mark: output.mark, ..outcome };
+    // The controllers' logs are kept only where they are needed.
     if outcome.holds() {
         let _ = std::fs::remove_file(&log);
     }
     Ok(outcome)
 }
 
-/// What the controllers logged, the bench's mark, and its last line.
-fn read(log: &Path, day: &str) -> Result<(Served, Option<f64>, String), String> {
-    let file = std::fs::File::open(log).map_err(|e| format!("{}: {e}", log.display()))?;
-    let (mut logged, mut mark, mut last) = (Served::default(), None, String::new());
+/// Starts the bench and waits for its end; its output goes to `log`.
+fn execute(bench: &Path, why: &str, run: &BenchRun, log: &Path) -> Result<ExitStatus, AnalysisError> {
+    let stdout = with_path(log, File::create(log))?;
+    let stderr = stdout.try_clone().map_err(AnalysisError::Redirect)?;
+    let mut command = Command::new(bench);
+    command.arg("run").arg(&run.site_file).arg(&run.day_file);
+    command.args(["--seed", &run.seed.to_string(), "--log", "info", "--why", why, "--report"]);
+    command.arg(&run.report).stdin(Stdio::null()).stdout(stdout).stderr(stderr);
+    with_path(bench, command.status())
+}
+
+/// What the bench and the controllers wrote.
+#[derive(Default)]
+struct BenchOutput {
+    logged: Served,
+    mark: Option<f64>,
+    last_line: String,
+}
+
+fn read_output(log: &Path, day: &str) -> Result<BenchOutput, AnalysisError> {
+    let file = with_path(log, File::open(log))?;
+    let mut output = BenchOutput::default();
     for line in BufReader::new(file).split(b'\n') {
-        let line = line.map_err(|e| format!("{}: {e}", log.display()))?;
+        let line = with_path(log, line)?;
         let line = String::from_utf8_lossy(&line);
-        logged.line(&line);
-        // "NAME  MACHINES  MARK  ...", after a heading.
-        let mut words = line.split_whitespace();
-        if words.next() == Some(day) && words.next().is_some_and(|w| w.parse::<u64>().is_ok()) {
-            mark = words.next().and_then(|w| w.parse().ok()).or(mark);
-        }
+        output.logged.line(&line);
+        output.mark = mark_of_line(&line, day).or(output.mark);
         if !line.trim().is_empty() {
-            last = line.into_owned();
+            output.last_line = line.into_owned();
         }
     }
-    Ok((logged, mark, last))
+    Ok(output)
+}
+
+/// The mark in the bench's line on the day: `DAY MACHINES MARK ...`.
+fn mark_of_line(line: &str, day: &str) -> Option<f64> {
+    let mut words = line.split_whitespace();
+    let name = words.next()?;
+    let machines = words.next()?;
+    if name != day || machines.parse::<u64>().is_err() {
+        return None;
+    }
+    words.next()?.parse().ok()
+}
+
+/// Progress of a series of runs.
+struct Progress {
+    total: usize,
+    started_at: Instant,
+    summary: RunSummary,
+    /// Outcomes that were known before.
+    known: usize,
 }
 
-/// Plays all `runs`, `at_once` of them at a time, and tells how far it is; `keep` gets all
-/// outcomes after each day, so that nothing is lost when it is ended. A day that
-/// could not be played is told and left out.
-pub fn play_all(
+impl Progress {
+    /// Takes in how a run ended, and prints it with an estimate of the time that is left.
+    fn record(&mut self, run: &BenchRun, result: Result<Outcome, AnalysisError>) {
+        let finished = self.summary.outcomes.len() - self.known + self.summary.failed + 1;
+        let elapsed_s = self.started_at.elapsed().as_secs_f64();
+        let left_min = elapsed_s / finished as f64 * (self.total - finished) as f64 / 60.0;
+        let RunId { site, variant, day, seed } = run.id();
+        let prefix = format!("{finished}/{} {site} {variant} {day} {seed}", self.total);
+        match result {
+            Ok(outcome) => {
+                let mark = outcome.mark_text();
+                let held = if outcome.holds() { "" } else { ", does not hold" };
+                eprintln!("{prefix}: {mark}{held}; about {left_min:.0} min left");
+                self.summary.outcomes.push(outcome);
+            }
+            Err(error) => {
+                eprintln!("{prefix}: not played: {error}");
+                self.summary.failed += 1;
+            }
+        }
+    }
+}
+
+/// Runs all of `runs`, `jobs` at a time, and prints the progress. After each day that was
+/// run, `save` gets all outcomes, so that nothing is lost when the program is interrupted.
+/// A day that could not be run is printed and counted.
+pub fn run_all(
     bench: &Path,
     why: &str,
-    runs: Vec<Run>,
-    at_once: usize,
+    runs: Vec<BenchRun>,
+    jobs: usize,
     known: Vec<Outcome>,
-    keep: impl Fn(&[Outcome]) + Sync,
-) -> (Vec<Outcome>, usize) {
-    let (all, begun) = (runs.len(), Instant::now());
+    save: impl Fn(&[Outcome]) + Sync,
+) -> RunSummary {
+    let progress = Mutex::new(Progress {
+        total: runs.len(),
+        started_at: Instant::now(),
+        known: known.len(),
+        summary: RunSummary { outcomes: known, failed: 0 },
+    });
     let waiting = Mutex::new(VecDeque::from(runs));
-    let before = known.len();
-    let done = Mutex::new((known, 0));
     let next = || waiting.lock().ok()?.pop_front();
-    std::thread::scope(|s| {
-        for _ in 0..at_once.max(1) {
-            s.spawn(|| {
-                while let Some(run) = next() {
-                    let played = play(bench, why, &run);
-                    let Ok(mut done) = done.lock() else { return };
-                    let n = done.0.len() - before + done.1 + 1;
-                    let spent = begun.elapsed().as_secs_f64();
-                    let left = spent / n as f64 * (all - n) as f64 / 60.0;
-                    let what = format!("{} {} {} {}", run.site, run.variant, run.day, run.seed);
-                    match played {
-                        Ok(o) => {
-                            let mark = o.mark_text();
-                            let held = if o.holds() { "" } else { ", does not hold" };
-                            eprintln!("{n}/{all} {what}: {mark}{held}; about {left:.0} min left");
-                            done.0.push(o);
-                            keep(&done.0);
-                        }
-                        Err(why) => {
-                            eprintln!("{n}/{all} {what}: not played: {why}");
-                            done.1 += 1;
-                        }
-                    }
-                }
-            });
+    let work = || {
+        while let Some(run) = next() {
+            let result = run_day(bench, why, &run);
+            let has_outcome = result.is_ok();
+            let Ok(mut progress) = progress.lock() else { return };
+            progress.record(&run, result);
+            if has_outcome {
+                save(&progress.summary.outcomes);
+            }
+        }
+    };
+    std::thread::scope(|scope| {
+        for _ in 0..jobs.max(1) {
+            scope.spawn(work);
         }
     });
-    done.into_inner().unwrap_or_default()
+    progress.into_inner().map(|progress| progress.summary).unwrap_or_default()
 }
--- a/crates/analysis/src/day.rs
+++ b/crates/analysis/src/day.rs
@@ -1,48 +1,63 @@
-//! Days of our own: troubles only, which a site file gives names and amounts.
+//! Days of troubles without names and amounts, which come from a site file.
+
+mod trouble;
 
 use crate::site::{Site, SiteError};
 use serde::Deserialize;
 use thiserror::Error;
 use toml::{Table, Value};
 
+/// Why a day cannot be made.
 #[derive(Debug, Error)]
 pub enum DayError {
+    /// The file is not the TOML of a day.
     #[error("{0}")]
     Syntax(#[from] toml::de::Error),
+    /// The site lacks something that the day needs.
     #[error(transparent)]
     Site(#[from] SiteError),
+    /// A trouble lacks a key.
     #[error("a trouble needs `{0}`")]
     Needs(&'static str),
+    /// A key has a value that is not allowed.
     #[error("{key}: {value} is not known, {known}")]
-    Unknown { key: &'static str, value: String, known: &'static str },
+    Unknown {
+        /// The key.
+        key: &'static str,
+        /// Its value.
+        value: String,
+        /// What is allowed.
+        known: &'static str,
+    },
 }
 
-/// Some of a day's troubles.
+/// More troubles for a day.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct DayVariation {
     name: String,
-    #[serde(default)]
-    trouble: Vec<Table>,
+    #[serde(default, rename = "trouble")]
+    troubles: Vec<Table>,
 }
 
 /// A day as its file has it (`docs/days.md`).
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DayFile {
+    /// What the day is for.
     pub about: String,
-    #[serde(default)]
-    trouble: Vec<Table>,
+    #[serde(default, rename = "trouble")]
+    troubles: Vec<Table>,
     /// More days: this one with more troubles each.
-    #[serde(default)]
-    with: Vec<DayVariation>,
+    #[serde(default, rename = "with")]
+    variations: Vec<DayVariation>,
     /// A day for every class, which `class = "each"` stands for.
     #[serde(default)]
     each_class: bool,
     /// A day for every team, which gets `team_factor` times its usual part.
     #[serde(default)]
     each_team: bool,
-    #[serde(default = "one")]
+    #[serde(default = "default_team_factor")]
     team_factor: f64,
     /// Part of every class's jobs that their users cancel; None: as the site has it.
     cancelled: Option<f64>,
@@ -50,88 +65,129 @@
     limits: Option<f64>,
     /// Seconds in which a machine boots.
     boot_s: Option<f64>,
-    /// Arrays have one task and come so many a second in all; other classes as before.
+    /// Arrays have one task each and come at this rate in all; other classes as before.
     single_tasks_per_s: Option<f64>,
 }
 
-fn one() -> f64 {
+fn default_team_factor() -> f64 {
     1.0
 }
 
-fn above_0(key: &'static str, value: Option<f64>) -> Result<Option<f64>, DayError> {
-    match value {
-        Some(x) if !(x > 0.0 && x.is_finite()) => {
-            Err(DayError::Unknown { key, value: x.to_string(), known: "say a number above 0" })
-        }
-        _ => Ok(value),
-    }
-}
-
-/// A day of a site: its name, the site it is played on and the file's text.
+/// A day of a site.
 #[derive(Debug)]
 pub struct GeneratedDay {
+    /// The day's name.
     pub name: String,
+    /// The site on which it is run.
     pub site: Site,
+    /// The bench's own file of the day.
     pub text: String,
 }
 
+fn require_positive(key: &'static str, value: Option<f64>) -> Result<Option<f64>, DayError> {
+    match value {
+        Some(number) if !(number > 0.0 && number.is_finite()) => {
+            Err(DayError::Unknown { key, value: number.to_string(), known: "say a number above 0" })
+        }
+        _ => Ok(value),
+    }
+}
+
 impl DayFile {
+    /// Parses a day's file.
+    ///
+    /// # Errors
+    ///
+    /// If `text` is not the TOML of a day.
     pub fn parse(text: &str) -> Result<Self, DayError> {
         Ok(toml::from_str(text)?)
     }
 
-    /// The site as the day has it.
-    fn site(&self, site: &Site) -> Result<Site, DayError> {
+    /// The site as the day changes it.
+    fn changed_site(&self, site: &Site) -> Result<Site, DayError> {
         let mut site = site.clone();
-        if let Some(x) = above_0("limits", self.limits)? {
-            site.scale_limits(x);
+        if let Some(factor) = require_positive("limits", self.limits)? {
+            site.scale_limits(factor);
         }
-        if let Some(x) = above_0("boot_s", self.boot_s)? {
-            site.boot_within(x);
+        if let Some(boot_s) = require_positive("boot_s", self.boot_s)? {
+            site.set_boot_time(boot_s);
         }
-        if let Some(x) = above_0("single_tasks_per_s", self.single_tasks_per_s)? {
-            site.single_tasks(x);
+        if let Some(tasks_per_s) = require_positive("single_tasks_per_s", self.single_tasks_per_s)? {
+            site.make_arrays_single_tasks(tasks_per_s);
         }
         Ok(site)
     }
 
-    /// All days that it stands for on `site`. Two sites of which one has twice the
+    fn check_cancelled(&self) -> Result<(), DayError> {
+        match self.cancelled {
+            Some(part) if !(0.0..=1.0).contains(&part) => Err(DayError::Unknown {
+                key: "cancelled",
+                value: part.to_string(),
+                known: "say a part from 0.0 to 1.0",
+            }),
+            _ => Ok(()),
+        }
+    }
+
+    /// All days that the file stands for on `site`. Two sites of which one has twice the
     /// machines, zones or time get the same day.
+    ///
+    /// # Errors
+    ///
+    /// If a value is not allowed, or the site lacks what the day needs.
     pub fn make(&self, name: &str, site: &Site) -> Result<Vec<GeneratedDay>, DayError> {
-        if let Some(part) = self.cancelled.filter(|c| !(0.0..=1.0).contains(c)) {
-            let known = "say a part from 0.0 to 1.0";
-            return Err(DayError::Unknown { key: "cancelled", value: part.to_string(), known });
-        }
-        let site = &self.site(site)?;
-        let plain = DayVariation { name: String::new(), trouble: Vec::new() };
-        let mut made = Vec::new();
-        for with in std::iter::once(&plain).chain(&self.with) {
-            let name = if with.name.is_empty() { name.to_string() } else { format!("{name}-{}", with.name) };
-            let troubles: Vec<&Table> = self.trouble.iter().chain(&with.trouble).collect();
-            let mut add = |suffix: String, site: Site, class: Option<&str>| -> Result<(), DayError> {
-                let text = written(&format!("{name}{suffix}"), &troubles, &site, class, self.cancelled)?;
-                made.push(GeneratedDay { name: format!("{name}{suffix}"), site, text });
-                Ok(())
-            };
-            if self.each_class {
-                for (n, class) in site.classes().iter().enumerate() {
-                    add(format!("-{n}"), site.clone(), Some(class))?;
-                }
-            } else if self.each_team {
-                // With a single team there is nobody to flood.
-                for (n, team) in site.teams().iter().enumerate().filter(|_| site.teams().len() > 1) {
-                    add(format!("-{n}"), site.with_more_of(team, self.team_factor), None)?;
-                }
+        self.check_cancelled()?;
+        let site = self.changed_site(site)?;
+        let mut days = self.make_variation(name, &self.troubles.iter().collect::<Vec<_>>(), &site)?;
+        for variation in &self.variations {
+            let name = if variation.name.is_empty() {
+                name.to_string()
             } else {
-                add(String::new(), site.clone(), None)?;
+                format!("{name}-{}", variation.name)
+            };
+            let troubles: Vec<&Table> = self.troubles.iter().chain(&variation.troubles).collect();
+            days.extend(self.make_variation(&name, &troubles, &site)?);
+        }
+        Ok(days)
+    }
+
+    /// One day, or one for each class or team.
+    fn make_variation(
+        &self,
+        name: &str,
+        troubles: &[&Table],
+        site: &Site,
+    ) -> Result<Vec<GeneratedDay>, DayError> {
+        let make_day = |name: String, site: Site, class: Option<&str>| {
+            let text = bench_file(&name, troubles, &site, class, self.cancelled)?;
+            Ok(GeneratedDay { name, site, text })
+        };
+        if self.each_class {
+            let classes = site.classes();
+            let days = classes
+                .iter()
+                .enumerate()
+                .map(|(index, class)| make_day(format!("{name}-{index}"), site.clone(), Some(class)));
+            return days.collect();
+        }
+        if self.each_team {
+            let teams = site.teams();
+            // A single team has nobody whose work it could crowd out.
+            if teams.len() <= 1 {
+                return Ok(Vec::new());
             }
+            let days = teams.iter().enumerate().map(|(index, team)| {
+                let site = site.with_more_jobs_of(team, self.team_factor);
+                make_day(format!("{name}-{index}"), site, None)
+            });
+            return days.collect();
         }
-        Ok(made)
+        Ok(vec![make_day(name.to_string(), site.clone(), None)?])
     }
 }
 
 /// The bench's own file of a day.
-fn written(
+fn bench_file(
     name: &str,
     troubles: &[&Table],
     site: &Site,
@@ -139,8 +195,8 @@
     cancelled: Option<f64>,
 ) -> Result<String, DayError> {
     let mut faults = Vec::new();
-    for t in troubles {
-        faults.extend(faults_of(t, site, class)?.into_iter().map(Value::Table));
+    for trouble in troubles {
+        faults.extend(trouble::faults(trouble, site, class)?.into_iter().map(Value::Table));
     }
     let mut day = Table::new();
     day.insert("name".into(), name.into());
@@ -149,82 +205,16 @@
     day.insert("seed".into(), Value::Integer(1));
     day.insert("faults".into(), Value::Array(faults));
     if let Some(part) = cancelled {
-        let of = |class: &String| {
-            let name = ("name".to_string(), Value::from(class.as_str()));
-            Value::Table([name, ("cancelled".to_string(), part.into())].into_iter().collect())
-        };
-        day.insert("jobs".into(), Value::Array(site.classes().iter().map(of).collect()));
+        let classes = site.classes();
+        let jobs = classes.iter().map(|class| cancelled_jobs(class, part)).collect();
+        day.insert("jobs".into(), Value::Array(jobs));
     }
     Ok(day.to_string())
 }
 
-/// A trouble at its times, with the site's names and amounts.
-fn faults_of(trouble: &Table, site: &Site, class: Option<&str>) -> Result<Vec<Table>, DayError> {
-    let mut fault = trouble.clone();
-    let lease_s = site.lease_s()?;
-    let mut take = |key: &'static str| fault.remove(key);
-    let at = take("at").and_then(|v| v.as_float()).ok_or(DayError::Needs("at"))?;
-    let times = take("times").and_then(|v| v.as_integer()).unwrap_or(1);
-    let every = take("every_leases").and_then(|v| v.as_float()).unwrap_or(0.0);
-    let length = take("for_leases").and_then(|v| v.as_float());
-    let (nodes, machines) = (take("nodes"), take("machines").and_then(|v| v.as_float()));
-    let (zone, asked) = (take("zone"), take("class"));
-    if let Some(leases) = length {
-        fault.insert("for_s".into(), Value::Float(tenths(leases * lease_s)));
-    }
-    if let Some(part) = machines {
-        fault.insert("count".into(), Value::Integer((site.machines() * part).round() as i64));
-    }
-    if let Some(v) = nodes {
-        let all = site.nodes()? as i64;
-        let count = match v.as_str() {
-            Some("one") => 1,
-            Some("all but one") => (all - 1).max(1),
-            Some("all") => all,
-            _ => {
-                let known = "say one, all but one or all";
-                return Err(DayError::Unknown { key: "nodes", value: v.to_string(), known });
-            }
-        };
-        fault.insert("count".into(), Value::Integer(count));
-    }
-    if let Some(v) = zone {
-        fault.insert("zone".into(), nth("zone", &v, &site.zones())?.into());
-    }
-    if let Some(v) = asked {
-        let name = match (v.as_str(), class) {
-            (Some("each"), Some(class)) => class.to_string(),
-            (Some("most urgent"), _) => site.most_urgent().ok_or(SiteError::Lacks("jobs"))?,
-            _ => nth("class", &v, &site.classes())?,
-        };
-        fault.insert("class".into(), name.into());
-    }
-    let (begin, end) = site.span()?;
-    let first = begin + (end - begin) * at;
-    let at_s = |n: i64| Value::Float(tenths(first + n as f64 * every * lease_s));
-    Ok((0..times)
-        .map(|n| {
-            let mut one = fault.clone();
-            one.insert("at_s".into(), at_s(n));
-            one
-        })
-        .collect())
-}
-
-fn tenths(s: f64) -> f64 {
-    (s * 10.0).round() / 10.0
-}
-
-/// A name by its number, from 0 on; a number beyond the last begins anew.
-fn nth(key: &'static str, v: &Value, names: &[String]) -> Result<String, DayError> {
-    let last = names.len().checked_sub(1).ok_or(SiteError::Lacks(key))?;
-    let n = match (v.as_integer(), v.as_str()) {
-        (Some(n), _) if n >= 0 => n as usize % names.len(),
-        (_, Some("last")) => last,
-        _ => {
-            let known = "say a number from 0 on, or last (classes: most urgent, or each with each_class)";
-            return Err(DayError::Unknown { key, value: v.to_string(), known });
-        }
-    };
-    Ok(names[n].clone())
+fn cancelled_jobs(class: &str, part: f64) -> Value {
+    let mut jobs = Table::new();
+    jobs.insert("name".into(), class.into());
+    jobs.insert("cancelled".into(), part.into());
+    Value::Table(jobs)
 }
--- a/crates/analysis/src/journal.rs
+++ b/crates/analysis/src/journal.rs
@@ -1,10 +1,15 @@
-//! The journal's entries: each day's aims and how far they were kept.
+//! Entries of the journal: how far each day's service-level objectives were met.
 
 use serde::Deserialize;
 use thiserror::Error;
 
+/// Kinds of objectives that are about a class.
+const CLASS_OBJECTIVES: [&str; 3] = ["wait", "finished", "deadline"];
+
+/// Why a text is no entry.
 #[derive(Debug, Error)]
 pub enum JournalError {
+    /// It is no JSON, or lacks what every entry has.
     #[error("not an entry of the journal: {0}")]
     Malformed(#[from] serde_json::Error),
 }
@@ -19,49 +24,61 @@
 #[derive(Deserialize)]
 struct Day {
     name: String,
-    /// None: a day that was drawn anew.
+    /// None: a day that was drawn at random.
     #[serde(default)]
     seed: Option<u64>,
-    #[serde(default)]
-    aims: Vec<(String, f64)>,
+    /// Each objective in words, with its score.
+    #[serde(default, rename = "aims")]
+    objectives: Vec<(String, f64)>,
 }
 
-/// How far a class's aim was kept on a day.
+/// How far a class's service-level objective was met on a day.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Aim {
+pub struct SloResult {
+    /// The site's name.
     pub site: String,
+    /// The day's name.
     pub day: String,
+    /// The day's seed; None: a day that was drawn at random.
     pub seed: Option<u64>,
+    /// The class of jobs.
     pub class: String,
-    /// What was aimed at, as the entry words it.
-    pub aim: String,
+    /// The objective, as the entry words it.
+    pub objective: String,
+    /// The share of the jobs that met it, from 0 to 1.
     pub share: f64,
 }
 
-/// Aims of classes in one entry, in its order. An entry is one JSON object, which
-/// a seal may follow.
-pub fn aims(text: &str) -> Result<Vec<Aim>, JournalError> {
+/// The results of classes in one entry, in its order. An entry is one JSON object, which a
+/// seal may follow.
+///
+/// # Errors
+///
+/// If `text` does not begin with such an object.
+pub fn slo_results(text: &str) -> Result<Vec<SloResult>, JournalError> {
     let entry = serde_json::Deserializer::from_str(text).into_iter::<Entry>().next();
     let Some(entry) = entry.transpose()? else { return Ok(Vec::new()) };
-    let mut aims = Vec::new();
-    for day in entry.days {
-        for (words, _) in &day.aims {
-            let Some((aim, rest)) = words.split_once(": ") else { continue };
-            let mut parts = aim.split(' ');
-            let kind = parts.next().unwrap_or_default();
-            let (Some(class), Some(_)) = (parts.next(), parts.next()) else { continue };
-            let share = rest.split(' ').next().and_then(|s| s.parse().ok());
-            if let (true, Some(share)) = (["wait", "finished", "deadline"].contains(&kind), share) {
-                aims.push(Aim {
-                    site: entry.site.clone(),
-                    day: day.name.clone(),
-                    seed: day.seed,
-                    class: class.to_string(),
-                    aim: aim.to_string(),
-                    share,
-                });
-            }
-        }
-    }
-    Ok(aims)
+    let results = entry
+        .days
+        .iter()
+        .flat_map(|day| day.objectives.iter().filter_map(|(words, _)| slo_result(&entry.site, day, words)));
+    Ok(results.collect())
+}
+
+/// Parses `KIND CLASS BOUND...: SHARE ...`; None for other objectives.
+fn slo_result(site: &str, day: &Day, words: &str) -> Option<SloResult> {
+    let (objective, rest) = words.split_once(": ")?;
+    let mut parts = objective.split(' ');
+    let kind = parts.next().unwrap_or_default();
+    let class = parts.next()?;
+    let _bound = parts.next()?;
+    let share = rest.split(' ').next()?.parse().ok()?;
+    CLASS_OBJECTIVES.contains(&kind).then(|| SloResult {
+        site: site.to_string(),
+        day: day.name.clone(),
+        seed: day.seed,
+        class: class.to_string(),
+        objective: objective.to_string(),
+        share,
+    })
 }
--- a/crates/analysis/src/lib.rs
+++ b/crates/analysis/src/lib.rs
@@ -1,20 +1,24 @@
-//! Who was served: asked, started, done and in time, by class and team, from what
-//! controllers log at `info` and from the journal's entries; and days of our own, made
-//! for a deployment, played on the bench and compared.
+//! Service quality by class and team: jobs submitted, started, finished and in time, from
+//! what controllers log at `info` and from the journal's entries; and days of troubles,
+//! generated for a deployment, run on the bench and compared.
 
-mod chains;
+#![warn(missing_docs)]
+
+mod bench;
 mod day;
+mod error;
 mod job_event;
 mod journal;
 mod outcome;
-mod play;
+mod pipelines;
 mod served;
 mod site;
 
-pub use chains::{PipelineRow, PipelineStats, Stage};
+pub use bench::{run_all, BenchRun, RunSummary};
 pub use day::{DayError, DayFile, GeneratedDay};
-pub use journal::{aims, Aim, JournalError};
-pub use outcome::{compare, table, Outcome, Share, LEAST};
-pub use play::{play_all, Run};
-pub use served::{Group, Row, Served};
-pub use site::{Site, SiteError, Variant};
+pub use error::{with_path, AnalysisError, FileError};
+pub use journal::{slo_results, JournalError, SloResult};
+pub use outcome::{compare, table, Outcome, Peaks, RunId, Share, MIN_SERVED_SHARE};
+pub use pipelines::{PipelineRow, PipelineStats, Stage};
+pub use served::{Group, Row, Served, MAX_START_WAIT_S};
+pub use site::{Allowance, Site, SiteError, TimeSpan, Variant};
--- a/crates/analysis/src/pipelines.rs
+++ b/crates/analysis/src/pipelines.rs
@@ -1,49 +1,62 @@
-//! Pipelines in the controllers' lines: in time by their last job, and where the time went.
+//! Pipelines of dependent jobs in the controllers' logs: how many were in time by their
+//! last job, and where the time went.
 
-use crate::job_event::JobEvent;
-use crate::served::{share, value};
+use crate::job_event::{field, is_cancelled, is_in_time, number_field, JobEvent};
+use crate::served::share;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 #[derive(Debug, Default)]
 struct Job {
     class: String,
-    awaits: Vec<String>,
-    /// Seconds until it could start, from then to its start, and from there to its end.
-    free_s: f64,
+    dependencies: Vec<String>,
+    /// From submission until all dependencies were done.
+    blocked_s: f64,
+    /// From then to its start.
     waited_s: f64,
+    /// From its start to its end.
     ran_s: f64,
-    took_s: f64,
+    /// From submission to its end.
+    total_s: f64,
     done: bool,
     in_time: bool,
-    withdrawn: bool,
+    cancelled: bool,
 }
 
-/// Counts jobs that wait for others, line by line.
+/// Collects jobs with dependencies, line by line.
 #[derive(Debug, Default)]
 pub struct PipelineStats {
     jobs: BTreeMap<String, Job>,
 }
 
-/// A stage of the pipelines that end with one class. Times are means in seconds.
+/// The jobs of one class in the pipelines that end with another. Times are means in
+/// seconds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Stage {
+    /// The class of the stage's jobs.
     pub class: String,
+    /// Jobs that were done.
     pub jobs: usize,
-    /// From when it was free to its start, and from there to its end.
+    /// From when a job's dependencies were done to its start.
     pub waited_s: f64,
+    /// From its start to its end.
     pub ran_s: f64,
 }
 
-/// The pipelines that end with jobs of one class. What was withdrawn is left out.
+/// The pipelines that end with jobs of one class. Cancelled ones are left out.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PipelineRow {
+    /// The class of the last job.
     pub last: String,
+    /// Pipelines that were submitted.
     pub asked: usize,
+    /// Pipelines whose last job was done.
     pub done: usize,
+    /// Pipelines whose last job was in time.
     pub in_time: usize,
-    /// From the last job's submission to its end, mean.
+    /// From the last job's submission to its end: mean, in seconds.
     pub took_s: f64,
+    /// The pipelines' jobs by class.
     pub stages: Vec<Stage>,
 }
 
@@ -51,77 +64,96 @@
     /// Takes in one line of a controller's log.
     pub fn line(&mut self, line: &str) {
         let Some(event) = JobEvent::of_line(line) else { return };
-        let Some(id) = value(line, "job") else { return };
-        let number = |key: &str| value(line, key).and_then(|v| v.parse().ok()).unwrap_or(0.0);
+        let Some(id) = field(line, "job") else { return };
+        let seconds = |key: &str| number_field(line, key).unwrap_or(0.0);
         let job = self.jobs.entry(id.to_string()).or_default();
-        if let Some(class) = value(line, "class") {
+        if let Some(class) = field(line, "class") {
             job.class = class.to_string();
         }
         match event {
             JobEvent::Submitted => {}
             JobEvent::HasDependencies => {
-                job.awaits = value(line, "awaits").unwrap_or("").split(',').map(String::from).collect()
+                let dependencies = field(line, "awaits").unwrap_or("");
+                job.dependencies = dependencies.split(',').map(String::from).collect();
             }
-            JobEvent::Started => job.waited_s = number("waited_s"),
+            JobEvent::Started => job.waited_s = seconds("waited_s"),
             JobEvent::Finished => {
-                job.withdrawn = value(line, "status") == Some("withdrawn");
-                job.done |= !job.withdrawn;
-                job.in_time |= !job.withdrawn && value(line, "late") == Some("false");
-                (job.free_s, job.ran_s, job.took_s) = (number("free_s"), number("ran_s"), number("took_s"));
+                job.cancelled = is_cancelled(line);
+                job.done |= !job.cancelled;
+                job.in_time |= !job.cancelled && is_in_time(line);
+                job.blocked_s = seconds("free_s");
+                job.ran_s = seconds("ran_s");
+                job.total_s = seconds("took_s");
             }
         }
     }
 
-    /// Every job before `id`, and itself.
-    fn whole<'a>(&'a self, id: &'a str) -> BTreeSet<&'a str> {
-        let (mut all, mut left) = (BTreeSet::new(), vec![id]);
-        while let Some(id) = left.pop() {
-            if all.insert(id) {
-                left.extend(self.jobs.get(id).into_iter().flat_map(|j| &j.awaits).map(String::as_str));
+    /// `id` and all jobs that it depends on, directly or not.
+    fn pipeline_of<'a>(&'a self, id: &'a str) -> BTreeSet<&'a str> {
+        let mut found = BTreeSet::new();
+        let mut unvisited = vec![id];
+        while let Some(id) = unvisited.pop() {
+            if found.insert(id) {
+                let dependencies = self.jobs.get(id).into_iter().flat_map(|job| &job.dependencies);
+                unvisited.extend(dependencies.map(String::as_str));
             }
         }
-        all
+        found
     }
 
-    /// By the class of the last job, which is one that waits and that nobody waits for.
-    pub fn rows(&self) -> Vec<PipelineRow> {
-        let named: BTreeSet<&str> = self.jobs.values().flat_map(|j| &j.awaits).map(String::as_str).collect();
-        let mut lasts: BTreeMap<&str, Vec<(&str, &Job)>> = BTreeMap::new();
+    /// The last jobs of pipelines by class: those that have dependencies, and that no other
+    /// job depends on.
+    fn last_jobs(&self) -> BTreeMap<&str, Vec<&str>> {
+        let dependencies: BTreeSet<&str> =
+            self.jobs.values().flat_map(|job| &job.dependencies).map(String::as_str).collect();
+        let mut by_class: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
         for (id, job) in &self.jobs {
-            if !job.awaits.is_empty() && !named.contains(id.as_str()) && !job.withdrawn {
-                lasts.entry(&job.class).or_default().push((id, job));
+            if !job.dependencies.is_empty() && !dependencies.contains(id.as_str()) && !job.cancelled {
+                by_class.entry(&job.class).or_default().push(id);
             }
         }
-        let chain = |(last, jobs): (&str, Vec<(&str, &Job)>)| {
-            let done: Vec<&Job> = jobs.iter().map(|j| j.1).filter(|j| j.done).collect();
-            let ids: BTreeSet<&str> = jobs.iter().flat_map(|(id, _)| self.whole(id)).collect();
-            let mut stages: BTreeMap<&str, Vec<&Job>> = BTreeMap::new();
-            for job in ids.iter().filter_map(|id| self.jobs.get(*id)).filter(|j| j.done) {
-                stages.entry(&job.class).or_default().push(job);
-            }
-            let stage = |(class, jobs): (&str, Vec<&Job>)| Stage {
-                class: class.to_string(),
-                jobs: jobs.len(),
-                waited_s: mean(jobs.iter().map(|j| j.waited_s)),
-                ran_s: mean(jobs.iter().map(|j| j.ran_s)),
-            };
-            PipelineRow {
-                last: last.to_string(),
-                asked: jobs.len(),
-                done: done.len(),
-                in_time: done.iter().filter(|j| j.in_time).count(),
-                took_s: mean(done.iter().map(|j| j.took_s)),
-                stages: stages.into_iter().map(stage).collect(),
-            }
-        };
-        lasts.into_iter().map(chain).collect()
+        by_class
+    }
+
+    /// The pipelines by the class of their last job.
+    pub fn rows(&self) -> Vec<PipelineRow> {
+        self.last_jobs().into_iter().map(|(class, ids)| self.row(class, &ids)).collect()
+    }
+
+    fn row(&self, class: &str, last_jobs: &[&str]) -> PipelineRow {
+        let done: Vec<&Job> =
+            last_jobs.iter().filter_map(|id| self.jobs.get(*id)).filter(|job| job.done).collect();
+        PipelineRow {
+            last: class.to_string(),
+            asked: last_jobs.len(),
+            done: done.len(),
+            in_time: done.iter().filter(|job| job.in_time).count(),
+            took_s: mean(done.iter().map(|job| job.total_s)),
+            stages: self.stages(last_jobs),
+        }
+    }
+
+    fn stages(&self, last_jobs: &[&str]) -> Vec<Stage> {
+        let ids: BTreeSet<&str> = last_jobs.iter().flat_map(|id| self.pipeline_of(id)).collect();
+        let mut by_class: BTreeMap<&str, Vec<&Job>> = BTreeMap::new();
+        for job in ids.iter().filter_map(|id| self.jobs.get(*id)).filter(|job| job.done) {
+            by_class.entry(&job.class).or_default().push(job);
+        }
+        let stages = by_class.into_iter().map(|(class, jobs)| Stage {
+            class: class.to_string(),
+            jobs: jobs.len(),
+            waited_s: mean(jobs.iter().map(|job| job.waited_s)),
+            ran_s: mean(jobs.iter().map(|job| job.ran_s)),
+        });
+        stages.collect()
     }
 }
 
+/// The mean; 0 of nothing.
 fn mean(values: impl Iterator<Item = f64>) -> f64 {
-    let (sum, n) = values.fold((0.0, 0.0), |(s, n), v| (s + v, n + 1.0));
-    if n > 0.0 {
-        sum / n
+    let (sum, count) = values.fold((0.0, 0.0), |(sum, count), value| (sum + value, count + 1.0));
+    if count > 0.0 {
+        sum / count
     } else {
         0.0
     }
@@ -130,13 +162,13 @@
 impl fmt::Display for PipelineRow {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let PipelineRow { last, asked, done, in_time, took_s, stages } = self;
-        let timely = share(*in_time as f64, *asked as f64);
+        let in_time_share = share(*in_time as f64, *asked as f64);
         writeln!(
             f,
-            "{last}: {asked} asked, {done} done, {in_time} in time ({timely:.3}), {took_s:.1} s each"
+            "{last}: {asked} asked, {done} done, {in_time} in time ({in_time_share:.3}), {took_s:.1} s each"
         )?;
-        for s in stages {
-            let Stage { class, jobs, waited_s, ran_s } = s;
+        for stage in stages {
+            let Stage { class, jobs, waited_s, ran_s } = stage;
             writeln!(f, "  {class:<22}{jobs:>6} jobs  waited {waited_s:>6.1} s  ran {ran_s:>6.1} s")?;
         }
         Ok(())
--- a/crates/analysis/tests/days.rs
+++ b/crates/analysis/tests/days.rs
@@ -1,4 +1,4 @@
-//! Days of our own, made for a site, and what is told of them.
+//! Days of troubles, generated for a site, and the tables of their outcomes.
 
 use anisecroft_analysis::*;
 use proptest::prelude::*;
@@ -48,6 +48,12 @@
 initial = 3
 "#;
 
+const ALLOWANCE: Allowance = Allowance { memory_mb: 100.0, connections: 1000.0 };
+
+fn run(day: &str) -> RunId<'_> {
+    RunId { site: "tiles", variant: "x1", day, seed: 7 }
+}
+
 fn site() -> Site {
     Site::parse(SITE).unwrap()
 }
@@ -129,7 +135,7 @@
     fn a_variant_scales_the_load_alone(size in 0.1f64..4.0, back in 0.0f64..20.0) {
         let v = site().variant(Variant { size, back_s: Some(back) });
         prop_assert!((v.machines() - 100.0 * size).abs() <= 1.5, "{}", v.machines());
-        prop_assert_eq!(v.allowance().unwrap(), (100.0, 1000.0));
+        prop_assert_eq!(v.allowance().unwrap(), ALLOWANCE);
         prop_assert_eq!(v.nodes().unwrap(), 5);
         let t: toml::Table = v.text().parse().unwrap();
         prop_assert_eq!(t["nodes"]["restart_delay_s"].as_float(), Some(back));
@@ -165,7 +171,7 @@
     let outcome = |idle: serde_json::Value, largest: u32, unread: &[&str]| {
         let report = json!({"rules_broken": {"total": 0}, "idle": idle, "unread": unread,
                             "largest": {"survey": {"jobs": 10, "started": largest}}});
-        Outcome::new(("tiles", "x1", "full", 7), &report, &Served::default(), (100.0, 1000.0))
+        Outcome::new(run("full"), &report, &Served::default(), ALLOWANCE)
     };
     let good = json!({"neglected": 0, "slips": {}});
     assert!(outcome(good.clone(), 5, &[]).holds());
@@ -196,23 +202,24 @@
         logged.line(&format!("INFO job accepted job=req-{id} class=survey team=maps"));
         logged.line(&format!("INFO job over job=req-{id} class=survey team=maps status=done late={late}"));
     }
-    let outcome = |in_time, why, logged: &Served| {
-        Outcome::new(("tiles", "x1", "roll", 7), &report(in_time, why), logged, (100.0, 1000.0))
-    };
+    let outcome =
+        |in_time, why, logged: &Served| Outcome::new(run("roll"), &report(in_time, why), logged, ALLOWANCE);
     let good = outcome(0.6, "fault", &Served::default());
     assert!(good.holds());
-    assert_eq!((good.peaks, good.unanswered, good.own_ends), ((0.3, 0.5), 0.05, 0));
+    assert_eq!(good.peaks, Peaks { memory: 0.3, connections: 0.5 });
+    assert_eq!(serde_json::to_value(good.peaks).unwrap(), json!([0.3, 0.5]), "as tables had it");
+    assert_eq!((good.unanswered, good.own_ends), (0.05, 0));
     assert_eq!(good.least().map(|s| s.name.as_str()), Some("survey"));
     assert!(!outcome(0.4, "fault", &Served::default()).holds(), "a class in time");
     assert!(!outcome(0.6, "memory", &Served::default()).holds(), "a process that ended by itself");
     let team = outcome(0.6, "fault", &logged);
     assert!(!team.holds(), "a team in time");
     assert_eq!(team.least().map(|s| (s.name.as_str(), s.asked)), Some(("team maps", 3)));
-    let told = table(&[good.clone(), team.clone()]);
-    assert!(told.contains("!team maps 1.000 1.000 0.333"), "{told}");
+    let printed = table(&[good.clone(), team.clone()]);
+    assert!(printed.contains("!team maps 1.000 1.000 0.333"), "{printed}");
     let with = |mark| Outcome { mark: Some(mark), ..good.clone() };
-    let told = compare(&[with(0.5), with(0.6)], &[with(0.7)]);
-    assert!(told.contains("2/1") && told.contains("+0.150"), "{told}");
+    let printed = compare(&[with(0.5), with(0.6)], &[with(0.7)]);
+    assert!(printed.contains("2/1") && printed.contains("+0.150"), "{printed}");
 }
 
 /// The days that are kept here can be made for any site.
--- a/crates/analysis/tests/served.rs
+++ b/crates/analysis/tests/served.rs
@@ -1,6 +1,6 @@
 //! Counting by class and team.
 
-use anisecroft_analysis::{aims, Group, PipelineStats, Served};
+use anisecroft_analysis::{slo_results, Group, PipelineStats, Served};
 
 /// Two controllers say the same of a job, one is still on its way, one is
 /// cancelled, and other lines are of no interest.
@@ -36,15 +36,15 @@
 }
 
 #[test]
-fn entries_of_the_journal_tell_each_classs_aims() {
+fn entries_of_the_journal_hold_each_classs_objectives() {
     let entry = r#"{"site":"maps","days":[{"name":"drawn","seed":null,"aims":[]},{"name":"rough","seed":3,"aims":[
         ["wait tiles 30 s: 0.75 (aim 0.9)",0.4],["useful: 0.5 (aim 0.6)",0.4],
         ["deadline tiles 1.5x: 0.5 (aim 0.9)",0.1]]}]}
         seal"#;
-    let found = aims(entry).unwrap();
-    let short: Vec<_> = found.iter().map(|a| (a.class.as_str(), a.aim.as_str(), a.share)).collect();
+    let found = slo_results(entry).unwrap();
+    let short: Vec<_> = found.iter().map(|a| (a.class.as_str(), a.objective.as_str(), a.share)).collect();
     assert_eq!(short, [("tiles", "wait tiles 30 s", 0.75), ("tiles", "deadline tiles 1.5x", 0.5)]);
-    assert!(aims("not json").is_err());
+    assert!(slo_results("not json").is_err());
 }
 
 /// A chain, a diamond that is late, one that was withdrawn, and a job by itself.
