--- a/crates/controller/src/model/records/page_size.rs
+++ b/crates/controller/src/model/records/page_size.rs
@@ -7,9 +7,10 @@
 pub const RECORD_BYTES: usize = 320;
 /// Bytes of a first page that are left free for names of machines, where there is room.
 const MACHINE_NAMES_BYTES: usize = 1792;
-/// Fewest and most tasks of a page. All page sizes are multiples of four, since four completion
+/// Fewest tasks of a page. All page sizes are multiples of four, since four completion
 /// bits make a hexadecimal digit.
 pub(crate) const MIN_TASKS_PER_PAGE: u32 = 4;
+/// Most tasks of a page.
 const MAX_TASKS_PER_PAGE: usize = 4096;
 /// Completion bits in a hexadecimal digit, which is a byte.
 const TASKS_PER_DIGIT: usize = 4;
--- a/crates/controller/src/storage/archive.rs
+++ b/crates/controller/src/storage/archive.rs
@@ -93,8 +93,11 @@
     deleting: Vec<String>,
     /// The jobs that the transaction in flight moves.
     in_flight: Option<Vec<TerminalJob>>,
+    /// Nothing is moved before then: the last transaction failed.
     retry_at: Time,
+    /// What moves may use of the write rate.
     budget: Option<RateLimiter>,
+    /// Which images the machines hold, as stored.
     images: StoredImages,
 }
 
--- a/crates/controller/src/storage/write_queue/due_jobs.rs
+++ b/crates/controller/src/storage/write_queue/due_jobs.rs
@@ -9,6 +9,7 @@
 /// A job that is to be written.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DueJob {
+    /// The job's id.
     pub id: String,
     /// Nobody waits for the write: it leaves half of the budget to writes that somebody waits for.
     pub is_lazy: bool,
--- a/crates/controller/src/storage/write_queue/transaction.rs
+++ b/crates/controller/src/storage/write_queue/transaction.rs
@@ -25,6 +25,7 @@
 /// What holds for the writes of one tick.
 #[derive(Debug, Clone)]
 pub struct WriteConditions {
+    /// Time on this node's steady clock.
     pub now: Time,
     /// Mutations that a transaction may have.
     pub max_mutations: usize,
