--- a/crates/simulation/tests/digests.rs
+++ b/crates/simulation/tests/digests.rs
@@ -123,6 +123,58 @@
     Setup { capacity: 5, ..setup }
 }
 
+/// Long work of low priority fills all machines, some of it with checkpoints; from 40 s on more urgent
+/// gangs and arrays come, some with deadlines, some within a guarantee: running work is preempted.
+fn contended(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
+    let mut setup = seeded_day(seed, faults);
+    let mut rng = SmallRng::seed_from_u64(seed ^ 0xc047);
+    for team in &mut setup.settings.params.teams {
+        team.accelerators = if seed % 2 == 0 { 0.0 } else { 4.0 };
+        team.accelerators_max = 0.0;
+    }
+    let first = setup.jobs[0].spec.clone();
+    let base = JobSpec { zone: None, one_zone: false, spread: false, cores: 1.0, ..first };
+    setup.jobs = (0..6).map(|n| long_submission(n, &base, &mut rng)).collect();
+    setup.jobs.extend((10..30).map(|n| urgent_submission(n, &base, &mut rng)));
+    Setup { capacity: 5, ..setup }
+}
+
+/// An array of low priority, or the one service, that is cancelled late.
+fn long_submission(n: u32, base: &JobSpec, rng: &mut SmallRng) -> Submission {
+    let service = n == 3;
+    let checkpoint_interval_s = if n % 2 == 0 { 0.0 } else { rng.gen_range(5.0..20.0) };
+    let save_s = if n % 2 == 0 { 0.0 } else { rng.gen_range(0.5..4.0) };
+    let spec = JobSpec {
+        id: format!("req-{n}"),
+        team: "clinics".into(),
+        shape: if service { Shape::Service } else { Shape::Array },
+        priority: Priority::Low,
+        tasks: 4,
+        estimated_run_s: if service { 0.0 } else { rng.gen_range(60.0..160.0) },
+        checkpoint_interval_s,
+        save_s,
+        ..base.clone()
+    };
+    Submission::new(1.0 + f64::from(n), spec).cancelled_at(service.then_some(180.0))
+}
+
+/// A gang or array that is more urgent than the long work.
+fn urgent_submission(n: u32, base: &JobSpec, rng: &mut SmallRng) -> Submission {
+    let gang = rng.gen_bool(0.6);
+    let spec = JobSpec {
+        id: format!("req-{n}"),
+        team: "dispatch".into(),
+        shape: if gang { Shape::Gang } else { Shape::Array },
+        priority: [Priority::Normal, Priority::High, Priority::Production][rng.gen_range(0..3)],
+        tasks: rng.gen_range(1..4),
+        accelerators: [1.0, 2.0, 4.0][rng.gen_range(0..3)],
+        estimated_run_s: rng.gen_range(5.0..30.0),
+        deadline_s: rng.gen_bool(0.5).then(|| rng.gen_range(15.0..90.0)),
+        ..base.clone()
+    };
+    Submission::new(40.0 + 6.0 * f64::from(n - 10), spec)
+}
+
 /// Wide arrays in pages, a store whose limits fall, and users that ask often.
 fn at_limits(seed: u64) -> Setup {
     let mut setup = seeded_day(seed, seeded_faults(seed));
@@ -212,6 +264,8 @@
     );
     days.extend((600..608).map(|n| day("varied", n, move || run(varied(n, vec![]), DAY_S))));
     days.extend((608..624).map(|n| day("varied", n, move || run(varied(n, seeded_faults(n)), DAY_S))));
+    days.extend((700..710).map(|n| day("contended", n, move || run(contended(n, vec![]), DAY_S))));
+    days.extend((710..720).map(|n| day("contended", n, move || run(contended(n, seeded_faults(n)), DAY_S))));
     days.extend((400..410).map(|n| day("limits", n, move || run(at_limits(n), DAY_S))));
     days.extend((500..512).map(|n| day("meeting", n, move || meeting(n))));
     for (machine, script) in SCRIPTS.iter().enumerate() {
