--- a/crates/controller/src/agents/pending_kills.rs
+++ b/crates/controller/src/agents/pending_kills.rs
@@ -30,7 +30,7 @@
 /// Which jobs and machines have tasks to be killed.
 #[derive(Default)]
 pub struct PendingKills {
-    /// Jobs with tasks that are to be killed and may not have been told.
+    /// Jobs with tasks that were newly marked to be killed.
     jobs: BTreeSet<String>,
     /// Machines with such tasks, to which only the leader may respond.
     machines: BTreeSet<String>,
--- a/crates/controller/src/agents/reconciliation.rs
+++ b/crates/controller/src/agents/reconciliation.rs
@@ -5,6 +5,7 @@
 use crate::agents::task_exits::{release_lost_task, TaskExit};
 use crate::leader::state::{LeaderState, Role};
 use crate::model::job::{Job, Placement};
+use crate::model::machine::Machine;
 use crate::{Controller, Time};
 use protocol::worker::{split_task, ExitCause, Heartbeat, TaskState, TaskStatus};
 use tracing::{info, warn};
@@ -139,13 +140,8 @@
         }
         let is_heartbeat = origin == HeartbeatOrigin::Worker;
         let had_notice = machine.spot_reclaim_at.is_some();
-        let previous_epoch = machine.newest_position.0;
-        let arrival = HeartbeatArrival {
-            previous_epoch,
-            epoch: heartbeat.epoch,
-            previous_at: machine.last_heartbeat_at,
-            at: received_at,
-        };
+        let arrival = arrival_of(heartbeat, machine, received_at);
+        let previous_epoch = arrival.previous_epoch;
         let receives_nothing = is_heartbeat && machine.reachability.record(&arrival, &heartbeat_timing);
         if receives_nothing {
             warn!(machine = %heartbeat.machine, "machine does not receive responses, cordoned");
@@ -252,6 +248,16 @@
     }
 }
 
+/// The arrival of a heartbeat, compared with what `machine` shows of the one before.
+fn arrival_of(heartbeat: &Heartbeat, machine: &Machine, received_at: Time) -> HeartbeatArrival {
+    HeartbeatArrival {
+        previous_epoch: machine.newest_position.0,
+        epoch: heartbeat.epoch,
+        previous_at: machine.last_heartbeat_at,
+        at: received_at,
+    }
+}
+
 /// Whether a heartbeat lists that attempt of a task.
 fn lists_attempt(heartbeat: &Heartbeat, job: &str, task: u32, attempt: u64) -> bool {
     heartbeat
--- a/crates/controller/src/agents/responses.rs
+++ b/crates/controller/src/agents/responses.rs
@@ -122,7 +122,7 @@
         }
         if policy.may_launch {
             for (job_id, task) in leader.cluster.tasks_on(machine) {
-                // The job was reported as terminal to a client; the leader has yet to read that.
+                // A client was shown a terminal state; the leader has yet to read that record.
                 if self.terminal_states.get(&job_id).is_some() {
                     continue;
                 }
