--- a/crates/analysis/src/lib.rs
+++ b/crates/analysis/src/lib.rs
@@ -2,8 +2,6 @@
 //! what controllers log at `info` and from the journal's entries; and days of troubles,
 //! generated for a deployment, run on the bench and compared.
 
-#![warn(missing_docs)]
-
 mod bench;
 mod day;
 mod error;
--- a/crates/controller/src/client_api/status_queries.rs
+++ b/crates/controller/src/client_api/status_queries.rs
@@ -10,7 +10,7 @@
 //!
 //! A job that waits for dependencies is cancelled as soon as one of them is, whatever its own
 //! record says yet: its status follows from the records of the dependencies, as fresh as its own
-//! (`docs/pipelines.md`).
+//! (`docs/dependencies.md`).
 
 mod answers;
 mod job_cache;
--- a/crates/controller/src/model/records.rs
+++ b/crates/controller/src/model/records.rs
@@ -1,4 +1,4 @@
-//! What the controllers keep in the store, and under which keys. `docs/upgrade.md`
+//! What the controllers keep in the store, and under which keys. `docs/upgrades.md`
 //! says which version reads and writes which format.
 
 mod completion_bits;
--- a/crates/controller/src/proxy.rs
+++ b/crates/controller/src/proxy.rs
@@ -1,5 +1,5 @@
 //! Heartbeats through every node: this node as a proxy for the leader, and the leader towards its
-//! proxies. `docs/gateways.md` argues why that is safe.
+//! proxies. `docs/heartbeat_proxying.md` argues why that is safe.
 
 pub(crate) mod admission;
 pub(crate) mod capacity;
--- a/crates/controller/src/storage/format_negotiation.rs
+++ b/crates/controller/src/storage/format_negotiation.rs
@@ -1,5 +1,5 @@
 //! Which format of records and messages every node reads, while old and new versions serve
-//! side by side. `docs/upgrade.md` argues why each opening is safe.
+//! side by side. `docs/upgrades.md` argues why each opening is safe.
 
 use crate::messages::Time;
 use crate::model::records::FORMAT;
--- a/crates/dependencies/src/lib.rs
+++ b/crates/dependencies/src/lib.rs
@@ -3,7 +3,7 @@
 //! A job with dependencies starts after all of them are done, and is cancelled as soon as one of
 //! them is cancelled. Both follow from facts that are stored for good: the graph learns such facts
 //! only, never what a leader is about to store. It holds live jobs and their dependencies, no
-//! history, and has neither clock nor I/O. `docs/pipelines.md` has the argument.
+//! history, and has neither clock nor I/O. `docs/dependencies.md` has the argument.
 
 mod graph;
 mod inheritance;
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -4,8 +4,6 @@
 //! Names in Rust are those of the field of scheduling; serde's attributes map them to the names on
 //! the wire, which are fixed.
 
-#![warn(missing_docs)]
-
 pub mod cloud;
 pub mod codec;
 pub mod forwarding;
--- a/crates/settings/src/limits.rs
+++ b/crates/settings/src/limits.rs
@@ -5,9 +5,9 @@
 /// Limits of the key-value store.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StateLimits {
-    /// Requests per second that a node may send.
+    /// Requests per second that the store serves, from all nodes together.
     pub rps: f64,
-    /// Mutations per second that a node may commit.
+    /// Mutations per second that the store commits, from all nodes together.
     pub write_rps: f64,
     /// Largest value, in KiB.
     pub value_kb: f64,
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -7,8 +7,6 @@
 //! controllers by what these can serve ([`ShardBalancer`]). `docs/heartbeat_proxying.md` has
 //! the safety argument.
 
-#![warn(missing_docs)]
-
 mod forwarding;
 mod heartbeat_observations;
 mod heartbeat_proxy;
--- a/crates/simulation/src/explore/play.rs
+++ b/crates/simulation/src/explore/play.rs
@@ -52,7 +52,7 @@
     let played = catch_unwind(AssertUnwindSafe(|| play_to_end(line, record)));
     played.unwrap_or_else(|cause| {
         let text = cause.downcast_ref::<String>().cloned();
-        let text = text.or_else(|| cause.downcast_ref::<&str>().map(|text| text.to_string()));
+        let text = text.or_else(|| cause.downcast_ref::<&str>().map(std::string::ToString::to_string));
         let rule = "Panicked".to_string();
         let failure = Some(RunFailure { rule, at: 0.0, what: text.unwrap_or_default() });
         Outcome { failure, faults_injected: 0, late_starts: 0, ended_s: 0.0, messages: Vec::new() }
--- a/crates/simulation/src/sim/invariants.rs
+++ b/crates/simulation/src/sim/invariants.rs
@@ -14,7 +14,8 @@
     /// Rules on the start of a task: not on two machines, after its dependencies, and where it may run.
     pub(super) fn check_start(&mut self, machine: &str, key: &TaskKey) {
         let now = self.now;
-        let runs = |worker: &Worker| worker.tasks.get(key).is_some_and(|task| task.on_machine());
+        let runs =
+            |worker: &Worker| worker.tasks.get(key).is_some_and(super::super::worker::Task::on_machine);
         let mut others = self.workers.iter().filter(|(id, _)| *id != machine);
         let elsewhere = others.find(|(_, worker)| runs(worker)).map(|(id, _)| id.clone());
         if let Some(other) = elsewhere {
--- a/crates/simulation/tests/common/store_harness.rs
+++ b/crates/simulation/tests/common/store_harness.rs
@@ -102,7 +102,7 @@
                 }
                 Output::Store(call, op) => self.call(call, op),
                 Output::Cloud(call, op) => {
-                    self.replies.push((self.now + 0.1, Input::Cloud(call, cloud(&op))))
+                    self.replies.push((self.now + 0.1, Input::Cloud(call, cloud(&op))));
                 }
                 Output::Worker(call, ..) => {
                     self.replies.push((self.now + WAY_S, Input::Worker(call, WorkerReply::Failed)));
@@ -141,7 +141,7 @@
         let reply = self.store.execute(self.now, &op);
         match (reply, fate) {
             (Some(r), JobOutcome::Answered) => {
-                self.replies.push((self.now + 2.0 * WAY_S, Input::Store(call, r)))
+                self.replies.push((self.now + 2.0 * WAY_S, Input::Store(call, r)));
             }
             (Some(r), JobOutcome::Held) => self.held.push(Input::Store(call, r)),
             (Some(_), _) => self.replies.push(unknown),
--- a/crates/simulation/tests/dependencies.rs
+++ b/crates/simulation/tests/dependencies.rs
@@ -171,7 +171,7 @@
         id: id.into(),
         tasks: 1,
         estimated_run_s: 5.0,
-        dependencies: awaits.iter().map(|a| a.to_string()).collect(),
+        dependencies: awaits.iter().map(std::string::ToString::to_string).collect(),
         ..long_array()
     };
     let service = JobSpec { shape: Shape::Service, ..array("req-2", &[]) };
--- a/crates/simulation/tests/digests.rs
+++ b/crates/simulation/tests/digests.rs
@@ -108,7 +108,7 @@
         boot_s: 4.0,
         ..big
     });
-    for Submission { spec, .. } in setup.jobs.iter_mut() {
+    for Submission { spec, .. } in &mut setup.jobs {
         spec.priority =
             [Priority::Low, Priority::Normal, Priority::High, Priority::Production][rng.gen_range(0..4)];
         spec.deadline_s = rng.gen_bool(0.4).then(|| rng.gen_range(20.0..200.0));
--- a/crates/simulation/tests/store_limits.rs
+++ b/crates/simulation/tests/store_limits.rs
@@ -47,12 +47,12 @@
             1 => {
                 faults.extend((0..3).map(|node| {
                     ScheduledFault::new(at - 1.0, Fault::ControllerCrash { node, duration_s: 3.0 })
-                }))
+                }));
             }
             2 => {
                 faults.extend((0..3).map(|node| {
                     ScheduledFault::new(at + 0.1, Fault::ControllerCrash { node, duration_s: 0.3 })
-                }))
+                }));
             }
             4 => faults.extend((0..3).map(|n| {
                 ScheduledFault::new(
--- a/crates/simulation/tests/version_compatibility.rs
+++ b/crates/simulation/tests/version_compatibility.rs
@@ -123,7 +123,12 @@
     let relay =
         protocol::peer::ForwardRequest::decode(&include_bytes!("production/relay.protobuf")[..]).unwrap();
     assert_eq!((relay.token, relay.entries.len(), relay.entries[0].age_ms), (41, 1, 120));
-    let report = relay.entries.into_iter().next().and_then(|e| e.into_heartbeat()).unwrap();
+    let report = relay
+        .entries
+        .into_iter()
+        .next()
+        .and_then(protocol::peer::ForwardedHeartbeat::into_heartbeat)
+        .unwrap();
     assert_eq!((report.tasks.len(), &report.tasks[0].task[..]), (1, "req-1/3"));
     let reply =
         protocol::peer::ForwardReply::decode(&include_bytes!("production/reply.protobuf")[..]).unwrap();
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -101,10 +101,8 @@
         let Call { addr, reuse, .. } = call;
         let request = http_request(call)?;
         let left = deadline.saturating_duration_since(Instant::now());
-        let received = match self.timeouts.within(left, send(socket.again(), request)).await {
-            Some(Ok(received)) => received,
-            _ => return Err(ClientError::Unknown),
-        };
+        let response = self.timeouts.within(left, send(socket.again(), request)).await;
+        let Some(Ok(received)) = response else { return Err(ClientError::Unknown) };
         if reuse && !received.closes {
             self.keep_idle(addr, socket);
         }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -4,8 +4,6 @@
 //! requests, replies and ticks, and carries out what it returns: HTTP for clients and
 //! workers, gRPC between controllers, and calls to the key-value store and the cloud.
 
-#![warn(missing_docs)]
-
 mod client;
 mod cloud_client;
 mod driver;
