--- a/crates/transport/src/cloud_client.rs
+++ b/crates/transport/src/cloud_client.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// The cloud's error text when it has no machines of that kind.
-const NO_CAPACITY_ERROR: &str = "scale-out refused: no capacity";
+const NO_CAPACITY_ERROR: &str = "no capacity";
 
 /// Sends `request` to the cloud at `addr`. A failed call becomes `Refused` if it surely had
 /// no effect, and `Unknown` otherwise.
