--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -16,3 +16,6 @@
 mod worker_client;
 
 pub use driver::run;
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/transport/src/tests.rs
@@ -0,0 +1,116 @@
+//! The HTTP interfaces byte by byte: each request as it is sent, and each reply that the protocol
+//! names to the outcome that the controller gets.
+
+mod client_api;
+mod cloud_client;
+mod platform;
+mod store_client;
+mod worker_client;
+
+use crate::client::Client;
+use serde::Serialize;
+use std::io::{Read, Write};
+use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
+use std::thread;
+use std::time::Duration;
+
+/// Timeout of calls and of sockets; no test waits for it.
+const TIMEOUT: Duration = Duration::from_secs(10);
+
+/// The MessagePack form of a JSON text, with the fields in the text's order.
+fn message(json: &str) -> Vec<u8> {
+    let value: rmpv::Value = serde_json::from_str(json).expect("the test's text is JSON");
+    let mut body = Vec::new();
+    value.serialize(&mut rmp_serde::Serializer::new(&mut body)).expect("any JSON value can be encoded");
+    body
+}
+
+/// An HTTP message as it was received.
+#[derive(Debug, Clone, PartialEq)]
+struct HttpMessage {
+    /// Request line or status line.
+    first_line: String,
+    /// Headers in lower case, sorted, without `host`, `date` and `content-length`.
+    headers: Vec<String>,
+    body: Vec<u8>,
+}
+
+impl HttpMessage {
+    /// Reads one message; None if the connection is closed before a whole one has arrived.
+    fn read(stream: &mut TcpStream) -> Option<HttpMessage> {
+        let mut head = Vec::new();
+        while !head.ends_with(b"\r\n\r\n") {
+            let mut byte = [0];
+            stream.read_exact(&mut byte).ok()?;
+            head.push(byte[0]);
+        }
+        let head = String::from_utf8(head).ok()?;
+        let mut lines = head.lines();
+        let first_line = lines.next()?.to_string();
+        let mut headers: Vec<String> = lines.filter(|line| !line.is_empty()).map(str::to_lowercase).collect();
+        let length = headers.iter().find_map(|header| header.strip_prefix("content-length: "));
+        let mut body = vec![0; length.map_or(0, |length| length.parse().expect("a length"))];
+        stream.read_exact(&mut body).ok()?;
+        let varies = ["host: ", "date: ", "content-length: "];
+        headers.retain(|header| !varies.iter().any(|name| header.starts_with(name)));
+        headers.sort();
+        Some(HttpMessage { first_line, headers, body })
+    }
+}
+
+/// A reply of a stand-in: status code and body.
+#[derive(Clone)]
+struct CannedReply(u16, Vec<u8>);
+
+impl CannedReply {
+    fn json(status: u16, body: &str) -> Self {
+        CannedReply(status, message(body))
+    }
+
+    fn empty(status: u16) -> Self {
+        CannedReply(status, Vec::new())
+    }
+
+    fn write(&self, stream: &mut TcpStream) -> std::io::Result<()> {
+        let CannedReply(status, body) = self;
+        write!(stream, "HTTP/1.1 {status} Reply\r\ncontent-length: {}\r\n\r\n", body.len())?;
+        stream.write_all(body)
+    }
+}
+
+/// A listener on a free port, and its address.
+fn listen() -> (TcpListener, SocketAddrV4) {
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
+    let port = listener.local_addr().expect("an address").port();
+    (listener, SocketAddrV4::new(Ipv4Addr::LOCALHOST, port))
+}
+
+/// An address at which nobody listens.
+fn unused_addr() -> SocketAddrV4 {
+    listen().1
+}
+
+/// Makes one call to a stand-in that answers with `reply`, or closes the connection unanswered if
+/// there is none. Returns the request as it arrived, and the call's outcome.
+fn call_with_reply<T>(
+    reply: Option<CannedReply>,
+    call: impl AsyncFnOnce(&Client, SocketAddrV4) -> T,
+) -> (HttpMessage, T) {
+    let (listener, addr) = listen();
+    let stand_in = thread::spawn(move || {
+        let (mut stream, _) = listener.accept().expect("a connection");
+        let request = HttpMessage::read(&mut stream).expect("a request");
+        if let Some(reply) = reply {
+            reply.write(&mut stream).expect("the reply can be sent");
+        }
+        request
+    });
+    let client = Client::default();
+    let outcome = async_io::block_on(call(&client, addr));
+    (stand_in.join().expect("the stand-in saw a request"), outcome)
+}
+
+/// The headers of a request with a body on a connection that is kept.
+fn body_headers() -> Vec<String> {
+    vec!["content-type: application/msgpack".to_string()]
+}
