--- a/crates/controller/src/autoscaling/machine_catalogue.rs
+++ b/crates/controller/src/autoscaling/machine_catalogue.rs
@@ -80,7 +80,7 @@
         let whole = Value::Types(types.clone());
         let mutations: Vec<Mutation<Value>> = if json_size(&whole) > max_bytes && self.uses_current_format() {
             let delete_whole = Mutation::Delete { key: TYPES_KEY.to_string() };
-            catalogue(&types, max_bytes).into_iter().map(put).chain([delete_whole]).collect()
+            catalogue_chunks(&types, max_bytes).into_iter().map(put).chain([delete_whole]).collect()
         } else {
             vec![put((TYPES_KEY.to_string(), whole))]
         };
--- a/crates/controller/src/client_api/record_location.rs
+++ b/crates/controller/src/client_api/record_location.rs
@@ -1,6 +1,6 @@
 //! Where the record of a job is stored.
 
-use crate::model::records::{job_key, over_key};
+use crate::model::records::{job_key, terminal_job_key};
 
 /// A job's record is in one of two places at every revision of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -16,7 +16,7 @@
     pub(crate) fn key(self, id: &str) -> String {
         match self {
             RecordLocation::Live => job_key(id),
-            RecordLocation::Archive => over_key(id),
+            RecordLocation::Archive => terminal_job_key(id),
         }
     }
 }
--- a/crates/controller/src/client_api/status_queries/answers.rs
+++ b/crates/controller/src/client_api/status_queries/answers.rs
@@ -4,7 +4,7 @@
 use crate::client_api::client_requests::TaskCounts;
 use crate::client_api::dependency_checks::DependencyLookup;
 use crate::client_api::status_queries::{CacheGeneration, CachedJob, Requester, StatusQuery};
-use crate::model::records::{JobRecord, Value, JOB_PREFIX, MARK_PREFIX, OVER_PREFIX};
+use crate::model::records::{JobRecord, Value, JOB_PREFIX, MARK_PREFIX, TERMINAL_JOB_PREFIX};
 use crate::Controller;
 use protocol::job::JobStatus;
 use protocol::state::{Event, Events};
@@ -173,7 +173,7 @@
     }
 
     fn record_terminal_event(&mut self, key: &str, status: JobStatus, done: u32) {
-        if let Some(id) = key.strip_prefix(OVER_PREFIX).or_else(|| key.strip_prefix(MARK_PREFIX)) {
+        if let Some(id) = key.strip_prefix(TERMINAL_JOB_PREFIX).or_else(|| key.strip_prefix(MARK_PREFIX)) {
             self.terminal_states.insert(id, status, done);
             self.status_queries.cache.remove(id);
         }
--- a/crates/controller/src/client_api/status_queries/shared_reads.rs
+++ b/crates/controller/src/client_api/status_queries/shared_reads.rs
@@ -5,7 +5,7 @@
 use crate::client_api::client_requests::{ERROR_BUSY, ERROR_STORE_UNREACHABLE};
 use crate::client_api::record_location::RecordLocation;
 use crate::client_api::status_queries::{StatusQueries, StatusQuery};
-use crate::model::records::{job_key, over_key, JOBS_WATCHED};
+use crate::model::records::{job_key, terminal_job_key, JOB_WATCH_PREFIX};
 use crate::{CallContext, Controller, StoreReply, StoreRequest, Time};
 use protocol::state::{Compare, Transaction};
 use std::collections::BTreeMap;
@@ -90,7 +90,7 @@
     fn send_watch(&mut self, after: u64) {
         let queries = std::mem::take(&mut self.status_queries.queued);
         self.status_queries.watch_read = Some(queries);
-        let watch = StoreRequest::Watch { prefix: JOBS_WATCHED.to_string(), after, wait_ms: 0 };
+        let watch = StoreRequest::Watch { prefix: JOB_WATCH_PREFIX.to_string(), after, wait_ms: 0 };
         self.call_store(CallContext::FreshnessRead, watch);
     }
 
@@ -99,7 +99,7 @@
         let max_jobs = (self.store_limits.compares() / 2).min(MAX_COMPARED_JOBS);
         let queries = self.status_queries.take_uncached(max_jobs);
         let mut keys: Vec<String> =
-            queries.iter().flat_map(|query| [job_key(&query.id), over_key(&query.id)]).collect();
+            queries.iter().flat_map(|query| [job_key(&query.id), terminal_job_key(&query.id)]).collect();
         keys.sort();
         keys.dedup();
         self.status_queries.comparison = Some(queries);
--- a/crates/controller/src/client_api/submissions.rs
+++ b/crates/controller/src/client_api/submissions.rs
@@ -5,9 +5,9 @@
 };
 use crate::client_api::feasibility::check_feasibility;
 use crate::client_api::status_queries::CacheGeneration;
-use crate::model::records::{job_key, json_size, JobRecord, Value, RECORD_BYTES};
-use crate::storage::spec_chunks::{new_job, nonce};
-use crate::storage::write_queue::LEADER_WRITES;
+use crate::model::records::{job_key, json_size, JobRecord, Value, RECORD_OVERHEAD_BYTES};
+use crate::storage::spec_chunks::{new_job_conditions, new_nonce};
+use crate::storage::write_queue::LEADER_WRITE_SHARE;
 use crate::{CallContext, Controller, RequestId, StoreReply};
 use protocol::job::{valid_id, JobSpec, JobStatus};
 use protocol::state::{Mutation, Transaction};
@@ -128,7 +128,7 @@
         }
         let max_value_bytes = self.store_limits.value_bytes();
         let record = JobRecord { status, ..JobRecord::new(spec, self.time_of_day, max_value_bytes) };
-        let needs_chunks = json_size(&record) + RECORD_BYTES / 2 > max_value_bytes;
+        let needs_chunks = json_size(&record) + RECORD_OVERHEAD_BYTES / 2 > max_value_bytes;
         let may_use_chunks = self.uses_current_format();
         // A restarted node that did not know the format yet once stored such a job whole. Under the
         // next limits the leader could never write it again, so it never ran.
@@ -143,7 +143,7 @@
             cache_generation: self.status_queries.generation(),
         };
         if needs_chunks && may_use_chunks {
-            let nonce = nonce(self.time_of_day, self.rng.gen());
+            let nonce = new_nonce(self.time_of_day, self.rng.gen());
             submission.split_spec(nonce, max_value_bytes);
         }
         self.client_requests.submissions.insert(id.clone(), submission);
@@ -155,7 +155,7 @@
         let Some(submission) = self.client_requests.submissions.get(id) else { return };
         let record = submission.stored_record.as_ref().unwrap_or(&submission.record).clone();
         let transaction = Transaction {
-            compares: new_job(id),
+            compares: new_job_conditions(id),
             mutations: vec![Mutation::Put {
                 key: job_key(id),
                 value: Value::Job(Box::new(record)),
@@ -206,7 +206,7 @@
             }
             StoreReply::Refused | StoreReply::Limited => {
                 let nodes = f64::from(self.settings.params.nodes.max(1));
-                let min_write_rps = store_write_rps * (1.0 - LEADER_WRITES) / nodes;
+                let min_write_rps = store_write_rps * (1.0 - LEADER_WRITE_SHARE) / nodes;
                 self.client_writes.halve(self.now, min_write_rps);
             }
             _ => {}
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -5,8 +5,8 @@
 use crate::messages::Time;
 use crate::model::job::Job;
 use crate::model::records::{
-    page_of_key, ImagesRecord, JobRecord, PageRecord, TerminalRecord, Value, IMAGES_PREFIX, JOB_PREFIX,
-    MARK_PREFIX, PAGE_PREFIX, PARTS_PREFIX,
+    parse_page_key, ImagesRecord, JobRecord, PageRecord, TerminalRecord, Value, IMAGES_PREFIX, JOB_PREFIX,
+    MARK_PREFIX, PAGE_PREFIX, SPEC_CHUNK_PREFIX,
 };
 use crate::storage::archive::{over_record, TerminalJob};
 use crate::storage::spec_chunks::ChunkReader;
@@ -46,7 +46,7 @@
     fn prefix(self) -> &'static str {
         match self {
             RecoveryPhase::CachedImages => IMAGES_PREFIX,
-            RecoveryPhase::SpecChunks => PARTS_PREFIX,
+            RecoveryPhase::SpecChunks => SPEC_CHUNK_PREFIX,
             RecoveryPhase::Jobs => JOB_PREFIX,
             RecoveryPhase::CancellationMarks => MARK_PREFIX,
             RecoveryPhase::Pages => PAGE_PREFIX,
@@ -226,7 +226,7 @@
     }
 
     fn recover_page(&mut self, key: String, record: &PageRecord, version: u64, now: Time) {
-        let Some((id, number, layout)) = page_of_key(&key) else { return };
+        let Some((id, number, layout)) = parse_page_key(&key) else { return };
         if self.undecodable.contains_job(id) {
             return;
         }
--- a/crates/controller/src/leader/tick.rs
+++ b/crates/controller/src/leader/tick.rs
@@ -1,7 +1,7 @@
 //! The leader's periodic work, and its order.
 
 use crate::leader::state::Role;
-use crate::model::records::{job_key, Value, JOBS_WATCHED};
+use crate::model::records::{job_key, Value, JOB_WATCH_PREFIX};
 use crate::{CallContext, Controller, StoreRequest};
 
 /// Sweeps over all machines in the time of one planning interval: what looks at every machine
@@ -58,7 +58,7 @@
         // As often as the lease is renewed: the age of the known state counts from the sending
         // of a watch.
         let wait_ms = (self.timing.renewal_interval_s * 1000.0) as u64;
-        let request = StoreRequest::Watch { prefix: JOBS_WATCHED.to_string(), after, wait_ms };
+        let request = StoreRequest::Watch { prefix: JOB_WATCH_PREFIX.to_string(), after, wait_ms };
         self.call_store(CallContext::JobWatch { token, sent: now }, request);
     }
 
--- a/crates/controller/src/model/job.rs
+++ b/crates/controller/src/model/job.rs
@@ -12,7 +12,7 @@
 
 use crate::messages::Time;
 use crate::model::page_layout::PageLayout;
-use crate::model::records::{json_size, stub, JobRecord, SpecChunks, PARTS_BYTES};
+use crate::model::records::{json_size, spec_stub, JobRecord, SpecChunks, SPEC_CHUNKS_FIELD_BYTES};
 use crate::storage::store_limits::StoreLimits;
 use protocol::job::{JobSpec, JobStatus};
 use std::collections::{BTreeMap, BTreeSet};
@@ -108,7 +108,7 @@
     /// A job as its record, in that version, shows it.
     pub fn from_record(record: &JobRecord, version: u64, submitted_at: Time, limits: &StoreLimits) -> Self {
         let spec_size = match record.spec_chunks {
-            Some(_) => json_size(&stub(&record.spec)) + PARTS_BYTES,
+            Some(_) => json_size(&spec_stub(&record.spec)) + SPEC_CHUNKS_FIELD_BYTES,
             None => json_size(&record.spec),
         };
         let layout = PageLayout::stored(record.per_page, record.layout, record.spec.tasks, spec_size, limits);
--- a/crates/controller/src/model/job/pages.rs
+++ b/crates/controller/src/model/job/pages.rs
@@ -4,7 +4,7 @@
 use crate::messages::Time;
 use crate::model::records::{
     halved_page, merge_bits, pack_bits, tasks_per_page, PageRecord, StoredPlacement, MIN_TASKS_PER_PAGE,
-    RECORD_BYTES,
+    RECORD_OVERHEAD_BYTES,
 };
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -75,7 +75,7 @@
     /// Bytes of a page's value in JSON, at most; for the first page those of the main record
     /// without the machines that have the job's image.
     pub fn page_bytes(&self, page: usize) -> usize {
-        let fixed = if page == 0 { self.spec_size + RECORD_BYTES } else { PAGE_OVERHEAD_BYTES };
+        let fixed = if page == 0 { self.spec_size + RECORD_OVERHEAD_BYTES } else { PAGE_OVERHEAD_BYTES };
         self.placement_bytes(page) + self.task_range(page).len().div_ceil(TASKS_PER_BYTE) + fixed
     }
 
--- a/crates/controller/src/model/job/record.rs
+++ b/crates/controller/src/model/job/record.rs
@@ -2,7 +2,7 @@
 
 use super::{Job, JobWrite};
 use crate::model::records::{
-    mark_key, stub, JobRecord, PageRecord, StoredPlacement, MAX_MACHINES_WITH_IMAGE,
+    mark_key, spec_stub, JobRecord, PageRecord, StoredPlacement, MAX_MACHINES_WITH_IMAGE,
 };
 use protocol::job::JobStatus;
 use protocol::state::Compare;
@@ -71,7 +71,7 @@
     /// The record as it should be stored. Its status is final only if the job's is.
     pub fn record(&self) -> JobRecord {
         JobRecord {
-            spec: if self.spec_chunks.is_some() { stub(&self.spec) } else { self.spec.clone() },
+            spec: if self.spec_chunks.is_some() { spec_stub(&self.spec) } else { self.spec.clone() },
             spec_chunks: self.spec_chunks.clone(),
             submitted_wall_s: self.submitted_wall_s,
             status: self.reported_status(),
--- a/crates/controller/src/model/records/keys.rs
+++ b/crates/controller/src/model/records/keys.rs
@@ -11,12 +11,12 @@
 /// Pages of the tasks of live jobs.
 pub const PAGE_PREFIX: &str = "t/";
 /// Records of terminal jobs, kept apart from live jobs so that a new leader lists only live ones.
-pub const OVER_PREFIX: &str = "jo/";
+pub const TERMINAL_JOB_PREFIX: &str = "jo/";
 /// The prefix to watch for live and terminal jobs: at every revision a job is under exactly one
 /// of the two.
-pub const JOBS_WATCHED: &str = "j";
+pub const JOB_WATCH_PREFIX: &str = "j";
 /// Chunks of job specifications that are too large for the job's record.
-pub const PARTS_PREFIX: &str = "w/";
+pub const SPEC_CHUNK_PREFIX: &str = "w/";
 /// Chunks of the catalogue of machine types, if it is too large for one value.
 pub const CATALOGUE_PREFIX: &str = "y/";
 /// Which images the machines hold, for the next leader.
@@ -32,13 +32,13 @@
 }
 
 /// The key of a terminal job's record.
-pub fn over_key(id: &str) -> String {
-    format!("{OVER_PREFIX}{id}")
+pub fn terminal_job_key(id: &str) -> String {
+    format!("{TERMINAL_JOB_PREFIX}{id}")
 }
 
 /// The id of the job, live or terminal, whose record has this key.
 pub fn id_of(key: &str) -> Option<&str> {
-    key.strip_prefix(JOB_PREFIX).or_else(|| key.strip_prefix(OVER_PREFIX))
+    key.strip_prefix(JOB_PREFIX).or_else(|| key.strip_prefix(TERMINAL_JOB_PREFIX))
 }
 
 /// The key of part `part` of the machines' images.
@@ -52,7 +52,7 @@
 }
 
 /// The job id, page number and layout number in a page's key.
-pub fn page_of_key(key: &str) -> Option<(&str, usize, u32)> {
+pub fn parse_page_key(key: &str) -> Option<(&str, usize, u32)> {
     let (id, page_and_layout) = key.strip_prefix(PAGE_PREFIX)?.rsplit_once('/')?;
     let (page, layout) = page_and_layout.split_once('.').unwrap_or((page_and_layout, "0"));
     Some((id, page.parse().ok()?, layout.parse().ok()?))
--- a/crates/controller/src/model/records/page_size.rs
+++ b/crates/controller/src/model/records/page_size.rs
@@ -4,7 +4,7 @@
 const TYPICAL_PLACEMENT_BYTES: usize = 24;
 /// Bytes of a job's record in JSON beside its specification, placements and completion bits:
 /// field names, and numbers at their longest.
-pub const RECORD_BYTES: usize = 320;
+pub const RECORD_OVERHEAD_BYTES: usize = 320;
 /// Bytes of a first page that are left free for names of machines, where there is room.
 const MACHINE_NAMES_BYTES: usize = 1792;
 /// Fewest tasks of a page. All page sizes are multiples of four, since four completion
@@ -36,6 +36,6 @@
 
 /// Bytes that placements and completion bits of a first page may take, and so of any page.
 fn page_room(max_value_bytes: usize, spec_size: usize) -> usize {
-    let reserved = (spec_size + RECORD_BYTES).max(MACHINE_NAMES_BYTES.min(max_value_bytes / 4));
+    let reserved = (spec_size + RECORD_OVERHEAD_BYTES).max(MACHINE_NAMES_BYTES.min(max_value_bytes / 4));
     max_value_bytes.saturating_sub(reserved)
 }
--- a/crates/controller/src/model/records/specification.rs
+++ b/crates/controller/src/model/records/specification.rs
@@ -1,7 +1,7 @@
 //! Large texts in chunks: job specifications and the catalogue of machine types that do not fit one
 //! value.
 
-use super::keys::{catalogue_key, PARTS_PREFIX};
+use super::keys::{catalogue_key, SPEC_CHUNK_PREFIX};
 use super::page_size::tasks_per_page;
 use super::{json_size, JobRecord, Value};
 use protocol::cloud::MachineType;
@@ -13,7 +13,7 @@
 /// Fewest bytes of text in a chunk, whatever the limit of a value.
 const MIN_CHUNK_BYTES: usize = 16;
 /// Bytes in JSON that the reference to its chunks adds to a job's record.
-pub const PARTS_BYTES: usize = 80;
+pub const SPEC_CHUNKS_FIELD_BYTES: usize = 80;
 
 /// The JSON text of `value` in chunks that each fit a value of `max_value_bytes`.
 fn split_into_chunks<T: Serialize>(value: &T, max_value_bytes: usize) -> Vec<String> {
@@ -32,7 +32,7 @@
 
 /// The catalogue of machine types in chunks, with their keys. Read by nodes that find no
 /// `TYPES_KEY`.
-pub fn catalogue(types: &[MachineType], max_value_bytes: usize) -> Vec<(String, Value)> {
+pub fn catalogue_chunks(types: &[MachineType], max_value_bytes: usize) -> Vec<(String, Value)> {
     let chunks = split_into_chunks(&types, max_value_bytes).into_iter().enumerate();
     chunks.map(|(number, text)| (catalogue_key(number), Value::SpecChunk(text))).collect()
 }
@@ -54,7 +54,7 @@
 impl SpecChunks {
     /// The prefix of the chunks' keys, which sort in the order of the text.
     pub fn prefix(&self, id: &str) -> String {
-        format!("{PARTS_PREFIX}{id}/{}/", self.nonce)
+        format!("{SPEC_CHUNK_PREFIX}{id}/{}/", self.nonce)
     }
 
     /// The chunks' keys, in the order of the text.
@@ -64,13 +64,13 @@
 
     /// The job id and nonce in a chunk's key.
     pub fn of_key(key: &str) -> Option<(&str, &str)> {
-        let (id_and_nonce, _) = key.strip_prefix(PARTS_PREFIX)?.rsplit_once('/')?;
+        let (id_and_nonce, _) = key.strip_prefix(SPEC_CHUNK_PREFIX)?.rsplit_once('/')?;
         id_and_nonce.split_once('/')
     }
 }
 
 /// A specification without the fields that may be long.
-pub fn stub(spec: &JobSpec) -> JobSpec {
+pub fn spec_stub(spec: &JobSpec) -> JobSpec {
     JobSpec {
         class: String::new(),
         team: String::new(),
@@ -91,8 +91,8 @@
         let chunks = SpecChunks { nonce, count: texts.len() as u32 };
         let keys = chunks.keys(&self.spec.id);
         let values = keys.into_iter().zip(texts.into_iter().map(Value::SpecChunk)).collect();
-        let spec = stub(&self.spec);
-        let per_page = tasks_per_page(max_value_bytes, json_size(&spec) + PARTS_BYTES);
+        let spec = spec_stub(&self.spec);
+        let per_page = tasks_per_page(max_value_bytes, json_size(&spec) + SPEC_CHUNKS_FIELD_BYTES);
         (JobRecord { spec, per_page, spec_chunks: Some(chunks), ..self }, values)
     }
 
--- a/crates/controller/src/scheduling/job_dependencies.rs
+++ b/crates/controller/src/scheduling/job_dependencies.rs
@@ -184,7 +184,7 @@
         let Some(leader) = self.leader_state(token) else { return };
         if let (StoreReply::Missing(_), false) = (&reply, over) {
             let context = CallContext::DependencyRead { token, id: id.to_string(), over: true };
-            self.call_store(context, StoreRequest::Get(over_key(id)));
+            self.call_store(context, StoreRequest::Get(terminal_job_key(id)));
             return;
         }
         leader.dependencies.reads_in_flight.remove(id);
--- a/crates/controller/src/storage/archive.rs
+++ b/crates/controller/src/storage/archive.rs
@@ -14,7 +14,7 @@
 use crate::leader::state::Role;
 use crate::messages::Time;
 use crate::model::job::Job;
-use crate::model::records::{ImagesRecord, TerminalRecord, FORMAT_MOVES};
+use crate::model::records::{ImagesRecord, TerminalRecord, ARCHIVE_FORMAT};
 use crate::storage::format_agreement::FormatAgreement;
 use crate::{Controller, RateLimiter};
 use machine_images::StoredImages;
@@ -104,7 +104,7 @@
 impl Archive {
     /// Whether terminal jobs may be moved.
     pub fn is_enabled(&self) -> bool {
-        self.format.agreed().is_some_and(|format| format >= FORMAT_MOVES)
+        self.format.agreed().is_some_and(|format| format >= ARCHIVE_FORMAT)
     }
 
     /// Adds keys that no record refers to any more, to be deleted.
--- a/crates/controller/src/storage/archive/machine_images.rs
+++ b/crates/controller/src/storage/archive/machine_images.rs
@@ -5,7 +5,7 @@
 use crate::model::cluster::MachineImages;
 use crate::model::records::{images_key, ImagesRecord, Value};
 use crate::storage::fencing::{is_fenced, leader_compare, LEADERSHIP_LOST};
-use crate::storage::write_queue::LEADER_WRITES;
+use crate::storage::write_queue::LEADER_WRITE_SHARE;
 use crate::{CallContext, Controller, StoreReply, StoreRequest};
 use protocol::state::{Compare, Item, Mutation, Transaction};
 use std::collections::BTreeMap;
@@ -122,7 +122,7 @@
         let now = self.now;
         let interval_s = self.settings.params.workers.lease_s;
         let max_bytes = self.store_limits.value_bytes() * 3 / 4;
-        let rate = self.store_limits.write_rps() * LEADER_WRITES;
+        let rate = self.store_limits.write_rps() * LEADER_WRITE_SHARE;
         let Role::Leader(leader) = &mut self.role else { return };
         let token = leader.fencing_token;
         let budget = leader.fleet.write_budget(rate);
--- a/crates/controller/src/storage/archive/moves.rs
+++ b/crates/controller/src/storage/archive/moves.rs
@@ -4,9 +4,9 @@
 use crate::leader::state::Role;
 use crate::messages::Time;
 use crate::model::job::Job;
-use crate::model::records::{job_key, over_key, Value};
+use crate::model::records::{job_key, terminal_job_key, Value};
 use crate::storage::fencing::{is_fenced, leader_compare, LEADERSHIP_LOST};
-use crate::storage::write_queue::LEADER_WRITES;
+use crate::storage::write_queue::LEADER_WRITE_SHARE;
 use crate::{CallContext, Controller, RateLimiter, StoreReply, StoreRequest};
 use protocol::state::{Compare, Mutation, Transaction};
 use tracing::debug;
@@ -42,7 +42,7 @@
             compares.push(Compare { key: key.clone(), version: job.version });
             mutations.push(Mutation::Delete { key });
             let value = Value::Terminal(job.record.clone());
-            mutations.push(Mutation::Put { key: over_key(&job.id), value, lease: None });
+            mutations.push(Mutation::Put { key: terminal_job_key(&job.id), value, lease: None });
         }
         ArchiveMove { compares, mutations, remaining_keys: remaining_keys.to_vec() }
     }
@@ -128,7 +128,7 @@
             return;
         }
         let token = leader.fencing_token;
-        let leader_rate = write_rps * LEADER_WRITES;
+        let leader_rate = write_rps * LEADER_WRITE_SHARE;
         let leader_budget = leader.fleet.write_budget(leader_rate);
         let spare = leader_budget.available_at(now) - leader_rate / 2.0;
         let available = leader.archive.available_mutations(now, write_rps);
--- a/crates/controller/src/storage/spec_chunks.rs
+++ b/crates/controller/src/storage/spec_chunks.rs
@@ -1,7 +1,7 @@
 //! Jobs whose specification is too large for their record: it is stored beside the record in chunks,
 //! which are written before the record that refers to them.
 
-use crate::model::records::{job_key, json_size, over_key, JobRecord, SpecChunks, Value};
+use crate::model::records::{job_key, json_size, terminal_job_key, JobRecord, SpecChunks, Value};
 use crate::storage::store_limits::TARGET_TRANSACTION_BYTES;
 use crate::{CallContext, Controller, StoreReply, StoreRequest, Time};
 use protocol::state::{Compare, Mutation, Transaction};
@@ -62,7 +62,7 @@
 }
 
 /// A nonce for a submission's chunks: its time of day in seconds and a random number.
-pub fn nonce(wall_s: Time, random: u32) -> String {
+pub fn new_nonce(wall_s: Time, random: u32) -> String {
     format!("{:x}-{random:x}", wall_s.max(0.0) as u64)
 }
 
@@ -73,8 +73,8 @@
 }
 
 /// The conditions under which a job is new: there is neither a live nor a terminal one of that id.
-pub fn new_job(id: &str) -> Vec<Compare> {
-    [job_key(id), over_key(id)].map(|key| Compare { key, version: 0 }).into()
+pub fn new_job_conditions(id: &str) -> Vec<Compare> {
+    [job_key(id), terminal_job_key(id)].map(|key| Compare { key, version: 0 }).into()
 }
 
 /// A record whose chunks could not be read, to be tried again.
@@ -112,7 +112,7 @@
         self.client_writes.try_acquire(self.now, mutations.len() as f64);
         // (Without these conditions repetitions of a known submission once left chunks that no
         // record referred to.)
-        let txn = Transaction { compares: new_job(id), mutations };
+        let txn = Transaction { compares: new_job_conditions(id), mutations };
         self.commit_hedged(CallContext::CreateChunks { id: id.to_string() }, txn);
     }
 
--- a/crates/controller/src/storage/undecodable.rs
+++ b/crates/controller/src/storage/undecodable.rs
@@ -4,7 +4,7 @@
 use crate::leader::state::LeaderState;
 use crate::messages::Time;
 use crate::model::job::Job;
-use crate::model::records::{id_of, page_of_key};
+use crate::model::records::{id_of, parse_page_key};
 use planner::Resources;
 use protocol::worker::{split_task, TaskState};
 use std::collections::BTreeMap;
@@ -49,7 +49,7 @@
 impl UndecodableRecords {
     /// The value of `key` cannot be read. Returns the id of the job that it belongs to, if any.
     pub fn record(&mut self, key: &str) -> Option<String> {
-        let id = id_of(key).or_else(|| page_of_key(key).map(|(id, ..)| id));
+        let id = id_of(key).or_else(|| parse_page_key(key).map(|(id, ..)| id));
         warn!(key, "stored value cannot be decoded, left unchanged");
         let id = id?.to_string();
         self.jobs.entry(id.clone()).or_insert(None);
--- a/crates/controller/src/storage/write_queue.rs
+++ b/crates/controller/src/storage/write_queue.rs
@@ -19,7 +19,7 @@
 
 /// Part of the store's write rate that the leader may use; the
 /// rest is for submissions and cancellations.
-pub const LEADER_WRITES: f64 = 0.7;
+pub const LEADER_WRITE_SHARE: f64 = 0.7;
 /// Looks for jobs to be written in a planning interval.
 const SCANS_PER_PLANNING_INTERVAL: f64 = 50.0;
 
@@ -195,7 +195,7 @@
         WriteConditions {
             now: self.now,
             max_mutations: self.store_limits.mutations(),
-            rate: self.store_limits.write_rps() * LEADER_WRITES,
+            rate: self.store_limits.write_rps() * LEADER_WRITE_SHARE,
             lazy_delay_s: self.settings.params.workers.heartbeat_interval_s / 2.0,
             current_value_bytes: self.store_limits.current_value_bytes(),
             may_repaginate: self.uses_current_format(),
--- a/crates/controller/src/storage/write_queue/read_back.rs
+++ b/crates/controller/src/storage/write_queue/read_back.rs
@@ -1,6 +1,6 @@
 //! Reading records back after a conflict, or a write whose outcome is unknown.
 
-use crate::model::records::{page_of_key, Value, JOB_PREFIX, MARK_PREFIX};
+use crate::model::records::{parse_page_key, Value, JOB_PREFIX, MARK_PREFIX};
 use crate::{CallContext, Controller, StoreReply, StoreRequest};
 use protocol::state::Item;
 use std::collections::BTreeSet;
@@ -54,7 +54,7 @@
                 self.settle_terminal(id);
             }
             Value::Page(record) => {
-                let Some((id, page, layout)) = page_of_key(key) else { return };
+                let Some((id, page, layout)) = parse_page_key(key) else { return };
                 let Some(job) = leader.cluster.jobs.get_mut(id) else { return };
                 if job.page_layout.number == layout {
                     job.reconcile_page(page, &record);
--- a/crates/controller/tests/records.rs
+++ b/crates/controller/tests/records.rs
@@ -39,7 +39,7 @@
         let tasks = tasks_per_page(max_value_bytes, SPEC_BYTES);
         let page = tasks as usize * StoredPlacement::size(999, 999, "vm-001234");
         assert!(
-            tasks <= 4 || page + SPEC_BYTES + RECORD_BYTES <= max_value_bytes,
+            tasks <= 4 || page + SPEC_BYTES + RECORD_OVERHEAD_BYTES <= max_value_bytes,
             "{tasks} tasks take {page}"
         );
     }
--- a/crates/simulation/tests/common/reordered/mod.rs
+++ b/crates/simulation/tests/common/reordered/mod.rs
@@ -377,7 +377,8 @@
         if j.status.is_final() {
             let over =
                 TerminalRecord { status: j.status, done: j.done, submitted_wall_s: j.submitted_wall_s };
-            changes = vec![Mutation::Delete { key: job_key(id) }, put(over_key(id), Value::Terminal(over))];
+            changes =
+                vec![Mutation::Delete { key: job_key(id) }, put(terminal_job_key(id), Value::Terminal(over))];
             self.coverage.moved += 1;
         } else if mark.is_some() || before == Some(JobStatus::Cancelled) {
             // It may be stored late.
@@ -402,7 +403,7 @@
 
     /// How a job is stored that another awaits.
     fn status_of(&mut self, id: &str) -> JobStatus {
-        match self.stored(job_key(id)).or_else(|| self.stored(over_key(id))) {
+        match self.stored(job_key(id)).or_else(|| self.stored(terminal_job_key(id))) {
             Some(Value::Job(j)) => j.status,
             Some(Value::Terminal(o)) => o.status,
             _ => JobStatus::Pending,
--- a/crates/simulation/tests/dependencies.rs
+++ b/crates/simulation/tests/dependencies.rs
@@ -4,7 +4,7 @@
 
 use anisecroft_simulation::{Fault, Rule, ScheduledFault, Setup, Simulation, Submission};
 use common::*;
-use controller::records::{job_key, over_key, Value};
+use controller::records::{job_key, terminal_job_key, Value};
 use controller::SafetyChecks;
 use protocol::job::*;
 use settings::NextLimits;
@@ -125,7 +125,8 @@
         let over = |v: &Value| matches!(v, Value::Terminal(_));
         let placed = |v: &Value| matches!(v, Value::Job(j) if !j.first_page.placements.is_empty());
         let in_place = sim.store().history(&job_key(&before), done).first_match_at;
-        let ended = in_place.or(sim.store().history(&over_key(&before), over).first_match_at).unwrap();
+        let ended =
+            in_place.or(sim.store().history(&terminal_job_key(&before), over).first_match_at).unwrap();
         let history = sim.store().history(&job_key(&own), placed);
         pauses.push(history.first_match_at.unwrap() - ended);
         assert!(history.writes <= 7, "{own} was written {} times", history.writes);
--- a/crates/simulation/tests/leader_recovery.rs
+++ b/crates/simulation/tests/leader_recovery.rs
@@ -174,7 +174,7 @@
 fn takeover(over: usize) -> (u64, u64) {
     let finished = (0..over).map(|n| {
         let o = TerminalRecord { status: JobStatus::Done, done: 3, submitted_wall_s: 1e9 };
-        (over_key(&format!("req-{}", 1_000 + n)), Value::Terminal(o))
+        (terminal_job_key(&format!("req-{}", 1_000 + n)), Value::Terminal(o))
     });
     let format = (FORMAT_KEY.to_string(), Value::Format(FORMAT));
     let mut world = World::new(Store::holding(live().chain(finished).chain([format])));
@@ -225,7 +225,7 @@
     let most = settings().params.store.write_rps / 8.0 * 1.2;
     assert!(rate > 1.0 && rate <= most, "{rate} changes a second, {most} allowed");
     world.run(200.0);
-    assert_eq!(world.store.count(OVER_PREFIX), 300);
+    assert_eq!(world.store.count(TERMINAL_JOB_PREFIX), 300);
     assert_eq!(world.store.count(JOB_PREFIX), 60);
     assert_eq!(world.store.count(PAGE_PREFIX), 0);
 }
@@ -243,7 +243,7 @@
         job("req-2".into(), vec![], JobStatus::Pending),
         (FORMAT_KEY.to_string(), Value::Format(FORMAT)),
         (
-            over_key("req-3"),
+            terminal_job_key("req-3"),
             Value::Terminal(TerminalRecord { status: JobStatus::Done, done: 3, submitted_wall_s: 1e9 }),
         ),
     ];
--- a/crates/simulation/tests/status_consistency.rs
+++ b/crates/simulation/tests/status_consistency.rs
@@ -121,7 +121,7 @@
         (0..nodes).for_each(|n| world.ask(n, id, Request::QueryStatus(id.into())));
         world.settle(1.0, |_| false);
         assert_eq!(world.violation, None, "{nodes} nodes");
-        let over = world.stored(over_key(id));
+        let over = world.stored(terminal_job_key(id));
         assert!(matches!(&over, Some(Value::Terminal(o)) if o.status == JobStatus::Cancelled), "{over:?}");
     }
 }
@@ -238,8 +238,9 @@
         let over = |n| TerminalRecord { status: JobStatus::Done, done: n % 7, submitted_wall_s: 1e9 };
         for from in (0..count).step_by(100) {
             let ids = from..from + 100;
-            let changes =
-                ids.map(|n| put(over_key(&format!("req-{}", 1000 + n)), Value::Terminal(over(n as u32))));
+            let changes = ids.map(|n| {
+                put(terminal_job_key(&format!("req-{}", 1000 + n)), Value::Terminal(over(n as u32)))
+            });
             self.store.execute(
                 0.0,
                 &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes.collect() }),
@@ -279,7 +280,7 @@
         let over = TerminalRecord { status: JobStatus::Cancelled, done: 0, submitted_wall_s: 1e9 };
         let next = JobRecord::new(world.spec("req-4"), 1e9, NEXT_VALUE_BYTES);
         let changes = vec![
-            put(over_key("req-3"), Value::Terminal(over)),
+            put(terminal_job_key("req-3"), Value::Terminal(over)),
             put(page_key("req-3", 1, 0), Value::Page(PageRecord::default())),
             put(job_key("req-4"), Value::Job(Box::new(next))),
         ];
@@ -536,7 +537,8 @@
                 done: j.done,
                 submitted_wall_s: j.submitted_wall_s,
             });
-            let changes = vec![Mutation::Delete { key: job_key("req-0") }, put(over_key("req-0"), over)];
+            let changes =
+                vec![Mutation::Delete { key: job_key("req-0") }, put(terminal_job_key("req-0"), over)];
             world.store.execute(
                 world.now,
                 &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }),
--- a/crates/simulation/tests/stored.rs
+++ b/crates/simulation/tests/stored.rs
@@ -137,7 +137,7 @@
 #[test]
 fn chunks_of_split_values_keep_their_bytes() {
     let types = [machine_type(), MachineType { name: "small".into(), ..machine_type() }];
-    let pieces = catalogue(&types, 500);
+    let pieces = catalogue_chunks(&types, 500);
     assert!(pieces.len() > 1);
     let values: std::collections::BTreeMap<String, Value> = pieces.into_iter().collect();
     stored("catalogue.msgpack", &values);
@@ -158,15 +158,15 @@
         NODE_PREFIX.into(),
         JOB_PREFIX.into(),
         PAGE_PREFIX.into(),
-        OVER_PREFIX.into(),
-        JOBS_WATCHED.into(),
-        PARTS_PREFIX.into(),
+        TERMINAL_JOB_PREFIX.into(),
+        JOB_WATCH_PREFIX.into(),
+        SPEC_CHUNK_PREFIX.into(),
         CATALOGUE_PREFIX.into(),
         IMAGES_PREFIX.into(),
         FORMAT_KEY.into(),
         MARK_PREFIX.into(),
         job_key("req-1"),
-        over_key("req-1"),
+        terminal_job_key("req-1"),
         page_key("req-1", 2, 0),
         page_key("req-1", 2, 3),
         mark_key("req-1"),
--- a/crates/simulation/tests/version_compatibility.rs
+++ b/crates/simulation/tests/version_compatibility.rs
@@ -75,7 +75,7 @@
     }
 
     /// What production's keys of pages look like; another is passed over.
-    pub fn page_of_key(key: &str) -> Option<(&str, usize)> {
+    pub fn parse_page_key(key: &str) -> Option<(&str, usize)> {
         let (id, number) = key.strip_prefix("t/")?.rsplit_once('/')?;
         Some((id, number.parse().ok()?))
     }
@@ -91,7 +91,7 @@
         match &item.value {
             Value::Leader(l) => assert_eq!((&l.node[..], l.quick_restarts), ("n-1", 1)),
             Value::Types(t) => assert_eq!((t[0].cores, t[0].zones.len()), (16.0, 2)),
-            Value::Format(f) => assert_eq!(*f, FORMAT_MOVES),
+            Value::Format(f) => assert_eq!(*f, ARCHIVE_FORMAT),
             Value::Images(i) => assert_eq!(i.machines, [("vm-000001".to_string(), vec![0])]),
             Value::Terminal(o) => assert_eq!((o.status, o.done), (JobStatus::Done, 40)),
             Value::Page(p) => assert_eq!((p.placements.len(), p.placements[0].attempt), (38, 3)),
@@ -145,8 +145,8 @@
         let read = protocol::decode::<frozen::Value>(&bytes).unwrap_or_else(|e| panic!("{key}: {e}"));
         assert_eq!(protocol::encode(&read), bytes, "{key} loses something");
         let known = ["a/", "j/", "jo/", "i/", "f/format"].iter().any(|p| key.starts_with(p));
-        assert!(known || frozen::page_of_key(key).is_some(), "{key}");
-        let format = matches!(value, Value::Format(f) if *f > FORMAT_MOVES);
+        assert!(known || frozen::parse_page_key(key).is_some(), "{key}");
+        let format = matches!(value, Value::Format(f) if *f > ARCHIVE_FORMAT);
         assert!(!format, "the gate is open while a node has the version before");
     }
     for seed in 0..10 {
@@ -161,10 +161,10 @@
         }
         let mut sim = Simulation::new(Setup { capacity: 12, ..setup });
         sim.inspect_writes(look);
-        sim.announce_format(FORMAT_MOVES);
+        sim.announce_format(ARCHIVE_FORMAT);
         assert_eq!(sim.run(500.0), [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
-        assert!(sim.store().count(OVER_PREFIX) > 0, "production's own gate is open");
+        assert!(sim.store().count(TERMINAL_JOB_PREFIX) > 0, "production's own gate is open");
     }
 }
 
@@ -177,14 +177,14 @@
     setup.settings.params.store.next = Some(NextLimits { value_kb: Some(2.0), ..NextLimits::default() });
     let array = JobSpec { tasks: 900, cores: 0.25, accelerators: 0.0, memory_gb: 0.25, ..long_array() };
     let mut sim = Simulation::new(Setup { jobs: vec![Submission::new(1.0, array)], capacity: 12, ..setup });
-    sim.announce_format(FORMAT_MOVES);
+    sim.announce_format(ARCHIVE_FORMAT);
     assert_eq!(sim.run(60.0), []);
-    assert_eq!(sim.store().format(), Some(FORMAT_MOVES));
+    assert_eq!(sim.store().format(), Some(ARCHIVE_FORMAT));
     sim.announce_format(FORMAT);
     assert_eq!(sim.run(70.0), []);
     assert_eq!(sim.store().format(), Some(FORMAT));
     // A node that says less afterwards has not lost what it has.
-    sim.announce_format(FORMAT_MOVES);
+    sim.announce_format(ARCHIVE_FORMAT);
     assert_eq!(sim.run(90.0), []);
     assert_eq!(sim.store().format(), Some(FORMAT));
 }
