--- a/crates/controller/src/election/campaign.rs
+++ b/crates/controller/src/election/campaign.rs
@@ -62,7 +62,7 @@
     }
 
     /// Handles the reply to the request for a lease: claims the leader key with it.
-    pub(crate) fn on_lease_granted(&mut self, reply: StoreReply) {
+    pub(crate) fn on_lease_grant_reply(&mut self, reply: StoreReply) {
         let StoreReply::Granted(lease) = reply else {
             self.election.campaigning = false;
             self.election.campaign_at = self.now + self.timing.renewal_interval_s / 2.0;
--- a/crates/controller/src/election/lease_renewal.rs
+++ b/crates/controller/src/election/lease_renewal.rs
@@ -21,7 +21,7 @@
     }
 
     /// Handles the reply to a renewal that was sent at `sent`.
-    pub(crate) fn on_lease_renewed(&mut self, token: u64, sent: Time, reply: StoreReply) {
+    pub(crate) fn on_renewal_reply(&mut self, token: u64, sent: Time, reply: StoreReply) {
         let now = self.now;
         let renewal_interval_s = self.timing.renewal_interval_s;
         let Some(leader) = self.leader_state(token) else { return };
--- a/crates/controller/src/storage/archive/moves.rs
+++ b/crates/controller/src/storage/archive/moves.rs
@@ -144,7 +144,7 @@
     }
 
     /// The reply to a transaction that moves jobs.
-    pub(crate) fn on_archive_moved(&mut self, token: u64, reply: StoreReply) {
+    pub(crate) fn on_archive_move_reply(&mut self, token: u64, reply: StoreReply) {
         let retry_at = self.now + self.timing.renewal_interval_s / RETRIES_PER_RENEWAL_INTERVAL;
         let Some(leader) = self.leader_state(token) else { return };
         let archive = &mut leader.archive;
--- a/crates/controller/src/storage/write_queue/outcome.rs
+++ b/crates/controller/src/storage/write_queue/outcome.rs
@@ -15,7 +15,7 @@
 
 impl Controller {
     /// The reply to the transaction with that serial number.
-    pub(crate) fn on_committed(&mut self, token: u64, serial: u64, reply: StoreReply) {
+    pub(crate) fn on_commit_reply(&mut self, token: u64, serial: u64, reply: StoreReply) {
         let Some(leader) = self.leader_state(token) else { return };
         let Some(txn) = leader.write_queue.in_flight.take_if(|txn| txn.serial == serial) else { return };
         match reply {
