--- a/crates/controller/src/election.rs
+++ b/crates/controller/src/election.rs
@@ -1,7 +1,7 @@
-//! Leader election: who leads, on which lease, and what that lease entitles to.
+//! Leader election: the leader key, its lease, and the actions that the lease permits.
 //!
-//! There is one leader key in the store, bound to a short lease. The revision of the write that
-//! created the key is the fencing token of that leadership.
+//! The store holds one leader key, bound to a short lease. The revision of the write that created
+//! the key is the fencing token of that leadership.
 
 pub(crate) mod campaign;
 pub(crate) mod leader_watch;
--- a/crates/controller/src/election/campaign.rs
+++ b/crates/controller/src/election/campaign.rs
@@ -1,9 +1,9 @@
-//! Campaigns: a node asks for a lease, then claims the leader key with it.
+//! Election campaigns: a node requests a lease from the store, then claims the leader key with it.
 //!
-//! If the claim is committed and only its reply is lost, the leader key names this node with a
-//! token that it has not been told. The claim is recognized by its lease, which no other node has.
-//! (Such a claim was once taken for a failure and its lease revoked, while the other nodes
-//! already sent their workers here.)
+//! If the claim is committed but its reply is lost, the leader key names this node with a fencing
+//! token that the node does not know yet. The node recognizes its claim by the lease, which is
+//! unique to it. Treating such a claim as failed would revoke the lease while the other nodes
+//! already direct their workers to this one.
 
 use crate::election::lease_authority::LeaseAuthority;
 use crate::leader::state::{LeaderState, Role};
@@ -12,26 +12,26 @@
 use protocol::state::{Compare, Item, Mutation, Transaction};
 use tracing::info;
 
-/// A claim of the leader key that has no outcome yet.
+/// A claim to the leader key whose outcome is not known yet.
 #[derive(Debug, Clone, Copy)]
 pub struct ElectionAttempt {
-    /// The lease that the key is claimed with.
+    /// Lease that the key is claimed with.
     pub lease: u64,
-    /// When the lease was asked for: its time cannot have begun earlier.
+    /// Time at which the lease was requested; its term cannot have begun earlier.
     pub requested_at: Time,
 }
 
-/// On which terms this node may claim the leader key.
+/// Conditions under which this node may claim the leader key.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ElectionTerms {
-    /// The version that the key must still have; 0: it must not exist.
+    /// Version that the key must still have; 0 if the key must not exist.
     pub expected_version: u64,
-    /// Failovers in a row from a short-lived incarnation of this node to the next.
+    /// Number of consecutive failovers from a short-lived incarnation of this node to its next one.
     pub quick_restarts: u32,
 }
 
 impl Controller {
-    /// Keeps the watch on the leader key, and campaigns when nobody leads.
+    /// Maintains the watch on the leader key, and starts a campaign when there is no leader.
     pub(crate) fn tick_election(&mut self) {
         self.read_stored_machine_types();
         self.tick_leader_watch();
@@ -50,25 +50,25 @@
             && self.election_terms().is_some()
     }
 
-    /// On which terms this node may claim the leader key; None: another node leads, or the key
-    /// has not been read.
+    /// Returns the conditions under which this node may claim the leader key; None if another node
+    /// leads or the key has not been read.
     fn election_terms(&self) -> Option<ElectionTerms> {
         self.election.leader_watch.revision?;
         let Some((node, _)) = &self.election.known_leader else { return Some(ElectionTerms::default()) };
         if *node != self.settings.node {
             return None;
         }
-        self.election.previous_incarnation.succession(self.time_of_day, self.timing.leader_lease_s)
+        self.election.previous_incarnation.succession_terms(self.time_of_day, self.timing.leader_lease_s)
     }
 
-    /// Handles the reply to the request for a lease: claims the leader key with it.
+    /// Handles the reply to the lease request: claims the leader key with a granted lease.
     pub(crate) fn on_lease_grant_reply(&mut self, reply: StoreReply) {
         let StoreReply::Granted(lease) = reply else {
             self.election.campaigning = false;
             self.election.campaign_at = self.now + self.timing.renewal_interval_s / 2.0;
             return;
         };
-        // If another node has been elected meanwhile, the default makes the claim fail.
+        // If another node has been elected in the meantime, the default terms make the claim fail.
         let terms = self.election_terms().unwrap_or_default();
         self.election.attempt = Some(ElectionAttempt { lease, requested_at: self.election.campaign_at });
         let claim = self.claim_transaction(lease, terms);
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Handles the leader key, read back after a claim whose outcome is unknown.
+    /// Handles the reply to the read of the leader key that follows a claim with unknown outcome.
     pub(crate) fn on_campaign_read(&mut self, lease: u64, reply: StoreReply) {
         let Some(attempt) = self.attempt_with_lease(lease) else { return };
         match reply {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Takes in the leader key as read with version `token`: it may be this node's own claim.
+    /// Becomes leader if the leader key, read with version `token`, shows this node's own claim.
     pub(super) fn observe_own_campaign(&mut self, leader: &LeaderRecord, token: u64) {
         if leader.node != self.settings.node {
             return;
@@ -140,8 +140,8 @@
         self.take_over_held_heartbeats();
     }
 
-    /// Gives up a claim that failed or has an unknown outcome. Revoking its lease makes sure that
-    /// it cannot take effect later.
+    /// Abandons a claim that failed or has an unknown outcome. Revoking the lease prevents the claim
+    /// from taking effect later.
     fn abandon_campaign(&mut self, attempt: ElectionAttempt) {
         self.election.campaigning = false;
         self.election.attempt = None;
--- a/crates/controller/src/election/leader_watch.rs
+++ b/crates/controller/src/election/leader_watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the leader key, at every node.
+//! Watch on the leader key, which every node maintains.
 
 use crate::leader::state::{Role, WatchCursor};
 use crate::model::records::{LeaderRecord, Value, LEADER_KEY, NODE_PREFIX};
@@ -6,17 +6,17 @@
 use protocol::state::{Event, Item};
 use tracing::info;
 
-/// The leader key as read from the store.
+/// Leader key as read from the store.
 #[derive(Debug, Clone)]
 pub struct ObservedLeader {
-    /// The value of the key.
+    /// Value of the key.
     pub record: LeaderRecord,
-    /// The version of the key, which is the leader's fencing token.
+    /// Version of the key, which is the leader's fencing token.
     pub token: u64,
 }
 
 impl Controller {
-    /// Keeps a watch open on the leader key; reads the key first.
+    /// Keeps a watch open on the leader key, after an initial read of the key.
     pub(super) fn tick_leader_watch(&mut self) {
         if self.election.leader_watch.in_flight || self.now < self.election.leader_watch.retry_at {
             return;
@@ -31,10 +31,10 @@
         self.call_store(CallContext::LeaderWatch, request);
     }
 
-    /// Reads the leader key again after `pause_s` seconds, then watches from there.
-    pub(crate) fn reread_leader(&mut self, pause_s: f64) {
+    /// Schedules a new read of the leader key in `delay_s` seconds; the watch resumes from its revision.
+    pub(crate) fn reread_leader(&mut self, delay_s: f64) {
         self.election.leader_watch =
-            WatchCursor { in_flight: false, revision: None, retry_at: self.now + pause_s };
+            WatchCursor { in_flight: false, revision: None, retry_at: self.now + delay_s };
     }
 
     /// Handles the reply to the read of the leader key.
@@ -47,8 +47,8 @@
             }
             StoreReply::Missing(revision) => {
                 self.election.leader_watch.revision = Some(revision);
-                // A read from before this node's own election does not show its key.
-                if self.token().is_none_or(|own| own < revision) {
+                // A read that precedes this node's own election does not show its key.
+                if self.token().is_none_or(|own_token| own_token < revision) {
                     self.observe_leader(None);
                 }
             }
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Handles the reply to the watch on the node-wide keys.
+    /// Handles the reply to the watch on the leader key and the machine types.
     pub(crate) fn on_leader_watch(&mut self, reply: StoreReply) {
         self.election.leader_watch.in_flight = false;
         let StoreReply::Events(batch) = reply else {
@@ -84,7 +84,8 @@
         }
     }
 
-    /// Takes in the leader key as last read; None: nobody leads.
+    /// Records the leader key as last read; None if there is no leader. Steps down if this node has
+    /// been superseded.
     fn observe_leader(&mut self, leader: Option<ObservedLeader>) {
         if let Some(leader) = &leader {
             self.observe_own_campaign(&leader.record, leader.token);
@@ -96,14 +97,14 @@
         self.election.known_leader = leader.map(|leader| (leader.record.node, leader.token));
     }
 
-    /// Whether this node leads, and the key shows a newer leader or none.
+    /// Whether this node leads although the key shows a newer leader or none.
     fn is_superseded_by(&self, observed: Option<&ObservedLeader>) -> bool {
         let Role::Leader(leader) = &self.role else { return false };
         observed.is_none_or(|observed| observed.token > leader.fencing_token)
     }
 
-    /// Takes in a fencing token that the node or worker `by` has seen: a leader with a lower one
-    /// has been replaced.
+    /// Records a fencing token reported by `by`, another node or a worker. A leader with a lower
+    /// token has been replaced and steps down.
     pub(crate) fn observe_token(&mut self, token: u64, by: &str) {
         self.election.last_reported_token = self.election.last_reported_token.max(token);
         if matches!(&self.role, Role::Leader(leader) if leader.fencing_token < token) {
--- a/crates/controller/src/election/leadership.rs
+++ b/crates/controller/src/election/leadership.rs
@@ -1,30 +1,30 @@
-//! The leader's lease and what it entitles to.
+//! State of the leader's lease and the periods derived from it.
 
 use crate::agents::one_way_partition::LeaderResponsiveness;
 use crate::election::lease_authority::LeaseAuthority;
 use crate::election::tenure::LeadershipTenure;
 use crate::messages::{CallId, Time};
 
-/// The lease of the leader key, and since when this node has held it.
+/// Lease of the leader key, and how long this node has held it.
 pub struct Leadership {
-    /// The lease that the leader key is bound to.
+    /// Lease that the leader key is bound to.
     pub lease: u64,
-    /// When this node was elected.
+    /// Time at which this node was elected.
     pub elected_at: Time,
-    /// Until when this node may respond to heartbeats, and until when it may act.
+    /// Deadlines until which this node may respond to heartbeats and may act.
     pub authority: LeaseAuthority,
-    /// Since when this node has been entitled to act without a gap.
+    /// Current uninterrupted period in which this node may act.
     pub tenure: LeadershipTenure,
-    /// Since when heartbeats have been responded to without a gap.
+    /// Current uninterrupted period in which this node may respond to heartbeats.
     pub responsiveness: LeaderResponsiveness,
-    /// The renewal that has not been answered yet.
+    /// Lease renewal that awaits its reply.
     pub renewal_in_flight: Option<CallId>,
-    /// When the next renewal is due.
+    /// Time at which the next renewal is due.
     pub renew_at: Time,
 }
 
 impl Leadership {
-    /// The state of a node that was elected `now` with `lease`.
+    /// Creates the state of a node that was elected at `now` with `lease`.
     pub fn new(lease: u64, now: Time, authority: LeaseAuthority) -> Self {
         Leadership {
             lease,
--- a/crates/controller/src/election/lease_renewal.rs
+++ b/crates/controller/src/election/lease_renewal.rs
@@ -4,7 +4,7 @@
 use crate::{CallContext, Controller, StoreReply, StoreRequest, Time};
 
 impl Controller {
-    /// Sends a renewal when one is due.
+    /// Sends a lease renewal if one is due.
     pub(crate) fn tick_lease_renewal(&mut self) {
         let now = self.now;
         let Role::Leader(leader) = &self.role else { return };
@@ -20,18 +20,18 @@
         }
     }
 
-    /// Handles the reply to a renewal that was sent at `sent`.
-    pub(crate) fn on_renewal_reply(&mut self, token: u64, sent: Time, reply: StoreReply) {
+    /// Handles the reply to a renewal sent at `sent_at`.
+    pub(crate) fn on_renewal_reply(&mut self, token: u64, sent_at: Time, reply: StoreReply) {
         let now = self.now;
         let renewal_interval_s = self.timing.renewal_interval_s;
         let Some(leader) = self.leader_state(token) else { return };
         leader.leadership.renewal_in_flight = None;
         match reply {
             StoreReply::Done => {
-                leader.leadership.authority.record_renewal(sent);
-                leader.leadership.renew_at = sent + renewal_interval_s;
+                leader.leadership.authority.record_renewal(sent_at);
+                leader.leadership.renew_at = sent_at + renewal_interval_s;
                 if !leader.leadership.authority.may_act(now) {
-                    // The store is reachable again: catch up on missed changes at once.
+                    // The store is reachable again: read the missed changes without delay.
                     leader.watch.retry_at = leader.watch.retry_at.min(now);
                 }
             }
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether this node leads, holds the lease for certain, and knows recent enough state to
+    /// Whether this node leads, certainly holds the lease, and knows a recent enough state to
     /// schedule, write and call the cloud.
     pub(crate) fn may_act(&self) -> bool {
         match &self.role {
--- a/crates/controller/src/election/machine_types.rs
+++ b/crates/controller/src/election/machine_types.rs
@@ -1,11 +1,11 @@
-//! Reading the catalogue of machine types from the store, at every node.
+//! Read of the machine type catalogue from the store, which every node does.
 
-use crate::model::records::{read_catalogue, Value, CATALOGUE_PREFIX, TYPES_KEY};
+use crate::model::records::{parse_catalogue, Value, CATALOGUE_PREFIX, TYPES_KEY};
 use crate::{CallContext, Controller, StoreReply, StoreRequest};
 use protocol::state::Item;
 
 impl Controller {
-    /// Reads the machine types until they are known.
+    /// Reads the machine types from the store, at intervals, until they are known.
     pub(super) fn read_stored_machine_types(&mut self) {
         if self.machine_types.is_some() || self.now < self.read_types_at {
             return;
@@ -14,7 +14,7 @@
         self.call_store(CallContext::TypesRead, StoreRequest::Get(TYPES_KEY.to_string()));
     }
 
-    /// Handles the reply to a read of the machine types, stored as one value or in chunks.
+    /// Handles the reply to a read of the machine types, which are stored as one value or in chunks.
     pub(crate) fn on_types_read(&mut self, reply: StoreReply) {
         match reply {
             StoreReply::Item(Item { value: Value::Types(types), .. }) => self.machine_types = Some(types),
@@ -24,7 +24,7 @@
             }
             StoreReply::Page(page) if self.machine_types.is_none() => {
                 let chunks: Vec<String> = page.items.into_iter().filter_map(chunk_text).collect();
-                self.machine_types = read_catalogue(&chunks);
+                self.machine_types = parse_catalogue(&chunks);
             }
             _ => {}
         }
--- a/crates/controller/src/model/records.rs
+++ b/crates/controller/src/model/records.rs
@@ -13,7 +13,7 @@
 pub use keys::*;
 pub(crate) use page_size::{halved_page, MIN_TASKS_PER_PAGE};
 pub use page_size::{tasks_per_page, RECORD_OVERHEAD_BYTES};
-pub use specification::{catalogue_chunks, read_catalogue, spec_stub, SpecChunks, SPEC_CHUNKS_FIELD_BYTES};
+pub use specification::{catalogue_chunks, parse_catalogue, spec_stub, SpecChunks, SPEC_CHUNKS_FIELD_BYTES};
 pub use values::*;
 
 /// The record format that this version reads and writes. 2: terminal jobs are stored apart from
--- a/crates/controller/src/model/records/specification.rs
+++ b/crates/controller/src/model/records/specification.rs
@@ -38,7 +38,7 @@
 }
 
 /// The catalogue that `chunks` make; None if they are not all of one text.
-pub fn read_catalogue(chunks: &[String]) -> Option<Vec<MachineType>> {
+pub fn parse_catalogue(chunks: &[String]) -> Option<Vec<MachineType>> {
     serde_json::from_str(&chunks.concat()).ok()
 }
 
--- a/crates/sharding/src/heartbeat_proxy/reply.rs
+++ b/crates/sharding/src/heartbeat_proxy/reply.rs
@@ -32,7 +32,7 @@
         self.record_forwarded(batch.forwarded, reply.token, reply.ready);
         self.resend_in_full(&reply.unknown);
         if is_new_leader || !was_ready && reply.ready {
-            self.on_lease_grant_reply(now);
+            self.on_lease_granted(now);
         }
         for commands in reply.orders {
             self.deliver_commands(now, reply.token, commands);
@@ -95,7 +95,7 @@
     /// The first lease of a leader, or its first while it is ready. A leader that is
     /// ready gets all that is known here, so that it sees the fleet at once; before
     /// that, held heartbeats are answered.
-    fn on_lease_grant_reply(&mut self, now: Time) {
+    fn on_lease_granted(&mut self, now: Time) {
         let Some(lease) = self.valid_lease(now) else { return };
         let fencing_token = lease.fencing_token;
         let leader_ready = lease.leader_ready;
