--- a/crates/controller/src/leader.rs
+++ b/crates/controller/src/leader.rs
@@ -1,4 +1,4 @@
-//! The leader: its state, recovery from the stored records, the watch on jobs, and periodic work.
+//! Leader role: state, recovery from the stored records, the watch on jobs, and periodic work.
 
 mod record_watch;
 pub(crate) mod recovery;
--- a/crates/controller/src/leader/record_watch.rs
+++ b/crates/controller/src/leader/record_watch.rs
@@ -1,4 +1,4 @@
-//! The watch on stored jobs: what other nodes have written reaches the leader's state here.
+//! Watch on the stored jobs, through which the leader learns of writes by other nodes.
 
 use crate::leader::state::{LeaderState, Role};
 use crate::leader::terminal_jobs::terminal_job;
@@ -9,7 +9,7 @@
 use protocol::state::{Event, Events};
 use tracing::debug;
 
-/// A job's record that was seen while a write of the same job was in flight.
+/// Job record that was read while the leader's own write of the same job was in flight.
 pub struct DeferredRecord {
     id: String,
     record: Box<JobRecord>,
@@ -17,7 +17,7 @@
 }
 
 impl LeaderState {
-    /// Whether a job's record cannot be applied without reading its specification first.
+    /// Whether the specification of a job must be read before its record can be applied.
     fn lacks_specification(&self, id: &str, record: &JobRecord) -> bool {
         let known =
             self.cluster.jobs.contains_key(id) || record.status.is_final() || !record.spec.class.is_empty();
@@ -26,26 +26,26 @@
 }
 
 impl Controller {
-    /// Handles the reply to a watch on the jobs that was sent at `sent`.
-    pub(crate) fn on_job_watch(&mut self, token: u64, sent: Time, reply: StoreReply) {
+    /// Handles the reply to a watch on the jobs that was sent at `sent_at`.
+    pub(crate) fn on_job_watch(&mut self, token: u64, sent_at: Time, reply: StoreReply) {
         let retry_at = self.now + self.timing.renewal_interval_s / 4.0;
         let Some(leader) = self.leader_state(token) else { return };
         leader.watch.in_flight = false;
         match reply {
-            StoreReply::Events(batch) => self.on_job_events(token, sent, batch),
-            // The history is compacted: the next leader reads everything again.
+            StoreReply::Events(batch) => self.on_job_events(token, sent_at, batch),
+            // The history has been compacted: the next leader reads all records again.
             StoreReply::Gone => self.step_down("watch fell behind"),
             _ => leader.watch.retry_at = retry_at,
         }
     }
 
-    fn on_job_events(&mut self, token: u64, sent: Time, batch: Events<Value>) {
+    fn on_job_events(&mut self, token: u64, sent_at: Time, batch: Events<Value>) {
         let now = self.now;
         let Some(leader) = self.leader_state(token) else { return };
-        let before = leader.watch.revision.unwrap_or(u64::MAX);
+        let previous_revision = leader.watch.revision.unwrap_or(u64::MAX);
         leader.watch.revision = leader.watch.revision.max(Some(batch.revision));
         self.record_events(&batch);
-        self.status_queries.extend_freshness(before, batch.revision, now);
+        self.status_queries.extend_freshness(previous_revision, batch.revision, now);
         self.observe_own_write(token, &batch.events);
         for event in batch.events {
             if let Event::Put { key, value, version } = event {
@@ -53,12 +53,12 @@
             }
         }
         if let Some(leader) = self.leader_state(token) {
-            leader.leadership.authority.record_read(sent);
+            leader.leadership.authority.record_read(sent_at);
         }
         self.confirm_records_applied();
     }
 
-    /// Takes in a stored record, which may be newer than what is known or not.
+    /// Processes a stored record, which need not be newer than the known state.
     pub(crate) fn observe_record(&mut self, key: &str, value: Value, version: u64) {
         match value {
             Value::Terminal(terminal) => {
@@ -82,9 +82,9 @@
             self.terminal_states.insert(id, status, record.done);
         }
         let Role::Leader(leader) = &mut self.role else { return };
-        // (Where the reply to its archival was lost, an earlier record of an archived job was once
-        // taken for a live job's, and its tasks were placed.)
-        if leader.archive.archived.covers(id, version) {
+        // If the reply to the job's archival was lost, an outdated record of the archived job must
+        // not be mistaken for a live job, whose tasks would be placed.
+        if leader.archive.archived.is_outdated(id, version) {
             return;
         }
         if status.is_final() && leader.undecodable.contains_job(id) {
@@ -101,7 +101,7 @@
         self.record_outcome(id, status);
     }
 
-    /// Keeps a record until the outcome of the leader's own write of the same job is known.
+    /// Defers a record until the outcome of the leader's own write of the same job is known.
     fn defer_record(&mut self, id: &str, record: Box<JobRecord>, version: u64) {
         let Role::Leader(leader) = &mut self.role else { return };
         let cancelled = record.status == JobStatus::Cancelled;
@@ -109,16 +109,16 @@
         if !cancelled {
             return;
         }
-        // A cancelled job's tasks are useless whatever becomes of that write. (They once went on
-        // until its outcome was known.)
+        // The tasks of a cancelled job are stopped without waiting: they are useless whatever the
+        // outcome of that write.
         if let Some(job) = leader.cluster.jobs.get_mut(id) {
             job.cancel();
             self.settle_terminal(id);
         }
     }
 
-    /// Applies the record of job `id` as stored in `version`. `was_terminal`: the job was known
-    /// to be terminal before.
+    /// Applies the record of job `id` as stored in `version`. `was_terminal` tells whether the job
+    /// was already known to be terminal.
     fn apply_record(&mut self, id: &str, record: &JobRecord, version: u64, was_terminal: bool) {
         let Role::Leader(leader) = &mut self.role else { return };
         let Some(job) = leader.cluster.jobs.get_mut(id) else {
@@ -132,10 +132,10 @@
         }
     }
 
-    /// Applies the record of a job that is not among the live ones.
+    /// Applies the record of a job that is not among the live jobs.
     fn apply_unknown_record(&mut self, id: &str, record: &JobRecord, version: u64, was_terminal: bool) {
-        // A late event of a job that this leader has settled and forgotten shows placements that
-        // are long gone. Taking them for an earlier leader's once held a team's quota for good.
+        // A late event of a job that this leader has already removed may show placements that no
+        // longer exist. Treating them as an earlier leader's would occupy the team's quota forever.
         if record.status.is_final() && record.first_page.placements.is_empty() {
             return self.archive_job(terminal_job(id, record, version));
         }
@@ -158,8 +158,8 @@
         }
     }
 
-    /// Takes in a cancellation mark: another node has cancelled job `id`, whose record is too
-    /// large to be written again.
+    /// Applies a cancellation mark: another node has cancelled job `id`, whose record is too large to
+    /// be rewritten.
     pub(crate) fn observe_cancellation_mark(&mut self, id: &str, status: JobStatus, version: u64) {
         self.terminal_states.insert(id, status, 0);
         let Role::Leader(leader) = &mut self.role else { return };
@@ -170,7 +170,7 @@
         self.settle_terminal(id);
     }
 
-    /// Takes in the deferred records again, after a write's outcome became known.
+    /// Processes the deferred records after the outcome of a write has become known.
     pub(crate) fn replay_deferred_records(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         for DeferredRecord { id, record, version } in std::mem::take(&mut leader.deferred_records) {
@@ -179,7 +179,7 @@
         self.confirm_records_applied();
     }
 
-    /// Everything that the watch has shown is applied, unless a record is deferred.
+    /// Records that all changes shown by the watch have been applied, unless a record is deferred.
     fn confirm_records_applied(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         if leader.recovery.finished && leader.deferred_records.is_empty() {
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: a new leader reads the stored records, page by page, before it acts.
+//! Recovery of a new leader, which reads the stored records page by page before it acts.
 
 use crate::leader::state::LeaderState;
 use crate::leader::terminal_jobs::terminal_job;
@@ -17,32 +17,33 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-/// Jobs submitted longer ago say nothing about the images that machines hold now.
+/// Age from which a job's record no longer indicates which images the machines hold, in seconds
+/// since its submission.
 const MAX_IMAGE_AGE_S: f64 = 3600.0;
 
-/// Any job's record may hold that many tasks; more are in pages of their own.
+/// Number of tasks that the record of any job can hold. Further tasks may be in separate pages.
 const MIN_TASKS_PER_PAGE: u32 = 4;
 
-/// The kinds of stored records, in the order in which they are read.
+/// Phases of recovery, one for each kind of stored record, in the order in which they are read.
 ///
-/// Chunks of specifications come before the jobs that name them; marks and pages come after the
-/// jobs that they belong to.
+/// Specification chunks are read before the jobs that refer to them; cancellation marks and pages
+/// are read after the jobs that they belong to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecoveryPhase {
-    /// Which images the machines hold.
+    /// Images cached on the machines.
     CachedImages,
-    /// Specifications that are too large for their job's record.
+    /// Chunks of specifications that are too large for their job's record.
     SpecChunks,
     /// Records of live jobs.
     Jobs,
-    /// Cancellations of jobs whose records are too large to be written again.
+    /// Cancellation marks of jobs whose records are too large to be rewritten.
     CancellationMarks,
-    /// Placements and finished tasks of jobs with more than one page.
+    /// Placements and completion bits of jobs with more than one page.
     Pages,
 }
 
 impl RecoveryPhase {
-    /// The prefix of the keys that are read in this phase.
+    /// Returns the prefix of the keys that are read in this phase.
     fn prefix(self) -> &'static str {
         match self {
             RecoveryPhase::CachedImages => IMAGES_PREFIX,
@@ -53,7 +54,7 @@
         }
     }
 
-    /// The phase after this one; None: recovery is finished.
+    /// Returns the phase after this one; None after the last.
     fn next(self) -> Option<Self> {
         match self {
             RecoveryPhase::CachedImages => Some(RecoveryPhase::SpecChunks),
@@ -65,28 +66,28 @@
     }
 }
 
-/// How far a new leader has read the stored records.
+/// Progress of a new leader's read of the stored records.
 pub struct Recovery {
-    /// All records are read.
+    /// Whether all records have been read.
     pub finished: bool,
-    /// A page has been asked for and not answered yet.
+    /// Whether the read of a page awaits its reply.
     read_in_flight: bool,
-    /// The kind of records that is being read.
+    /// Current phase.
     phase: RecoveryPhase,
-    /// The last key that was read in this phase.
+    /// Last key read in this phase.
     cursor: Option<String>,
-    /// No page is asked for before then.
+    /// Earliest time of the next read.
     retry_at: Time,
-    /// The revision of the first page, from which the watch starts.
-    revision: Option<u64>,
-    /// Chunks of specifications that were read before the records that name them.
+    /// Revision of the first page, from which the watch starts.
+    start_revision: Option<u64>,
+    /// Specification chunks, which are read before the records that refer to them.
     spec_chunks: ChunkReader,
-    /// Keys of pages whose jobs are not among the live ones, by job.
+    /// Keys of pages whose jobs are not among the live jobs, by job id.
     orphaned_pages: BTreeMap<String, Vec<String>>,
 }
 
 impl Recovery {
-    /// Nothing is read yet.
+    /// Creates the state of a recovery that starts at `now`.
     pub fn new(now: Time) -> Self {
         Recovery {
             finished: false,
@@ -94,46 +95,47 @@
             phase: RecoveryPhase::CachedImages,
             cursor: None,
             retry_at: now,
-            revision: None,
+            start_revision: None,
             spec_chunks: ChunkReader::default(),
             orphaned_pages: BTreeMap::new(),
         }
     }
 }
 
-/// What reading a record takes into account besides the leader's state.
+/// Inputs to the processing of a record besides the leader's state.
 struct RecoveryContext {
     now: Time,
     /// Time of day, in seconds.
     time_of_day: f64,
     store_limits: StoreLimits,
-    /// Until then, tasks of an undecodable job may run without being reported.
+    /// Time until which tasks of an undecodable job may run without being reported.
     unreported_until: Time,
-    /// Chunks of submissions from before that time of day that no record names are deleted.
+    /// Time of day before which submissions are abandoned: their chunks are deleted if no record
+    /// refers to them.
     chunks_abandoned_before: f64,
 }
 
 impl RecoveryContext {
-    /// A job's submission by the steady clock.
+    /// Returns the time of a job's submission by the monotonic clock.
     fn submitted_at(&self, record: &JobRecord) -> Time {
         self.now - (self.time_of_day - record.submitted_wall_s).max(0.0)
     }
 }
 
-/// A job without dependencies, submitted at a time by the steady clock.
+/// Arrival of a job without dependencies, timed by the monotonic clock.
 struct JobArrival {
     spec: JobSpec,
     submitted_at: Time,
 }
 
-/// What follows from a page of records outside of the leader's own state.
+/// Effects of a page of records outside of the leader's own state.
 #[derive(Default)]
 struct PageOutcome {
-    /// Terminal jobs that are to be archived.
+    /// Terminal jobs to archive.
     terminal_jobs: Vec<TerminalJob>,
-    /// Terminal states of jobs that are not archived yet.
+    /// Terminal states of jobs that cannot be archived yet.
     terminal_states: Vec<(String, TerminalRecord)>,
-    /// Jobs that count in the statistics of arrivals.
+    /// Jobs to count in the arrival statistics.
     arrivals: Vec<JobArrival>,
 }
 
@@ -141,14 +143,14 @@
     fn recover_records(
         &mut self,
         token: u64,
-        sent: Time,
+        sent_at: Time,
         page: Page<Value>,
         context: &RecoveryContext,
     ) -> PageOutcome {
-        // The watch starts from the first page's revision: later changes are seen again.
-        if self.recovery.revision.is_none() {
-            self.recovery.revision = Some(page.revision);
-            self.leadership.authority.record_read(sent);
+        // The watch starts from the revision of the first page, so it shows all later changes.
+        if self.recovery.start_revision.is_none() {
+            self.recovery.start_revision = Some(page.revision);
+            self.leadership.authority.record_read(sent_at);
         }
         let mut outcome = PageOutcome::default();
         for item in page.items {
@@ -196,8 +198,9 @@
     ) {
         let spec_complete = self.recovery.spec_chunks.complete(&mut record);
         if !spec_complete && !record.status.is_final() {
-            // What was submitted since recovery began is shown by the watch, and its chunks read.
-            if self.recovery.revision.is_none_or(|began| version <= began) {
+            // Jobs submitted since the start of recovery appear in the watch, and their chunks are
+            // read then.
+            if self.recovery.start_revision.is_none_or(|start_revision| version <= start_revision) {
                 self.undecodable.record(key);
             }
             return;
@@ -216,7 +219,7 @@
         self.cluster.insert_job(Job::from_record(&record, version, submitted_at, &context.store_limits));
     }
 
-    /// The machines that ran a job's tasks hold its image.
+    /// Records that the machines that ran a job's tasks hold its image.
     fn recover_images_of_job(&mut self, record: &JobRecord, submitted_at: Time) {
         let image = self.cluster.image_id(&record.spec.image);
         for machine in &record.machines_with_image {
@@ -254,7 +257,7 @@
         outcome.terminal_states.push((id.to_string(), terminal));
     }
 
-    /// What an earlier leader knew of the machines' images.
+    /// Restores an earlier leader's knowledge of the images cached on the machines.
     fn recover_cached_images(&mut self, key: &str, record: ImagesRecord, version: u64, now: Time) {
         self.cluster.learn_cached_images(&record, now);
         if let Some(Ok(part)) = key.strip_prefix(IMAGES_PREFIX).map(str::parse) {
@@ -268,13 +271,14 @@
         self.assign_orphaned_pages();
         let chunks = std::mem::take(&mut self.recovery.spec_chunks);
         self.archive.discard_keys(chunks.abandoned_keys(context.chunks_abandoned_before));
-        self.watch.revision = Some(self.recovery.revision.unwrap_or(last_revision));
+        self.watch.revision = Some(self.recovery.start_revision.unwrap_or(last_revision));
         let placed: usize = self.cluster.jobs.values().map(|job| job.placements.len()).sum();
         info!(token, jobs = self.cluster.jobs.len(), placed, "recovery finished");
     }
 
-    /// Pages of terminal jobs are deleted with them, or by themselves if their job's record was
-    /// archived already. (Such a job was once taken for done, and its dependents started.)
+    /// Schedules the deletion of pages whose jobs are not live: together with their terminal job, or
+    /// separately if that job's record has already been archived. A job of which only pages are left
+    /// must not be treated as done, or its dependents would start.
     fn assign_orphaned_pages(&mut self) {
         for (id, keys) in std::mem::take(&mut self.recovery.orphaned_pages) {
             match self.archive.waiting.get_mut(&id) {
@@ -292,7 +296,7 @@
 }
 
 impl Controller {
-    /// Asks for the next page of records when one is due.
+    /// Reads the next page of records if one is due.
     pub(super) fn tick_recovery(&mut self, token: u64) {
         let now = self.now;
         let Some(leader) = self.leader_state(token) else { return };
@@ -308,8 +312,8 @@
         self.call_store(CallContext::RecoveryPage { token, sent: now }, request);
     }
 
-    /// Handles a page of records that was asked for at `sent`.
-    pub(crate) fn on_recovery_page(&mut self, token: u64, sent: Time, reply: StoreReply) {
+    /// Handles the reply to a read of records that was sent at `sent_at`.
+    pub(crate) fn on_recovery_page(&mut self, token: u64, sent_at: Time, reply: StoreReply) {
         let context = self.recovery_context();
         let retry_at = self.now + self.timing.renewal_interval_s / 4.0;
         let Some(leader) = self.leader_state(token) else { return };
@@ -318,7 +322,7 @@
             leader.recovery.retry_at = retry_at;
             return;
         };
-        let outcome = leader.recover_records(token, sent, page, &context);
+        let outcome = leader.recover_records(token, sent_at, page, &context);
         self.apply_page_outcome(token, outcome);
     }
 
--- a/crates/controller/src/leader/state.rs
+++ b/crates/controller/src/leader/state.rs
@@ -1,4 +1,4 @@
-//! The role of a node, and the state of a leader.
+//! Role of a node, and state of a leader.
 
 use crate::agents::heartbeat_queue::HeartbeatQueue;
 use crate::agents::pending_kills::PendingKills;
@@ -16,68 +16,68 @@
 use crate::Time;
 use sharding::HeartbeatForwarding;
 
-/// A watch on a prefix of the store that is opened again whenever it returns.
+/// Cursor of a watch on a prefix of the store, which is reopened whenever it returns.
 #[derive(Debug, Default, Clone)]
 pub struct WatchCursor {
-    /// A call is on its way.
+    /// Whether a call is in flight.
     pub in_flight: bool,
-    /// Revision up to which all changes were seen; None: the keys must be read first.
-    /// (0 is the revision of a new store. Taking it for "unknown" once hid the first leader
-    /// from the other nodes.)
+    /// Revision up to which all changes have been seen; None if the keys must be read first. 0 is
+    /// the revision of a new store and must not stand for "unknown", or the other nodes would not
+    /// see the first leader.
     pub revision: Option<u64>,
-    /// No call is made before then.
+    /// Earliest time of the next call.
     pub retry_at: Time,
 }
 
-/// What a node is for the cluster.
+/// Role of a node in the cluster.
 pub enum Role {
-    /// Another node leads, or none.
+    /// Another node leads, or there is no leader.
     Follower,
     /// This node leads, as far as it knows.
     Leader(Box<LeaderState>),
 }
 
-/// What the leader knows and is doing: each part owns its own state. Rebuilt from the stored
-/// records and the workers' heartbeats at each failover.
+/// State of a leader, rebuilt from the stored records and the workers' heartbeats at each failover.
+/// Each field belongs to one part of the leader.
 pub struct LeaderState {
-    /// The revision of the write that created the leader key.
+    /// Fencing token: the revision of the write that created the leader key.
     pub fencing_token: u64,
-    /// The lease of the leader key and what it entitles to.
+    /// Lease of the leader key, and the periods derived from it.
     pub leadership: Leadership,
-    /// Reading the stored records after an election.
+    /// Progress of reading the stored records after the election.
     pub recovery: Recovery,
     /// Jobs, machines and placements.
     pub cluster: ClusterState,
-    /// The watch on the stored jobs.
+    /// Watch on the stored jobs.
     pub watch: WatchCursor,
-    /// Records that wait for the outcome of this leader's own write of the same job.
+    /// Records deferred until the outcome of this leader's own write of the same job is known.
     pub deferred_records: Vec<DeferredRecord>,
-    /// Changed jobs on their way to the store.
+    /// Queue of changed jobs to be written to the store.
     pub write_queue: WriteQueue,
-    /// Jobs that wait for others.
+    /// Dependencies between jobs.
     pub dependencies: JobDependencies,
-    /// Heartbeats that wait for their responses.
+    /// Heartbeats that await a response.
     pub heartbeats: HeartbeatQueue,
-    /// Tasks that are to be killed, until there is proof that they are gone.
+    /// Tasks to be killed, kept until there is proof that they have ended.
     pub pending_kills: PendingKills,
     /// Results of the last plan and statistics of the job classes.
     pub planning: PlanningState,
-    /// Machines at the cloud: the list, scale out and scale in.
+    /// Cloud machines: the machine list, scale-out and scale-in.
     pub fleet: Fleet,
-    /// The nodes that respond to heartbeats on a lease delegated by this leader.
+    /// Nodes that respond to heartbeats under a lease delegated by this leader.
     pub forwarding: HeartbeatForwarding,
-    /// Terminal jobs on their way out of the live records.
+    /// Terminal jobs to be moved out of the live records.
     pub archive: Archive,
     /// Stored values that this version cannot decode.
     pub undecodable: UndecodableRecords,
-    /// Last failure detection and fleet check.
-    pub machines_checked_at: Time,
-    /// When the next summary line is due.
+    /// Time of the last sweep over all machines.
+    pub last_machine_sweep_at: Time,
+    /// Time at which the next summary is logged.
     pub log_summary_at: Time,
 }
 
 impl LeaderState {
-    /// The state of a leader that was elected `now` with that token and lease.
+    /// Creates the state of a leader that was elected at `now` with this fencing token and lease.
     pub fn new(fencing_token: u64, lease: u64, now: Time, authority: LeaseAuthority) -> Self {
         LeaderState {
             fencing_token,
@@ -95,7 +95,7 @@
             forwarding: HeartbeatForwarding::default(),
             archive: Archive::default(),
             undecodable: UndecodableRecords::default(),
-            machines_checked_at: now - 1.0,
+            last_machine_sweep_at: now - 1.0,
             log_summary_at: now,
         }
     }
--- a/crates/controller/src/leader/step_down.rs
+++ b/crates/controller/src/leader/step_down.rs
@@ -1,4 +1,4 @@
-//! Giving up leadership.
+//! Giving up the leader role.
 
 use crate::agents::heartbeat_queue::ReplyRoute;
 use crate::leader::state::{LeaderState, Role};
@@ -7,11 +7,11 @@
 use rand::Rng;
 use tracing::warn;
 
-/// Error text of requests that the leader had accepted but not responded to.
+/// Error text for requests that are still unanswered when the leader steps down.
 const NO_LONGER_LEADING: &str = "no longer leading";
 
 impl Controller {
-    /// Drops the leader's state and becomes a follower. Does nothing at a follower.
+    /// Drops the leader's state and becomes a follower. Does nothing on a follower.
     pub(crate) fn step_down(&mut self, reason: &str) {
         let Role::Leader(leader) = std::mem::replace(&mut self.role, Role::Follower) else { return };
         warn!(token = leader.fencing_token, why = reason, "leadership lost");
@@ -21,7 +21,7 @@
         if !self.election.leader_watch.in_flight {
             self.reread_leader(0.0);
         }
-        // The nodes must not all campaign at the same moment.
+        // Random jitter prevents the nodes from campaigning simultaneously.
         let jitter: f64 = self.rng.gen_range(0.5..1.0);
         self.election.campaign_at = self.now + self.timing.renewal_interval_s * jitter;
     }
--- a/crates/controller/src/leader/summary.rs
+++ b/crates/controller/src/leader/summary.rs
@@ -1,4 +1,4 @@
-//! The periodic log line on all tasks and machines.
+//! Periodic log line that summarizes all tasks and machines.
 
 use crate::leader::state::Role;
 use crate::model::cluster::ClusterState;
@@ -9,42 +9,42 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
-/// Placements by progress, and tasks without a placement.
+/// Number of placements by progress, and of tasks without a placement.
 #[derive(Debug, Default)]
 struct TaskCounts {
-    /// Jobs with tasks that wait for a placement.
+    /// Number of jobs with tasks that wait for a placement.
     jobs: u32,
-    /// Tasks that wait for a placement.
+    /// Number of tasks that wait for a placement.
     waiting: u32,
-    /// Placements that are not stored yet.
+    /// Number of placements that are not stored yet.
     unstored: u32,
-    /// Stored placements that no heartbeat has shown yet.
+    /// Number of stored placements that no heartbeat has reported yet.
     unseen: u32,
-    /// Tasks whose image is being fetched.
+    /// Number of tasks whose image is being fetched.
     fetching: u32,
-    /// Gang tasks that wait for the others of their gang.
+    /// Number of gang tasks that wait for the other tasks of their gang.
     gathering: u32,
-    /// Tasks that run.
+    /// Number of running tasks.
     running: u32,
-    /// Tasks that are being stopped.
+    /// Number of tasks that are being stopped.
     stopping: u32,
 }
 
 impl TaskCounts {
-    fn of(cluster: &ClusterState) -> Self {
+    fn from_cluster(cluster: &ClusterState) -> Self {
         let mut counts = TaskCounts::default();
         for job in cluster.jobs.values().filter(|job| !job.is_final()) {
-            let open = job.spec.tasks.saturating_sub(job.done_count + job.placements.len() as u32);
-            counts.waiting += open;
-            counts.jobs += u32::from(open > 0);
+            let unplaced = job.spec.tasks.saturating_sub(job.done_count + job.placements.len() as u32);
+            counts.waiting += unplaced;
+            counts.jobs += u32::from(unplaced > 0);
             for placement in job.placements.values() {
-                *counts.bucket_of(placement) += 1;
+                *counts.counter_for(placement) += 1;
             }
         }
         counts
     }
 
-    fn bucket_of(&mut self, placement: &Placement) -> &mut u32 {
+    fn counter_for(&mut self, placement: &Placement) -> &mut u32 {
         if placement.stopping.is_some() {
             return &mut self.stopping;
         }
@@ -60,7 +60,8 @@
     }
 }
 
-/// Machines that are up and idle ones among them, by machine type and whether they are spot.
+/// Number of machines that are up and of idle ones among them, by machine type and whether they are
+/// spot machines.
 type PoolCounts<'a> = BTreeMap<(&'a str, bool), (u32, u32)>;
 
 fn count_pools(cluster: &ClusterState) -> PoolCounts<'_> {
@@ -84,7 +85,7 @@
 }
 
 impl Controller {
-    /// Logs the summary, once in the length of a worker's lease.
+    /// Logs the summary once per worker lease duration.
     pub(super) fn log_summary(&mut self) {
         let now = self.now;
         let interval_s = self.settings.params.workers.lease_s;
@@ -97,7 +98,7 @@
         leader.log_summary_at = now + interval_s;
         let cluster = &leader.cluster;
         let TaskCounts { jobs, waiting, unstored, unseen, fetching, gathering, running, stopping } =
-            TaskCounts::of(cluster);
+            TaskCounts::from_cluster(cluster);
         let up = count_machines(cluster, MachinePhase::Up);
         let booting = count_machines(cluster, MachinePhase::Booting);
         let pools = count_pools(cluster);
--- a/crates/controller/src/leader/terminal_jobs.rs
+++ b/crates/controller/src/leader/terminal_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that are done or cancelled: they are forgotten once none of their tasks is left.
+//! Terminal jobs (done or cancelled), which are removed once none of their tasks is left.
 
 use crate::leader::state::Role;
 use crate::messages::Time;
@@ -9,7 +9,8 @@
 use protocol::job::JobStatus;
 use tracing::info;
 
-/// A job without placements whose stored record, of that version, is terminal.
+/// Returns the archive entry of a job without placements whose record, stored in `version`, is
+/// terminal.
 pub(super) fn terminal_job(id: &str, record: &JobRecord, version: u64) -> TerminalJob {
     TerminalJob {
         id: id.to_string(),
@@ -19,7 +20,7 @@
     }
 }
 
-/// Drops placements that were never launched.
+/// Releases placements that were never launched.
 fn release_unlaunched(job: &mut Job) {
     let unlaunched: Vec<u32> = job
         .placements
@@ -32,7 +33,7 @@
     }
 }
 
-/// Stops all tasks without a grace period: nobody needs their checkpoints.
+/// Stops all tasks without a grace period, since their checkpoints are not needed.
 fn stop_immediately(job: &mut Job, now: Time) {
     for placement in job.placements.values_mut() {
         if placement.stopping.is_none_or(|(_, grace_s)| grace_s > 0.0) {
@@ -43,18 +44,18 @@
 }
 
 impl Controller {
-    /// Settles the jobs that were read as terminal but may still have placements.
+    /// Settles the recovered jobs that are terminal but may still have placements.
     pub(super) fn settle_all_terminal(&mut self) {
         let Role::Leader(leader) = &self.role else { return };
         let jobs = leader.cluster.jobs.iter();
-        let terminal: Vec<String> =
+        let terminal_ids: Vec<String> =
             jobs.filter(|(_, job)| job.is_final()).map(|(id, _)| id.clone()).collect();
-        for id in terminal {
+        for id in terminal_ids {
             self.settle_terminal(&id);
         }
     }
 
-    /// Stops what is left of a terminal job, or archives and forgets it if nothing is.
+    /// Stops the remaining tasks of a terminal job, or archives and removes the job if none is left.
     pub(crate) fn settle_terminal(&mut self, id: &str) {
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else { return };
@@ -66,13 +67,13 @@
         stop_immediately(job, now);
         if job.placements.is_empty() && job.is_stored() {
             let terminal_job = TerminalJob::from_job(job);
-            self.forget_terminal(terminal_job);
+            self.remove_terminal(terminal_job);
         } else {
             self.kill_now(id);
         }
     }
 
-    fn forget_terminal(&mut self, terminal_job: TerminalJob) {
+    fn remove_terminal(&mut self, terminal_job: TerminalJob) {
         self.log_job_finished(&terminal_job.id);
         let Role::Leader(leader) = &mut self.role else { return };
         leader.cluster.jobs.remove(&terminal_job.id);
--- a/crates/controller/src/leader/tick.rs
+++ b/crates/controller/src/leader/tick.rs
@@ -1,15 +1,15 @@
-//! The leader's periodic work, and its order.
+//! Periodic work of the leader, and its order.
 
 use crate::leader::state::Role;
 use crate::model::records::{job_key, Value, JOB_WATCH_PREFIX};
 use crate::{CallContext, Controller, StoreRequest};
 
-/// Sweeps over all machines in the time of one planning interval: what looks at every machine
-/// need not be done at every message.
+/// Number of sweeps over all machines per planning interval. Work that visits every machine need not
+/// be done on every message.
 const SWEEPS_PER_PLANNING_INTERVAL: f64 = 5.0;
 
 impl Controller {
-    /// Does whatever is due at the leader; nothing at a follower.
+    /// Does the leader's work that is due. Does nothing on a follower.
     pub(crate) fn tick_leader(&mut self) {
         let Role::Leader(leader) = &self.role else { return };
         let token = leader.fencing_token;
@@ -23,7 +23,7 @@
         self.tick_forwarding();
     }
 
-    /// The work of a leader that has read all records.
+    /// Does the work that requires all records to have been read.
     fn tick_recovered_leader(&mut self, token: u64) {
         self.tick_job_watch(token);
         self.observe_created_jobs();
@@ -55,14 +55,14 @@
         }
         leader.watch.in_flight = true;
         let after = leader.watch.revision.unwrap_or(0);
-        // As often as the lease is renewed: the age of the known state counts from the sending
-        // of a watch.
+        // The watch returns as often as the lease is renewed, since the age of the known state counts
+        // from the sending of the last watch.
         let wait_ms = (self.timing.renewal_interval_s * 1000.0) as u64;
         let request = StoreRequest::Watch { prefix: JOB_WATCH_PREFIX.to_string(), after, wait_ms };
         self.call_store(CallContext::JobWatch { token, sent: now }, request);
     }
 
-    /// Takes in the jobs that were created at this node, ahead of the watch.
+    /// Processes the jobs that were created through this node, ahead of the watch.
     fn observe_created_jobs(&mut self) {
         for (id, record, version) in std::mem::take(&mut self.client_requests.created) {
             self.observe_record(&job_key(&id), Value::Job(Box::new(record)), version);
@@ -78,7 +78,7 @@
         leader.leadership.responsiveness.update(now, may_respond);
     }
 
-    /// Whether a sweep over all machines is due; if so, it counts as started.
+    /// Returns whether a sweep over all machines is due; if so, records its start.
     fn start_machine_sweep(&mut self) -> bool {
         let now = self.now;
         let interval_s = self.timing.planning_interval_s / SWEEPS_PER_PLANNING_INTERVAL;
@@ -86,10 +86,10 @@
             return false;
         }
         let Role::Leader(leader) = &mut self.role else { return false };
-        if now - leader.machines_checked_at < interval_s {
+        if now - leader.last_machine_sweep_at < interval_s {
             return false;
         }
-        leader.machines_checked_at = now;
+        leader.last_machine_sweep_at = now;
         true
     }
 }
--- a/crates/controller/src/storage/archive.rs
+++ b/crates/controller/src/storage/archive.rs
@@ -65,7 +65,7 @@
     }
 
     /// Whether a live record of job `id` in that version is outdated.
-    pub fn covers(&self, id: &str, version: u64) -> bool {
+    pub fn is_outdated(&self, id: &str, version: u64) -> bool {
         self.archived_at.get(id).is_some_and(|gone_at| version <= *gone_at)
     }
 
