--- a/crates/controller/src/leader/record_watch.rs
+++ b/crates/controller/src/leader/record_watch.rs
@@ -90,7 +90,7 @@
         if status.is_final() && leader.undecodable.contains_job(id) {
             return self.record_outcome(id, status);
         }
-        if leader.write_queue.unsettled(id) {
+        if leader.write_queue.is_unsettled(id) {
             return self.defer_record(id, record, version);
         }
         if leader.lacks_specification(id, &record) {
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -261,7 +261,7 @@
     fn recover_cached_images(&mut self, key: &str, record: ImagesRecord, version: u64, now: Time) {
         self.cluster.learn_cached_images(&record, now);
         if let Some(Ok(part)) = key.strip_prefix(IMAGES_PREFIX).map(str::parse) {
-            self.archive.read_images(part, record, version);
+            self.archive.record_stored_images(part, record, version);
         }
     }
 
--- a/crates/controller/src/model/records/keys.rs
+++ b/crates/controller/src/model/records/keys.rs
@@ -37,7 +37,7 @@
 }
 
 /// The id of the job, live or terminal, whose record has this key.
-pub fn id_of(key: &str) -> Option<&str> {
+pub fn job_id_of_key(key: &str) -> Option<&str> {
     key.strip_prefix(JOB_PREFIX).or_else(|| key.strip_prefix(TERMINAL_JOB_PREFIX))
 }
 
--- a/crates/controller/src/storage.rs
+++ b/crates/controller/src/storage.rs
@@ -1,5 +1,5 @@
-//! How the leader keeps the store up to date: writes, the archive of terminal jobs, chunked
-//! specifications, limits and formats.
+//! Persistence of the cluster state: the leader's writes, the archive of terminal jobs, chunked
+//! specifications, store limits and record formats.
 
 pub(crate) mod archive;
 pub(crate) mod fencing;
--- a/crates/controller/src/storage/archive.rs
+++ b/crates/controller/src/storage/archive.rs
@@ -1,10 +1,9 @@
-//! Moves terminal jobs out of the way, so that a new leader reads live jobs only.
+//! Archive of terminal jobs, kept apart from live jobs so that a new leader reads only the latter.
 //!
-//! A job is stored under `j/` while it is live and under `jo/` once it is terminal. One
-//! transaction moves it, so at every revision it is in exactly one place. It
-//! never moves back, and a terminal job is never deleted. A node that misses it under
-//! `j/` and then under `jo/`, in this order, knows that it did not exist at the
-//! first read.
+//! A job is stored under `j/` while it is live and under `jo/` once it has been archived. One
+//! transaction moves it, so at every revision it is in exactly one place. It never moves back, and
+//! an archived job is never deleted. A node that finds the job neither under `j/` nor, in a later
+//! read, under `jo/` knows that it did not exist at the time of the first read.
 
 mod machine_images;
 mod moves;
@@ -21,21 +20,21 @@
 use protocol::job::JobStatus;
 use std::collections::BTreeMap;
 
-/// A job that has ended and is still stored among the live ones.
+/// Terminal job that is still stored among the live jobs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TerminalJob {
-    /// The job's id.
+    /// Job id.
     pub id: String,
     /// Version of its record under `j/`.
     pub version: u64,
-    /// What is kept of it.
+    /// Record to be stored under `jo/`.
     pub record: TerminalRecord,
-    /// Its other keys: pages, chunks and marks.
+    /// Other keys of the job: pages, spec chunks and the cancellation mark.
     pub keys: Vec<String>,
 }
 
 impl TerminalJob {
-    /// A live job that has ended.
+    /// Creates the archive entry of a live job that has ended.
     pub fn from_job(job: &Job) -> Self {
         TerminalJob {
             id: job.spec.id.clone(),
@@ -46,100 +45,103 @@
     }
 }
 
-/// What is kept of a terminal job with `done` tasks done, submitted at that time of day (seconds).
+/// Returns the record of a terminal job with `done` completed tasks, submitted at time of day
+/// `submitted_wall_s` in seconds.
 pub fn over_record(status: JobStatus, done: u32, submitted_wall_s: f64) -> TerminalRecord {
     TerminalRecord { status, done, submitted_wall_s }
 }
 
-/// Jobs whose record was moved, each with a revision at which it was gone: what the
-/// watch shows of them from before is outdated. No record comes back.
+/// Archived jobs, each with a revision at which its live record no longer existed. Events of an
+/// earlier revision are outdated, since a live record is never recreated.
 #[derive(Default)]
 pub struct ArchivedJobs {
     archived_at: BTreeMap<String, u64>,
 }
 
 impl ArchivedJobs {
-    /// The record of job `id` was gone at that revision.
+    /// Records that the live record of job `id` did not exist at `revision`.
     pub fn record(&mut self, id: &str, revision: u64) {
         self.archived_at.insert(id.to_string(), revision);
     }
 
-    /// Whether a live record of job `id` in that version is outdated.
+    /// Whether `version` of the live record of job `id` is outdated.
     pub fn is_outdated(&self, id: &str, version: u64) -> bool {
-        self.archived_at.get(id).is_some_and(|gone_at| version <= *gone_at)
+        self.archived_at.get(id).is_some_and(|archived_at| version <= *archived_at)
     }
 
-    /// The watch has shown all up to `revision`, and all of that was processed.
+    /// Forgets jobs archived up to `revision`, after the watch has shown all changes up to it and they
+    /// have been processed.
     pub fn forget_until(&mut self, revision: u64) {
-        self.archived_at.retain(|_, gone_at| *gone_at > revision);
+        self.archived_at.retain(|_, archived_at| *archived_at > revision);
     }
 }
 
-/// Terminal jobs on their way out of the live ones, and what else a leader tidies in the store.
+/// State of the leader's cleanup of the store: terminal jobs to be archived, stale keys to be
+/// deleted, and the machines' images.
 #[derive(Default)]
 pub struct Archive {
-    /// The record format that all nodes read.
+    /// Record format that all nodes can read.
     pub format: FormatAgreement,
-    /// Jobs that have yet to be moved, by id.
+    /// Jobs to be archived, by id.
     pub waiting: BTreeMap<String, TerminalJob>,
-    /// Jobs that stay as long as a live job's record names them: the next leader has to learn
-    /// how they ended without a read for each.
+    /// Jobs that are not archived while a live job depends on them, so that the next leader learns
+    /// how they ended without reading each of them separately.
     pub held_for_dependents: BTreeMap<String, TerminalJob>,
-    /// Jobs that were moved.
+    /// Jobs that have been archived.
     pub archived: ArchivedJobs,
-    /// Keys that no record refers to any more.
+    /// Keys that no record refers to any longer.
     stale_keys: Vec<String>,
-    /// Stale keys that the transaction in flight deletes.
+    /// Stale keys deleted by the transaction in flight.
     deleting: Vec<String>,
-    /// The jobs that the transaction in flight moves.
+    /// Jobs archived by the transaction in flight; None if there is no such transaction.
     in_flight: Option<Vec<TerminalJob>>,
-    /// Nothing is moved before then: the last transaction failed.
+    /// Earliest time of the next transaction, set after a failed one.
     retry_at: Time,
-    /// What moves may use of the write rate.
+    /// Limiter of the write rate available to archival.
     budget: Option<RateLimiter>,
-    /// Which images the machines hold, as stored.
+    /// Stored record of the images that the machines hold.
     images: StoredImages,
 }
 
 impl Archive {
-    /// Whether terminal jobs may be moved.
+    /// Whether terminal jobs may be archived, that is, all nodes can read archived jobs.
     pub fn is_enabled(&self) -> bool {
         self.format.agreed().is_some_and(|format| format >= ARCHIVE_FORMAT)
     }
 
-    /// Adds keys that no record refers to any more, to be deleted.
+    /// Schedules the deletion of keys that no record refers to any longer.
     pub fn discard_keys(&mut self, keys: Vec<String>) {
         self.stale_keys.extend(keys);
     }
 
-    /// A live job's record names job `id`.
+    /// Keeps job `id` from being archived, since a live job depends on it.
     pub fn hold(&mut self, id: &str) {
         if let Some(job) = self.waiting.remove(id) {
             self.held_for_dependents.insert(job.id.clone(), job);
         }
     }
 
-    /// No live job's record names job `id` any more.
+    /// Allows job `id` to be archived, since no live job depends on it any longer.
     pub fn release(&mut self, id: &str) {
         if let Some(job) = self.held_for_dependents.remove(id) {
             self.waiting.insert(job.id.clone(), job);
         }
     }
 
-    /// How a job ended whose record is still stored among the live ones.
+    /// Returns the final status of a terminal job that is still stored among the live jobs.
     pub fn terminal_status(&self, id: &str) -> Option<JobStatus> {
         let job = self.held_for_dependents.get(id).or_else(|| self.waiting.get(id))?;
         Some(job.record.status)
     }
 
-    /// A part of the machines' images was read as an earlier leader stored it.
-    pub fn read_images(&mut self, part: usize, record: ImagesRecord, version: u64) {
+    /// Records a part of the machines' images as read from the store.
+    pub fn record_stored_images(&mut self, part: usize, record: ImagesRecord, version: u64) {
         self.images.record(part, record, version);
     }
 }
 
 impl Controller {
-    /// Moves terminal jobs and stores the machines' images, as far as the write rate has room.
+    /// Archives terminal jobs and stores the machines' images, within the write rate.
     pub(crate) fn tick_archive(&mut self) {
         if !self.may_act() {
             return;
@@ -149,7 +151,7 @@
         self.store_images();
     }
 
-    /// A job has ended, and its record is stored under `j/` in that version.
+    /// Schedules the archival of a terminal job, which a live dependent delays.
     pub(crate) fn archive_job(&mut self, terminal_job: TerminalJob) {
         let Role::Leader(leader) = &mut self.role else { return };
         let jobs = if leader.dependencies.graph.has_dependents(&terminal_job.id) {
@@ -160,7 +162,7 @@
         jobs.entry(terminal_job.id.clone()).or_insert(terminal_job);
     }
 
-    /// A job's record was moved to the terminal ones: nothing is left of it among the live ones.
+    /// Removes job `id` from the live jobs after its record was archived at `revision`.
     pub(crate) fn on_job_archived(&mut self, id: &str, revision: u64) {
         self.log_job_finished(id);
         let Role::Leader(leader) = &mut self.role else { return };
--- a/crates/controller/src/storage/archive/machine_images.rs
+++ b/crates/controller/src/storage/archive/machine_images.rs
@@ -1,4 +1,5 @@
-//! Which images the machines hold, stored for the next leader, which could not learn it otherwise.
+//! Storage of the images that the machines hold, for the next leader, which has no other source for
+//! them.
 
 use crate::leader::state::Role;
 use crate::messages::Time;
@@ -10,42 +11,44 @@
 use protocol::state::{Compare, Item, Mutation, Transaction};
 use std::collections::BTreeMap;
 
-/// Images of a machine that are stored.
+/// Maximum number of images stored per machine.
 const MAX_IMAGES_PER_MACHINE: usize = 6;
-/// Parts that the machines' images are stored in, at most.
+/// Maximum number of parts that the machines' images are stored in.
 const MAX_PARTS: usize = 1024;
-/// Parts that are written in a machine's lease, at most.
+/// Maximum number of parts written per worker lease duration.
 const MAX_PARTS_PER_LEASE: usize = 64;
-/// Bytes in JSON of a machine in a part, beside its name; of an image, beside its name; and of an
-/// index of an image. The last is an image and its index, generously.
+/// JSON bytes of a machine in a part, besides its id.
 const MACHINE_OVERHEAD_BYTES: usize = 8;
+/// JSON bytes of an image in a part, besides its name.
 const IMAGE_OVERHEAD_BYTES: usize = 16;
+/// JSON bytes of an index into a part's images.
 const INDEX_BYTES: usize = 4;
+/// Generous upper bound of the JSON bytes of an image and an index of it, besides the image's name.
 const IMAGE_AND_INDEX_BYTES: usize = 24;
 
-/// A part as it is stored.
+/// Part of the machines' images as stored.
 struct StoredPart {
     record: ImagesRecord,
     version: u64,
 }
 
-/// A part that is being written.
+/// Part whose write awaits its reply.
 struct PartInFlight {
     part: usize,
     record: ImagesRecord,
 }
 
-/// The machines' images as last stored.
+/// Machines' images as last stored.
 #[derive(Default)]
 pub struct StoredImages {
     parts: BTreeMap<usize, StoredPart>,
-    /// When to compare with what the machines hold next.
+    /// Time of the next comparison with the images that the machines hold.
     check_at: Time,
     in_flight: Option<PartInFlight>,
 }
 
 impl StoredImages {
-    /// A part is stored so, in that version.
+    /// Records that `record` is stored as part `part` in `version`.
     pub fn record(&mut self, part: usize, record: ImagesRecord, version: u64) {
         self.parts.insert(part, StoredPart { record, version });
     }
@@ -54,7 +57,7 @@
         self.in_flight.is_none() && now >= self.check_at
     }
 
-    /// The first part that differs from what is stored, with its number.
+    /// Returns the first part that differs from its stored record, with its number.
     fn first_changed(&self, records: Vec<ImagesRecord>) -> Option<(usize, ImagesRecord)> {
         let is_stored = |part: &usize, record: &ImagesRecord| {
             self.parts.get(part).is_some_and(|stored| stored.record == *record)
@@ -63,7 +66,7 @@
         parts.find(|(part, record)| !is_stored(part, record))
     }
 
-    /// The transaction that writes a part, which is in flight from now on.
+    /// Returns the transaction that writes a part, and records it as in flight.
     fn begin_write(&mut self, fencing_token: u64, part: usize, record: ImagesRecord) -> Transaction<Value> {
         let key = images_key(part);
         let version = self.parts.get(&part).map_or(0, |stored| stored.version);
@@ -75,7 +78,7 @@
     }
 }
 
-/// What the machines hold in parts of at most about `max_bytes` each in JSON.
+/// Splits the images that the machines hold into parts of at most about `max_bytes` of JSON each.
 fn split_into_parts(machines: &[MachineImages], max_bytes: usize) -> Vec<ImagesRecord> {
     let mut parts: Vec<ImagesRecord> = Vec::new();
     let mut size = usize::MAX;
@@ -91,13 +94,13 @@
     parts
 }
 
-/// Bytes that a machine adds to a part, at most.
+/// Returns an upper bound of the bytes that a machine adds to a part.
 fn max_size(machine: &MachineImages) -> usize {
     let images: usize = machine.images.iter().map(|(name, _)| name.len() + IMAGE_AND_INDEX_BYTES).sum();
     machine.id.len() + MACHINE_OVERHEAD_BYTES + images
 }
 
-/// Adds a machine to a part. Returns the bytes that it takes.
+/// Adds a machine to a part. Returns the number of bytes added.
 fn add_machine(part: &mut ImagesRecord, machine: &MachineImages) -> usize {
     let mut size = machine.id.len() + MACHINE_OVERHEAD_BYTES;
     let mut indices = Vec::new();
@@ -116,8 +119,8 @@
 }
 
 impl Controller {
-    /// Once in a machine's lease, stores the parts of the machines' images that differ from
-    /// what is stored, one at a time.
+    /// Stores the parts of the machines' images that have changed, one at a time, and checks for
+    /// further changes once per worker lease duration.
     pub(super) fn store_images(&mut self) {
         let now = self.now;
         let interval_s = self.settings.params.workers.lease_s;
@@ -139,13 +142,13 @@
             return;
         };
         budget.try_acquire(now, 1.0);
-        // Spread over the time until the next check.
+        // The writes of several changed parts are spread over a lease duration.
         images.check_at = now + interval_s / MAX_PARTS_PER_LEASE as f64;
         let txn = images.begin_write(token, part, record);
         self.call_store(CallContext::ImagesWrite { token }, StoreRequest::Commit(txn));
     }
 
-    /// The reply to the write of a part.
+    /// Handles the reply to the write of a part.
     pub(crate) fn on_images_write(&mut self, token: u64, reply: StoreReply) {
         let next_check_at = self.now + self.settings.params.workers.lease_s;
         let Some(leader) = self.leader_state(token) else { return };
@@ -154,23 +157,23 @@
         match reply {
             StoreReply::Committed(revision) => images.record(part, record, revision),
             StoreReply::Conflict(conflict) if is_fenced(&conflict) => self.step_down(LEADERSHIP_LOST),
-            // An earlier write may have been applied without a reply. (The version known
-            // here then failed for ever, and no other part had its turn.)
+            // An earlier write may have been applied without a reply. The part is read back, or
+            // its outdated version would fail forever and no other part would be written.
             StoreReply::Conflict(_) | StoreReply::Unknown => {
                 images.check_at = next_check_at;
                 let context = CallContext::ImagesRead { token, part };
                 self.call_store(context, StoreRequest::Get(images_key(part)));
             }
-            // Not urgent: it only helps the next leader.
+            // The write is not urgent, since only the next leader needs it.
             _ => images.check_at = next_check_at,
         }
     }
 
-    /// The reply to the read of a part.
+    /// Handles the reply to the read of a part.
     pub(crate) fn on_images_read(&mut self, token: u64, part: usize, reply: StoreReply) {
         let Some(leader) = self.leader_state(token) else { return };
         if let StoreReply::Item(Item { value: Value::Images(record), version, .. }) = reply {
-            leader.archive.read_images(part, record, version);
+            leader.archive.record_stored_images(part, record, version);
         }
     }
 }
--- a/crates/controller/src/storage/archive/moves.rs
+++ b/crates/controller/src/storage/archive/moves.rs
@@ -1,4 +1,4 @@
-//! The transactions that move terminal jobs and delete stale keys.
+//! Transactions that archive terminal jobs and delete stale keys.
 
 use super::{Archive, TerminalJob};
 use crate::leader::state::Role;
@@ -11,29 +11,32 @@
 use protocol::state::{Compare, Mutation, Transaction};
 use tracing::debug;
 
-/// Part of the store's write rate that moves may use, beside those of jobs that
-/// end just then; and only while the leader has half of its own rate to spare.
-const ARCHIVE_WRITES: f64 = 0.125;
-/// Mutations that move a record: a deletion and a put. Fewer than these are not worth a transaction.
+/// Fraction of the store's write rate available to archive moves, not counting jobs that are
+/// archived by the write that ends them. Moves are made only while the leader has more than half of
+/// its own rate available.
+const ARCHIVE_WRITE_SHARE: f64 = 0.125;
+/// Number of mutations that move a record: a deletion and a put. No transaction is sent
+/// while fewer are allowed.
 const RECORD_MUTATIONS: usize = 2;
-/// Retries of a failed move in a renewal interval of the lease.
+/// Number of retries of a failed move per lease renewal interval.
 const RETRIES_PER_RENEWAL_INTERVAL: f64 = 4.0;
 
-/// Mutations that move a job to the terminal ones.
+/// Conditions and mutations that archive a job, or delete some of its keys.
 pub struct ArchiveMove {
-    /// The conditions under which it moves.
+    /// Conditions of the move.
     pub compares: Vec<Compare>,
-    /// Deletions of its other keys, and the move of its record if there is room for it.
+    /// Deletions of the job's other keys, and the move of its record if it fits.
     pub mutations: Vec<Mutation<Value>>,
-    /// Other keys that are left to a later transaction.
+    /// Other keys left for a later transaction.
     remaining_keys: Vec<String>,
 }
 
 impl ArchiveMove {
-    /// Moves a job in at most `max_mutations`; of one that takes more, deletes other keys first.
+    /// Creates the move of a job in at most `max_mutations` mutations. If it needs more, the job's
+    /// other keys are deleted first.
     fn new(job: &TerminalJob, max_mutations: usize) -> Self {
-        let now_deleted = job.keys.len().min(max_mutations);
-        let (deleted_keys, remaining_keys) = job.keys.split_at(now_deleted);
+        let deleted_count = job.keys.len().min(max_mutations);
+        let (deleted_keys, remaining_keys) = job.keys.split_at(deleted_count);
         let mut mutations: Vec<Mutation<Value>> =
             deleted_keys.iter().map(|key| Mutation::Delete { key: key.clone() }).collect();
         let mut compares = Vec::new();
@@ -47,7 +50,7 @@
         ArchiveMove { compares, mutations, remaining_keys: remaining_keys.to_vec() }
     }
 
-    /// Moves a live job that has just ended, whole.
+    /// Creates the complete move of a live job that has just ended.
     pub fn of_live_job(job: &Job) -> Self {
         let mut archive_move = ArchiveMove::new(&TerminalJob::from_job(job), usize::MAX);
         archive_move.compares.extend(job.cancellation_mark.compare(&job.spec.id));
@@ -61,33 +64,33 @@
         self.is_enabled() && self.in_flight.is_none() && !is_idle && now >= self.retry_at
     }
 
-    /// The mutations that moves may use now.
+    /// Returns the number of mutations that archive moves may use at `now`.
     fn available_mutations(&mut self, now: Time, write_rps: f64) -> f64 {
-        let budget = self.budget.get_or_insert_with(|| RateLimiter::new(write_rps * ARCHIVE_WRITES));
+        let budget = self.budget.get_or_insert_with(|| RateLimiter::new(write_rps * ARCHIVE_WRITE_SHARE));
         budget.available_at(now)
     }
 
-    fn spend(&mut self, now: Time, mutations: f64) {
+    fn consume_budget(&mut self, now: Time, mutations: f64) {
         if let Some(budget) = &mut self.budget {
             budget.try_acquire(now, mutations);
         }
     }
 
-    /// Takes stale keys, up to half of the mutations, and waiting jobs into a transaction, which is
-    /// in flight from now on.
+    /// Returns a transaction that deletes stale keys, with up to half of the mutations, and moves
+    /// waiting jobs. Records it as in flight.
     fn begin_move(&mut self, fencing_token: u64, max_mutations: usize) -> Transaction<Value> {
         let mut txn = Transaction { compares: vec![leader_compare(fencing_token)], mutations: Vec::new() };
-        let kept = self.stale_keys.len().saturating_sub(max_mutations / 2);
-        // Without conditions: deleting twice does no harm.
-        self.deleting = self.stale_keys.split_off(kept);
+        let remaining = self.stale_keys.len().saturating_sub(max_mutations / 2);
+        // The deletions need no conditions, since they are idempotent.
+        self.deleting = self.stale_keys.split_off(remaining);
         txn.mutations.extend(self.deleting.iter().map(|key| Mutation::Delete { key: key.clone() }));
-        self.in_flight = Some(self.take_jobs(&mut txn, max_mutations));
+        self.in_flight = Some(self.add_waiting_jobs(&mut txn, max_mutations));
         txn
     }
 
-    /// Adds waiting jobs to `txn`. Returns those that it moves whole; one with more keys than fit
-    /// takes several transactions.
-    fn take_jobs(&mut self, txn: &mut Transaction<Value>, max_mutations: usize) -> Vec<TerminalJob> {
+    /// Adds waiting jobs to `txn`. Returns those that it moves completely; a job with more keys than
+    /// fit takes several transactions.
+    fn add_waiting_jobs(&mut self, txn: &mut Transaction<Value>, max_mutations: usize) -> Vec<TerminalJob> {
         let mut moving = Vec::new();
         while let Some((id, mut job)) = self.waiting.pop_first() {
             let room = max_mutations - txn.mutations.len();
@@ -112,13 +115,13 @@
         moving
     }
 
-    fn wait_again(&mut self, jobs: impl Iterator<Item = TerminalJob>) {
+    fn requeue(&mut self, jobs: impl Iterator<Item = TerminalJob>) {
         self.waiting.extend(jobs.map(|job| (job.id.clone(), job)));
     }
 }
 
 impl Controller {
-    /// Sends the next moves, if any are due and the write rate has room.
+    /// Sends the next archive moves if they are due and the write rate allows it.
     pub(super) fn tick_archive_moves(&mut self) {
         let now = self.now;
         let max_mutations = self.store_limits.mutations() as f64;
@@ -138,34 +141,36 @@
         }
         let txn = leader.archive.begin_move(token, allowed);
         let spent = txn.mutations.len() as f64;
-        leader.archive.spend(now, spent);
+        leader.archive.consume_budget(now, spent);
         leader_budget.try_acquire(now, spent);
         self.call_store(CallContext::ArchiveMove { token }, StoreRequest::Commit(txn));
     }
 
-    /// The reply to a transaction that moves jobs.
+    /// Handles the reply to a transaction that archives jobs.
     pub(crate) fn on_archive_move_reply(&mut self, token: u64, reply: StoreReply) {
         let retry_at = self.now + self.timing.renewal_interval_s / RETRIES_PER_RENEWAL_INTERVAL;
         let Some(leader) = self.leader_state(token) else { return };
         let archive = &mut leader.archive;
         let moving = archive.in_flight.take().unwrap_or_default();
         let deleting = std::mem::take(&mut archive.deleting);
-        // (Chunks whose deletion got no reply once stayed until the next failover.)
+        // Deletions without a confirmed outcome are repeated. Otherwise the keys, such as spec chunks,
+        // would remain until the next failover.
         if !matches!(reply, StoreReply::Committed(_)) {
             archive.stale_keys.extend(deleting);
         }
         match reply {
             StoreReply::Committed(_) => debug!(jobs = moving.len(), "terminal jobs archived"),
             StoreReply::Conflict(conflict) if is_fenced(&conflict) => self.step_down(LEADERSHIP_LOST),
-            // The failed ones were moved by an attempt whose reply was lost. If they were not,
-            // the next leader sees that.
+            // Jobs whose condition failed were moved by an earlier attempt whose reply was lost. If
+            // they were not, the next leader reads and archives them.
             StoreReply::Conflict(conflict) => {
                 let unchanged = |job: &TerminalJob| !conflict.failed.contains(&job_key(&job.id));
-                archive.wait_again(moving.into_iter().filter(unchanged));
+                archive.requeue(moving.into_iter().filter(unchanged));
             }
-            // It may have been applied, or may be later: the versions show that the next time.
+            // The transaction may have been applied, or may still be. The versions in the next one
+            // reveal that.
             _ => {
-                archive.wait_again(moving.into_iter());
+                archive.requeue(moving.into_iter());
                 archive.retry_at = retry_at;
             }
         }
--- a/crates/controller/src/storage/fencing.rs
+++ b/crates/controller/src/storage/fencing.rs
@@ -1,12 +1,12 @@
-//! Fencing of the leader's writes: each holds only while the leader key is unchanged.
+//! Fencing of the leader's writes, which succeed only while the leader key is unchanged.
 
 use crate::model::records::LEADER_KEY;
 use protocol::state::{CasConflict, Compare};
 
-/// Why a leader steps down whose write was fenced.
+/// Reason for stepping down after a fenced write.
 pub const LEADERSHIP_LOST: &str = "leader key is held by another node";
 
-/// The condition that the leader with this token still leads.
+/// Returns the condition that the leader with this token still leads.
 pub fn leader_compare(fencing_token: u64) -> Compare {
     Compare { key: LEADER_KEY.to_string(), version: fencing_token }
 }
--- a/crates/controller/src/storage/format_agreement.rs
+++ b/crates/controller/src/storage/format_agreement.rs
@@ -1,5 +1,5 @@
-//! The record format that is stored as read by all nodes: the leader raises it, and every node
-//! reads it.
+//! Stored agreement on the record format that all nodes can read. The leader raises it, and every
+//! node reads it.
 
 use crate::leader::state::Role;
 use crate::messages::Time;
@@ -9,29 +9,29 @@
 use protocol::state::{Compare, Item, Mutation, Transaction};
 use tracing::info;
 
-/// The stored format, and the version of its key; both 0 if none is stored.
+/// Stored format and the version of its key; both 0 if none is stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct StoredFormat {
     format: u32,
     version: u64,
 }
 
-/// The record format that is stored as read by all nodes, as a leader knows it.
+/// Leader's knowledge of the agreed record format.
 #[derive(Debug, Default)]
 pub struct FormatAgreement {
-    /// None: not known yet.
+    /// Format as last read or written; None if not known yet.
     stored: Option<StoredFormat>,
     in_flight: bool,
     check_at: Time,
 }
 
 impl FormatAgreement {
-    /// The format that all nodes read; None: not known yet.
+    /// Returns the format that all nodes can read; None if not known yet.
     pub fn agreed(&self) -> Option<u32> {
         self.stored.map(|stored| stored.format)
     }
 
-    /// Whether to check again whether the format can be raised.
+    /// Whether the next check is due; none is needed once the newest format is agreed.
     fn is_check_due(&self, now: Time) -> bool {
         let is_current = self.agreed().is_some_and(|format| format >= FORMAT);
         !self.in_flight && !is_current && now >= self.check_at
@@ -42,7 +42,7 @@
     }
 }
 
-/// The transaction that raises the stored format.
+/// Returns the transaction that raises the stored format.
 fn raise_format(fencing_token: u64, format: u32, version: u64) -> Transaction<Value> {
     let key = FORMAT_KEY.to_string();
     let unchanged = Compare { key: key.clone(), version };
@@ -53,8 +53,8 @@
 }
 
 impl Controller {
-    /// Raises the stored format once every node has reported that it reads a newer one, or the store
-    /// has shown so by what it was asked. What is stored holds from then on.
+    /// Raises the stored format once every node is known to read a newer one. The stored format is
+    /// never lowered.
     pub(crate) fn tick_format_agreement(&mut self) {
         let now = self.now;
         let interval_s = self.timing.renewal_interval_s;
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The reply to the leader's read of the stored format.
+    /// Handles the reply to the leader's read of the stored format.
     pub(crate) fn on_format_read(&mut self, token: u64, reply: StoreReply) {
         let Some(leader) = self.leader_state(token) else { return };
         let agreement = &mut leader.archive.format;
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The reply to the leader's write of a newer format.
+    /// Handles the reply to the leader's write of a newer format.
     pub(crate) fn on_format_write(&mut self, token: u64, format: u32, reply: StoreReply) {
         let Some(leader) = self.leader_state(token) else { return };
         let agreement = &mut leader.archive.format;
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Reads the stored format at any node, until it is known that every node has this version.
+    /// Reads the stored format, on any node, until every node is known to have this version.
     pub(crate) fn tick_format_gate(&mut self) {
         if self.uses_current_format() {
             return;
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The reply to a node's read of the stored format.
+    /// Handles the reply to a node's read of the stored format.
     pub(crate) fn on_format_gate_read(&mut self, reply: StoreReply) {
         self.formats.gate.end(matches!(reply, StoreReply::Item(_) | StoreReply::Missing(_)));
         if matches!(reply, StoreReply::Item(Item { value: Value::Format(format), .. }) if format >= FORMAT) {
--- a/crates/controller/src/storage/format_negotiation.rs
+++ b/crates/controller/src/storage/format_negotiation.rs
@@ -1,24 +1,24 @@
-//! Which format of records and messages every node reads, while old and new versions serve
-//! side by side. `docs/upgrades.md` argues why each opening is safe.
+//! Negotiation of the format of records and messages while nodes of different versions run side by
+//! side. `docs/upgrades.md` explains why enabling each new format is safe.
 
 use crate::messages::Time;
 use crate::model::records::FORMAT;
 use settings::Peer;
 use std::collections::BTreeMap;
 
-/// The formats that the other nodes have reported. A node that has its new version keeps it, so
-/// a report holds for good; a node that has not reported counts as the oldest.
+/// Formats reported by the other nodes. Nodes are never downgraded, so a report remains valid; a node
+/// that has not reported counts as the oldest version.
 #[derive(Debug, Default)]
 pub struct FormatNegotiation {
     reported_formats: BTreeMap<String, u32>,
-    /// Something has shown that all nodes have this version.
+    /// Whether there is evidence that all nodes have this version.
     confirmed: bool,
-    /// This node's reads of the stored format.
+    /// Reads of the stored format by this node.
     pub gate: FormatGateProbe,
 }
 
-/// This node's reads of the format that is stored as read by all nodes. A node that has just started
-/// has no reports of others, and learns it from there.
+/// Reads of the stored agreed format by this node, which has no reports of other nodes when it has
+/// just started.
 #[derive(Debug, Default)]
 pub struct FormatGateProbe {
     in_flight: bool,
@@ -32,8 +32,8 @@
         self.was_answered
     }
 
-    /// Whether to read the stored format `now`. If so, the next read is `interval_s` later, and
-    /// `end` is to be called with the outcome.
+    /// Returns whether to read the stored format at `now`. If so, the next read is due `interval_s`
+    /// later, and the caller must call `end` with the outcome.
     pub fn begin(&mut self, now: Time, interval_s: Time) -> bool {
         if self.in_flight || now < self.probe_at {
             return false;
@@ -43,7 +43,7 @@
         true
     }
 
-    /// A read has ended, with an answer or without.
+    /// Records the end of a read, and whether it was answered.
     pub fn end(&mut self, answered: bool) {
         self.in_flight = false;
         self.was_answered |= answered;
@@ -51,19 +51,19 @@
 }
 
 impl FormatNegotiation {
-    /// Node `node` reads formats up to `format`.
+    /// Records that `node` reads formats up to `format`.
     pub fn record(&mut self, node: &str, format: u32) {
         let reported = self.reported_formats.entry(node.to_string()).or_insert(0);
         *reported = (*reported).max(format);
     }
 
-    /// A request or a refusal was seen that occurs only after all nodes have this version.
-    /// True the first time.
+    /// Records that a request or a refusal was seen that occurs only once all nodes have this
+    /// version. Returns whether this is the first such evidence.
     pub fn confirm(&mut self) -> bool {
         !std::mem::replace(&mut self.confirmed, true)
     }
 
-    /// The newest format that all of `peers` and this node read.
+    /// Returns the newest format that all of `peers` and this node read.
     pub fn common_format(&self, peers: &[Peer]) -> u32 {
         if self.confirmed {
             return FORMAT;
--- a/crates/controller/src/storage/spec_chunks.rs
+++ b/crates/controller/src/storage/spec_chunks.rs
@@ -1,5 +1,5 @@
-//! Jobs whose specification is too large for their record: it is stored beside the record in chunks,
-//! which are written before the record that refers to them.
+//! Chunked storage of job specifications that are too large for the job's record. The chunks are
+//! written before the record that refers to them.
 
 use crate::model::records::{job_key, json_size, terminal_job_key, JobRecord, SpecChunks, Value};
 use crate::storage::store_limits::TARGET_TRANSACTION_BYTES;
@@ -7,39 +7,39 @@
 use protocol::state::{Compare, Mutation, Transaction};
 use std::collections::BTreeMap;
 
-/// Bytes in JSON of a chunk's mutation beside its key and value.
+/// JSON bytes of a chunk's mutation, besides its key and value.
 const PUT_OVERHEAD_BYTES: usize = 40;
-/// Retries of a failed read in a renewal interval of the lease.
+/// Number of retries of a failed read per lease renewal interval.
 const RETRIES_PER_RENEWAL_INTERVAL: f64 = 2.0;
 
-/// The submission that chunks belong to.
+/// Submission that chunks belong to.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Submission {
     job_id: String,
     nonce: String,
 }
 
-/// A chunk as it was read.
+/// Chunk as read from the store.
 struct Chunk {
     key: String,
     text: String,
 }
 
-/// The chunks that a new leader has read, before the records that refer to them.
+/// Chunks read by a new leader before the records that refer to them.
 #[derive(Default)]
 pub struct ChunkReader {
     chunks: BTreeMap<Submission, Vec<Chunk>>,
 }
 
 impl ChunkReader {
-    /// A chunk was listed; chunks come in the order of their keys.
+    /// Adds a listed chunk. Chunks must be added in the order of their keys.
     pub fn add(&mut self, key: &str, text: String) {
         let Some((job_id, nonce)) = SpecChunks::of_key(key) else { return };
         let submission = Submission { job_id: job_id.to_string(), nonce: nonce.to_string() };
         self.chunks.entry(submission).or_default().push(Chunk { key: key.to_string(), text });
     }
 
-    /// Restores the specification of a record; false if its chunks are missing.
+    /// Restores the specification of a record. Returns false if chunks are missing.
     pub fn complete(&mut self, record: &mut JobRecord) -> bool {
         let Some(spec_chunks) = &record.spec_chunks else { return true };
         let submission = Submission { job_id: record.spec.id.clone(), nonce: spec_chunks.nonce.clone() };
@@ -48,8 +48,8 @@
         record.join_spec(&texts)
     }
 
-    /// Keys of chunks that no record refers to and whose submission began before time of day
-    /// `wall_s`: it was given up. (The record of a later one may be about to be written.)
+    /// Returns the keys of chunks that no record refers to and whose submission began before time of
+    /// day `wall_s`, and so was abandoned. The record of a later one may still be written.
     pub fn abandoned_keys(self, wall_s: Time) -> Vec<String> {
         let is_abandoned =
             |submission: &Submission| submission_wall_s(&submission.nonce).is_some_and(|at| at < wall_s);
@@ -61,30 +61,31 @@
     }
 }
 
-/// A nonce for a submission's chunks: its time of day in seconds and a random number.
+/// Creates the nonce of a submission's chunks from its time of day in seconds and a random number.
 pub fn new_nonce(wall_s: Time, random: u32) -> String {
     format!("{:x}-{random:x}", wall_s.max(0.0) as u64)
 }
 
-/// The time of day in a nonce, in seconds.
+/// Returns the time of day in a nonce, in seconds.
 fn submission_wall_s(nonce: &str) -> Option<Time> {
     let (wall_s, _) = nonce.split_once('-')?;
     u64::from_str_radix(wall_s, 16).ok().map(|wall_s| wall_s as Time)
 }
 
-/// The conditions under which a job is new: there is neither a live nor a terminal one of that id.
+/// Returns the conditions that neither a live nor a terminal job with this id exists.
 pub fn new_job_conditions(id: &str) -> Vec<Compare> {
     [job_key(id), terminal_job_key(id)].map(|key| Compare { key, version: 0 }).into()
 }
 
-/// A record whose chunks could not be read, to be tried again.
+/// Record whose chunks could not be read and must be read again.
 pub struct SpecChunkRetry {
     failed_at: Time,
     record: Box<JobRecord>,
     version: u64,
 }
 
-/// Takes the chunks, from the end of `pending`, that fit one transaction; at least one.
+/// Removes from the end of `pending` the chunks that fit one transaction, at least one if there are
+/// any, and returns their mutations.
 fn take_chunks(pending: &mut Vec<(String, Value)>, max_mutations: usize) -> Vec<Mutation<Value>> {
     let mut bytes_left = TARGET_TRANSACTION_BYTES;
     let mut mutations = Vec::new();
@@ -102,7 +103,7 @@
 }
 
 impl Controller {
-    /// Stores the next chunks of a submission, or after the last its record.
+    /// Stores the next chunks of a submission, or its record once all chunks are stored.
     pub(crate) fn store_next_chunks(&mut self, id: &str) {
         let max_mutations = self.store_limits.mutations();
         let mutations = take_chunks(self.client_requests.pending_chunks(id), max_mutations);
@@ -110,29 +111,29 @@
             return self.store_job_record(id);
         }
         self.client_writes.try_acquire(self.now, mutations.len() as f64);
-        // (Without these conditions repetitions of a known submission once left chunks that no
-        // record referred to.)
+        // Without these conditions, a repeated submission of a known job would leave chunks that no
+        // record refers to.
         let txn = Transaction { compares: new_job_conditions(id), mutations };
         self.commit_hedged(CallContext::CreateChunks { id: id.to_string() }, txn);
     }
 
-    /// The reply to a write of chunks.
+    /// Handles the reply to a write of chunks.
     pub(crate) fn on_chunks_stored(&mut self, id: &str, reply: StoreReply) {
         match reply {
             StoreReply::Committed(_) => self.store_next_chunks(id),
-            // No record refers to them yet: the submission is repeated with another nonce.
+            // No record refers to the chunks yet: the submission is retried with another nonce.
             reply => self.on_job_created(id, reply),
         }
     }
 
-    /// Reads the chunks of a record's specification; with a token for the leader, without for a
-    /// status query.
+    /// Reads the chunks of a record's specification, for the leader if there is a `token` and for a
+    /// status query otherwise.
     pub(crate) fn read_spec_chunks(&mut self, token: Option<u64>, record: JobRecord, version: u64) {
         let record = Box::new(record);
         self.list_spec_chunks(token, record, version, Vec::new(), None);
     }
 
-    /// Lists the chunks after key `after`; `pieces` are the texts of those before.
+    /// Lists the chunks after key `after`; `pieces` are the texts of the preceding chunks.
     fn list_spec_chunks(
         &mut self,
         token: Option<u64>,
@@ -147,7 +148,7 @@
         self.call_store(context, StoreRequest::List { prefix, after });
     }
 
-    /// A page of chunks was listed.
+    /// Handles the reply to a listing of chunks.
     pub(crate) fn on_spec_chunks(
         &mut self,
         token: Option<u64>,
@@ -183,18 +184,18 @@
         }
     }
 
-    /// The chunks exist, since the record does, but cannot be read now.
+    /// Handles a failed read of chunks, which exist, since the record does.
     fn on_spec_chunks_failed(&mut self, token: Option<u64>, record: Box<JobRecord>, version: u64) {
         let Some(token) = token else {
             return self.on_job_read_failed(&record.spec.id);
         };
-        // The leader needs the job, and the watch does not show it again.
+        // The leader needs the job, and the watch will not show it again.
         if self.leader_state(token).is_some() {
             self.spec_chunk_retries.push(SpecChunkRetry { failed_at: self.now, record, version });
         }
     }
 
-    /// Reads chunks again that could not be read.
+    /// Retries failed reads of chunks.
     pub(crate) fn tick_spec_chunks(&mut self) {
         let now = self.now;
         let retry_s = self.timing.renewal_interval_s / RETRIES_PER_RENEWAL_INTERVAL;
--- a/crates/controller/src/storage/undecodable.rs
+++ b/crates/controller/src/storage/undecodable.rs
@@ -1,22 +1,22 @@
-//! Stored values that this version cannot read: written by a later version, or damaged. Each is
-//! logged once and left unchanged; what it may hold is never taken for absent.
+//! Stored values that this version cannot decode, because a later version wrote them or because they
+//! are damaged. Each is logged once and left unchanged; its content is never assumed to be absent.
 
 use crate::leader::state::LeaderState;
 use crate::messages::Time;
 use crate::model::job::Job;
-use crate::model::records::{id_of, parse_page_key};
+use crate::model::records::{job_id_of_key, parse_page_key};
 use planner::Resources;
 use protocol::worker::{split_task, TaskState};
 use std::collections::BTreeMap;
 use tracing::warn;
 
-/// What an undecodable job may take of its team's quota, if its own record could be read.
+/// Possible quota usage of an undecodable job whose main record could be decoded.
 struct UndecodableJob {
     team: String,
     resources_per_task: Resources,
     /// Number of tasks that are not done.
     open_tasks: u32,
-    /// By then a machine has reported each of its tasks that was launched, or the task has ended.
+    /// Time by which each launched task of the job has been reported by a machine or has ended.
     unreported_until: Time,
 }
 
@@ -38,38 +38,39 @@
     }
 }
 
-/// Jobs of which some stored value cannot be read. Nothing of theirs is placed or written, and
-/// a machine that runs their tasks takes no other work. Their tasks are not stopped either, unless
-/// the job has ended.
+/// Jobs with a stored value that cannot be decoded. Their tasks are not placed, their records are not
+/// written, and a machine that runs their tasks takes no other work. Running tasks are not stopped
+/// unless the job has ended.
 #[derive(Default)]
 pub struct UndecodableRecords {
     jobs: BTreeMap<String, Option<UndecodableJob>>,
 }
 
 impl UndecodableRecords {
-    /// The value of `key` cannot be read. Returns the id of the job that it belongs to, if any.
+    /// Records that the value of `key` cannot be decoded. Returns the id of the job that it belongs to,
+    /// if any.
     pub fn record(&mut self, key: &str) -> Option<String> {
-        let id = id_of(key).or_else(|| parse_page_key(key).map(|(id, ..)| id));
+        let id = job_id_of_key(key).or_else(|| parse_page_key(key).map(|(id, ..)| id));
         warn!(key, "stored value cannot be decoded, left unchanged");
         let id = id?.to_string();
         self.jobs.entry(id.clone()).or_insert(None);
         Some(id)
     }
 
-    /// Whether some value of the job with that id cannot be read.
+    /// Whether some value of job `id` cannot be decoded.
     pub fn contains_job(&self, id: &str) -> bool {
         !self.jobs.is_empty() && self.jobs.contains_key(id)
     }
 
-    /// Whether all values could be read.
+    /// Whether there are no undecodable jobs.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 }
 
 impl LeaderState {
-    /// The value of `key` cannot be read. Removes its job from the live ones and returns it, as far
-    /// as it was known.
+    /// Records that the value of `key` cannot be decoded. Removes its job from the live jobs and
+    /// returns the job if it was known.
     pub fn quarantine_undecodable(&mut self, key: &str, unreported_until: Time) -> Option<Job> {
         let id = self.undecodable.record(key)?;
         let job = self.cluster.jobs.remove(&id)?;
@@ -78,9 +79,9 @@
         Some(job)
     }
 
-    /// What undecodable jobs use, by team: all their open tasks, and once all that run must have been
-    /// reported, only those that machines report. (Without this count quotas were once
-    /// exceeded.)
+    /// Returns the resources used by undecodable jobs, by team. All open tasks count until every
+    /// running task must have been reported; from then on, only reported tasks count. Without this
+    /// usage, quotas would be exceeded.
     pub fn undecodable_usage(&self, now: Time) -> Vec<(&str, Resources)> {
         let jobs = self.undecodable.jobs.iter().filter_map(|(id, job)| Some((id, job.as_ref()?)));
         jobs.map(|(id, job)| {
@@ -91,7 +92,7 @@
         .collect()
     }
 
-    /// Number of tasks of job `id` that machines report and that have not exited.
+    /// Returns the number of tasks of job `id` that machines report as not exited.
     fn reported_live_tasks(&self, id: &str) -> u32 {
         let reported = self.cluster.machines.values().flat_map(|machine| &machine.tasks);
         let live = reported.filter(|task| task.state != TaskState::Exited);
--- a/crates/controller/src/storage/write_queue.rs
+++ b/crates/controller/src/storage/write_queue.rs
@@ -1,5 +1,5 @@
-//! The leader's writes: one transaction in flight, each fenced by the leader
-//! key's version and by the version of every record it replaces.
+//! Queue of the leader's writes. One transaction is in flight at a time, conditional on the version of
+//! the leader key and of every record that it replaces.
 
 mod due_jobs;
 mod outcome;
@@ -17,32 +17,32 @@
 use protocol::state::{Event, Mutation, Transaction};
 use transaction::{TransactionBuilder, WriteConditions};
 
-/// Part of the store's write rate that the leader may use; the
-/// rest is for submissions and cancellations.
+/// Fraction of the store's write rate that the leader may use; the rest is for submissions and
+/// cancellations.
 pub const LEADER_WRITE_SHARE: f64 = 0.7;
-/// Looks for jobs to be written in a planning interval.
+/// Number of scans for jobs to be written per planning interval.
 const SCANS_PER_PLANNING_INTERVAL: f64 = 50.0;
 
-/// What the leader is writing, and when it may go on.
+/// State of the leader's writes, and the time of the next one.
 pub struct WriteQueue {
     in_flight: Option<InFlightTransaction>,
     last_serial: u64,
-    /// Number of records that are being read back: nothing is written before they are known.
+    /// Number of records being read back. Nothing is written before they are known.
     pub rereads_in_flight: u32,
-    /// Keys whose reread failed, to be read again after `retry_at`.
+    /// Keys whose reread failed and is repeated after `retry_at`.
     failed_rereads: Vec<String>,
     retry_at: Time,
-    /// When to look for jobs to be written next.
+    /// Time of the next scan for jobs to be written.
     scan_at: Time,
-    /// Look for jobs to be written at once.
+    /// Whether to scan for jobs to be written without waiting for `scan_at`.
     pub write_now: bool,
-    /// The store refused a transaction as invalid: jobs are written one by one, to see whose fault
-    /// it was.
+    /// Whether jobs are written one by one, to find out which one made the store refuse a
+    /// transaction as invalid.
     isolate_jobs: bool,
 }
 
 impl WriteQueue {
-    /// The queue of a leader that starts at `now`.
+    /// Creates the queue of a leader that starts at `now`.
     pub fn new(now: Time) -> Self {
         WriteQueue {
             in_flight: None,
@@ -56,12 +56,12 @@
         }
     }
 
-    /// Whether what is stored of job `id` may be changing just now.
-    pub fn unsettled(&self, id: &str) -> bool {
+    /// Whether the stored state of job `id` is not known for certain at present.
+    pub fn is_unsettled(&self, id: &str) -> bool {
         self.rereads_in_flight > 0 || self.in_flight.as_ref().is_some_and(|txn| txn.touches(id))
     }
 
-    /// Whether to look for jobs to be written; if so, the next look is `interval_s` later.
+    /// Returns whether to scan for jobs to be written; if so, the next scan is `interval_s` later.
     fn begin_scan(&mut self, now: Time, interval_s: Time) -> bool {
         let is_blocked = self.in_flight.is_some() || self.rereads_in_flight > 0 || now < self.retry_at;
         if is_blocked || now < self.scan_at && !self.write_now {
@@ -80,7 +80,7 @@
         serial
     }
 
-    /// Keys whose reread failed and is due again.
+    /// Removes and returns the keys whose reread failed, if they are due to be read again.
     fn take_due_rereads(&mut self, now: Time) -> Vec<String> {
         if now < self.retry_at {
             return Vec::new();
@@ -89,24 +89,24 @@
     }
 }
 
-/// A transaction whose outcome is not known yet.
+/// Transaction whose outcome is not known yet.
 struct InFlightTransaction {
     serial: u64,
     entries: Vec<TransactionEntry>,
-    /// The values that it writes, with their keys.
+    /// Values that it writes, with their keys.
     written_values: Vec<(String, Value)>,
 }
 
-/// One job's share of a transaction.
+/// Part of a transaction that belongs to one job.
 struct TransactionEntry {
     job_id: String,
-    /// What of the job it stores.
+    /// Extent of the job's state that it stores.
     write: JobWrite,
-    /// The job has ended, and the transaction moves its record to the terminal ones.
+    /// Whether the job has ended and the transaction archives its record.
     archives: bool,
-    /// The final status that it stores, if it does.
+    /// Final status that it stores, if any.
     final_status: Option<JobStatus>,
-    /// It stores that the job waits for no dependency any more.
+    /// Whether it stores that the job no longer waits for a dependency.
     marks_ready: bool,
 }
 
@@ -115,8 +115,9 @@
         self.entries.iter().any(|entry| entry.job_id == id)
     }
 
-    /// The revision at which all its values were stored, if `events` show that. (They may show
-    /// one job as it is in this transaction, and as an earlier one that was applied late left it.)
+    /// Returns the revision at which all its values were stored, if `events` show it. All of them are
+    /// compared, since a single job may look the same after an earlier transaction that was applied
+    /// late.
     fn stored_at(&self, events: &[Event<Value>]) -> Option<u64> {
         let mut revisions = self.written_values.iter().map(|(key, value)| put_revision(events, key, value));
         let first = revisions.next()??;
@@ -124,7 +125,7 @@
     }
 }
 
-/// The first revision at which `events` show `value` put under `key`.
+/// Returns the first revision at which `events` show a put of `value` under `key`.
 fn put_revision(events: &[Event<Value>], key: &str, value: &Value) -> Option<u64> {
     events.iter().find_map(|event| match event {
         Event::Put { key: put_key, value: put_value, version } if put_key == key && put_value == value => {
@@ -143,7 +144,7 @@
 }
 
 impl Controller {
-    /// Sends the next transaction, if something is due and nothing is in flight.
+    /// Sends the next transaction if a write is due and none is in flight.
     pub(crate) fn tick_write_queue(&mut self) {
         self.resend_failed_rereads();
         if !self.may_act() {
@@ -206,14 +207,14 @@
 }
 
 impl LeaderState {
-    /// While nothing is due: has the most urgent job repaginated whose values, written by an
-    /// earlier version, do not fit the coming limits. One at a time.
+    /// Marks one job for repagination while no write is due: the most urgent one whose values were
+    /// written by an earlier version and may exceed the announced limits.
     fn shrink_oversized_job(&mut self, conditions: &WriteConditions) {
         if !conditions.may_repaginate {
             return;
         }
         let budget = self.fleet.write_budget(conditions.rate);
-        if budget.available_at(conditions.now) < conditions.reserve() {
+        if budget.available_at(conditions.now) < conditions.urgent_reserve() {
             return;
         }
         let oversized = self
--- a/crates/controller/src/storage/write_queue/due_jobs.rs
+++ b/crates/controller/src/storage/write_queue/due_jobs.rs
@@ -1,4 +1,4 @@
-//! Which jobs are to be written, and in what order.
+//! Selection and order of the jobs to be written.
 
 use crate::messages::Time;
 use crate::model::job::Job;
@@ -6,22 +6,22 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// A job that is to be written.
+/// Job to be written.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DueJob {
-    /// The job's id.
+    /// Job id.
     pub id: String,
-    /// Nobody waits for the write: it leaves half of the budget to writes that somebody waits for.
+    /// Whether the write is not urgent, and leaves half of the budget for urgent writes.
     pub is_lazy: bool,
-    /// Rank by priority, the most urgent first; 0 for lazy writes.
+    /// Rank by priority, most urgent first; 0 for lazy writes.
     rank: u8,
-    /// Of urgent writes when the job was ready, of lazy ones since when it is dirty.
+    /// Time at which the job became ready, for urgent writes, or dirty, for lazy writes.
     since: Time,
 }
 
-/// The jobs that are to be written, the most urgent first. Placements and completed jobs are due at
-/// once. Other ends and counts wait for `lazy_delay_s`, so that many of a job share one
-/// write. (In the order of ids, late jobs were once starved by a backlog.)
+/// Returns the jobs to be written, most urgent first. Placements and completed jobs are due
+/// immediately. Other task ends and counts wait for `lazy_delay_s`, so that many changes of a job
+/// share one write. Ordering by job id instead would let a backlog starve jobs that sort late.
 pub fn due_jobs(jobs: &mut BTreeMap<String, Job>, now: Time, lazy_delay_s: Time) -> Vec<DueJob> {
     let mut due = Vec::new();
     for (id, job) in jobs {
@@ -48,8 +48,8 @@
     None
 }
 
-/// Whether the write should not wait. The end of a job that was cancelled with its dependency may:
-/// until then it follows from the dependency's record.
+/// Whether the write must not be delayed. The end of a job that was cancelled along with its
+/// dependency may be: until it is stored, it follows from the dependency's record.
 fn needs_urgent_write(job: &Job) -> bool {
     let follows_from_dependency = job.is_final() && job.placements.is_empty() && !job.is_complete();
     job.persistence.is_urgent() || job.is_final() && !follows_from_dependency
--- a/crates/controller/src/storage/write_queue/outcome.rs
+++ b/crates/controller/src/storage/write_queue/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a transaction.
+//! Handling of the outcome of a transaction.
 
 use super::TransactionEntry;
 use crate::leader::state::LeaderState;
@@ -10,11 +10,11 @@
 use protocol::state::Event;
 use tracing::{debug, warn};
 
-/// Retries of a failed write in a renewal interval of the lease.
+/// Number of retries of a failed write per lease renewal interval.
 const RETRIES_PER_RENEWAL_INTERVAL: f64 = 4.0;
 
 impl Controller {
-    /// The reply to the transaction with that serial number.
+    /// Handles the reply to the transaction with this serial number.
     pub(crate) fn on_commit_reply(&mut self, token: u64, serial: u64, reply: StoreReply) {
         let Some(leader) = self.leader_state(token) else { return };
         let Some(txn) = leader.write_queue.in_flight.take_if(|txn| txn.serial == serial) else { return };
@@ -37,18 +37,18 @@
             }
             StoreReply::Invalid => self.on_transaction_invalid(token, &txn.entries),
             _ => {
-                // It may have been applied, or may be later. The stored
-                // versions show it; a late application fails on them.
+                // The transaction may have been applied, or may still be. The stored versions show
+                // which; if other writes come first, a late application fails on the versions.
                 warn!(serial, "write outcome unknown, reading back");
                 let keys = leader.written_keys(&txn.entries);
                 self.read_back_keys(token, keys);
             }
         }
-        // What is read back keeps its events waiting.
+        // Records stay deferred while keys are being read back.
         self.replay_deferred_records();
     }
 
-    /// Nothing is written or read back again for a while.
+    /// Delays the next write and the next retry of a failed reread.
     pub(super) fn delay_writes(&mut self, token: u64) {
         let retry_at = self.now + self.timing.renewal_interval_s / RETRIES_PER_RENEWAL_INTERVAL;
         if let Some(leader) = self.leader_state(token) {
@@ -56,8 +56,8 @@
         }
     }
 
-    /// The watch may show the transaction in flight before the reply comes, which may be lost.
-    /// (Without this all writes once stopped until the call timed out.)
+    /// Completes the transaction in flight if the watch shows its values before the reply arrives.
+    /// Otherwise a lost reply would block all writes until the call times out.
     pub(crate) fn observe_own_write(&mut self, token: u64, events: &[Event<Value>]) {
         let Some(leader) = self.leader_state(token) else { return };
         let Some(revision) = leader.write_queue.in_flight.as_ref().and_then(|txn| txn.stored_at(events))
@@ -70,7 +70,7 @@
         self.replay_deferred_records();
     }
 
-    /// A transaction with these entries was applied at that revision.
+    /// Updates the jobs after a transaction with these entries was applied at `revision`.
     fn on_transaction_applied(&mut self, token: u64, entries: Vec<TransactionEntry>, revision: u64) {
         if let Some(leader) = self.leader_state(token) {
             for entry in entries.iter().filter(|entry| entry.final_status == Some(JobStatus::Done)) {
@@ -96,8 +96,8 @@
         }
     }
 
-    /// The store refused a transaction as invalid. The jobs are written one by one, which shows
-    /// whose record it was: only that job's writes are suspended, never everybody's.
+    /// Handles the store's refusal of a transaction as invalid. The jobs are then written one by one
+    /// to find the refused record, so that only the writes of that job are suspended.
     fn on_transaction_invalid(&mut self, token: u64, entries: &[TransactionEntry]) {
         let suspended_until = self.now + self.settings.params.workers.lease_s;
         let present = self.store_limits.current_value_bytes();
@@ -134,7 +134,7 @@
         self.cluster.jobs.get(id).is_some_and(exceeds)
     }
 
-    /// The keys that a transaction with these entries writes.
+    /// Returns the keys that a transaction with these entries writes.
     fn written_keys(&self, entries: &[TransactionEntry]) -> Vec<String> {
         let mut keys = Vec::new();
         for entry in entries {
--- a/crates/controller/src/storage/write_queue/page_selection.rs
+++ b/crates/controller/src/storage/write_queue/page_selection.rs
@@ -1,36 +1,36 @@
-//! Which pages of a job go into a transaction.
+//! Selection of the pages of a job for a transaction.
 
 use crate::model::job::Job;
 use crate::storage::store_limits::TARGET_TRANSACTION_BYTES;
 use std::collections::BTreeSet;
 
-/// Bytes in JSON of a page's mutation and condition, beside its value.
+/// JSON bytes of a page's mutation and condition, besides its value.
 const MUTATION_OVERHEAD_BYTES: usize = 200;
 
-/// The pages of a job that a transaction takes.
+/// Pages of a job that go into a transaction.
 #[derive(Debug, PartialEq)]
 pub struct PageSelection {
-    /// The pages, of which there is at least one; 0 stands for the main record.
+    /// Page numbers, at least one; 0 stands for the main record.
     pub pages: BTreeSet<usize>,
-    /// Bytes that they add to the transaction.
+    /// Bytes that the pages add to the transaction.
     pub size_bytes: usize,
 }
 
-/// The pages of `job` that go into a transaction that has `transaction_bytes` so far and room for
-/// `max_mutations`. None: nothing is due, or nothing fits. `all`: also pages that could wait.
+/// Returns the pages of `job` for a transaction that has `transaction_bytes` so far and room for
+/// `max_mutations`; None if nothing is due or nothing fits. `all_pages` includes pages that could wait.
 ///
-/// The main record goes with every write, and other pages as far as the transaction and the rate
-/// have room. (A huge array's pages were once all put into one that the store had to refuse as
-/// too large, again and again, and everybody's writes with it.) Of a new layout the record
-/// comes last: once all others are stored, or together with them.
+/// The main record is part of every write; other pages are added while the transaction and the rate
+/// have room. If all pages of a huge job went into one transaction, the store would refuse it as too
+/// large every time, and so block the writes of all jobs. While the layout changes, the main record
+/// is written last: after all other pages are stored, or together with the last of them.
 pub fn select_pages(
     job: &Job,
-    all: bool,
+    all_pages: bool,
     max_mutations: usize,
     transaction_bytes: usize,
 ) -> Option<PageSelection> {
     let is_changing_layout = job.page_layout.is_changing();
-    let due = job.persistence.pages_due(all || is_changing_layout);
+    let due = job.persistence.pages_due(all_pages || is_changing_layout);
     if due.is_empty() && !job.persistence.is_page_dirty(0) {
         return None;
     }
@@ -41,7 +41,7 @@
     let mut size_bytes = 0;
     if with_record {
         let record_bytes = mutation_bytes(job, 0);
-        // A record that is too large by itself is sent alone, for the store to judge.
+        // A record that exceeds the size by itself is sent alone, and the store decides.
         if transaction_bytes > 0 && !fits(record_bytes) || mark_mutations >= max_mutations {
             return None;
         }
--- a/crates/controller/src/storage/write_queue/read_back.rs
+++ b/crates/controller/src/storage/write_queue/read_back.rs
@@ -1,4 +1,4 @@
-//! Reading records back after a conflict, or a write whose outcome is unknown.
+//! Reread of records after a conflict or a write whose outcome is unknown.
 
 use crate::model::records::{parse_page_key, Value, JOB_PREFIX, MARK_PREFIX};
 use crate::{CallContext, Controller, StoreReply, StoreRequest};
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 impl Controller {
-    /// Reads these keys. Nothing is written before all are known.
+    /// Reads these keys back. Nothing is written before all of them are known.
     pub(super) fn read_back_keys(&mut self, token: u64, keys: Vec<String>) {
         if let Some(leader) = self.leader_state(token) {
             leader.write_queue.rereads_in_flight += keys.len() as u32;
@@ -16,13 +16,13 @@
         }
     }
 
-    /// The reply to a record's reread.
+    /// Handles the reply to the reread of a record.
     pub(crate) fn on_read_back_record(&mut self, token: u64, key: &str, reply: StoreReply) {
         let Some(leader) = self.leader_state(token) else { return };
         let is_known = matches!(reply, StoreReply::Item(_) | StoreReply::Missing(_));
         if !is_known {
-            // Nothing may be written before this is known: ask again, but
-            // not at once, or an outage becomes a storm of reads.
+            // Nothing may be written before this record is known, so the read is repeated, with a
+            // delay: otherwise an outage would cause a storm of reads.
             leader.write_queue.failed_rereads.push(key.to_string());
             return self.delay_writes(token);
         }
@@ -66,16 +66,17 @@
                     self.observe_cancellation_mark(id, mark.status, version);
                 }
             }
-            // (It was once read back and written in turn, for ever, and nothing else was.)
+            // The job is quarantined, or its record would be reread and rewritten in turns forever
+            // and block all other writes.
             Value::Undecodable => drop(leader.quarantine_undecodable(key, unreported_until)),
             _ => {}
         }
     }
 
-    /// A key is missing: a page that was never written, whose version is 0 still; a mark that was
-    /// removed; or a job that has ended, and whose record has moved. By whom and with which status
-    /// is not known. (A leader that was cut off once took its own move, which
-    /// had failed, for done, and called a cancelled job done.)
+    /// Handles a missing key: a page that was never written, whose version remains 0; a cancellation
+    /// mark that was removed; or the record of a job that has ended and was archived. In the last
+    /// case it is not known by whom and with which status: a leader that was cut off must not assume
+    /// that its own move succeeded, or it could report a cancelled job as done.
     fn on_reread_missing(&mut self, token: u64, key: &str, revision: u64) {
         let Some(leader) = self.leader_state(token) else { return };
         if let Some(id) = key.strip_prefix(JOB_PREFIX) {
--- a/crates/controller/src/storage/write_queue/transaction.rs
+++ b/crates/controller/src/storage/write_queue/transaction.rs
@@ -1,4 +1,4 @@
-//! Building a transaction of several jobs' writes.
+//! Construction of a transaction from the writes of several jobs.
 
 use super::due_jobs::DueJob;
 use super::page_selection::select_pages;
@@ -16,41 +16,42 @@
 use std::ops::ControlFlow;
 use tracing::debug;
 
-/// Bytes in JSON of a job's move to the terminal ones, and of each further deletion.
+/// JSON bytes of a job's move to the archive, besides the deletions of its other keys.
 const ARCHIVE_MOVE_BYTES: usize = 400;
+/// JSON bytes of each deletion of another key.
 const DELETION_BYTES: usize = 100;
-/// Mutations of a job's move beside the deletions of its other keys.
+/// Number of mutations of a job's move, besides the deletions of its other keys.
 const ARCHIVE_MOVE_MUTATIONS: usize = 2;
 
-/// What holds for the writes of one tick.
+/// Conditions for the writes of one tick.
 #[derive(Debug, Clone)]
 pub struct WriteConditions {
-    /// Time on this node's steady clock.
+    /// Time on this node's monotonic clock.
     pub now: Time,
-    /// Mutations that a transaction may have.
+    /// Maximum number of mutations in a transaction.
     pub max_mutations: usize,
-    /// Mutations per second that the leader may use.
+    /// Number of mutations per second that the leader may use.
     pub rate: f64,
-    /// Seconds that a write waits for which nobody waits.
+    /// Delay of a write that is not urgent, in seconds.
     pub lazy_delay_s: Time,
-    /// Bytes of a value that the store takes today.
+    /// Maximum size in bytes of a value under the current limits.
     pub current_value_bytes: usize,
-    /// Every node reads the current format, so pages may be divided anew.
+    /// Whether jobs may be repaginated, which requires that every node reads the current format.
     pub may_repaginate: bool,
-    /// Every node reads terminal jobs under their own prefix.
+    /// Whether jobs may be archived, which requires that every node reads archived jobs.
     pub may_archive: bool,
-    /// Only one job per transaction.
+    /// Whether a transaction may contain only one job.
     pub isolate_jobs: bool,
 }
 
 impl WriteConditions {
-    /// Mutations that are left to urgent writes.
-    pub fn reserve(&self) -> f64 {
+    /// Returns the number of mutations reserved for urgent writes.
+    pub fn urgent_reserve(&self) -> f64 {
         self.rate / 2.0
     }
 }
 
-/// A transaction in the making, within the limits of its size and of the write rate.
+/// Builder of a transaction within the limits of size and write rate.
 pub struct TransactionBuilder<'a> {
     conditions: &'a WriteConditions,
     budget: &'a mut RateLimiter,
@@ -61,7 +62,7 @@
 }
 
 impl<'a> TransactionBuilder<'a> {
-    /// An empty transaction of the leader with that token.
+    /// Creates the builder of an empty transaction of the leader with this token.
     pub fn new(
         conditions: &'a WriteConditions,
         budget: &'a mut RateLimiter,
@@ -78,16 +79,16 @@
         }
     }
 
-    /// The transaction and its entries; None if it is empty.
+    /// Returns the transaction and its entries; None if it is empty.
     pub fn finish(self) -> Option<(Transaction<Value>, Vec<TransactionEntry>)> {
         (!self.entries.is_empty()).then_some((self.transaction, self.entries))
     }
 
-    /// Adds what is due of `job` and fits. Breaks if there is no room for further jobs.
+    /// Adds the due writes of `job` that fit. Returns `Break` if there is no room for further jobs.
     pub fn add(&mut self, due: &DueJob, job: &mut Job) -> ControlFlow<()> {
         let conditions = self.conditions;
         let available = self.budget.available_at(conditions.now);
-        let has_reserve = available >= conditions.reserve();
+        let has_reserve = available >= conditions.urgent_reserve();
         let room = conditions.max_mutations - self.transaction.mutations.len();
         let is_isolated = conditions.isolate_jobs && !self.entries.is_empty();
         if room == 0 || due.is_lazy && !has_reserve || is_isolated {
@@ -99,12 +100,12 @@
             self.add_archive_move(job);
             return ControlFlow::Continue(());
         }
-        let is_ripe = job
+        let is_delay_over = job
             .persistence
             .dirty_since
             .is_some_and(|since| conditions.now >= since + conditions.lazy_delay_s);
-        let all = job.is_complete() || is_ripe && has_reserve;
-        let Some(selection) = select_pages(job, all, max_mutations, self.size_bytes) else {
+        let all_pages = job.is_complete() || is_delay_over && has_reserve;
+        let Some(selection) = select_pages(job, all_pages, max_mutations, self.size_bytes) else {
             return ControlFlow::Continue(());
         };
         if !self.budget.try_acquire(conditions.now, selection.pages.len() as f64) {
@@ -115,8 +116,8 @@
         ControlFlow::Continue(())
     }
 
-    /// Divides the job's tasks anew if a value would not fit the coming limits; or, while some node
-    /// may not read that, allows for larger values.
+    /// Repaginates the job if a value would exceed the announced limits or, while some node may not
+    /// be able to read the new layout, allows larger values.
     fn fit_pages(&self, job: &mut Job) {
         if job.is_over() || job.page_layout.is_changing() || !job.needs_repagination() {
             return;
@@ -129,9 +130,9 @@
         }
     }
 
-    /// Whether the job has ended and may move to the terminal ones at once. Otherwise its end is
-    /// stored where it is, which takes one mutation, and it moves later; as does one that a
-    /// live job depends on.
+    /// Whether the job has ended and can be archived by this write. Otherwise its end is stored in
+    /// its live record, which takes one mutation, and it is archived later. The same goes for a job
+    /// that a live job depends on.
     fn can_archive(&self, job: &Job, max_mutations: usize) -> bool {
         self.conditions.may_archive
             && job.is_over()
@@ -183,7 +184,7 @@
         });
     }
 
-    /// The main record takes the place of a cancellation mark.
+    /// Deletes the cancellation mark that the main record replaces.
     fn replace_cancellation_mark(&mut self, job: &Job) {
         let id = &job.spec.id;
         self.transaction.compares.extend(job.cancellation_mark.compare(id));
