--- a/crates/controller/src/model/records.rs
+++ b/crates/controller/src/model/records.rs
@@ -1,5 +1,5 @@
-//! What the controllers keep in the store, and under which keys. `docs/upgrades.md`
-//! says which version reads and writes which format.
+//! Records that the controllers keep in the store, and their keys. `docs/upgrades.md` lists the
+//! formats that each version reads and writes.
 
 mod completion_bits;
 mod json_size;
@@ -16,8 +16,8 @@
 pub use specification::{catalogue_chunks, parse_catalogue, spec_stub, SpecChunks, SPEC_CHUNKS_FIELD_BYTES};
 pub use values::*;
 
-/// The record format that this version reads and writes. 2: terminal jobs are stored apart from
-/// live ones. 3: pages have layouts, and jobs have dependencies.
+/// Record format that this version reads and writes. Format 2 stores terminal jobs apart from live
+/// jobs; format 3 adds page layouts and job dependencies.
 pub const FORMAT: u32 = 3;
-/// From this format on, terminal jobs may be moved to their own prefix.
+/// First format in which terminal jobs may be archived under their own prefix.
 pub const ARCHIVE_FORMAT: u32 = 2;
--- a/crates/controller/src/model/records/completion_bits.rs
+++ b/crates/controller/src/model/records/completion_bits.rs
@@ -1,8 +1,8 @@
-//! Completion bits of tasks as text: four to a hexadecimal digit, lowest task first.
+//! Text encoding of the tasks' completion bits: four bits per hexadecimal digit, lowest task first.
 
 const BITS_PER_DIGIT: usize = 4;
 
-/// The text of `bits`.
+/// Returns the text encoding of `bits`.
 pub fn pack_bits(bits: &[bool]) -> String {
     bits.chunks(BITS_PER_DIGIT).map(pack_digit).collect()
 }
@@ -12,8 +12,8 @@
     char::from_digit(value, 16).unwrap_or('0')
 }
 
-/// Sets the bits that are set in `text`; never clears one. Digits that are not hexadecimal count as
-/// zero, and bits beyond the end of `bits` are ignored.
+/// Sets the bits that are set in `text`, and clears none. Characters that are not hexadecimal digits
+/// count as zero, and bits beyond the end of `bits` are ignored.
 pub fn merge_bits(bits: &mut [bool], text: &str) {
     for (digit, group) in text.chars().zip(bits.chunks_mut(BITS_PER_DIGIT)) {
         let value = digit.to_digit(16).unwrap_or(0);
--- a/crates/controller/src/model/records/json_size.rs
+++ b/crates/controller/src/model/records/json_size.rs
@@ -1,15 +1,15 @@
-//! The size of a value as the store counts it: bytes in JSON.
+//! Size of a value as the store counts it: the number of bytes in JSON.
 
 use serde::Serialize;
 use serde_json::ser::Formatter;
 use std::io::{self, Write};
 
-/// The size of a value that cannot be written as JSON, which is never stored: larger than every
-/// limit, and small enough to be added to.
+/// Size of a value that cannot be serialized as JSON, and so is never stored. It exceeds every limit,
+/// and is small enough that sums do not overflow.
 const UNSERIALIZABLE_SIZE: usize = usize::MAX / 4;
 
-/// Bytes of `value` in JSON, with a space after every comma and colon, since some versions of the
-/// store write it so.
+/// Returns the number of bytes of `value` in JSON, with a space after every comma and colon, as some
+/// versions of the store write it.
 pub fn json_size<T: Serialize>(value: &T) -> usize {
     let mut serializer = serde_json::Serializer::with_formatter(ByteCounter(0), SpacedFormatter);
     match value.serialize(&mut serializer) {
@@ -18,7 +18,7 @@
     }
 }
 
-/// JSON with a space after every comma and colon.
+/// JSON formatter that adds a space after every comma and colon.
 struct SpacedFormatter;
 
 impl SpacedFormatter {
@@ -45,7 +45,7 @@
     }
 }
 
-/// A writer that counts bytes and drops them.
+/// Writer that counts and discards bytes.
 struct ByteCounter(usize);
 
 impl Write for ByteCounter {
--- a/crates/controller/src/model/records/values.rs
+++ b/crates/controller/src/model/records/values.rs
@@ -1,5 +1,5 @@
-//! The stored values. Field names in the store differ from those in the code where serde says so,
-//! and never change.
+//! Stored values. The field names in the store never change; where they differ from those in the code,
+//! serde attributes name them.
 
 use super::json_size;
 use super::page_size::tasks_per_page;
@@ -9,89 +9,89 @@
 use serde::ser::SerializeTuple;
 use serde::{Deserialize, Serialize, Serializer};
 
-/// Bytes by which the names of statuses differ, at most.
+/// Upper bound of the difference in length between status names, in bytes.
 const STATUS_BYTES: usize = 8;
-/// Most machines that a job's record remembers for their images.
+/// Maximum number of machines that a job's record lists as holding its image.
 pub const MAX_MACHINES_WITH_IMAGE: usize = 40;
-/// Bytes of a stored placement in JSON beside its numbers and its machine's name.
+/// JSON bytes of a stored placement besides its numbers and its machine's name.
 const PLACEMENT_OVERHEAD_BYTES: usize = 10;
 
-/// Any stored value. It is stored as a map whose only key names the variant.
+/// Stored value of any kind, encoded as a map whose only key names the variant.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Value {
-    /// Who leads.
+    /// Current leader.
     Leader(LeaderRecord),
-    /// The catalogue of machine types.
+    /// Machine type catalogue.
     Types(Vec<MachineType>),
-    /// A live job.
+    /// Live job.
     Job(Box<JobRecord>),
-    /// A page of a live job's tasks.
+    /// Page of a live job's tasks.
     Page(PageRecord),
-    /// A terminal job, or a cancellation mark.
+    /// Terminal job, or cancellation mark.
     #[serde(rename = "Over")]
     Terminal(TerminalRecord),
-    /// A part of the machines' images.
+    /// Part of the images that the machines hold.
     Images(ImagesRecord),
-    /// The record format that all nodes can read.
+    /// Record format that all nodes can read.
     Format(u32),
-    /// A chunk of a specification's or the catalogue's text.
+    /// Chunk of the text of a specification or of the machine type catalogue.
     #[serde(rename = "Part")]
     SpecChunk(String),
-    /// A value that this version cannot read; never written.
+    /// Value that this version cannot decode; never written.
     #[serde(skip)]
     Undecodable,
 }
 
-/// Who leads. The version of its key is the fencing token.
+/// Record of the current leader. The version of its key is the fencing token.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The leader's node id.
+    /// Node id of the leader.
     pub node: String,
-    /// Time of day of its election, in seconds; 0 from versions that do not say.
+    /// Time of day of the election, in seconds; 0 if written by a version without this field.
     #[serde(default)]
     #[serde(rename = "at")]
     pub elected_wall_s: f64,
-    /// How often in a row this node succeeded an earlier process of its own that had
-    /// not led for long.
+    /// Number of consecutive elections in which this node succeeded an earlier process of its own
+    /// that had not led for long.
     #[serde(default)]
     #[serde(rename = "again")]
     pub quick_restarts: u32,
-    /// The store's lease that the election was made with; 0 from versions that do not say.
+    /// Store lease of the election; 0 if written by a version without this field.
     #[serde(default)]
     pub lease: u64,
 }
 
-/// A terminal job: all that users can still ask about it.
+/// Terminal job, reduced to what users can still query.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TerminalRecord {
-    /// How it ended.
+    /// Final status.
     pub status: JobStatus,
-    /// Number of its tasks that are done.
+    /// Number of completed tasks.
     pub done: u32,
     /// Time of day of the submission, in seconds.
     #[serde(rename = "at")]
     pub submitted_wall_s: f64,
 }
 
-/// The images that some machines hold, the latest first.
+/// Images held by some of the machines, the most recent first.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ImagesRecord {
-    /// Names and sizes in GB.
+    /// Image names and sizes in GB.
     pub images: Vec<(String, f64)>,
     /// Machines, each with indices into `images`.
     pub machines: Vec<(String, Vec<u32>)>,
 }
 
-/// A task's placement: stored before its launch, removed only on proof that the task is gone.
-/// Stored as a list, which takes half the bytes of a map; maps of earlier versions are
-/// read as well.
+/// Placement of a task, stored before the task's launch and removed only on proof that the task has
+/// ended. It is encoded as a list, which takes half the bytes of a map; maps written by earlier
+/// versions are also read.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct StoredPlacement {
-    /// The task's index in its job.
+    /// Index of the task in its job.
     pub task: u32,
-    /// The attempt number.
+    /// Attempt number.
     pub attempt: u64,
-    /// The machine's id.
+    /// Machine id.
     pub machine: String,
 }
 
@@ -106,7 +106,7 @@
 }
 
 impl StoredPlacement {
-    /// Bytes in JSON, at most: both numbers, the name, and the punctuation around them.
+    /// Returns an upper bound of its JSON bytes: both numbers, the name, and the punctuation.
     pub fn size(task: u32, attempt: u64, machine: &str) -> usize {
         decimal_digits(u64::from(task)) + decimal_digits(attempt) + machine.len() + PLACEMENT_OVERHEAD_BYTES
     }
@@ -116,54 +116,55 @@
     number.checked_ilog10().unwrap_or(0) as usize + 1
 }
 
-/// A page of a job's tasks.
+/// Page of a job's tasks.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct PageRecord {
-    /// Completion bits, four to a hexadecimal digit, lowest task first.
+    /// Completion bits, four per hexadecimal digit, lowest task first.
     pub done: String,
     /// Placements of the page's tasks.
     #[serde(rename = "places")]
     pub placements: Vec<StoredPlacement>,
 }
 
-/// A live job. Its first page of tasks is part of the record, so that a job of
-/// ordinary size is one key.
+/// Record of a live job. The first page of tasks is part of the record, so that a job of ordinary
+/// size takes only one key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The specification, or its stub if the whole is stored in chunks.
+    /// Specification, or its stub if the complete specification is stored in chunks.
     pub spec: JobSpec,
     /// Time of day of the submission, in seconds.
     #[serde(rename = "at")]
     pub submitted_wall_s: f64,
-    /// The status as users see it.
+    /// Status as shown to users.
     pub status: JobStatus,
-    /// Number of tasks that are done.
+    /// Number of completed tasks.
     pub done: u32,
-    /// Number of tasks that run.
+    /// Number of running tasks.
     pub running: u32,
-    /// Highest attempt number given out.
+    /// Highest attempt number assigned so far.
     pub attempt: u64,
-    /// Tasks per page; stored so that other settings do not change how pages are read.
+    /// Number of tasks per page, stored so that a change of the settings does not affect how pages are
+    /// read.
     pub per_page: u32,
-    /// The first page of tasks.
+    /// First page of tasks.
     #[serde(rename = "page")]
     pub first_page: PageRecord,
-    /// Machines that its tasks ran on and that so have its image; a new leader
-    /// learns from it which images idle machines hold.
+    /// Machines that ran its tasks and so hold its image. From this list, a new leader learns which
+    /// images idle machines hold.
     #[serde(default)]
     #[serde(rename = "ran_on")]
     pub machines_with_image: Vec<String>,
-    /// Time of day when the last of its dependencies was known to be done, in seconds. None:
-    /// it has none, or still waits.
+    /// Time of day, in seconds, at which the last of its dependencies was known to be done; None if
+    /// it has no dependencies or still waits for them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "freed_at")]
     pub ready_wall_s: Option<f64>,
-    /// Where its specification is stored, if that is too large for a record: `spec` is a stub
-    /// then.
+    /// Reference to the chunks of its specification if that is too large for a record; `spec` is then
+    /// a stub.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "parts")]
     pub spec_chunks: Option<SpecChunks>,
-    /// Number of its current page layout: pages of others do not count.
+    /// Number of its current page layout; pages of other layouts are ignored.
     #[serde(default, skip_serializing_if = "is_first_layout")]
     pub layout: u32,
 }
@@ -173,8 +174,8 @@
 }
 
 impl JobRecord {
-    /// A job that was submitted at that time of day (seconds), where a value may take
-    /// `max_value_bytes`.
+    /// Creates the record of a job submitted at time of day `submitted_wall_s` (seconds), where a
+    /// value may take `max_value_bytes`.
     pub fn new(spec: JobSpec, submitted_wall_s: f64, max_value_bytes: usize) -> Self {
         JobRecord {
             per_page: tasks_per_page(max_value_bytes, json_size(&spec)),
@@ -192,19 +193,19 @@
         }
     }
 
-    /// The record without its optional hints, to make it smaller.
+    /// Returns the record without its optional hints, which makes it smaller.
     pub fn trimmed(mut self) -> Self {
         self.machines_with_image.clear();
         self
     }
 
-    /// Whether its cancellation may be stored as a mark beside it, where a value may take
-    /// `max_value_bytes`: the new status may not fit the record.
+    /// Whether its cancellation may be stored as a separate mark, because the record with the new
+    /// status may exceed `max_value_bytes`.
     pub fn may_have_cancellation_mark(&self, max_value_bytes: usize) -> bool {
         json_size(self) + STATUS_BYTES > max_value_bytes
     }
 
-    /// The jobs that it still waits for, as far as the record shows.
+    /// Returns the jobs that it still waits for, as far as the record shows.
     pub fn dependencies(&self) -> &[String] {
         if self.ready_wall_s.is_some() || self.status.is_final() {
             return &[];
--- a/crates/controller/src/storage/spec_chunks.rs
+++ b/crates/controller/src/storage/spec_chunks.rs
@@ -34,7 +34,7 @@
 impl ChunkReader {
     /// Adds a listed chunk. Chunks must be added in the order of their keys.
     pub fn add(&mut self, key: &str, text: String) {
-        let Some((job_id, nonce)) = SpecChunks::of_key(key) else { return };
+        let Some((job_id, nonce)) = SpecChunks::parse_key(key) else { return };
         let submission = Submission { job_id: job_id.to_string(), nonce: nonce.to_string() };
         self.chunks.entry(submission).or_default().push(Chunk { key: key.to_string(), text });
     }
