--- a/crates/controller/src/election/campaign.rs
+++ b/crates/controller/src/election/campaign.rs
@@ -117,7 +117,7 @@
     }
 
     /// Becomes leader if the leader key, read with version `token`, shows this node's own claim.
-    pub(super) fn observe_own_campaign(&mut self, leader: &LeaderRecord, token: u64) {
+    pub(super) fn observe_own_claim(&mut self, leader: &LeaderRecord, token: u64) {
         if leader.node != self.settings.node {
             return;
         }
--- a/crates/controller/src/election/leader_watch.rs
+++ b/crates/controller/src/election/leader_watch.rs
@@ -88,7 +88,7 @@
     /// been superseded.
     fn observe_leader(&mut self, leader: Option<ObservedLeader>) {
         if let Some(leader) = &leader {
-            self.observe_own_campaign(&leader.record, leader.token);
+            self.observe_own_claim(&leader.record, leader.token);
         }
         self.election.previous_incarnation.observe_leader(&self.settings.node, leader.as_ref());
         if self.is_superseded_by(leader.as_ref()) {
@@ -103,12 +103,12 @@
         observed.is_none_or(|observed| observed.token > leader.fencing_token)
     }
 
-    /// Records a fencing token reported by `by`, another node or a worker. A leader with a lower
+    /// Records a fencing token reported by `reporter`, another node or a worker. A leader with a lower
     /// token has been replaced and steps down.
-    pub(crate) fn observe_token(&mut self, token: u64, by: &str) {
+    pub(crate) fn observe_token(&mut self, token: u64, reporter: &str) {
         self.election.last_reported_token = self.election.last_reported_token.max(token);
         if matches!(&self.role, Role::Leader(leader) if leader.fencing_token < token) {
-            info!(newer = token, by, "newer leader observed");
+            info!(newer = token, by = reporter, "newer leader observed");
             self.step_down("newer leader observed");
         }
     }
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -8,7 +8,7 @@
     parse_page_key, ImagesRecord, JobRecord, PageRecord, TerminalRecord, Value, IMAGES_PREFIX, JOB_PREFIX,
     MARK_PREFIX, PAGE_PREFIX, SPEC_CHUNK_PREFIX,
 };
-use crate::storage::archive::{over_record, TerminalJob};
+use crate::storage::archive::{terminal_record, TerminalJob};
 use crate::storage::spec_chunks::ChunkReader;
 use crate::storage::store_limits::StoreLimits;
 use crate::{CallContext, Controller, StoreReply, StoreRequest};
@@ -17,11 +17,11 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-/// Age from which a job's record no longer indicates which images the machines hold, in seconds
-/// since its submission.
+/// Age of a job, in seconds since its submission, from which its record no longer indicates which
+/// images the machines hold.
 const MAX_IMAGE_AGE_S: f64 = 3600.0;
 
-/// Number of tasks that the record of any job can hold. Further tasks may be in separate pages.
+/// Minimum number of tasks that a job's record holds as its first page, whatever its `per_page`.
 const MIN_TASKS_PER_PAGE: u32 = 4;
 
 /// Phases of recovery, one for each kind of stored record, in the order in which they are read.
@@ -183,7 +183,7 @@
     fn recover_undecodable(&mut self, key: &str, context: &RecoveryContext, outcome: &mut PageOutcome) {
         let job = self.quarantine_undecodable(key, context.unreported_until);
         if let Some(job) = job.filter(Job::is_final) {
-            let terminal = over_record(job.status, job.done_count, job.submitted_wall_s);
+            let terminal = terminal_record(job.status, job.done_count, job.submitted_wall_s);
             outcome.terminal_states.push((job.spec.id, terminal));
         }
     }
@@ -289,7 +289,7 @@
     }
 }
 
-/// Whether a job is terminal and has no placements, on its own page or possibly on others.
+/// Whether a job is terminal and certainly has no placements, neither in its record nor on other pages.
 fn is_settled(record: &JobRecord) -> bool {
     let one_page = record.spec.tasks <= record.per_page.max(MIN_TASKS_PER_PAGE);
     record.status.is_final() && record.first_page.placements.is_empty() && one_page
@@ -346,7 +346,7 @@
             self.terminal_states.insert(&terminal_job.id, terminal.status, terminal.done);
             self.archive_job(terminal_job);
         }
-        if self.has_recovered_as(token) {
+        if self.is_recovered_leader(token) {
             self.settle_all_terminal();
             self.build_graph();
         }
@@ -355,12 +355,12 @@
             self.record_arrival(&arrival.spec, arrival.submitted_at);
         }
         self.register_machines_of_placements();
-        if self.has_recovered_as(token) {
+        if self.is_recovered_leader(token) {
             self.process_early_heartbeats();
         }
     }
 
-    fn has_recovered_as(&mut self, token: u64) -> bool {
+    fn is_recovered_leader(&mut self, token: u64) -> bool {
         self.leader_state(token).is_some_and(|leader| leader.recovery.finished)
     }
 }
--- a/crates/controller/src/leader/summary.rs
+++ b/crates/controller/src/leader/summary.rs
@@ -89,8 +89,8 @@
     pub(super) fn log_summary(&mut self) {
         let now = self.now;
         let interval_s = self.settings.params.workers.lease_s;
-        let here = self.sharding.worker_count;
-        let ceiling = self.worker_capacity();
+        let worker_count = self.sharding.worker_count;
+        let worker_capacity = self.worker_capacity();
         let Role::Leader(leader) = &mut self.role else { return };
         if now < leader.log_summary_at {
             return;
@@ -114,8 +114,8 @@
             up,
             booting,
             ?pools,
-            here,
-            ceiling,
+            here = worker_count,
+            ceiling = worker_capacity,
             "tasks"
         );
     }
--- a/crates/controller/src/leader/terminal_jobs.rs
+++ b/crates/controller/src/leader/terminal_jobs.rs
@@ -4,7 +4,7 @@
 use crate::messages::Time;
 use crate::model::job::Job;
 use crate::model::records::JobRecord;
-use crate::storage::archive::{over_record, TerminalJob};
+use crate::storage::archive::{terminal_record, TerminalJob};
 use crate::Controller;
 use protocol::job::JobStatus;
 use tracing::info;
@@ -15,7 +15,7 @@
     TerminalJob {
         id: id.to_string(),
         version,
-        record: over_record(record.status, record.done, record.submitted_wall_s),
+        record: terminal_record(record.status, record.done, record.submitted_wall_s),
         keys: record.spec_chunks.iter().flat_map(|chunks| chunks.keys(id)).collect(),
     }
 }
--- a/crates/controller/src/model/records/values.rs
+++ b/crates/controller/src/model/records/values.rs
@@ -9,8 +9,8 @@
 use serde::ser::SerializeTuple;
 use serde::{Deserialize, Serialize, Serializer};
 
-/// Upper bound of the difference in length between status names, in bytes.
-const STATUS_BYTES: usize = 8;
+/// Maximum number of bytes by which a record grows when its status changes to a longer name.
+const MAX_STATUS_GROWTH_BYTES: usize = 8;
 /// Maximum number of machines that a job's record lists as holding its image.
 pub const MAX_MACHINES_WITH_IMAGE: usize = 40;
 /// JSON bytes of a stored placement besides its numbers and its machine's name.
@@ -202,7 +202,7 @@
     /// Whether its cancellation may be stored as a separate mark, because the record with the new
     /// status may exceed `max_value_bytes`.
     pub fn may_have_cancellation_mark(&self, max_value_bytes: usize) -> bool {
-        json_size(self) + STATUS_BYTES > max_value_bytes
+        json_size(self) + MAX_STATUS_GROWTH_BYTES > max_value_bytes
     }
 
     /// Returns the jobs that it still waits for, as far as the record shows.
--- a/crates/controller/src/storage/archive.rs
+++ b/crates/controller/src/storage/archive.rs
@@ -39,7 +39,7 @@
         TerminalJob {
             id: job.spec.id.clone(),
             version: job.version,
-            record: over_record(job.status, job.done_count, job.submitted_wall_s),
+            record: terminal_record(job.status, job.done_count, job.submitted_wall_s),
             keys: job.keys_beside_record(),
         }
     }
@@ -47,7 +47,7 @@
 
 /// Returns the record of a terminal job with `done` completed tasks, submitted at time of day
 /// `submitted_wall_s` in seconds.
-pub fn over_record(status: JobStatus, done: u32, submitted_wall_s: f64) -> TerminalRecord {
+pub fn terminal_record(status: JobStatus, done: u32, submitted_wall_s: f64) -> TerminalRecord {
     TerminalRecord { status, done, submitted_wall_s }
 }
 
--- a/crates/controller/src/storage/archive/machine_images.rs
+++ b/crates/controller/src/storage/archive/machine_images.rs
@@ -105,8 +105,8 @@
     let mut size = machine.id.len() + MACHINE_OVERHEAD_BYTES;
     let mut indices = Vec::new();
     for (name, gb) in &machine.images {
-        let known = part.images.iter().position(|(known_name, _)| known_name == name);
-        let index = known.unwrap_or_else(|| {
+        let existing_index = part.images.iter().position(|(existing_name, _)| existing_name == name);
+        let index = existing_index.unwrap_or_else(|| {
             size += name.len() + IMAGE_OVERHEAD_BYTES;
             part.images.push((name.clone(), *gb));
             part.images.len() - 1
@@ -135,9 +135,9 @@
         if budget.available_at(now) < rate / 2.0 {
             return;
         }
-        let held = leader.cluster.images_held(MAX_IMAGES_PER_MACHINE);
+        let machine_images = leader.cluster.images_held(MAX_IMAGES_PER_MACHINE);
         let images = &mut leader.archive.images;
-        let Some((part, record)) = images.first_changed(split_into_parts(&held, max_bytes)) else {
+        let Some((part, record)) = images.first_changed(split_into_parts(&machine_images, max_bytes)) else {
             images.check_at = now + interval_s;
             return;
         };
--- a/crates/controller/src/storage/archive/moves.rs
+++ b/crates/controller/src/storage/archive/moves.rs
@@ -51,7 +51,7 @@
     }
 
     /// Creates the complete move of a live job that has just ended.
-    pub fn of_live_job(job: &Job) -> Self {
+    pub fn for_live_job(job: &Job) -> Self {
         let mut archive_move = ArchiveMove::new(&TerminalJob::from_job(job), usize::MAX);
         archive_move.compares.extend(job.cancellation_mark.compare(&job.spec.id));
         archive_move
--- a/crates/controller/src/storage/format_agreement.rs
+++ b/crates/controller/src/storage/format_agreement.rs
@@ -65,17 +65,17 @@
             return;
         }
         agreement.check_at = now + interval_s;
-        let common = self.formats.common_format(&self.settings.peers);
+        let common_format = self.formats.common_format(&self.settings.peers);
         match agreement.stored {
             None => {
                 agreement.in_flight = true;
                 let request = StoreRequest::Get(FORMAT_KEY.to_string());
                 self.call_store(CallContext::FormatRead { token }, request);
             }
-            Some(stored) if common > stored.format => {
+            Some(stored) if common_format > stored.format => {
                 agreement.in_flight = true;
-                let request = StoreRequest::Commit(raise_format(token, common, stored.version));
-                self.call_store(CallContext::FormatWrite { token, format: common }, request);
+                let request = StoreRequest::Commit(raise_format(token, common_format, stored.version));
+                self.call_store(CallContext::FormatWrite { token, format: common_format }, request);
             }
             Some(_) => {}
         }
--- a/crates/controller/src/storage/spec_chunks.rs
+++ b/crates/controller/src/storage/spec_chunks.rs
@@ -51,8 +51,9 @@
     /// Returns the keys of chunks that no record refers to and whose submission began before time of
     /// day `wall_s`, and so was abandoned. The record of a later one may still be written.
     pub fn abandoned_keys(self, wall_s: Time) -> Vec<String> {
-        let is_abandoned =
-            |submission: &Submission| submission_wall_s(&submission.nonce).is_some_and(|at| at < wall_s);
+        let is_abandoned = |submission: &Submission| {
+            submission_wall_s(&submission.nonce).is_some_and(|began_wall_s| began_wall_s < wall_s)
+        };
         self.chunks
             .into_iter()
             .filter(|(submission, _)| is_abandoned(submission))
--- a/crates/controller/src/storage/store_limits.rs
+++ b/crates/controller/src/storage/store_limits.rs
@@ -70,10 +70,14 @@
     /// Lowers the rate after the store refused a write for its rate: first to the announced rate, then
     /// step by step to half of that. Returns whether the rate has changed.
     pub fn on_rate_limited(&mut self) -> bool {
-        let before = self.rate;
+        let previous_rate = self.rate;
         let announced = self.settings.effective_write_rps();
-        self.rate = if before > announced { announced } else { (before * RATE_BACKOFF).max(announced / 2.0) };
-        self.rate < before
+        self.rate = if previous_rate > announced {
+            announced
+        } else {
+            (previous_rate * RATE_BACKOFF).max(announced / 2.0)
+        };
+        self.rate < previous_rate
     }
 
     /// Records that the store refused a write for its size, so that the announced limits are in
--- a/crates/controller/src/storage/write_queue/outcome.rs
+++ b/crates/controller/src/storage/write_queue/outcome.rs
@@ -100,7 +100,7 @@
     /// to find the refused record, so that only the writes of that job are suspended.
     fn on_transaction_invalid(&mut self, token: u64, entries: &[TransactionEntry]) {
         let suspended_until = self.now + self.settings.params.workers.lease_s;
-        let present = self.store_limits.current_value_bytes();
+        let current_value_bytes = self.store_limits.current_value_bytes();
         let Some(leader) = self.leader_state(token) else { return };
         let exceeds_next_limit = entries.iter().any(|entry| leader.may_exceed_next_limit(&entry.job_id));
         if exceeds_next_limit {
@@ -113,7 +113,7 @@
             return;
         }
         let [entry] = entries else { return };
-        warn!(job = %entry.job_id, present, "state service refused the record of a job as invalid, its writes are suspended");
+        warn!(job = %entry.job_id, present = current_value_bytes, "state service refused the record of a job as invalid, its writes are suspended");
         if let Some(job) = leader.cluster.jobs.get_mut(&entry.job_id) {
             job.persistence.write_suspended_until = suspended_until;
         }
--- a/crates/controller/src/storage/write_queue/transaction.rs
+++ b/crates/controller/src/storage/write_queue/transaction.rs
@@ -144,7 +144,7 @@
         if !job.is_final() {
             job.status = JobStatus::Done;
         }
-        let archive_move = ArchiveMove::of_live_job(job);
+        let archive_move = ArchiveMove::for_live_job(job);
         let mutation_count = archive_move.mutations.len();
         self.budget.try_acquire(self.conditions.now, mutation_count as f64);
         self.size_bytes += ARCHIVE_MOVE_BYTES + DELETION_BYTES * (mutation_count - ARCHIVE_MOVE_MUTATIONS);
