--- a/crates/simulation/tests/version_compatibility.rs
+++ b/crates/simulation/tests/version_compatibility.rs
@@ -75,7 +75,7 @@
     }
 
     /// What production's keys of pages look like; another is passed over.
-    pub fn parse_page_key(key: &str) -> Option<(&str, usize)> {
+    pub fn page_of_key(key: &str) -> Option<(&str, usize)> {
         let (id, number) = key.strip_prefix("t/")?.rsplit_once('/')?;
         Some((id, number.parse().ok()?))
     }
@@ -145,7 +145,7 @@
         let read = protocol::decode::<frozen::Value>(&bytes).unwrap_or_else(|e| panic!("{key}: {e}"));
         assert_eq!(protocol::encode(&read), bytes, "{key} loses something");
         let known = ["a/", "j/", "jo/", "i/", "f/format"].iter().any(|p| key.starts_with(p));
-        assert!(known || frozen::parse_page_key(key).is_some(), "{key}");
+        assert!(known || frozen::page_of_key(key).is_some(), "{key}");
         let format = matches!(value, Value::Format(f) if *f > ARCHIVE_FORMAT);
         assert!(!format, "the gate is open while a node has the version before");
     }
