--- a/crates/controller/src/agents.rs
+++ b/crates/controller/src/agents.rs
@@ -1,5 +1,5 @@
-//! The leader's dealings with the workers' agents: heartbeats and what they prove, responses with
-//! commands, failure detection, and kills.
+//! The leader's interaction with the agents on the workers: heartbeat ingestion and
+//! reconciliation, responses with commands, failure detection, and kills.
 
 pub(crate) mod early_heartbeats;
 pub(crate) mod failure_attribution;
--- a/crates/controller/src/agents/early_heartbeats.rs
+++ b/crates/controller/src/agents/early_heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats that reach a new leader before it has read the stored records. They can't be
-//! responded to yet: a response renews the worker's lease, and the leader doesn't know which
+//! Heartbeats that reach a new leader before it has read the stored records. The leader can't
+//! respond to them yet: a response renews the worker's lease, and the leader doesn't know which
 //! tasks were cancelled.
 
 use crate::messages::{RequestId, Time};
@@ -16,14 +16,15 @@
 #[derive(Default)]
 pub struct HeartbeatsBeforeRecovery {
     waiting: BTreeMap<String, EarlyHeartbeat>,
-    /// A lower bound of all deadlines, so that most ticks need no scan.
+    /// A lower bound of all deadlines, which spares most ticks a scan.
     next_deadline: Time,
 }
 
 impl HeartbeatsBeforeRecovery {
-    /// Keeps a heartbeat until `deadline`, the newest of each machine, and returns the request
-    /// that is superseded: an older one's, or its own if a newer heartbeat waits already. (A
-    /// delayed duplicate once replaced the heartbeat whose worker was waiting.)
+    /// Keeps the newest heartbeat of each machine until its `deadline`. Returns the superseded
+    /// request, if any: that of an older heartbeat, or `request` itself if a newer heartbeat
+    /// already waits. Without this comparison, a delayed duplicate replaced the heartbeat whose
+    /// worker was still waiting.
     pub fn insert(&mut self, request: RequestId, heartbeat: &Heartbeat, deadline: Time) -> Option<RequestId> {
         let position = (heartbeat.epoch, heartbeat.sequence);
         let is_newer = |early: &EarlyHeartbeat| (early.heartbeat.epoch, early.heartbeat.sequence) > position;
@@ -38,7 +39,7 @@
         Some(superseded.request)
     }
 
-    /// Removes heartbeats whose deadline has passed and returns their requests.
+    /// Removes the heartbeats whose deadline has passed and returns their requests.
     pub fn take_expired(&mut self, now: Time) -> Vec<RequestId> {
         if self.waiting.is_empty() || now < self.next_deadline {
             return Vec::new();
@@ -55,7 +56,7 @@
         expired
     }
 
-    /// Removes and returns all that wait.
+    /// Removes and returns all waiting heartbeats.
     pub fn take_all(&mut self) -> Vec<(RequestId, Heartbeat)> {
         let waiting = std::mem::take(&mut self.waiting);
         waiting.into_values().map(|early| (early.request, early.heartbeat)).collect()
--- a/crates/controller/src/agents/failure_attribution.rs
+++ b/crates/controller/src/agents/failure_attribution.rs
@@ -1,7 +1,7 @@
-//! Whose fault a failed task is. Different jobs that fail on one machine speak against the
-//! machine; one job that fails on different machines speaks against the job; earlier successes
-//! count for either. (Quarantine at the first failure once cost up to three healthy machines for
-//! every job submitted with a mistake.)
+//! Attribution of task failures to the job or to the machine. Different jobs that fail on one
+//! machine implicate the machine; one job that fails on different machines implicates the job.
+//! Earlier successes count in favor of either. A machine is not quarantined at its first failure
+//! because that cost up to three healthy machines for every job submitted with a mistake.
 
 use crate::leader::state::Role;
 use crate::model::job::Job;
@@ -9,22 +9,22 @@
 use crate::{Controller, Time};
 use tracing::warn;
 
-/// The longest pause between probes of a suspected job, in worker leases.
+/// Maximum pause between probes of a suspected job, in worker leases.
 const MAX_PROBE_PAUSE_LEASES: f64 = 2.0;
-/// Probes after which the pause doubles no more.
+/// Number of probes after which the pause no longer doubles.
 const MAX_PAUSE_DOUBLINGS: u32 = 16;
 
 /// Pauses between the probes of a suspected job.
 struct ProbePauses {
     /// Half of the first pause, in seconds.
     base_s: Time,
-    /// The longest pause, in seconds.
+    /// Maximum pause, in seconds.
     max_s: Time,
 }
 
 impl Controller {
-    /// A task of the job failed on `machine`, for no other known reason than the job's own
-    /// program or the machine.
+    /// Attributes the failure of a task of the job on `machine`. The caller has ruled out all
+    /// known causes except the job's program and the machine.
     pub(crate) fn attribute_failure(&mut self, job_id: &str, machine: &str) {
         let now = self.now;
         let workers = &self.settings.params.workers;
@@ -52,7 +52,7 @@
     }
 }
 
-/// Counts a failure of a job that is not suspected itself against the machine.
+/// Counts the failure of a job that is not itself suspected against the machine.
 fn suspect_machine(machine: &mut Machine, job: &mut Job, job_id: &str, now: Time) {
     if machine.quarantined {
         return;
@@ -61,18 +61,18 @@
     if has_succeeded {
         return machine.quarantine();
     }
-    // Several failed tasks of one job on one machine count once.
+    // All failed tasks of one job on one machine count as one failure.
     machine.failed_jobs.insert(job_id.to_string());
     job.failed_on.insert(machine.id.clone());
-    // Jobs with mistakes may be submitted together: the machine is quarantined only if they
-    // don't fail on other machines as well within a while.
+    // Several faulty jobs may have been submitted together, so the machine is only suspected. It
+    // is quarantined if the jobs don't fail on other machines as well in the meantime.
     if machine.failed_jobs.len() > 1 {
         machine.suspected_since = Some(now);
     }
 }
 
-/// Sets when a suspected job may start a task again. One task probes at a time, after pauses that
-/// double, until one succeeds.
+/// Sets when a suspected job may start a task again. One task at a time probes whether the job
+/// works, with a pause that doubles after each probe, until a task succeeds.
 fn schedule_probe(job: &mut Job, job_id: &str, pauses: &ProbePauses, now: Time) {
     if now < job.not_before {
         return;
--- a/crates/controller/src/agents/failure_timeouts.rs
+++ b/crates/controller/src/agents/failure_timeouts.rs
@@ -1,5 +1,5 @@
-//! How long a machine may be silent before it counts as failed, and the observations by which
-//! that is judged.
+//! Timeouts after which a silent machine counts as failed, and the observations from which they
+//! are derived.
 
 use crate::leader::state::Role;
 use crate::model::machine::MachinePhase;
@@ -8,7 +8,8 @@
 use std::collections::BTreeMap;
 
 impl Controller {
-    /// Records that a heartbeat reached the proxy `via`, or this node, at `received_at`.
+    /// Records that a heartbeat from `zone` was received at `received_at`, by the proxy `via` or,
+    /// if that is None, by this node.
     pub(crate) fn record_observation(&mut self, via: Option<&ProxyId>, zone: &str, received_at: Time) {
         let max_gap_s = self.timing.max_heartbeat_gap_s;
         let Role::Leader(leader) = &mut self.role else { return };
@@ -16,10 +17,11 @@
         leader.forwarding.observations.record(received_at, node, zone, max_gap_s);
     }
 
-    /// The silence after which machines count as failed, in seconds, by zone. It is longer while
-    /// this leader, or the zone's workers, don't reach some of the nodes, because workers may have
-    /// to try one node after the other. (With two of three nodes partitioned, live machines were
-    /// once given up; with four of five cut off from the workers alone, a quarter of them.)
+    /// Returns the silence after which machines count as failed, in seconds, by zone. It is longer
+    /// while this leader or the zone's workers can't reach some of the nodes, because workers may
+    /// have to try one node after the other. With a fixed timeout, live machines were declared
+    /// dead when two of three nodes were partitioned, and a quarter of the live machines when four
+    /// of five nodes were unreachable for the workers only.
     pub(crate) fn failure_timeouts_s(&self) -> BTreeMap<String, Time> {
         let Role::Leader(leader) = &self.role else { return BTreeMap::new() };
         let now = self.now;
@@ -55,14 +57,14 @@
         machines_by_zone.into_iter().map(timeout).collect()
     }
 
-    /// The time within which a live worker has come to a node that it reaches, whichever that is,
-    /// in seconds.
+    /// Returns the time within which a live worker finds a node that it can reach, in seconds.
+    /// Allows for an attempt at each node and one more.
     pub(crate) fn full_failover_s(&self) -> Time {
         let nodes_to_try = (self.settings.peers.len() + 2) as f64;
         self.timing.max_heartbeat_gap_s + self.timing.worker_failover_s * nodes_to_try
     }
 
-    /// The longest usual time between two views of a peer, in seconds.
+    /// Returns the maximum time that normally passes between two views from a peer, in seconds.
     pub(crate) fn view_gap_s(&self) -> Time {
         2.0 * self.timing.renewal_interval_s + self.timing.forward_timeout_s
     }
--- a/crates/controller/src/agents/heartbeat_queue.rs
+++ b/crates/controller/src/agents/heartbeat_queue.rs
@@ -1,49 +1,49 @@
-//! Heartbeats that wait for their responses, so that a worker learns of a launch at once.
+//! Heartbeats whose responses are deferred, so that a worker learns of a launch immediately.
 
 use crate::agents::early_heartbeats::HeartbeatsBeforeRecovery;
 use crate::messages::{RequestId, Time};
 use sharding::ProxyId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How a heartbeat reached the leader, and so how its response goes back.
+/// Route on which a heartbeat reached the leader and on which its response is sent back.
 pub enum ReplyRoute {
-    /// The worker sent it to the leader: the request to respond to.
+    /// The worker sent it directly to the leader, with this request.
     Direct(RequestId),
     /// Another node forwarded it.
     Forwarded {
         /// The node that holds the worker's request.
         proxy: ProxyId,
-        /// The agent epoch of the heartbeat that the response is for.
+        /// The agent epoch of the heartbeat.
         epoch: u64,
-        /// Its sequence number within that epoch.
+        /// The heartbeat's sequence number within that epoch.
         sequence: u64,
     },
 }
 
 /// A heartbeat whose response is deferred until there is a command, or until its deadline.
 pub struct PendingHeartbeat {
-    /// How the response goes back.
+    /// Route on which the response is sent.
     pub reply_route: ReplyRoute,
-    /// When it is responded to at the latest.
+    /// Time by which the response is sent at the latest.
     pub deadline: Time,
-    /// The machine runs nothing: the response waits for a launch.
+    /// Whether the machine runs nothing, so that the response waits for a launch.
     pub idle: bool,
 }
 
-/// Heartbeats whose responses are deferred, and when they are checked again.
+/// Heartbeats whose responses are deferred, and the schedule for checking them.
 pub struct HeartbeatQueue {
     /// Heartbeats that wait for a response, by machine.
     pub pending: BTreeMap<String, PendingHeartbeat>,
-    /// Heartbeats that came before the records were read.
+    /// Heartbeats that arrived before the stored records were read.
     pub early: HeartbeatsBeforeRecovery,
     /// Machines whose response may have become ready.
     pub to_check: BTreeSet<String>,
-    /// When all pending heartbeats are checked next.
+    /// Time of the next check of all pending heartbeats.
     pub check_all_at: Time,
 }
 
 impl HeartbeatQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(now: Time) -> Self {
         HeartbeatQueue {
             pending: BTreeMap::new(),
