--- a/crates/controller/src/agents/pending_kills.rs
+++ b/crates/controller/src/agents/pending_kills.rs
@@ -95,7 +95,7 @@
 
 impl Controller {
     /// Tasks of a job may be newly marked to be killed: the next tick sends the kills.
-    pub(crate) fn kill_now(&mut self, job_id: &str) {
+    pub(crate) fn schedule_kills(&mut self, job_id: &str) {
         if let Role::Leader(leader) = &mut self.role {
             leader.pending_kills.add_job(job_id);
         }
--- a/crates/controller/src/agents/reconciliation.rs
+++ b/crates/controller/src/agents/reconciliation.rs
@@ -107,7 +107,7 @@
         }
         for job in changed_jobs {
             self.settle_terminal(&job);
-            self.kill_now(&job);
+            self.schedule_kills(&job);
         }
         if let Some(notice_s) = update.reclaim_notice_s {
             self.checkpoint_gangs_before_reclaim(&heartbeat.machine, notice_s);
--- a/crates/controller/src/agents/task_exits.rs
+++ b/crates/controller/src/agents/task_exits.rs
@@ -118,7 +118,7 @@
             stopped_jobs.push(job_id);
         }
         for job_id in stopped_jobs {
-            self.kill_now(&job_id);
+            self.schedule_kills(&job_id);
         }
     }
 
@@ -142,7 +142,7 @@
         }
         for job_id in changed_jobs {
             self.settle_terminal(&job_id);
-            self.kill_now(&job_id);
+            self.schedule_kills(&job_id);
         }
     }
 }
--- a/crates/controller/src/leader/terminal_jobs.rs
+++ b/crates/controller/src/leader/terminal_jobs.rs
@@ -68,7 +68,7 @@
             let terminal_job = TerminalJob::from_job(job);
             self.forget_terminal(terminal_job);
         } else {
-            self.kill_now(id);
+            self.schedule_kills(id);
         }
     }
 
