--- a/crates/controller/src/agents/failure_detection.rs
+++ b/crates/controller/src/agents/failure_detection.rs
@@ -1,6 +1,6 @@
-//! Detection of failed machines, and of a leader that the workers don't reach. A silent machine
-//! is declared dead at once only if few are silent; its tasks are released only when its worker's
-//! lease has certainly expired, because until then they may run.
+//! Detection of failed machines, and of a leader that the workers can't reach. A silent machine
+//! is declared dead immediately only if few machines are silent. Its tasks are released only once
+//! its worker's lease has certainly expired, because they may run until then.
 
 use crate::leader::state::{LeaderState, Role};
 use crate::model::machine::{Machine, MachinePhase};
@@ -12,25 +12,24 @@
 #[cfg(test)]
 mod tests;
 
-/// Leader leases for which a leader that stepped down leaves the election to the others.
+/// Time for which a leader that stepped down doesn't campaign, in leader leases.
 const CAMPAIGN_PAUSE_LEASES: f64 = 3.0;
-/// A fleet of at most this many machines is too small to tell a network failure from failed
-/// machines.
+/// Size up to which a fleet is too small to distinguish a network failure from failed machines.
 const MAX_SMALL_FLEET: usize = 2;
 
-/// Decides when a worker's lease has certainly expired.
+/// Rule that decides when a worker's lease has certainly expired.
 #[derive(Clone, Copy)]
 struct LeaseExpiryRule {
     now: Time,
     /// Age of a response at which the lease that it renewed has expired, in seconds.
     expiry_s: Time,
-    /// Proxies that don't answer may have renewed the lease since.
+    /// Whether to assume that unresponsive proxies may have renewed the lease since.
     wait_for_lost_proxies: bool,
 }
 
 impl LeaseExpiryRule {
-    /// Whether the lease has expired of a worker that was last responded to at
-    /// `last_response_at`, as far as is known here.
+    /// Whether the lease of a worker has expired if `last_response_at` is the time of the last
+    /// response that this leader knows of.
     fn has_expired(&self, forwarding: &HeartbeatForwarding, last_response_at: Time) -> bool {
         if !self.wait_for_lost_proxies {
             return self.now > last_response_at + self.expiry_s;
@@ -39,31 +38,32 @@
     }
 }
 
-/// How long a machine may be silent.
+/// Limits on the silence of a machine.
 struct SilenceLimits {
-    /// Where no limit of the zone is known, in seconds.
+    /// Limit for zones that are not in `by_zone`, in seconds.
     default_s: Time,
-    /// By zone, in seconds.
+    /// Limit by zone, in seconds.
     by_zone: BTreeMap<String, Time>,
-    /// How long machines of an unreachable zone are kept, in seconds.
+    /// Time for which the machines of an unreachable zone are kept, in seconds.
     unreachable_zone_s: Time,
-    /// Time after which every worker of a zone that was unreachable has tried all nodes, in
-    /// seconds.
+    /// Time after the recovery of an unreachable zone by which all of its workers have tried every
+    /// node, in seconds.
     reappearance_s: Time,
 }
 
-/// Machines that were silent for too long.
+/// Machines that have been silent for too long.
 #[derive(Default)]
 struct SilentMachines {
-    /// Those to be judged by themselves.
+    /// Machines that are judged individually.
     individual: Vec<String>,
-    /// Those of an unreachable zone whose leases have expired. They are kept for a while: a
-    /// partitioned zone may be back within seconds.
+    /// Machines of an unreachable zone whose leases have expired. They are kept for a while
+    /// because a partitioned zone may recover within seconds.
     expired_in_unreachable_zones: Vec<String>,
 }
 
 impl Controller {
-    /// Declares silent machines dead and releases what certainly ended with their leases.
+    /// Declares silent machines dead and releases the tasks that certainly ended with their
+    /// leases.
     pub(crate) fn tick_failure_detection(&mut self) {
         let now = self.now;
         let suspicion_s = self.timing.failure_suspicion_s;
@@ -100,27 +100,27 @@
         LeaseExpiryRule { now: self.now, expiry_s, wait_for_lost_proxies: self.checks.wait_for_lost_proxies }
     }
 
-    /// Updates which zones are unreachable.
+    /// Updates the set of unreachable zones.
     fn update_zone_reachability(&mut self) {
         let now = self.now;
         let timing = self.timing;
         let Role::Leader(leader) = &mut self.role else { return };
-        // At first a leader has not heard from all nodes yet, and after a store outage workers
-        // may have been redirected to nodes that could not respond.
+        // A new leader has not yet heard from all nodes, and after a store outage workers may have
+        // been redirected to nodes that could not respond.
         if leader.leadership.tenure.entitled_for_s(now) < timing.worker_failover_s {
             return;
         }
         let machines = leader.cluster.machines.values().filter(|machine| machine.phase == MachinePhase::Up);
         let heard = machines.map(|machine| (machine.zone.as_str(), machine.is_heard(now, &timing)));
         if leader.fleet.zones.update(now, heard) {
-            let dark: Vec<&str> = leader.fleet.zones.unreachable().collect();
-            warn!(?dark, "unreachable zones changed");
+            let unreachable: Vec<&str> = leader.fleet.zones.unreachable().collect();
+            warn!(dark = ?unreachable, "unreachable zones changed");
             leader.planning.needed = true;
         }
     }
 
     /// Steps down if another leader would serve the workers better: no worker has reached this
-    /// node for long, or a peer hears from more than twice as many.
+    /// node for a while, or a peer hears from more than twice as many workers.
     pub(crate) fn step_down_if_unreachable(&mut self) {
         let now = self.now;
         let validity_s = self.timing.heartbeat_validity_s;
@@ -151,23 +151,24 @@
         self.election.campaign_at = now + CAMPAIGN_PAUSE_LEASES * self.timing.leader_lease_s;
     }
 
-    /// When no response to a heartbeat can arrive any more that an earlier leader sent, or a
-    /// proxy on a lease that it delegated.
+    /// Returns the time from which no response of an earlier leader, or of a proxy on a lease that
+    /// such a leader delegated, can reach a worker any more.
     fn previous_lease_expiry(&self) -> Time {
         let old_responses_s =
             (self.timing.response_grace_s - self.timing.leader_lease_s).max(self.timing.delegated_lease_s);
         self.now + old_responses_s + self.timing.worker_timeout_s
     }
 
-    /// When everything that is on a machine now has been listed in a heartbeat, or has ended with
-    /// its worker's lease.
+    /// Returns the time by which every task that is on a machine now has either been listed in a
+    /// heartbeat or ended with its worker's lease.
     pub(crate) fn unreported_work_expiry(&self) -> Time {
         self.previous_lease_expiry() + self.timing.lease_expiry_s + self.timing.worker_timeout_s
     }
 
-    /// Adds the machines that stored placements name and that this leader has not heard from.
-    /// Their leases may be renewed until an earlier leader's grace period ends, or a lease that
-    /// was delegated to an earlier incarnation of this node just before it ended.
+    /// Adds the machines that are named in stored placements and that this leader has not heard
+    /// from. Their leases may be renewed until the grace period of an earlier leader ends, or
+    /// until a lease expires that was delegated just before that to an earlier incarnation of this
+    /// node.
     pub(crate) fn register_machines_of_placements(&mut self) {
         let now = self.now;
         let last_possible_response_at = self.previous_lease_expiry();
@@ -191,8 +192,8 @@
 }
 
 impl LeaderState {
-    /// Ends suspicions that have lasted for `suspicion_s`: a machine on which several jobs still
-    /// count as failed is quarantined.
+    /// Ends suspicions that have lasted for more than `suspicion_s`. Quarantines the machines on
+    /// which several jobs still count as failed.
     fn expire_suspicions(&mut self, now: Time, suspicion_s: Time) {
         for machine in self.cluster.machines.values_mut() {
             if machine.suspected_since.is_none_or(|since| now - since <= suspicion_s) {
@@ -206,12 +207,12 @@
         }
     }
 
-    /// Machines that are up and have been silent for longer than they may.
+    /// Returns the machines that are up and have been silent for longer than their limit.
     fn find_silent_machines(&self, limits: &SilenceLimits, rule: &LeaseExpiryRule) -> SilentMachines {
         let now = rule.now;
-        // A new leader learns of silences only now. (In its first moments one gave up a zone's
-        // machines by the age of their last heartbeats, before it could see that the whole zone
-        // was silent.)
+        // Silence from before this leader's term doesn't count. Otherwise a new leader declared a
+        // zone's machines dead by the age of their last heartbeats, before it could see that the
+        // whole zone was silent.
         let entitled_for_s = self.leadership.tenure.entitled_for_s(now);
         let mut silent = SilentMachines::default();
         for machine in self.cluster.machines.values() {
@@ -219,7 +220,7 @@
             if machine.silence_s(now).min(entitled_for_s) <= limit_s {
                 continue;
             }
-            if !self.is_zone_waited_for(&machine.zone, limits, now) {
+            if !self.retains_silent_machines(&machine.zone, limits, now) {
                 silent.individual.push(machine.id.clone());
             } else if rule.has_expired(&self.forwarding, machine.last_possible_response_at) {
                 silent.expired_in_unreachable_zones.push(machine.id.clone());
@@ -228,18 +229,20 @@
         silent
     }
 
-    /// Whether a zone is unreachable or was until a moment ago, so that its machines are kept.
-    fn is_zone_waited_for(&self, zone: &str, limits: &SilenceLimits, now: Time) -> bool {
+    /// Whether the silent machines of a zone are kept because the zone is unreachable or has only
+    /// just recovered.
+    fn retains_silent_machines(&self, zone: &str, limits: &SilenceLimits, now: Time) -> bool {
         let zones = &self.fleet.zones;
-        let is_retained =
+        let is_recently_unreachable =
             zones.unreachable_since(zone).is_some_and(|since| now - since < limits.unreachable_zone_s);
-        is_retained || zones.recovered_within(zone, now, limits.reappearance_s)
+        is_recently_unreachable || zones.recovered_within(zone, now, limits.reappearance_s)
     }
 
-    /// Whether so many machines are silent that the network is the likely cause. Their tasks go
-    /// on, and only the expiry of their leases is waited for. All machines that missed a
-    /// heartbeat count, not only those silent for long: these come one by one, and a partitioned
-    /// leader once gave up its whole fleet that way.
+    /// Whether so many machines are silent that the network is the likely cause. Their tasks then
+    /// keep running, and the machines are declared dead only once their leases have expired. Every
+    /// machine that has missed a heartbeat counts as silent: machines exceed their silence limit
+    /// one by one, and when only those counted, a partitioned leader declared its whole fleet
+    /// dead.
     fn is_mass_silence(&self, now: Time, suspicion_s: Time) -> bool {
         let mut heard = 0;
         let mut recently_heard = 0;
@@ -257,8 +260,8 @@
         are_too_many_silent(heard, recently_heard)
     }
 
-    /// Declares silent machines dead where that is safe to judge, and returns those whose leases
-    /// have expired.
+    /// Declares silent machines dead unless the network may be the cause, and returns those whose
+    /// leases have expired.
     fn declare_dead(
         &mut self,
         silent: &[String],
@@ -268,42 +271,43 @@
         let mut expired = Vec::new();
         for id in silent {
             let Some(machine) = self.cluster.machines.get_mut(id) else { continue };
-            let lease_over = rule.has_expired(&self.forwarding, machine.last_possible_response_at);
-            let is_dead = lease_over || !is_mass_silence && machine.last_heard_at.is_some();
+            let has_lease_expired = rule.has_expired(&self.forwarding, machine.last_possible_response_at);
+            let is_dead = has_lease_expired || !is_mass_silence && machine.last_heard_at.is_some();
             if !is_dead {
                 continue;
             }
-            warn!(machine = %id, lease_over, "machine declared dead");
+            warn!(machine = %id, lease_over = has_lease_expired, "machine declared dead");
             machine.phase = MachinePhase::Terminating;
             machine.given_up = true;
             self.planning.needed = true;
-            if lease_over {
+            if has_lease_expired {
                 expired.push(id.clone());
             }
         }
         expired
     }
 
-    /// Machines that were given up before and whose leases have expired since.
+    /// Returns the terminating machines whose leases have expired.
     fn find_expired_terminating_machines(&self, rule: &LeaseExpiryRule) -> Vec<String> {
         let has_expired = |machine: &&Machine| {
             machine.phase == MachinePhase::Terminating
                 && rule.has_expired(&self.forwarding, machine.last_possible_response_at)
                 && machine.last_heard_at.is_none_or(|heard_at| rule.now - heard_at > rule.expiry_s)
         };
-        self.cluster.machines.values().filter(has_expired).map(|m| m.id.clone()).collect()
+        self.cluster.machines.values().filter(has_expired).map(|machine| machine.id.clone()).collect()
     }
 }
 
-/// Whether more than a third of the machines that have been heard are silent now.
+/// Whether more than a third of the machines that were ever heard are silent now.
 fn are_too_many_silent(heard: usize, recently_heard: usize) -> bool {
     heard > MAX_SMALL_FLEET && recently_heard * 3 < heard * 2
 }
 
-/// Whether a peer would serve the workers better than this leader; `heard_by_peers` is the most
-/// workers that a peer which reaches the store hears from, None if there is no such peer. If no
-/// worker is heard anywhere, the machines are the likely cause. (Leaders once stepped down one
-/// after the other over a single machine that was gone, each before its lease had expired.)
+/// Whether a peer would serve the workers better than this leader. `heard_by_peers` is the maximum
+/// number of workers heard by any peer that reaches the store, or None if there is no such peer.
+/// If no node hears any worker, the machines are the likely cause: without this rule, leaders
+/// stepped down one after the other because of a single lost machine, each before the machine's
+/// lease had expired.
 fn would_peer_serve_better(heard_here: usize, heard_by_peers: Option<usize>) -> bool {
     match heard_by_peers {
         None => heard_here == 0,
--- a/crates/controller/src/agents/one_way_partition.rs
+++ b/crates/controller/src/agents/one_way_partition.rs
@@ -1,57 +1,57 @@
 //! Detection of one-way partitions: the heartbeats of a machine arrive, but it receives none of
-//! the responses. Its lease is never renewed, so no task lasts longer than one lease and nothing
-//! launched there ever starts. No single heartbeat shows this; a worker that begins a new epoch
-//! in the middle of uninterrupted heartbeats does.
+//! the responses. Its lease is never renewed, so no task runs longer than one lease and no
+//! launched task ever starts. No single heartbeat shows this, but a worker that begins a new epoch
+//! during uninterrupted heartbeats does.
 
 use crate::messages::Time;
 
 #[cfg(test)]
 mod tests;
 
-/// Leases missed in a row after which a machine is replaced: about as long as machines in an
-/// unreachable zone are kept.
+/// Number of consecutive missed leases after which a machine is replaced. They take about as long
+/// as machines in an unreachable zone are kept.
 const MAX_MISSED_LEASES: u32 = 3;
 
-/// The times by which reachability is judged.
+/// Time limits and leader state by which reachability is judged.
 #[derive(Debug, Clone, Copy)]
 pub struct HeartbeatTiming {
-    /// The longest gap between heartbeats that counts as uninterrupted contact, in seconds. It
-    /// covers a worker's attempt at another node.
+    /// Maximum gap between heartbeats that counts as uninterrupted contact, in seconds. It
+    /// allows for a worker's attempt to reach another node.
     pub max_gap_s: Time,
-    /// The age of a response at which the lease that it renewed has certainly expired, in seconds.
+    /// Age of a response at which the lease that it renewed has certainly expired, in seconds.
     pub lease_expiry_s: Time,
-    /// Since when this leader has responded to heartbeats without a break.
+    /// Time since which this leader has responded to heartbeats without interruption.
     pub responding_since: Time,
 }
 
-/// The arrival of a heartbeat, compared with the one before it.
+/// Arrival of a heartbeat, together with that of its predecessor.
 #[derive(Debug, Clone, Copy)]
 pub struct HeartbeatArrival {
-    /// The worker's epoch before; 0 if it is not known.
+    /// Epoch of the previous heartbeat, or 0 if it is unknown.
     pub previous_epoch: u64,
-    /// The worker's epoch now.
+    /// Epoch of this heartbeat.
     pub epoch: u64,
-    /// When the heartbeat before it arrived, if one did.
+    /// Arrival time of the previous heartbeat, if there was one.
     pub previous_at: Option<Time>,
-    /// When it arrived.
+    /// Arrival time of this heartbeat.
     pub at: Time,
 }
 
-/// What the epochs of a machine's worker show about whether it receives responses. A worker
-/// whose lease expires although its heartbeats arrived and were responded to received none of
-/// the responses; one whose epoch outlasts a lease received at least one.
+/// Evidence from the epochs of a machine's worker on whether responses reach it. A worker whose
+/// lease expires although its heartbeats arrived and got responses received none of these; a
+/// worker whose epoch outlasts a lease received at least one.
 #[derive(Debug, Clone, Default)]
 pub struct InboundReachability {
-    /// When the first heartbeat of the current epoch arrived.
+    /// Arrival time of the first heartbeat of the current epoch.
     epoch_since: Time,
-    /// Since when heartbeats have arrived without a gap.
+    /// Time since which heartbeats have arrived without a gap.
     contact_since: Time,
-    /// Leases in a row that expired during uninterrupted contact.
+    /// Number of consecutive leases that expired during uninterrupted contact.
     missed_leases: u32,
 }
 
 impl InboundReachability {
-    /// Records the arrival of a heartbeat; true if it shows that another lease was missed.
+    /// Records the arrival of a heartbeat. Returns whether it shows that another lease was missed.
     pub fn record(&mut self, arrival: &HeartbeatArrival, timing: &HeartbeatTiming) -> bool {
         let HeartbeatTiming { max_gap_s, lease_expiry_s, responding_since } = *timing;
         let missed_before = self.missed_leases;
@@ -59,8 +59,8 @@
             self.contact_since = arrival.at;
         }
         if arrival.epoch > arrival.previous_epoch {
-            // After a silence it was the way of the heartbeats that was cut. They may have been
-            // held up, and several epochs arrive at once.
+            // After a silence, the path from the worker was interrupted, not the one to it.
+            // Heartbeats may have been delayed, and those of several epochs arrive at once.
             let contact_s = arrival.at - self.contact_since.max(responding_since);
             let missed_lease = arrival.previous_epoch > 0 && contact_s > lease_expiry_s;
             self.missed_leases = if missed_lease { self.missed_leases + 1 } else { 0 };
@@ -71,30 +71,31 @@
         self.missed_leases > missed_before
     }
 
-    /// Whether the machine seems to receive nothing: it gets no work.
+    /// Whether the machine seems to receive no responses, so that it gets no work.
     pub fn receives_nothing(&self) -> bool {
         self.missed_leases > 0
     }
 
-    /// Whether it has received nothing for so long that it is to be replaced.
+    /// Whether the machine has received no responses for so long that it has to be replaced.
     pub fn is_lost(&self) -> bool {
         self.missed_leases >= MAX_MISSED_LEASES
     }
 }
 
-/// Since when this leader has responded to heartbeats without a break. While it may not respond,
-/// the leases of all workers expire, which says nothing about the machines. (After a store outage
-/// longer than three leases it once scaled in the whole fleet as unreachable.)
+/// Time since which this leader has responded to heartbeats without interruption, if it does.
+/// While the leader may not respond, the leases of all workers expire, which says nothing about
+/// the machines. Without this, a leader scaled in the whole fleet as unreachable after a store
+/// outage of more than three leases.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LeaderResponsiveness(Option<Time>);
 
 impl LeaderResponsiveness {
-    /// Records whether heartbeats are responded to `now`.
+    /// Records whether the leader responds to heartbeats at `now`.
     pub fn update(&mut self, now: Time, responds: bool) {
         self.0 = if responds { self.0.or(Some(now)) } else { None };
     }
 
-    /// When it began to respond; `now` if it doesn't.
+    /// Returns the time since which the leader has responded, or `now` if it doesn't respond.
     pub fn since(&self, now: Time) -> Time {
         self.0.unwrap_or(now)
     }
--- a/crates/controller/src/agents/one_way_partition/tests.rs
+++ b/crates/controller/src/agents/one_way_partition/tests.rs
@@ -1,16 +1,17 @@
-//! These tests lie within the crate because `agents` is a private module.
+//! Unit tests, which are part of the crate because the module `agents` is private.
 
 use super::*;
 
 const TIMING: HeartbeatTiming =
     HeartbeatTiming { max_gap_s: 9.0, lease_expiry_s: 19.5, responding_since: 0.0 };
 
-/// A heartbeat of `epoch` at `at`, after one of `previous_epoch` at `previous_at`.
+/// Returns the arrival of a heartbeat of `epoch` at `at`, after one of `previous_epoch` at
+/// `previous_at`.
 fn arrival(previous_epoch: u64, epoch: u64, previous_at: Option<Time>, at: Time) -> HeartbeatArrival {
     HeartbeatArrival { previous_epoch, epoch, previous_at, at }
 }
 
-/// Heartbeats every `gap_s` seconds, with a new epoch after every `lease_s` seconds.
+/// Records a heartbeat every `gap_s` seconds, with a new epoch after every `lease_s` seconds.
 fn send_heartbeats(
     reachability: &mut InboundReachability,
     from: Time,
@@ -48,7 +49,7 @@
     assert!(!reachability.receives_nothing());
     send_heartbeats(&mut reachability, 60.0, 85.0, 5.0, Some(19.0));
     assert!(reachability.receives_nothing() && !reachability.is_lost());
-    // It receives responses again, and its epoch goes on.
+    // It receives responses again, so its epoch outlasts a lease.
     send_heartbeats(&mut reachability, 100.0, 140.0, 3.0, None);
     assert!(!reachability.receives_nothing());
     send_heartbeats(&mut reachability, 200.0, 270.0, 5.0, Some(19.0));
@@ -57,11 +58,11 @@
 
 #[test]
 fn a_new_epoch_after_silence_shows_nothing() {
-    // Silent for longer than its lease: its heartbeats did not arrive either.
+    // The worker was silent for longer than its lease, so its heartbeats did not arrive either.
     let mut reachability = InboundReachability::default();
     reachability.record(&arrival(0, 1, None, 0.0), &TIMING);
     assert!(!reachability.record(&arrival(1, 2, Some(0.0), 30.0), &TIMING));
-    // Or they were held up, and arrive all at once.
+    // Delayed heartbeats of several epochs arrive at the same time.
     for epoch in 2..6 {
         assert!(!reachability.record(&arrival(epoch, epoch + 1, Some(30.0), 30.1), &TIMING));
     }
@@ -80,6 +81,6 @@
     let last = arrival(1, 2, Some(25.0), 30.0);
     let timing = HeartbeatTiming { responding_since: 20.0, ..TIMING };
     assert!(!reachability.record(&last, &timing));
-    // With a leader that responded all the time the same heartbeats do show it.
+    // If the leader has responded all the time, the same heartbeats show a one-way partition.
     assert!(reachability.record(&last, &TIMING));
 }
--- a/crates/controller/src/agents/reconciliation/tests.rs
+++ b/crates/controller/src/agents/reconciliation/tests.rs
@@ -1,4 +1,4 @@
-//! These tests lie within the crate because the decisions are private functions.
+//! Unit tests of the private decision functions.
 
 use super::*;
 
