--- a/crates/controller/src/agents/heartbeat_ingestion.rs
+++ b/crates/controller/src/agents/heartbeat_ingestion.rs
@@ -1,5 +1,5 @@
-//! The arrival of heartbeats: at any node, at the leader, and from the leader's proxies. What a
-//! heartbeat's content proves is decided in `reconciliation`.
+//! Ingestion of heartbeats: at any node, at the leader, and from the leader's proxies. The module
+//! `reconciliation` evaluates their content.
 
 use crate::agents::heartbeat_queue::ReplyRoute;
 use crate::agents::reconciliation::HeartbeatOrigin;
@@ -10,14 +10,15 @@
 use sharding::ProxyId;
 use tracing::info;
 
-/// Workers whose last contact is remembered. Beyond it, workers that were silent for
-/// `FORGOTTEN_AFTER_LEASES` make room: no duplicate of a heartbeat is that late.
+/// Maximum number of workers whose last contact is remembered. When it is reached, workers that
+/// have been silent for `CONTACT_RETENTION_LEASES` are forgotten: no duplicate of a heartbeat is
+/// delayed for that long.
 const MAX_WORKER_CONTACTS: usize = 20_000;
-/// Silence after which a worker's contact may be forgotten, in leases.
-const FORGOTTEN_AFTER_LEASES: Time = 10.0;
+/// Silence after which a worker's contact may be forgotten, in worker leases.
+const CONTACT_RETENTION_LEASES: Time = 10.0;
 
 impl Controller {
-    /// A worker sent a heartbeat to this node.
+    /// Handles a heartbeat that a worker sent to this node.
     pub(crate) fn on_heartbeat(&mut self, request_id: RequestId, body: &[u8]) {
         let heartbeat: Heartbeat = match protocol::decode(body) {
             Ok(heartbeat) => heartbeat,
@@ -31,15 +32,15 @@
         }
     }
 
-    /// Remembers that a worker reaches this node. A delayed duplicate, or a heartbeat that was
-    /// held up on its way, shows nothing.
+    /// Records that a worker reaches this node. Delayed or duplicate heartbeats, which are not
+    /// newer than the last one, don't count.
     fn record_worker_contact(&mut self, heartbeat: &Heartbeat) {
         let now = self.now;
         let position = (heartbeat.epoch, heartbeat.sequence);
         let is_full = self.sharding.worker_contacts.len() >= MAX_WORKER_CONTACTS;
         if is_full && !self.sharding.worker_contacts.contains_key(&heartbeat.machine) {
-            // (No entry was once ever removed, and a full table counted no new worker.)
-            let since = now - self.settings.params.workers.lease_s * FORGOTTEN_AFTER_LEASES;
+            // Without the removal of old entries, a full table counted no new workers.
+            let since = now - self.settings.params.workers.lease_s * CONTACT_RETENTION_LEASES;
             self.sharding.worker_contacts.retain(|_, (contact_at, _)| *contact_at > since);
         }
         let has_room = self.sharding.worker_contacts.len() < MAX_WORKER_CONTACTS;
@@ -53,7 +54,7 @@
         self.sharding.balancer.on_heartbeat(now, &heartbeat.machine);
     }
 
-    /// A worker sent a heartbeat to this node while it leads.
+    /// Handles a heartbeat that a worker sent to this node while the node leads.
     pub(crate) fn on_leader_heartbeat(&mut self, request_id: RequestId, heartbeat: &Heartbeat) {
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else { return };
@@ -65,8 +66,8 @@
         if !leader.recovery.finished && self.checks.response_grace {
             return self.hold_until_recovered(request_id, heartbeat);
         }
-        // After the grace period another node may have confirmed a cancellation that this one
-        // can't see: the workers' leases must expire in time for it.
+        // After the grace period another node may have confirmed a cancellation that this node
+        // can't see. A response would keep the worker's lease from expiring in time for it.
         if !leader.leadership.authority.may_respond(now) && self.checks.response_grace {
             return self.respond_error(request_id, 503, "state service not reached");
         }
@@ -81,9 +82,10 @@
             return self.respond(request_id, 200, protocol::encode(&response));
         }
         if !self.ingest_heartbeat(heartbeat, None, now) {
-            // It is late, or was overtaken by a duplicate or by the reply to direct commands. Its
-            // worker may still wait, and the response renews its lease, so it has to carry the
-            // pending commands. (A duplicate that came first once took the kills with it.)
+            // The heartbeat is late, or a duplicate or the reply to direct commands overtook it.
+            // Its worker may still wait, and the response renews its lease, so the response has to
+            // carry the pending commands. Otherwise a duplicate that arrived first took the kills
+            // away from the worker.
             let response = self.build_response(&heartbeat.machine);
             return self.respond(request_id, 200, protocol::encode(&response));
         }
@@ -93,7 +95,7 @@
         self.defer_response(heartbeat, ReplyRoute::Direct(request_id));
     }
 
-    /// Keeps a heartbeat that came before the records were read.
+    /// Keeps a heartbeat that arrived before the stored records were read.
     fn hold_until_recovered(&mut self, request_id: RequestId, heartbeat: &Heartbeat) {
         let deadline = self.now + self.timing.recovery_hold_s;
         let Role::Leader(leader) = &mut self.role else { return };
@@ -102,7 +104,7 @@
         }
     }
 
-    /// The records are read: heartbeats that came before are handled now.
+    /// Handles the heartbeats that arrived before the stored records were read.
     pub(crate) fn process_early_heartbeats(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         for (request_id, heartbeat) in leader.heartbeats.early.take_all() {
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Refuses early heartbeats whose workers won't wait any longer.
+    /// Refuses early heartbeats whose deadline has passed.
     pub(crate) fn expire_early_heartbeats(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         for request_id in leader.heartbeats.early.take_expired(self.now) {
@@ -118,8 +120,9 @@
         }
     }
 
-    /// Records a heartbeat that arrived at `received_at`, here or at the proxy `via`. False if it
-    /// is not newer than the last one, or if its machine is gone.
+    /// Records a heartbeat that arrived at `received_at`, at the proxy `via` or, if that is None,
+    /// at this node. Returns false if it is not newer than the last one, or if its machine no
+    /// longer exists.
     pub(crate) fn ingest_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -133,7 +136,8 @@
         if leader.is_removed_machine(&heartbeat.machine, now - received_at > suspicion_s) {
             return false;
         }
-        // The worker's lease counts from when it sent this, which was earlier.
+        // The worker's lease counts from the time it sent the heartbeat, which is earlier than
+        // `received_at`.
         let position = (heartbeat.epoch, heartbeat.sequence);
         leader.register_sender(heartbeat, received_at, now).record_heartbeat(position, received_at, in_order);
         if !self.apply_heartbeat(heartbeat, HeartbeatOrigin::Worker, received_at) {
@@ -151,14 +155,15 @@
 }
 
 impl LeaderState {
-    /// Whether a heartbeat speaks of a machine that is gone; `is_old`: it is so old that an
-    /// unknown machine may be gone, too. (Proxies that became reachable again forwarded all that
-    /// they had, and machines that were deleted meanwhile once got work until they fell silent.)
+    /// Whether a heartbeat is from a machine that no longer exists. `is_old`: the heartbeat is so
+    /// old that an unknown machine counts as removed as well. Without that rule, proxies that
+    /// became reachable again forwarded all heartbeats that they had, and machines that had been
+    /// deleted in the meantime got work until their silence was noticed.
     fn is_removed_machine(&self, machine: &str, is_old: bool) -> bool {
         self.fleet.has_tombstone(machine) || is_old && !self.cluster.machines.contains_key(machine)
     }
 
-    /// The machine that sent a heartbeat, which is added if it was unknown.
+    /// Returns the machine that sent a heartbeat, and adds it if it was unknown.
     fn register_sender(&mut self, heartbeat: &Heartbeat, received_at: Time, now: Time) -> &mut Machine {
         let id = &heartbeat.machine;
         let machine = self
@@ -166,8 +171,8 @@
             .machines
             .entry(id.clone())
             .or_insert_with(|| unlisted_machine(heartbeat, received_at));
-        // A worker that received a response of this leader exists. (Two duplicates, one after
-        // the other, once passed for a live worker.)
+        // A worker that has received a response from this leader exists. Two heartbeats alone
+        // prove nothing: two delayed duplicates were taken for a live worker.
         machine.unconfirmed_since.take_if(|_| heartbeat.fencing_token == self.fencing_token);
         if machine.last_heard_at.is_none() {
             info!(machine = %id, kind = %heartbeat.machine_type, zone = %heartbeat.zone, spot = heartbeat.spot,
@@ -182,7 +187,7 @@
     }
 }
 
-/// A machine that the cloud's list has not shown yet.
+/// Creates the record of a machine that is not in the cloud's list yet.
 fn unlisted_machine(heartbeat: &Heartbeat, received_at: Time) -> Machine {
     info!(machine = %heartbeat.machine, "heartbeat from a machine not in the list yet");
     let mut machine = Machine::new(
--- a/crates/controller/src/agents/reconciliation.rs
+++ b/crates/controller/src/agents/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciliation of the leader's placements with what a heartbeat shows: which tasks run, which
-//! have exited, and which are proven to be gone because the heartbeat doesn't list them.
+//! Reconciliation of the leader's placements with a heartbeat: which tasks run, which have exited,
+//! and which have provably ended because the heartbeat doesn't list them.
 
 use crate::agents::one_way_partition::{HeartbeatArrival, HeartbeatTiming};
 use crate::agents::task_exits::{release_lost_task, TaskExit};
@@ -13,58 +13,58 @@
 #[cfg(test)]
 mod tests;
 
-/// What made a worker send its state.
+/// Occasion on which a worker sent its state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HeartbeatOrigin {
-    /// The worker sent a heartbeat by itself.
+    /// The worker sent a heartbeat on its own.
     Worker,
-    /// It is the reply to direct commands. The response to a heartbeat, with a launch in it, may
-    /// still be on its way, so a task that is not listed may yet start.
+    /// The worker replied to direct commands. The response to a heartbeat, with a launch in it,
+    /// may still be on its way, so a task that is not listed may yet start.
     CommandReply,
 }
 
-/// What a heartbeat proves about tasks that it doesn't list.
+/// Properties of a heartbeat that determine what it proves about tasks that it doesn't list.
 #[derive(Debug, Clone, Copy)]
 struct AbsenceEvidence {
-    /// The worker has seen this leader's token, so no earlier leader's command can still reach
-    /// it, and no response of this leader's is on its way.
+    /// Whether the worker has seen this leader's token, so that no earlier leader's command can
+    /// still reach it, and no response from this leader is on its way.
     is_current: bool,
-    /// The worker began a new epoch. Its tasks ended with the one before, and launches in
-    /// responses to that epoch's heartbeats are never carried out.
+    /// Whether the worker began a new epoch. Its tasks ended with the previous epoch, and launches
+    /// in responses to that epoch's heartbeats are never carried out.
     is_new_epoch: bool,
-    /// The machine was found to receive no responses: launches never reached it.
+    /// Whether the machine was found to receive no responses, so that launches never reached it.
     receives_nothing: bool,
 }
 
-/// What a heartbeat changed in the state of its machine.
+/// Result of applying a heartbeat to the state of its machine.
 struct MachineUpdate {
     evidence: AbsenceEvidence,
-    /// The heartbeat is the first with a notice that the cloud reclaims the spot machine: the
-    /// time that is left, in seconds.
+    /// The time that is left, in seconds, if this is the first heartbeat with a notice that the
+    /// cloud reclaims the spot machine.
     reclaim_notice_s: Option<f64>,
 }
 
-/// What to do about a task that a heartbeat lists.
+/// Meaning of a task status in a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ListedTask {
-    /// It is alive and placed there.
+    /// The task is alive and placed on the machine.
     Alive,
-    /// It has exited.
+    /// The task has exited.
     Exited,
-    /// An attempt that was given up completed its work, which still counts.
+    /// An earlier attempt, which is no longer placed, completed its work. The work still counts.
     CompletedByFormerAttempt,
     /// The status says nothing about the current placement.
     Ignored,
 }
 
-/// Judges a task that a heartbeat lists; `placement` is that attempt's placement on the machine,
-/// if there is one, `is_current` as in `AbsenceEvidence`.
-fn judge_listed_task(placement: Option<&Placement>, status: &TaskStatus, is_current: bool) -> ListedTask {
+/// Classifies a task that a heartbeat lists. `placement` is the placement of that attempt on the
+/// machine, if there is one; `is_current` is as in `AbsenceEvidence`.
+fn classify_listed_task(placement: Option<&Placement>, status: &TaskStatus, is_current: bool) -> ListedTask {
     let has_exited = status.state == TaskState::Exited;
     match (placement, status.exit_cause) {
         (Some(_), _) if !has_exited => ListedTask::Alive,
-        // A response to this very heartbeat, of an earlier leader's or still on its way, may have
-        // started it again.
+        // A response to a heartbeat with the same status, from an earlier leader or still on its
+        // way, may have started the task again.
         (Some(_), Some(ExitCause::Alone)) if !is_current => ListedTask::Ignored,
         (Some(_), _) => ListedTask::Exited,
         (None, Some(ExitCause::Done)) if has_exited => ListedTask::CompletedByFormerAttempt,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Whether a task with that placement is gone if a heartbeat doesn't list it.
+/// Whether a heartbeat that doesn't list the task of `placement` proves that it has ended.
 fn absence_proves_loss(placement: &Placement, evidence: &AbsenceEvidence) -> bool {
     let was_running = placement.observed_state.is_some() || placement.inherited;
     let was_launched = was_running || placement.stopping.is_some() && placement.launch_sent;
@@ -85,8 +85,8 @@
 }
 
 impl Controller {
-    /// Applies what a worker's state proves; false if it is not newer than the last one.
-    /// `received_at`: when it reached a node.
+    /// Applies a worker's state, which reached a node at `received_at`. Returns false if the state
+    /// is not newer than the last one.
     pub(crate) fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -122,7 +122,8 @@
         true
     }
 
-    /// Applies what a worker says about its machine; None if it is not newer than the last.
+    /// Applies a heartbeat to the state of its machine. Returns None if the heartbeat is not newer
+    /// than the last one.
     fn update_machine(
         &mut self,
         heartbeat: &Heartbeat,
@@ -148,7 +149,7 @@
             leader.planning.needed = true;
         }
         if previous_epoch == 0 {
-            // Kills could not be sent while the epoch was unknown.
+            // New kills may not have been sent while the epoch was unknown.
             leader.pending_kills.retry_now(&heartbeat.machine, now);
         }
         machine.apply_heartbeat(heartbeat, now);
@@ -172,7 +173,7 @@
         Some(MachineUpdate { evidence, reclaim_notice_s })
     }
 
-    /// By what the reachability of machines is judged now.
+    /// Returns the limits by which the reachability of machines is judged now.
     fn heartbeat_timing(&self) -> HeartbeatTiming {
         let responding_since = match &self.role {
             Role::Leader(leader) if self.checks.retain_silent_machines => {
@@ -189,7 +190,8 @@
 }
 
 impl LeaderState {
-    /// Updates the placements of the tasks that a heartbeat lists, and returns those that exited.
+    /// Updates the placements of the tasks that a heartbeat lists, and returns the tasks that
+    /// exited.
     fn reconcile_listed_tasks(
         &mut self,
         heartbeat: &Heartbeat,
@@ -203,7 +205,7 @@
             let placement = job.placements.get(&task).filter(|placement| {
                 placement.machine == heartbeat.machine && placement.attempt == status.attempt
             });
-            match judge_listed_task(placement, status, is_current) {
+            match classify_listed_task(placement, status, is_current) {
                 ListedTask::Alive => {
                     record_live_task(job, task, &heartbeat.machine, status.state, now);
                 }
@@ -222,7 +224,7 @@
         exits
     }
 
-    /// Releases the tasks that a heartbeat proves to be gone, and returns their jobs.
+    /// Releases the tasks that have ended according to a heartbeat, and returns their jobs.
     fn release_absent_tasks(
         &mut self,
         heartbeat: &Heartbeat,
@@ -248,7 +250,7 @@
     }
 }
 
-/// The arrival of a heartbeat, compared with what `machine` shows of the one before.
+/// Returns the arrival of a heartbeat, with the previous one taken from `machine`.
 fn arrival_of(heartbeat: &Heartbeat, machine: &Machine, received_at: Time) -> HeartbeatArrival {
     HeartbeatArrival {
         previous_epoch: machine.newest_position.0,
@@ -258,7 +260,7 @@
     }
 }
 
-/// Whether a heartbeat lists that attempt of a task.
+/// Whether a heartbeat lists the given attempt of a task.
 fn lists_attempt(heartbeat: &Heartbeat, job: &str, task: u32, attempt: u64) -> bool {
     heartbeat
         .tasks
--- a/crates/controller/src/agents/reconciliation/tests.rs
+++ b/crates/controller/src/agents/reconciliation/tests.rs
@@ -34,24 +34,24 @@
 #[test]
 fn a_listed_task_that_has_not_exited_is_alive_if_it_is_placed_there() {
     let running = TaskStatus { state: TaskState::Running, ..exited(ExitCause::Done) };
-    assert_eq!(judge_listed_task(Some(&placement()), &running, false), ListedTask::Alive);
-    assert_eq!(judge_listed_task(None, &running, true), ListedTask::Ignored);
+    assert_eq!(classify_listed_task(Some(&placement()), &running, false), ListedTask::Alive);
+    assert_eq!(classify_listed_task(None, &running, true), ListedTask::Ignored);
 }
 
 #[test]
 fn only_a_current_heartbeat_shows_that_a_gang_member_gave_up() {
     let alone = exited(ExitCause::Alone);
-    assert_eq!(judge_listed_task(Some(&placement()), &alone, true), ListedTask::Exited);
-    assert_eq!(judge_listed_task(Some(&placement()), &alone, false), ListedTask::Ignored);
+    assert_eq!(classify_listed_task(Some(&placement()), &alone, true), ListedTask::Exited);
+    assert_eq!(classify_listed_task(Some(&placement()), &alone, false), ListedTask::Ignored);
     let failed = exited(ExitCause::Error);
-    assert_eq!(judge_listed_task(Some(&placement()), &failed, false), ListedTask::Exited);
+    assert_eq!(classify_listed_task(Some(&placement()), &failed, false), ListedTask::Exited);
 }
 
 #[test]
 fn only_completed_work_of_a_former_attempt_counts() {
-    let done = judge_listed_task(None, &exited(ExitCause::Done), false);
+    let done = classify_listed_task(None, &exited(ExitCause::Done), false);
     assert_eq!(done, ListedTask::CompletedByFormerAttempt);
-    assert_eq!(judge_listed_task(None, &exited(ExitCause::Error), true), ListedTask::Ignored);
+    assert_eq!(classify_listed_task(None, &exited(ExitCause::Error), true), ListedTask::Ignored);
 }
 
 #[test]
--- a/crates/controller/src/agents/responses.rs
+++ b/crates/controller/src/agents/responses.rs
@@ -1,4 +1,4 @@
-//! Responses to heartbeats: when a response is sent, and which commands it carries.
+//! Responses to heartbeats: the time at which a response is sent and the commands that it carries.
 
 use crate::agents::heartbeat_queue::{PendingHeartbeat, ReplyRoute};
 use crate::agents::pending_kills::MAX_COMMANDS;
@@ -11,20 +11,21 @@
     split_task, task_name, Command, CommandKind, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
 };
 
-/// Checks of all pending heartbeats in one planning interval.
+/// Number of checks of all pending heartbeats per planning interval.
 const CHECKS_PER_PLANNING_INTERVAL: Time = 50.0;
 
-/// What the leader may tell workers now.
+/// Conditions under which the leader may launch tasks now.
 #[derive(Clone, Copy)]
 struct LaunchPolicy {
-    /// The leadership lease is confirmed, so tasks may be launched.
+    /// Whether tasks may be launched, because the leadership lease is confirmed.
     may_launch: bool,
-    /// Only placements that are stored may be launched.
+    /// Whether only stored placements may be launched.
     committed_only: bool,
 }
 
 impl Controller {
-    /// Keeps a heartbeat that was ingested until there is a command for its machine.
+    /// Defers the response to an ingested heartbeat until there is a command for its machine or
+    /// the hold time has passed.
     pub(crate) fn defer_response(&mut self, heartbeat: &Heartbeat, reply_route: ReplyRoute) {
         let now = self.now;
         let timing = self.timing;
@@ -37,13 +38,14 @@
         let pending = PendingHeartbeat { reply_route, deadline: now + hold_s, idle };
         leader.heartbeats.to_check.insert(machine.clone());
         let superseded = leader.heartbeats.pending.insert(machine, pending);
-        // The worker no longer waits for the older one.
+        // The worker no longer waits for the response to the older heartbeat.
         if let Some(ReplyRoute::Direct(request_id)) = superseded.map(|older| older.reply_route) {
             self.respond_error(request_id, 503, "a newer report came");
         }
     }
 
-    /// Responds to pending heartbeats that there are commands for, or whose deadline has passed.
+    /// Responds to the pending heartbeats for which there are commands or whose deadline has
+    /// passed.
     pub(crate) fn respond_to_pending_heartbeats(&mut self) {
         let now = self.now;
         let scan_interval_s = self.timing.planning_interval_s / CHECKS_PER_PLANNING_INTERVAL;
@@ -51,9 +53,13 @@
         let mut machines = std::mem::take(&mut leader.heartbeats.to_check);
         if now >= leader.heartbeats.check_all_at {
             leader.heartbeats.check_all_at = now + scan_interval_s;
-            // Few wait for a plan or a commit at a time. Idle machines wait for their deadline
-            // only, unless something is placed there.
-            let due = leader.heartbeats.pending.iter().filter(|(_, p)| !p.idle || now >= p.deadline);
+            // Few heartbeats wait for a plan or a commit at the same time. Those of idle machines
+            // wait only for their deadline, unless a task is placed there.
+            let due = leader
+                .heartbeats
+                .pending
+                .iter()
+                .filter(|(_, pending)| !pending.idle || now >= pending.deadline);
             machines.extend(due.map(|(machine, _)| machine.clone()));
         }
         for machine in machines {
@@ -62,7 +68,7 @@
         }
     }
 
-    /// Responds to a machine's pending heartbeat unless it has reason to wait on.
+    /// Responds to a machine's pending heartbeat, unless the response has a reason to wait longer.
     fn respond_if_ready(&mut self, machine: &str) {
         let now = self.now;
         let policy = self.launch_policy();
@@ -77,7 +83,7 @@
         self.respond_to_heartbeat(machine, pending, response);
     }
 
-    /// Sends the response to a pending heartbeat by the way that it came.
+    /// Sends the response to a pending heartbeat on the route on which the heartbeat arrived.
     fn respond_to_heartbeat(
         &mut self,
         machine: &str,
@@ -88,7 +94,7 @@
             ReplyRoute::Direct(request_id) => {
                 self.respond(request_id, 200, protocol::encode(&response));
             }
-            // The proxy responds to an idle machine by itself at the deadline.
+            // At the deadline, the proxy responds to an idle machine by itself.
             ReplyRoute::Forwarded { .. } if pending.idle && response.commands.is_empty() => {}
             ReplyRoute::Forwarded { proxy, epoch, sequence } => {
                 let Role::Leader(leader) = &mut self.role else { return };
@@ -103,15 +109,15 @@
         }
     }
 
-    /// The response to a heartbeat of `machine`, with the commands that are due now.
+    /// Builds the response to a heartbeat of `machine`, with the commands that are due now.
     pub(crate) fn build_response(&mut self, machine: &str) -> HeartbeatResponse {
         let policy = self.launch_policy();
         let Role::Leader(leader) = &mut self.role else {
             return HeartbeatResponse { fencing_token: 0, commands: Vec::new() };
         };
-        let listed = leader.cluster.machines.get(machine).map_or(&[][..], |m| &m.tasks);
+        let listed_tasks = leader.cluster.machines.get(machine).map_or(&[][..], |known| &known.tasks);
         let mut commands = Vec::new();
-        for status in listed {
+        for status in listed_tasks {
             let Some((job_id, task)) = split_task(&status.task) else { continue };
             let is_undecodable = leader.undecodable.contains_job(job_id);
             if is_undecodable && self.terminal_states.get(job_id).is_none() {
@@ -122,14 +128,15 @@
         }
         if policy.may_launch {
             for (job_id, task) in leader.cluster.tasks_on(machine) {
-                // A client was shown a terminal state; the leader has yet to read that record.
+                // A client was shown a terminal state that the leader has yet to read from the
+                // job's record.
                 if self.terminal_states.get(&job_id).is_some() {
                     continue;
                 }
                 commands.extend(leader.launch_command(&job_id, task, policy));
             }
         }
-        // A response is at most 64 KiB; what is left over goes with the next.
+        // A response is at most 64 KiB; the remaining commands are sent with the next one.
         commands.truncate(MAX_COMMANDS);
         HeartbeatResponse { fencing_token: leader.fencing_token, commands }
     }
@@ -140,7 +147,7 @@
 }
 
 impl LeaderState {
-    /// Whether a pending heartbeat has reason to wait on.
+    /// Whether the response to a pending heartbeat has a reason to wait longer.
     fn should_keep_pending(&mut self, machine: &str, idle: bool, policy: LaunchPolicy) -> bool {
         let mut has_launch = false;
         for (job_id, task) in self.cluster.tasks_on(machine) {
@@ -157,7 +164,8 @@
             let job =
                 split_task(&status.task).and_then(|(id, task)| Some((self.cluster.jobs.get(id)?, task)));
             match job {
-                // Its result is about to be stored, which frees the resources for another task.
+                // The task's result is about to be stored, which frees the resources for another
+                // task.
                 Some((job, task)) if job.persistence.is_urgent() && !job.outcome_stored(task) => return true,
                 Some((job, task)) => has_forget |= job.outcome_stored(task),
                 None => has_forget = true,
@@ -166,11 +174,11 @@
         if idle {
             return !has_launch && !has_forget;
         }
-        // Resources that have just become free may be used by the next plan.
+        // The next plan may use resources that have just become free.
         self.planning.needed && machine.accepts_work()
     }
 
-    /// The command that launches a task on its machine, if that is due.
+    /// Returns the command that launches a task on its machine, if the launch is due.
     fn launch_command(&mut self, job_id: &str, task: u32, policy: LaunchPolicy) -> Option<Command> {
         let job = self.cluster.jobs.get_mut(job_id).filter(|job| !job.is_final())?;
         let placement = job.placements.get_mut(&task)?;
@@ -191,7 +199,7 @@
     }
 }
 
-/// What the leader has to tell a machine about a task that its worker lists.
+/// Returns the command for a task that the worker of `machine` lists, if one is needed.
 fn command_for_listed_task(
     status: &TaskStatus,
     task: u32,
@@ -201,15 +209,16 @@
 ) -> Option<Command> {
     let command =
         |kind, grace_s| Command { kind, task: status.task.clone(), attempt: status.attempt, grace_s };
-    let is_this_attempt = |p: &&Placement| p.machine == machine && p.attempt == status.attempt;
+    let is_this_attempt =
+        |placement: &&Placement| placement.machine == machine && placement.attempt == status.attempt;
     let placement = job.and_then(|job| job.placements.get(&task)).filter(is_this_attempt);
     match (status.state, placement) {
-        // The worker may forget it only once the result is stored and the placement is gone from
-        // the stored record.
+        // The worker may forget the task only once its result is stored and the stored record no
+        // longer contains its placement.
         (TaskState::Exited, None) => {
             job.is_none_or(|job| job.outcome_stored(task)).then(|| command(CommandKind::Forget, None))
         }
-        // The same attempt is to be started there again (see `gang_still_assembling`).
+        // The same attempt has to be started there again (see `restart_if_gang_assembling`).
         (TaskState::Exited, Some(placement)) => {
             let is_restart = may_launch
                 && placement.committed
--- a/crates/controller/src/agents/task_exits.rs
+++ b/crates/controller/src/agents/task_exits.rs
@@ -1,5 +1,5 @@
-//! Ends of tasks: what each cause of an exit means for the job, and tasks that ended without a
-//! result.
+//! Task exits: the effect of each exit cause on the job, and the release of tasks that ended
+//! without a result.
 
 use crate::leader::state::{LeaderState, Role};
 use crate::model::job::{Job, Placement};
@@ -9,17 +9,17 @@
 use protocol::worker::{ExitCause, TaskStatus};
 use tracing::warn;
 
-/// The part of a run that a checkpoint on request is counted for: what ran while it was written
-/// may be lost.
-const CHECKPOINTED_PART: f64 = 0.9;
-/// The grace for a checkpoint, as a multiple of the time that the job says it takes.
+/// Fraction of a run that counts as saved by a checkpoint on request, because the work done while
+/// the checkpoint is written may be lost.
+const CHECKPOINTED_FRACTION: f64 = 0.9;
+/// Grace period for a checkpoint, as a multiple of the time that the job's specification states.
 const CHECKPOINT_GRACE_FACTOR: f64 = 1.25;
-/// Launch attempts in one heartbeat interval while machines refuse a job's tasks.
+/// Launch attempts per heartbeat interval while machines refuse a job's tasks.
 const LAUNCHES_PER_HEARTBEAT: f64 = 3.0;
-/// The shortest run that the statistics of a job class take, in seconds.
+/// Minimum run time that is recorded in the statistics of a job class, in seconds.
 const MIN_RECORDED_RUN_S: f64 = 0.1;
 
-/// A task that exited, as its machine's worker shows it.
+/// A task that exited according to its machine's worker.
 pub(crate) struct TaskExit {
     /// The job's id.
     pub job: String,
@@ -35,7 +35,7 @@
         let now = self.now;
         let heartbeat_interval_s = self.settings.params.workers.heartbeat_interval_s;
         let cause = exit.status.exit_cause;
-        if cause == Some(ExitCause::Alone) && self.gang_still_assembling(&exit.job, exit.task) {
+        if cause == Some(ExitCause::Alone) && self.restart_if_gang_assembling(&exit.job, exit.task) {
             return;
         }
         let Role::Leader(leader) = &mut self.role else { return };
@@ -46,7 +46,7 @@
             Some(ExitCause::Done) => leader.complete_task(machine, exit, run_s),
             Some(ExitCause::Stopped) => {
                 if let Some(run_s) = run_s.filter(|_| exit.status.checkpointed == Some(true)) {
-                    job.progress_s += run_s.max(0.0) * CHECKPOINTED_PART;
+                    job.progress_s += run_s.max(0.0) * CHECKPOINTED_FRACTION;
                 }
                 release_lost_task(job, exit.task, now);
             }
@@ -60,18 +60,19 @@
                 release_lost_task(job, exit.task, now);
             }
             Some(ExitCause::Peers | ExitCause::Alone) | None => {
-                keep_periodic_checkpoints(job, run_s);
+                add_checkpointed_progress(job, run_s);
                 release_lost_task(job, exit.task, now);
             }
         }
     }
 
-    /// Whether a gang that `task` gave up waiting for is still being assembled: all members are
-    /// alive and have not run. The task is then started again where it is, with the same attempt.
-    /// False once that has taken too long. (With an image that took longer to fetch than
-    /// `gang_wait_s`, the members that had it gave up, which ended the attempt and every fetch.
-    /// Such gangs never started.)
-    fn gang_still_assembling(&mut self, job_id: &str, task: u32) -> bool {
+    /// Marks `task`, which stopped waiting for the other members of its gang, to be started again
+    /// on the same machine with the same attempt if the gang is still being assembled: all members
+    /// are alive, none has run yet, and the assembly has not taken too long. Returns whether the
+    /// task was marked. Without such restarts, gangs whose image took longer to fetch than
+    /// `gang_wait_s` never started: the members that had the image stopped waiting, which ended
+    /// the attempt and every fetch.
+    fn restart_if_gang_assembling(&mut self, job_id: &str, task: u32) -> bool {
         let now = self.now;
         let timing = self.timing;
         let Role::Leader(leader) = &mut self.role else { return false };
@@ -93,15 +94,16 @@
         }
         if let Some(placement) = job.placements.get_mut(&task) {
             // No response with a launch is on its way: the heartbeat is newer than all of them,
-            // and the worker had seen this leader's token.
+            // and the worker has seen this leader's token.
             placement.observed_state = None;
             placement.inherited = false;
         }
         true
     }
 
-    /// The cloud is about to take `machine` away: gangs that can save a checkpoint within the
-    /// notice do so, all tasks at once. Other work goes on as long as it can.
+    /// Stops the gangs on `machine`, which the cloud is about to reclaim, if they can save a
+    /// checkpoint within the notice; all tasks of a gang stop together. Other tasks keep running
+    /// as long as they can.
     pub(crate) fn checkpoint_gangs_before_reclaim(&mut self, machine: &str, notice_s: f64) {
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else { return };
@@ -122,7 +124,8 @@
         }
     }
 
-    /// Every task on `machine` is certainly gone. `remove`: the machine is, too.
+    /// Releases all tasks on `machine`, which have certainly ended. `remove`: the machine itself no
+    /// longer exists and is removed.
     pub(crate) fn remove_machine_work(&mut self, machine: &str, remove: bool) {
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else { return };
@@ -148,7 +151,8 @@
 }
 
 impl LeaderState {
-    /// A task on `machine` completed its work after `run_s` seconds, if its start was seen.
+    /// Records that a task on `machine` completed its work. `run_s` is its run time in seconds, or
+    /// None if its start was not observed.
     fn complete_task(&mut self, machine: &str, exit: &TaskExit, run_s: Option<Time>) {
         let Some(job) = self.cluster.jobs.get_mut(&exit.job) else { return };
         if let Some(run_s) = run_s {
@@ -182,14 +186,15 @@
     }
 }
 
-/// Counts what a run has saved at its regular checkpoints.
-fn keep_periodic_checkpoints(job: &mut Job, run_s: Option<Time>) {
+/// Adds the work that a run saved at its periodic checkpoints to the job's progress.
+fn add_checkpointed_progress(job: &mut Job, run_s: Option<Time>) {
     let interval_s = job.spec.checkpoint_interval_s;
     let Some(run_s) = run_s.filter(|_| interval_s > 0.0) else { return };
     job.progress_s += (run_s / interval_s).floor() * interval_s;
 }
 
-/// Whether `task` belongs to a gang that runs, can save a checkpoint, and is not being stopped.
+/// Whether `task` belongs to a gang that is running, can save a checkpoint, and is not being
+/// stopped.
 fn can_checkpoint_gang(job: &Job, task: u32) -> bool {
     let saves_checkpoints = job.spec.checkpoint_interval_s > 0.0;
     if !saves_checkpoints || job.spec.shape != Shape::Gang || job.is_final() {
@@ -199,7 +204,8 @@
     is_running && job.placements.values().all(|placement| placement.stopping.is_none())
 }
 
-/// Releases the placement of a task that ended without a result. A gang's attempt ends with it.
+/// Releases the placement of a task that ended without a result. If the task belongs to a gang,
+/// the gang's attempt ends with it.
 pub(crate) fn release_lost_task(job: &mut Job, task: u32, now: Time) {
     job.release_placement(task);
     if job.spec.shape != Shape::Gang || job.placements.is_empty() || job.is_final() {
@@ -211,7 +217,7 @@
             placement.stopping = Some((now, 0.0));
         }
     }
-    // Members that were never launched need no proof of their end.
+    // Members that were never launched are released without proof that they ended.
     let unlaunched: Vec<u32> = job
         .placements
         .iter()
