--- a/crates/controller/src/proxy.rs
+++ b/crates/controller/src/proxy.rs
@@ -1,5 +1,5 @@
-//! Heartbeats through every node: this node as a proxy for the leader, and the leader towards its
-//! proxies. `docs/heartbeat_proxying.md` argues why that is safe.
+//! Proxying of heartbeats: this node as a proxy for the leader, and the leader's side of the
+//! protocol with its proxies. The safety argument is in `docs/heartbeat_proxying.md`.
 
 pub(crate) mod admission;
 pub(crate) mod capacity;
--- a/crates/controller/src/proxy/admission.rs
+++ b/crates/controller/src/proxy/admission.rs
@@ -1,25 +1,26 @@
-//! Admission of workers, and their distribution over the nodes.
+//! Admission of workers and their distribution over the nodes.
 
 use crate::leader::state::Role;
 use crate::{Controller, RequestId};
 use protocol::worker::{Heartbeat, TaskState};
 use sharding::ShardMember;
 
-/// The unit of the weights that nodes tell each other: thousandths.
+/// Scale of the weights that nodes exchange, which are integers in thousandths.
 const WEIGHT_SCALE: f64 = 1000.0;
 
-/// Whether a node serves a worker.
+/// Decision on whether a node serves a worker.
 enum WorkerAdmission {
-    /// The node serves it.
+    /// The node serves the worker.
     Accept,
-    /// The node is full, and that one has room.
+    /// The node is full, and the named node has free capacity.
     Redirect(String),
-    /// No node has room.
+    /// No node has free capacity.
     Reject,
 }
 
 impl Controller {
-    /// Whether this node serves a worker; if not, the worker's request is redirected or refused.
+    /// Returns whether this node serves a worker. If not, redirects or refuses the worker's
+    /// request.
     pub(crate) fn admit_or_refuse(&mut self, request_id: RequestId, is_known: bool) -> bool {
         match self.admit_worker(is_known) {
             WorkerAdmission::Accept => return true,
@@ -31,8 +32,9 @@
         false
     }
 
-    /// Decides where a worker is served. Known workers stay, and if no node has room a worker is
-    /// served all the same, up to the connections that are reserved for clients.
+    /// Decides where a worker is served. Known workers stay. If no node has free capacity, this
+    /// node serves new workers above its own capacity, up to `max_workers`, which leaves the
+    /// connections that are reserved for clients.
     fn admit_worker(&mut self, is_known: bool) -> WorkerAdmission {
         if is_known {
             return WorkerAdmission::Accept;
@@ -50,16 +52,17 @@
         WorkerAdmission::Accept
     }
 
-    /// The node that should serve the sender of a heartbeat instead of this leader, if any, and if
-    /// the leader has no command for it. The worker no longer counts as this node's then.
+    /// Returns the node that should serve the sender of a heartbeat instead of this leader, if
+    /// there is one and the leader has no command for the worker. The worker then no longer counts
+    /// as served by this node.
     pub(crate) fn pick_better_node(&mut self, heartbeat: &Heartbeat) -> Option<String> {
         let machine = &heartbeat.machine;
         let has_exited = heartbeat.tasks.iter().any(|status| status.state == TaskState::Exited);
         if has_exited || heartbeat.notice_s.is_some() {
             return None;
         }
-        let (own, others) = self.shard_members();
-        let node = self.sharding.balancer.pick_better_node(self.now, machine, &own, &others)?;
+        let (own_member, others) = self.shard_members();
+        let node = self.sharding.balancer.pick_better_node(self.now, machine, &own_member, &others)?;
         self.update_leader_only(machine);
         let Role::Leader(leader) = &mut self.role else { return None };
         if leader.forwarding.is_leader_only(machine) {
@@ -72,7 +75,7 @@
         Some(node)
     }
 
-    /// This node, and the others that respond to heartbeats, with their workers.
+    /// Returns this node and the other nodes that respond to heartbeats, with their worker counts.
     pub(crate) fn shard_members(&self) -> (ShardMember, Vec<ShardMember>) {
         let max_age_s = self.view_gap_s();
         let others = self
@@ -85,13 +88,13 @@
                 capacity: view.room,
                 weight: f64::from(view.weight) / WEIGHT_SCALE,
             });
-        let own = ShardMember {
+        let own_member = ShardMember {
             node: self.settings.node.clone(),
             workers: self.sharding.worker_count,
             capacity: self.timing.worker_capacity,
             weight: self.sharding.event_loop_lag.weight(),
         };
-        (own, others.collect())
+        (own_member, others.collect())
     }
 
     /// Counts the workers that this node serves.
--- a/crates/controller/src/proxy/capacity.rs
+++ b/crates/controller/src/proxy/capacity.rs
@@ -1,4 +1,4 @@
-//! How many workers the nodes can serve, and so how many machines the fleet may have.
+//! Capacity of the nodes to serve workers, which limits the number of machines in the fleet.
 
 use crate::leader::state::Role;
 use crate::model::machine::MachinePhase;
@@ -7,22 +7,23 @@
 use std::collections::BTreeSet;
 use tracing::info;
 
-/// Machines that may be missing to the capacity when it is logged as reached.
+/// Number of machines below the capacity from which it is logged as reached.
 const CAPACITY_LOG_MARGIN: u32 = 50;
 
 impl Controller {
-    /// The answer to a health check: workers, and room for them.
+    /// Returns the response to a health check: worker counts and capacities.
     pub(crate) fn health(&self) -> Health {
-        let (own, others) = self.shard_members();
+        let (own_member, others) = self.shard_members();
         let ceiling = match &self.role {
             Role::Leader(_) => self.worker_capacity(),
-            Role::Follower => own.capacity + others.iter().map(|member| member.capacity).sum::<u32>(),
+            Role::Follower => own_member.capacity + others.iter().map(|member| member.capacity).sum::<u32>(),
         };
-        Health { workers: own.workers, capacity: own.capacity, ceiling }
+        Health { workers: own_member.workers, capacity: own_member.capacity, ceiling }
     }
 
-    /// Workers that all nodes together can serve: this one, and those that respond to heartbeats
-    /// or did within the last lease. 0 while this node doesn't lead.
+    /// Returns the number of workers that all nodes together can serve: this node, and the nodes
+    /// that respond to heartbeats or did so within the last worker lease. 0 while this node
+    /// doesn't lead.
     pub(crate) fn worker_capacity(&self) -> u32 {
         let Role::Leader(leader) = &self.role else { return 0 };
         let since = self.now - self.settings.params.workers.lease_s;
@@ -31,13 +32,13 @@
         self.timing.worker_capacity + views.map(|(view, _)| view.room).sum::<u32>()
     }
 
-    /// Machines by which the fleet may grow.
+    /// Returns the number of machines by which the fleet may grow.
     pub(crate) fn machine_capacity_left(&mut self) -> u32 {
         let ceiling = self.worker_capacity();
         let Role::Leader(leader) = &mut self.role else { return 0 };
-        let kept =
+        let remaining =
             leader.cluster.machines.values().filter(|machine| machine.phase != MachinePhase::Terminating);
-        let machines = kept.count() as u32;
+        let machines = remaining.count() as u32;
         let is_nearly_reached = machines + CAPACITY_LOG_MARGIN >= ceiling;
         if is_nearly_reached && ceiling != leader.fleet.logged_capacity {
             leader.fleet.logged_capacity = ceiling;
--- a/crates/controller/src/proxy/follower.rs
+++ b/crates/controller/src/proxy/follower.rs
@@ -1,5 +1,5 @@
-//! This node as a proxy while another node leads: it holds and forwards heartbeats, and responds
-//! to them on a lease that the leader delegates.
+//! Proxying of heartbeats while another node leads: this node holds and forwards heartbeats, and
+//! responds to them under a lease that the leader delegates.
 
 use crate::{CallContext, Controller, Output, RequestId, Time};
 use protocol::peer::ForwardReply;
@@ -13,9 +13,9 @@
         self.respond(request_id, 421, protocol::encode(&Redirect { report_to: node }));
     }
 
-    /// A worker sent a heartbeat to this node while it doesn't lead.
+    /// Handles a heartbeat that a worker sent to this node while the node doesn't lead.
     pub(crate) fn on_proxied_heartbeat(&mut self, request_id: RequestId, heartbeat: Heartbeat) {
-        let is_known = self.sharding.proxy.knows(&heartbeat.machine);
+        let is_known = self.sharding.proxy.knows_worker(&heartbeat.machine);
         if !self.admit_or_refuse(request_id, is_known) {
             return;
         }
@@ -26,29 +26,30 @@
         self.perform_proxy_actions();
     }
 
-    /// The node that should serve the sender of a heartbeat instead of this proxy, if any. The
-    /// worker no longer counts as this node's then.
+    /// Returns the node that should serve the sender of a heartbeat instead of this proxy, if
+    /// there is one. The worker then no longer counts as served by this node.
     fn pick_better_proxy(&mut self, heartbeat: &Heartbeat) -> Option<String> {
-        if !self.sharding.proxy.may_be_moved(self.now, heartbeat) {
+        if !self.sharding.proxy.may_redirect(self.now, heartbeat) {
             return None;
         }
-        let (own, others) = self.shard_members();
-        let node = self.sharding.balancer.pick_better_node(self.now, &heartbeat.machine, &own, &others)?;
-        self.sharding.proxy.on_worker_moved(self.now, &heartbeat.machine);
+        let (own_member, others) = self.shard_members();
+        let node =
+            self.sharding.balancer.pick_better_node(self.now, &heartbeat.machine, &own_member, &others)?;
+        self.sharding.proxy.on_worker_redirected(self.now, &heartbeat.machine);
         self.sharding.worker_count = self.sharding.worker_count.saturating_sub(1);
         Some(node)
     }
 
-    /// This node was elected: it handles the heartbeats that it held as a proxy itself.
+    /// Handles the heartbeats that this node held as a proxy before it was elected.
     pub(crate) fn take_over_held_heartbeats(&mut self) {
-        // Workers are counted anew as their heartbeats come.
+        // Workers are counted again as their heartbeats arrive.
         self.sharding.worker_count = 0;
         for (request_id, heartbeat) in self.sharding.proxy.take_held_heartbeats() {
             self.on_leader_heartbeat(request_id, &heartbeat);
         }
     }
 
-    /// Follows changes of the leader, forwards heartbeats and expires held ones.
+    /// Follows changes of the leader, forwards heartbeats, and expires held heartbeats.
     pub(crate) fn tick_proxy(&mut self) {
         if self.is_leader() {
             return;
@@ -63,11 +64,12 @@
         self.log_delegated_lease();
     }
 
-    /// The leader's node and token. The store names the leader, but a node that misses the change
-    /// learns of a newer leader from that leader's own view.
+    /// Returns the node and the token of the newest known leader. The store names the leader, but
+    /// a node that misses the change learns of a newer leader from the view that this leader
+    /// sends.
     fn newest_known_leader(&self) -> Option<(String, u64)> {
         let is_fresh = |received_at: Time| self.now - received_at < self.timing.leader_lease_s;
-        let claimed = self
+        let announced = self
             .peers
             .values()
             .filter(|(view, received_at)| view.token > 0 && is_fresh(*received_at))
@@ -75,10 +77,10 @@
             .max_by_key(|(_, token)| *token);
         let stored = self.election.known_leader.clone().filter(|(node, _)| *node != self.settings.node);
         let min_token = stored.as_ref().map_or(self.election.last_stored_token, |(_, token)| *token);
-        claimed.filter(|(_, token)| *token > min_token).or(stored)
+        announced.filter(|(_, token)| *token > min_token).or(stored)
     }
 
-    /// Logs when a delegated lease begins and ends.
+    /// Logs the beginning and the end of a delegated lease.
     fn log_delegated_lease(&mut self) {
         let may_respond = self.sharding.proxy.may_respond(self.now);
         if may_respond == self.sharding.was_proxying {
@@ -101,7 +103,7 @@
                     self.respond(request_id, 200, protocol::encode(&response));
                 }
                 ProxyAction::Redirect(request_id, node) => self.redirect(request_id, node),
-                ProxyAction::Reject(request_id, why) => self.respond_error(request_id, 503, why),
+                ProxyAction::Reject(request_id, error) => self.respond_error(request_id, 503, error),
                 ProxyAction::Forward(node, request) => {
                     let call_id = self.register_call(CallContext::Forward);
                     self.outputs.push(Output::Forward(call_id, node, request));
@@ -110,7 +112,7 @@
         }
     }
 
-    /// The leader replied to forwarded heartbeats; None: the call failed.
+    /// Handles the leader's reply to forwarded heartbeats, or None if the call failed.
     pub(crate) fn on_forward_reply(&mut self, reply: Option<ForwardReply>) {
         self.sharding.proxy.on_reply(self.now, reply);
         self.perform_proxy_actions();
--- a/crates/controller/src/proxy/forwarded_heartbeats.rs
+++ b/crates/controller/src/proxy/forwarded_heartbeats.rs
@@ -1,5 +1,5 @@
-//! The leader towards its proxies: heartbeats that they forward, and the replies that delegate
-//! leases to them.
+//! The leader's side of heartbeat proxying: heartbeats that proxies forward, and the replies that
+//! delegate leases to the proxies.
 
 use crate::agents::heartbeat_queue::ReplyRoute;
 use crate::leader::state::Role;
@@ -9,34 +9,35 @@
 use protocol::worker::Heartbeat;
 use sharding::ProxyId;
 
-/// Milliseconds of one second, the unit of the ages that proxies tell.
+/// Milliseconds per second. Proxies state the age of heartbeats in milliseconds.
 const MS_PER_S: f64 = 1000.0;
 
-/// How the worker's state follows from a forwarded heartbeat. Proxies send it in full only when
-/// it changes, and refer to the heartbeat that had it otherwise.
+/// Source of the worker's state for a forwarded heartbeat. Proxies send the state in full only
+/// when it changes, and otherwise refer to the heartbeat that contained it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ForwardedState {
-    /// The entry has it in full.
+    /// The entry contains the state in full.
     Full,
-    /// It is the same as before, and nothing has changed here either.
+    /// The state is unchanged, and so are the leader's placements.
     Reconciled,
-    /// It is the same as before.
+    /// The state is unchanged.
     Repeated,
     /// A newer heartbeat is known.
     Outdated,
-    /// The heartbeat that had it is not known here.
+    /// The heartbeat that contained the state is not known here.
     Unknown,
 }
 
 /// A forwarded heartbeat with the worker's state in full.
 struct ResolvedHeartbeat {
     heartbeat: Heartbeat,
-    /// The heartbeat from which its state was repeated, if it was: epoch and sequence.
+    /// Epoch and sequence number of the heartbeat from which the state was repeated, if it was.
     base_position: Option<(u64, u64)>,
 }
 
-/// Decides how the state follows from `entry`. Machines count as reconciled for `reconciled_s`.
-fn judge_forwarded(
+/// Determines the source of the worker's state for `entry`. Machines count as reconciled for
+/// `reconciled_s` seconds.
+fn classify_forwarded(
     entry: &ForwardedHeartbeat,
     machine: Option<&Machine>,
     now: Time,
@@ -47,7 +48,7 @@
     }
     let Some(machine) = machine else { return ForwardedState::Unknown };
     if machine.content_position == (entry.session, entry.same_as) {
-        // The most frequent case: the tasks go on as they did.
+        // The most frequent case: the tasks continue unchanged.
         if !entry.held && machine.is_reconciled(now, reconciled_s) {
             return ForwardedState::Reconciled;
         }
@@ -60,7 +61,7 @@
 }
 
 impl Controller {
-    /// Another node forwards heartbeats.
+    /// Handles heartbeats that another node forwards.
     pub(crate) fn on_forward_request(&mut self, request_id: RequestId, request: ForwardRequest) {
         let now = self.now;
         let is_peer = self.settings.peers.iter().any(|peer| peer.node == request.node);
@@ -70,7 +71,7 @@
         let Role::Leader(leader) = &mut self.role else {
             return self.refuse_forward_request(request_id);
         };
-        // Heartbeats that were meant for an earlier leader may be minutes old.
+        // Heartbeats that were sent for an earlier leader may be minutes old.
         let is_ready = leader.recovery.finished && request.token == leader.fencing_token;
         if !is_peer || !leader.forwarding.on_request(now, request_id, &request, is_ready) {
             return self.refuse_forward_request(request_id);
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Restores the heartbeat that an entry stands for. None if there is nothing more to do: it
-    /// changes nothing, is outdated, or has to be sent in full first.
+    /// Restores the heartbeat that an entry represents. Returns None if there is nothing more to
+    /// do: the heartbeat changes nothing, is outdated, or has to be sent in full first.
     fn resolve_forwarded(
         &mut self,
         proxy: &ProxyId,
@@ -125,10 +126,10 @@
         let token = leader.fencing_token;
         let mut machine = leader.cluster.machines.get_mut(&entry.machine);
         if let Some(machine) = &mut machine {
-            // The proxy may have responded to it, whatever follows from it here.
+            // The proxy may have responded to the heartbeat, whether or not it is processed here.
             machine.record_heartbeat(position, received_at, true);
         }
-        let state = judge_forwarded(&entry, machine.as_deref(), now, reconciled_s);
+        let state = classify_forwarded(&entry, machine.as_deref(), now, reconciled_s);
         let resolved = match (state, machine) {
             (ForwardedState::Full, _) => {
                 ResolvedHeartbeat { heartbeat: entry.into_heartbeat()?, base_position: None }
@@ -156,7 +157,8 @@
         Some(resolved).filter(|resolved| resolved.heartbeat.fencing_token <= token)
     }
 
-    /// The state of a machine is that of an older heartbeat, to which proxies refer.
+    /// Sets the position of the older heartbeat that contains the machine's state and to which
+    /// proxies refer.
     fn set_content_position(&mut self, machine: &str, position: (u64, u64)) {
         let Role::Leader(leader) = &mut self.role else { return };
         if let Some(machine) = leader.cluster.machines.get_mut(machine) {
@@ -164,12 +166,12 @@
         }
     }
 
-    /// Sends the replies that are due to the proxies, each with a delegated lease.
+    /// Sends the due replies to the proxies, each with a delegated lease.
     pub(crate) fn tick_forwarding(&mut self) {
         let now = self.now;
         let reply_interval_s = self.timing.forward_interval_s;
         let Role::Leader(leader) = &mut self.role else { return };
-        // Proxies must stop responding when this leader must, at the latest.
+        // Proxies must stop responding no later than this leader.
         let own_lease_s = if self.checks.response_grace {
             leader.leadership.authority.may_respond_until() - now
         } else {
--- a/crates/controller/src/proxy/leader_only.rs
+++ b/crates/controller/src/proxy/leader_only.rs
@@ -1,33 +1,33 @@
-//! Machines that have commands to come, so that proxies must leave the response to the leader.
+//! Machines with upcoming commands, to whose heartbeats only the leader may respond.
 
 use crate::leader::state::{LeaderState, Role};
 use crate::model::job::Placement;
 use crate::Controller;
 use protocol::worker::{split_task, TaskState, TaskStatus};
 
-/// Why only the leader may respond to a machine; the later variant outweighs the earlier.
+/// Reason why only the leader may respond to a machine. Later variants take precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum LeaderOnlyReason {
-    /// A task is to be launched.
+    /// A task has to be launched.
     Launch,
-    /// A task is to be killed: a proxy must not even renew the worker's lease at the deadline.
+    /// A task has to be killed. A proxy must not even renew the worker's lease at the deadline.
     Kill,
 }
 
 impl LeaderOnlyReason {
-    /// The reason that a placement gives, if any.
+    /// Returns the reason that follows from a placement, if any.
     fn of_placement(placement: &Placement) -> Option<Self> {
         if placement.stopping.is_some() {
             return Some(LeaderOnlyReason::Kill);
         }
-        let is_unseen = placement.observed_state.is_none() && !placement.inherited;
-        is_unseen.then_some(LeaderOnlyReason::Launch)
+        let is_unobserved = placement.observed_state.is_none() && !placement.inherited;
+        is_unobserved.then_some(LeaderOnlyReason::Launch)
     }
 }
 
 impl Controller {
-    /// Updates whether only the leader may respond to `machine`, because there are commands for
-    /// it, and whether its state is reconciled with the placements.
+    /// Updates whether only the leader may respond to `machine` because there are commands for it,
+    /// and whether the machine's state is reconciled with the placements.
     pub(crate) fn update_leader_only(&mut self, machine: &str) {
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else { return };
@@ -45,7 +45,8 @@
 }
 
 impl LeaderState {
-    /// Why only the leader may respond to `machine`, where `tasks` are placed.
+    /// Returns the reason why only the leader may respond to `machine`, on which `tasks` are
+    /// placed, if there is one.
     fn leader_only_reason(&self, machine: &str, tasks: &[(String, u32)]) -> Option<LeaderOnlyReason> {
         if self.has_unplaced_task(machine) {
             return Some(LeaderOnlyReason::Kill);
@@ -60,7 +61,8 @@
         let is_unplaced = |status: &TaskStatus| {
             let Some((job, task)) = split_task(&status.task) else { return false };
             let placement = self.placement(job, task);
-            !placement.is_some_and(|p| p.machine == machine && p.attempt == status.attempt)
+            !placement
+                .is_some_and(|placement| placement.machine == machine && placement.attempt == status.attempt)
         };
         let mut live = known.tasks.iter().filter(|status| status.state != TaskState::Exited);
         live.any(is_unplaced)
--- a/crates/controller/src/proxy/sharding_state.rs
+++ b/crates/controller/src/proxy/sharding_state.rs
@@ -1,36 +1,37 @@
-//! A node's part in sharding the workers between the controllers.
+//! State that a node keeps for the sharding of workers across the controllers.
 
 use crate::messages::Time;
 use settings::{Settings, Timing};
 use sharding::{EventLoopLag, HeartbeatProxy, ShardBalancer};
 use std::collections::BTreeMap;
 
-/// Which workers this node serves, and how loaded it is.
+/// Workers that this node serves, and the node's load.
 pub(crate) struct ShardingState {
     /// Serves heartbeats on a delegated lease while another node leads.
     pub(crate) proxy: HeartbeatProxy,
     /// Decides which workers to redirect to other nodes.
     pub(crate) balancer: ShardBalancer,
-    /// How late this node's timers fire.
+    /// Lag of this node's timers.
     pub(crate) event_loop_lag: EventLoopLag,
     /// Whether this node served on a delegated lease at the last tick.
     pub(crate) was_proxying: bool,
-    /// Workers that this node serves, as last counted.
+    /// Number of workers that this node serves, as of the last count.
     pub(crate) worker_count: u32,
-    /// Workers that have come since the last count.
+    /// Number of workers admitted since the last count.
     pub(crate) new_workers: u32,
-    /// When the workers were last counted.
+    /// Time of the last count of the workers.
     pub(crate) counted_at: Time,
-    /// When each worker last sent a heartbeat to this node, whatever the response was, and the
+    /// Time of each worker's last heartbeat to this node, regardless of the response, with the
     /// agent epoch and sequence number of that heartbeat.
     pub(crate) worker_contacts: BTreeMap<String, (Time, (u64, u64))>,
 }
 
 impl ShardingState {
-    /// Of a node that serves no worker yet; `seed` is the proxy's source of randomness.
-    pub(crate) fn new(settings: &Settings, seed: u64, timing: Timing) -> Self {
+    /// Creates the state of a node that serves no workers yet. `incarnation` has to differ between
+    /// two starts of the same node.
+    pub(crate) fn new(settings: &Settings, incarnation: u64, timing: Timing) -> Self {
         ShardingState {
-            proxy: HeartbeatProxy::new(&settings.node, seed, timing),
+            proxy: HeartbeatProxy::new(&settings.node, incarnation, timing),
             balancer: ShardBalancer::new(settings.params.workers.lease_s),
             event_loop_lag: EventLoopLag::default(),
             was_proxying: false,
--- a/crates/controller/src/routing.rs
+++ b/crates/controller/src/routing.rs
@@ -5,9 +5,10 @@
 use crate::messages::{CallId, Input, Output, Request, RequestId, StoreReply, Time, WorkerReply};
 
 impl Controller {
-    /// Processes one input and returns the outputs to carry out, in their order.
+    /// Processes one input and returns the resulting outputs, to be carried out in order.
     ///
-    /// `now` is the time on the steady clock and `time_of_day` the Unix time, both in seconds.
+    /// `now` is the time on the monotonic clock and `time_of_day` is the Unix time, both in
+    /// seconds.
     pub fn handle(&mut self, now: Time, time_of_day: f64, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
         self.time_of_day = time_of_day;
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Records how the store answers, then routes the reply.
+    /// Updates the store's health from the reply, then routes the reply.
     fn on_store_input(&mut self, id: CallId, reply: StoreReply) {
         let Some(call) = self.calls.complete(id) else { return };
         self.hedged_requests.record_reply(&reply);
@@ -62,7 +63,7 @@
         self.on_store_reply(call.context, reply);
     }
 
-    /// Routes the reply to a store call, or to a hedged transaction, by what it was made for.
+    /// Routes the reply to a store call, or to a hedged transaction, by the context of the call.
     pub(crate) fn on_store_reply(&mut self, context: CallContext, reply: StoreReply) {
         match context {
             CallContext::LeaderRead => self.on_leader_read(reply),
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Routes the replies to calls that were made for clients' requests.
+    /// Routes the reply to a call that was made for a client's request.
     fn on_client_call_reply(&mut self, context: CallContext, reply: StoreReply) {
         match context {
             CallContext::FreshnessRead => self.on_freshness_read(reply),
@@ -109,7 +110,7 @@
             CallContext::CancelWrite { id, tries } => self.on_cancel_write(&id, tries, reply),
             CallContext::Hedged { id } => self.on_hedged_reply(id, reply),
             CallContext::HedgedReadBack { id } => self.on_hedged_read_back(id, reply),
-            // Nothing depends on the reply, or it is no call to the store.
+            // Nothing depends on the reply, or the call was not made to the store.
             _ => {}
         }
     }
--- a/crates/sharding/src/heartbeat_proxy.rs
+++ b/crates/sharding/src/heartbeat_proxy.rs
@@ -1,8 +1,8 @@
-//! A node that serves workers' heartbeats for the leader.
+//! A node that serves workers' heartbeats on behalf of the leader.
 //!
-//! While its delegated lease lasts, the proxy answers heartbeats that tell the leader
-//! nothing new by itself. All others are held until the leader's commands come back
-//! with the reply to a forwarded batch. Without a lease it holds heartbeats for a
+//! While its delegated lease is valid, the proxy responds by itself to heartbeats that
+//! contain nothing new for the leader. It holds all others until the leader's commands
+//! arrive with the reply to a forwarded batch. Without a lease it holds heartbeats for a
 //! while and then redirects the workers to the leader.
 
 mod action;
@@ -21,23 +21,24 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use worker::{HeartbeatPosition, ProxiedWorker};
 
-/// Workers that a proxy remembers: those that were seen within the last four
-/// [`Timing::heartbeat_validity_s`].
+/// Maximum number of workers that a proxy remembers. Workers are remembered for
+/// `WORKER_RETENTION_PERIODS`.
 const MAX_WORKERS: usize = 20_000;
-/// Periods of [`Timing::heartbeat_validity_s`] after which an absent worker is forgotten.
+/// Time after which an absent worker is forgotten, in periods of
+/// [`Timing::heartbeat_validity_s`].
 const WORKER_RETENTION_PERIODS: f64 = 4.0;
 
-/// The lease under which this node may answer heartbeats for the leader.
+/// The lease under which this node may respond to heartbeats on behalf of the leader.
 struct DelegatedLease {
     fencing_token: u64,
     expires_at: Time,
-    /// The leader has recovered its state and processes forwarded heartbeats.
+    /// Whether the leader has recovered its state and processes forwarded heartbeats.
     leader_ready: bool,
 }
 
-/// Serves heartbeats on a lease that the leader delegates.
+/// Proxy that serves heartbeats under a lease that the leader delegates.
 pub struct HeartbeatProxy {
-    /// Safety checks in force; all of them outside of tests.
+    /// Safety checks that are enabled. All of them are enabled outside of tests.
     pub checks: ProxySafetyChecks,
     node: String,
     incarnation: u64,
@@ -46,17 +47,17 @@
     leader_since: Time,
     lease: Option<DelegatedLease>,
     workers: BTreeMap<String, ProxiedWorker>,
-    /// Machines whose heartbeats are still to be forwarded, oldest first.
+    /// Machines whose heartbeats have yet to be forwarded, oldest first.
     forward_queue: VecDeque<String>,
-    /// Machines that only the leader answers; true if a task there has to be killed.
+    /// Machines to which only the leader may respond; true if a task there has to be killed.
     leader_only: BTreeMap<String, bool>,
     hold_deadlines: BTreeSet<HoldDeadline>,
     in_flight: Option<InFlightForward>,
     forward_sequence: u64,
     acknowledged_sequence: u64,
     next_forward_at: Time,
-    /// Forwarded batches that failed in a row.
-    failures: u32,
+    /// Number of consecutive forwarded batches that failed.
+    consecutive_failures: u32,
     last_sweep_at: Time,
     actions: Vec<ProxyAction>,
 }
@@ -66,8 +67,8 @@
 }
 
 impl HeartbeatProxy {
-    /// A proxy without leader or lease. `incarnation` has to differ between two
-    /// starts of the same node.
+    /// Creates a proxy without a leader or a lease. `incarnation` has to differ between
+    /// two starts of the same node.
     pub fn new(node: &str, incarnation: u64, timing: Timing) -> Self {
         HeartbeatProxy {
             checks: ProxySafetyChecks::default(),
@@ -85,55 +86,55 @@
             forward_sequence: 0,
             acknowledged_sequence: 0,
             next_forward_at: 0.0,
-            failures: 0,
+            consecutive_failures: 0,
             last_sweep_at: 0.0,
             actions: Vec::new(),
         }
     }
 
-    /// The actions that are due since the last call.
+    /// Takes the actions that have become due since the last call.
     pub fn take_actions(&mut self) -> Vec<ProxyAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether a valid lease allows it to answer heartbeats now.
+    /// Whether a valid lease allows this node to respond to heartbeats now.
     pub fn may_respond(&self, now: Time) -> bool {
         self.valid_lease(now).is_some()
     }
 
-    /// The leader as set last by [`HeartbeatProxy::set_leader`].
+    /// Returns the leader that was last set by [`HeartbeatProxy::set_leader`].
     pub fn leader(&self) -> Option<&LeaderIdentity> {
         self.leader.as_ref()
     }
 
-    /// Whether a heartbeat is held or waits to be forwarded, so that ticks are urgent.
+    /// Whether a heartbeat is held or waits to be forwarded, which requires frequent ticks.
     pub fn has_pending(&self) -> bool {
         !self.hold_deadlines.is_empty() || !self.forward_queue.is_empty()
     }
 
-    /// The number of workers whose heartbeats came here after `since`.
+    /// Returns the number of workers that this node has served after `since`.
     pub fn count_workers_since(&self, since: Time) -> u32 {
         self.workers.values().filter(|worker| worker.last_seen_at > since).count() as u32
     }
 
-    /// Whether `machine`'s worker has sent heartbeats here.
-    pub fn knows(&self, machine: &str) -> bool {
+    /// Whether the worker of `machine` has sent heartbeats to this node.
+    pub fn knows_worker(&self, machine: &str) -> bool {
         self.workers.contains_key(machine)
     }
 
-    /// Sets the leader as last heard of; None while there is none.
+    /// Sets the newest known leader, or None while there is none.
     pub fn set_leader(&mut self, now: Time, leader: Option<LeaderIdentity>) {
         if self.leader == leader {
             return;
         }
         self.leader = leader;
         self.leader_since = now;
-        self.failures = 0;
+        self.consecutive_failures = 0;
         self.next_forward_at = now;
     }
 
-    /// Resets the proxy and returns all held heartbeats, for a node that has become
-    /// the leader itself.
+    /// Resets the proxy and returns all held heartbeats. Called when this node has become
+    /// the leader.
     pub fn take_held_heartbeats(&mut self) -> Vec<(RequestId, Heartbeat)> {
         self.lease = None;
         self.leader = None;
@@ -145,9 +146,9 @@
         workers.into_values().filter_map(|worker| Some((worker.held?.request, worker.heartbeat))).collect()
     }
 
-    /// Whether the worker may be redirected to another node: the leader knows all that
-    /// `heartbeat` says and has nothing for it.
-    pub fn may_be_moved(&self, now: Time, heartbeat: &Heartbeat) -> bool {
+    /// Whether the worker may be redirected to another node: the leader has received the
+    /// content of `heartbeat` and has no commands for the worker.
+    pub fn may_redirect(&self, now: Time, heartbeat: &Heartbeat) -> bool {
         let Some(worker) = self.workers.get(&heartbeat.machine) else { return false };
         let Some(lease) = self.valid_lease(now) else { return false };
         worker.is_known_to_leader(lease.fencing_token)
@@ -156,16 +157,16 @@
             && !self.leader_only.contains_key(&heartbeat.machine)
     }
 
-    /// `machine`'s worker was redirected to another node. What this node has answered
-    /// is still forwarded.
-    pub fn on_worker_moved(&mut self, now: Time, machine: &str) {
+    /// Records that the worker of `machine` was redirected to another node. Heartbeats to
+    /// which this node has responded are still forwarded.
+    pub fn on_worker_redirected(&mut self, now: Time, machine: &str) {
         if let Some(worker) = self.workers.get_mut(machine) {
             worker.last_seen_at = worker.last_seen_at.min(now - self.timing.heartbeat_validity_s);
             worker.forwarded = None;
         }
     }
 
-    /// Accepts a worker's heartbeat; `request` waits for the response.
+    /// Handles a worker's heartbeat. `request` waits for the response.
     pub fn on_heartbeat(&mut self, now: Time, request: RequestId, heartbeat: Heartbeat) {
         let machine = heartbeat.machine.clone();
         if self.workers.len() >= MAX_WORKERS && !self.workers.contains_key(&machine) {
@@ -177,7 +178,7 @@
             .entry(machine.clone())
             .or_insert_with(|| ProxiedWorker::new(now, position, heartbeat.clone()));
         if position <= worker.position {
-            // The worker no longer waits for this one.
+            // The worker no longer waits for the response to this heartbeat.
             return self.actions.push(ProxyAction::Reject(request, "a newer report came"));
         }
         let superseded = worker.held.take();
@@ -200,7 +201,7 @@
             let fencing_token = lease.fencing_token;
             return self.respond_without_commands(request, fencing_token);
         }
-        // The leader answers busy machines after half of that at the latest.
+        // The leader responds to busy machines after half of this time at the latest.
         let hold_s = if worker.is_idle() {
             self.timing.idle_heartbeat_hold_s
         } else {
@@ -209,8 +210,8 @@
         self.hold(machine, request, now, now + hold_s);
     }
 
-    /// Whether the leader has to see the heartbeat before it is answered: all but
-    /// those of busy machines that repeat what the leader knows.
+    /// Whether the leader has to see the heartbeat before the response is sent. This is
+    /// the case unless the machine is busy and the leader already has the same content.
     fn needs_leader(&self, worker: &ProxiedWorker, lease: &DelegatedLease) -> bool {
         !worker.is_known_to_leader(lease.fencing_token)
             || worker.heartbeat.tasks.is_empty()
@@ -227,14 +228,14 @@
         self.lease.as_ref().filter(|lease| now < lease.expires_at || !self.checks.lease_expiry)
     }
 
-    /// The leader's name, unless it is this node.
+    /// Returns the name of the leader's node, unless it is this node.
     fn leader_node(&self) -> Option<String> {
         let leader = self.leader.as_ref()?;
         (leader.node != self.node).then(|| leader.node.clone())
     }
 
-    /// Expires held heartbeats, forwards a batch if one is due, and forgets workers
-    /// that are gone.
+    /// Expires held heartbeats, forwards a batch if one is due, and forgets workers that
+    /// have been absent for long.
     pub fn tick(&mut self, now: Time) {
         self.expire_holds(now);
         self.forward_batch(now);
--- a/crates/sharding/src/heartbeat_proxy/action.rs
+++ b/crates/sharding/src/heartbeat_proxy/action.rs
@@ -1,4 +1,4 @@
-//! What a proxy asks its caller to do, and the checks that tests may turn off.
+//! Actions that a proxy requests from its caller, and safety checks that tests may disable.
 
 use crate::RequestId;
 use protocol::peer::ForwardRequest;
@@ -7,24 +7,24 @@
 /// An action that the caller has to carry out.
 #[derive(Debug, PartialEq)]
 pub enum ProxyAction {
-    /// Answer the heartbeat with status 200.
+    /// Respond to the heartbeat with status 200.
     Respond(RequestId, HeartbeatResponse),
     /// Redirect the worker, to the named node if there is one.
     Redirect(RequestId, Option<String>),
-    /// Answer with status 503 and this error text.
+    /// Respond with status 503 and this error text.
     Reject(RequestId, &'static str),
     /// Send the request to the named leader; the reply goes to
     /// [`HeartbeatProxy::on_reply`](crate::HeartbeatProxy::on_reply).
     Forward(String, ForwardRequest),
 }
 
-/// Safety checks that tests turn off to show that the simulation notices their absence.
+/// Safety checks that tests disable to show that the simulation detects the consequences.
 #[derive(Debug, Clone, Copy)]
 pub struct ProxySafetyChecks {
-    /// Answer only while the delegated lease is valid.
+    /// Whether the proxy responds only while the delegated lease is valid.
     pub lease_expiry: bool,
-    /// Commands go out only with the fencing token of the leader that gave them, and
-    /// only in response to the heartbeat that they were given for.
+    /// Whether commands are sent only with the fencing token of the leader that issued
+    /// them, and only in response to the heartbeat for which they were issued.
     pub fencing: bool,
 }
 
--- a/crates/sharding/src/heartbeat_proxy/batch.rs
+++ b/crates/sharding/src/heartbeat_proxy/batch.rs
@@ -5,15 +5,15 @@
 use crate::Time;
 use protocol::peer::{ForwardRequest, ForwardedHeartbeat, HeartbeatContent};
 
-/// Heartbeats in one batch.
+/// Maximum number of heartbeats in one batch.
 const MAX_BATCH_ENTRIES: usize = 400;
-/// Estimated size at which a batch is closed.
+/// Estimated size at which a batch is closed, in bytes.
 const MAX_BATCH_BYTES: usize = 48 * 1024;
-/// Estimated size of an entry without its machine's name and content.
+/// Estimated size of an entry without its machine's name and content, in bytes.
 const ENTRY_BYTES: usize = 12;
-/// Estimated size of an entry's content without its tasks.
+/// Estimated size of an entry's content without its tasks, in bytes.
 const CONTENT_BYTES: usize = 80;
-/// Estimated size of a task's status.
+/// Estimated size of a task's status, in bytes.
 const TASK_BYTES: usize = 32;
 
 /// A batch that the leader has yet to reply to.
@@ -27,7 +27,7 @@
 pub(super) struct SentEntry {
     pub(super) machine: String,
     pub(super) position: HeartbeatPosition,
-    /// It was forwarded with its content.
+    /// Whether it was forwarded with its content.
     pub(super) in_full: bool,
 }
 
@@ -70,20 +70,20 @@
         }
     }
 
-    /// Sends the next batch if none is in flight. An empty one renews the lease.
+    /// Sends the next batch if none is in flight. An empty batch renews the lease.
     pub(super) fn forward_batch(&mut self, now: Time) {
         let Some(leader) = &self.leader else { return };
         if leader.node == self.node || self.in_flight.is_some() || now < self.next_forward_at {
             return;
         }
-        // Heartbeats are of use only to a leader that has delegated a lease and is ready.
+        // Only a leader that has delegated a lease and is ready processes heartbeats.
         let fencing_token = leader.fencing_token;
         let leader_ready = self
             .lease
             .as_ref()
             .is_some_and(|lease| lease.leader_ready && lease.fencing_token == fencing_token);
-        let has_news = leader_ready && !self.forward_queue.is_empty();
-        if !has_news && now < self.next_forward_at + self.timing.forward_interval_s {
+        let has_heartbeats = leader_ready && !self.forward_queue.is_empty();
+        if !has_heartbeats && now < self.next_forward_at + self.timing.forward_interval_s {
             return;
         }
         let leader_node = leader.node.clone();
--- a/crates/sharding/src/heartbeat_proxy/holds.rs
+++ b/crates/sharding/src/heartbeat_proxy/holds.rs
@@ -1,19 +1,19 @@
-//! Heartbeats that wait for the leader, and what happens when they wait too long.
+//! Heartbeats that are held for the leader, and their expiry.
 
 use super::worker::HeldHeartbeat;
 use super::{to_millis, HeartbeatProxy, ProxyAction};
 use crate::{RequestId, Time};
 
-/// When the response to `machine`'s heartbeat is due at the latest.
+/// Time by which the response to the heartbeat of `machine` is due at the latest.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct HoldDeadline {
     pub(super) at_ms: u64,
     pub(super) machine: String,
 }
 
-/// What to do with a heartbeat whose deadline has passed.
+/// Action for a held heartbeat whose deadline has passed.
 enum HoldExpiry {
-    /// Answer it under the delegated lease.
+    /// Respond to it under the delegated lease.
     Respond {
         fencing_token: u64,
     },
@@ -47,14 +47,14 @@
         Some(held)
     }
 
-    /// Whether a lease may come soon: there is no leader, or a new one, or it is
-    /// still recovering.
+    /// Whether a lease may be granted soon, because there is no leader, or the leader is
+    /// new or still recovering.
     fn may_obtain_lease_soon(&self, now: Time) -> bool {
         let is_new = now - self.leader_since < self.timing.worker_timeout_s / 2.0;
         self.leader.is_none() || is_new || self.is_leader_recovering()
     }
 
-    /// Whether the leader has replied, but does not process heartbeats yet.
+    /// Whether the leader has replied but does not process heartbeats yet.
     fn is_leader_recovering(&self) -> bool {
         let leader_token = self.leader.as_ref().map(|leader| leader.fencing_token);
         self.lease
@@ -62,7 +62,8 @@
             .is_some_and(|lease| !lease.leader_ready && Some(lease.fencing_token) == leader_token)
     }
 
-    /// A worker gives a heartbeat up that is held longer.
+    /// Returns the maximum time for which a heartbeat is held, in seconds. The worker
+    /// stops waiting for the response to a heartbeat that is held longer.
     fn max_hold_s(&self) -> f64 {
         self.timing.recovery_hold_s
     }
@@ -98,7 +99,7 @@
         if self.may_obtain_lease_soon(now) && held.deadline_ms < to_millis(last_deadline) {
             return HoldExpiry::HoldUntil(last_deadline);
         }
-        // Redirecting all workers to a leader that recovers would only slow it down.
+        // Redirecting all workers to a recovering leader would only slow it down.
         if self.is_leader_recovering() {
             return HoldExpiry::Reject("the leader reads its records");
         }
--- a/crates/sharding/src/heartbeat_proxy/reply.rs
+++ b/crates/sharding/src/heartbeat_proxy/reply.rs
@@ -1,4 +1,4 @@
-//! The leader's replies: the delegated lease, and commands for held heartbeats.
+//! The leader's replies: delegated leases and commands for held heartbeats.
 
 use super::batch::{InFlightForward, SentEntry};
 use super::worker::{ForwardedContent, HeartbeatPosition};
@@ -6,11 +6,11 @@
 use crate::Time;
 use protocol::peer::{ForwardReply, LeaderOnly, MachineCommands};
 
-/// Limits the exponential backoff: the forward interval is doubled at most so often.
+/// Maximum number of times that the exponential backoff doubles the forward interval.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 impl HeartbeatProxy {
-    /// The reply to the batch in flight; None: it failed or came too late.
+    /// Handles the reply to the batch in flight, or None if the call failed or timed out.
     pub fn on_reply(&mut self, now: Time, reply: Option<ForwardReply>) {
         let Some(batch) = self.in_flight.take() else { return };
         let current_token = self.lease.as_ref().map_or(0, |lease| lease.fencing_token);
@@ -19,7 +19,7 @@
         let Some(reply) = reply.filter(is_usable) else {
             return self.on_forward_failed(now, &batch);
         };
-        self.failures = 0;
+        self.consecutive_failures = 0;
         self.acknowledged_sequence = batch.sequence;
         self.next_forward_at = now.max(batch.sent_at + self.timing.forward_interval_s / 5.0);
         let is_new_leader = reply.token > current_token;
@@ -39,19 +39,20 @@
         }
     }
 
-    /// The batch may not have arrived: all of it is forwarded again, after a backoff.
+    /// Schedules the whole batch to be forwarded again after a backoff, because it may not
+    /// have arrived.
     fn on_forward_failed(&mut self, now: Time, batch: &InFlightForward) {
         for entry in &batch.forwarded {
             self.enqueue(&entry.machine);
         }
-        self.failures += 1;
-        let doublings = self.failures.min(MAX_BACKOFF_DOUBLINGS);
+        self.consecutive_failures += 1;
+        let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
         let backoff_s = self.timing.forward_interval_s * f64::from(1u32 << doublings);
         self.next_forward_at = now + backoff_s.min(self.timing.renewal_interval_s);
     }
 
-    /// The lease that `reply` grants. It counts from when the batch was sent, so that it
-    /// ends here before it ends for the leader, which granted it later.
+    /// Returns the lease that `reply` grants. It starts when the batch was sent, so that it
+    /// expires here before it expires for the leader, which granted it later.
     fn renewed_lease(&self, sent_at: Time, reply: &ForwardReply) -> DelegatedLease {
         let granted_until = sent_at + f64::from(reply.leave_ms) / 1000.0;
         let expires_at = match &self.lease {
@@ -92,9 +93,9 @@
         }
     }
 
-    /// The first lease of a leader, or its first while it is ready. A leader that is
-    /// ready gets all that is known here, so that it sees the fleet at once; before
-    /// that, held heartbeats are answered.
+    /// Handles the first lease of a leader, and its first lease while it is ready. If the
+    /// leader is ready, the heartbeats of all workers are forwarded, so that it sees the
+    /// whole fleet immediately. Before that, held heartbeats are answered without commands.
     fn on_lease_granted(&mut self, now: Time) {
         let Some(lease) = self.valid_lease(now) else { return };
         let fencing_token = lease.fencing_token;
@@ -109,8 +110,8 @@
         }
     }
 
-    /// Answers a held heartbeat with the leader's commands, if it is still the one
-    /// that they were given for.
+    /// Responds to a held heartbeat with the leader's commands, if it is still the
+    /// heartbeat for which they were issued.
     fn deliver_commands(&mut self, now: Time, fencing_token: u64, commands: MachineCommands) {
         let fencing = self.checks.fencing;
         let may_respond =
--- a/crates/sharding/src/heartbeat_proxy/worker.rs
+++ b/crates/sharding/src/heartbeat_proxy/worker.rs
@@ -1,19 +1,19 @@
-//! What a proxy knows of one worker.
+//! State that a proxy keeps for each worker.
 
 use crate::{RequestId, Time};
 use protocol::worker::{Heartbeat, TaskState};
 
-/// A heartbeat's place in the order of its worker's heartbeats.
+/// Position of a heartbeat in the sequence of its worker's heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct HeartbeatPosition {
-    /// The agent's epoch: differs between two starts of the worker.
+    /// The agent's epoch, which differs between two starts of the worker.
     pub(super) epoch: u64,
-    /// Counts the heartbeats of an epoch.
+    /// Sequence number of the heartbeat within the epoch.
     pub(super) sequence: u64,
 }
 
 impl HeartbeatPosition {
-    /// Before every heartbeat.
+    /// Position before the first heartbeat.
     const START: HeartbeatPosition = HeartbeatPosition { epoch: 0, sequence: 0 };
 
     pub(super) fn of(heartbeat: &Heartbeat) -> Self {
@@ -21,41 +21,41 @@
     }
 }
 
-/// A heartbeat whose response waits for the leader.
+/// Request of a heartbeat whose response waits for the leader.
 pub(super) struct HeldHeartbeat {
     pub(super) request: RequestId,
     pub(super) received_at: Time,
-    /// Its key in `HeartbeatProxy::hold_deadlines`.
+    /// Deadline under which it is listed in `HeartbeatProxy::hold_deadlines`.
     pub(super) deadline_ms: u64,
 }
 
-/// Content that a leader has received in full.
+/// Record of the last content that a leader received in full.
 #[derive(Clone, Copy)]
 pub(super) struct ForwardedContent {
     pub(super) fencing_token: u64,
-    /// The heartbeat with which it was forwarded.
+    /// Position of the heartbeat with which the content was forwarded.
     pub(super) position: HeartbeatPosition,
 }
 
-/// A worker whose heartbeats come to this node.
+/// A worker that sends its heartbeats to this node.
 pub(super) struct ProxiedWorker {
     /// The newest heartbeat.
     pub(super) heartbeat: Heartbeat,
     pub(super) position: HeartbeatPosition,
-    /// The first heartbeat of those with the present content.
+    /// Position of the first heartbeat with the current content.
     pub(super) unchanged_since: HeartbeatPosition,
     pub(super) forwarded: Option<ForwardedContent>,
-    /// When the newest heartbeat came.
+    /// Arrival time of the newest heartbeat.
     pub(super) received_at: Time,
-    /// As `received_at`, but earlier for a worker that was redirected.
+    /// Same as `received_at`, but earlier for a worker that was redirected.
     pub(super) last_seen_at: Time,
     pub(super) held: Option<HeldHeartbeat>,
-    /// It is in the forward queue.
+    /// Whether the worker's machine is in the forward queue.
     pub(super) queued: bool,
 }
 
 impl ProxiedWorker {
-    /// A worker that came just now. `heartbeat` has yet to be recorded.
+    /// Creates the state of a new worker, whose `heartbeat` has yet to be recorded.
     pub(super) fn new(now: Time, position: HeartbeatPosition, heartbeat: Heartbeat) -> Self {
         ProxiedWorker {
             heartbeat,
@@ -69,9 +69,9 @@
         }
     }
 
-    /// Takes in a heartbeat that is newer than all before. After a gap longer than
-    /// `validity_s` the worker may have been served elsewhere, so that the leader has
-    /// to see its content again.
+    /// Records a heartbeat that is newer than all previous ones. After a gap longer than
+    /// `validity_s` the worker may have been served by another node, so the leader has to
+    /// receive its content again.
     pub(super) fn record_heartbeat(
         &mut self,
         now: Time,
@@ -91,7 +91,8 @@
         self.heartbeat = heartbeat;
     }
 
-    /// The position at which the leader of that term received the present content.
+    /// Returns the position with which the leader of the given term received the current
+    /// content, if it did.
     pub(super) fn known_position(&self, fencing_token: u64) -> Option<HeartbeatPosition> {
         let forwarded = self.forwarded?;
         let is_current =
@@ -99,23 +100,24 @@
         is_current.then_some(forwarded.position)
     }
 
-    /// Whether the leader of that term has the present content.
+    /// Whether the leader of the given term has received the current content.
     pub(super) fn is_known_to_leader(&self, fencing_token: u64) -> bool {
         self.known_position(fencing_token).is_some()
     }
 
-    /// Whether no task is there that has not exited.
+    /// Whether all of the worker's tasks have exited, or it has none.
     pub(super) fn is_idle(&self) -> bool {
         self.heartbeat.tasks.iter().all(|task| task.state == TaskState::Exited)
     }
 }
 
-/// Whether a task has exited, which only the leader may acknowledge.
+/// Whether a heartbeat lists an exited task. Only the leader may acknowledge task exits.
 pub(super) fn has_exited_task(heartbeat: &Heartbeat) -> bool {
     heartbeat.tasks.iter().any(|task| task.state == TaskState::Exited)
 }
 
-/// Whether `new` says the same as `old`. A preemption notice always is news.
+/// Whether `new` has the same content as `old`. A heartbeat with a reclaim notice always
+/// counts as new content.
 pub(super) fn is_same_content(old: &Heartbeat, new: &Heartbeat) -> bool {
     old.epoch == new.epoch
         && old.fencing_token == new.fencing_token
