--- a/crates/controller/src/agents/failure_detection.rs
+++ b/crates/controller/src/agents/failure_detection.rs
@@ -34,7 +34,7 @@
         if !self.wait_for_lost_proxies {
             return self.now > last_response_at + self.expiry_s;
         }
-        forwarding.lease_surely_expired(last_response_at, self.expiry_s, self.now)
+        forwarding.lease_certainly_expired(last_response_at, self.expiry_s, self.now)
     }
 }
 
--- a/crates/sharding/src/forwarding.rs
+++ b/crates/sharding/src/forwarding.rs
@@ -1,31 +1,33 @@
-//! The leader's side of heartbeat forwarding: what it knows of each proxy, and the
-//! leases that it delegates to them.
+//! The leader's side of heartbeat forwarding: the state of each proxy, and the leases
+//! that the leader delegates to the proxies.
 
 use crate::{HeartbeatObservations, ProxyId, RequestId, Time};
 use protocol::peer::{ForwardReply, ForwardRequest, LeaderOnly, MachineCommands};
 use settings::DRIFT;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Replies whose times are remembered; one request of a proxy is open at a time.
+/// Maximum number of replies per proxy whose times are remembered. A proxy has one open
+/// request at a time.
 const MAX_RECENT_REPLIES: usize = 8;
-/// Proxies, counting each start of a node, that are remembered.
+/// Maximum number of proxies that are remembered. Each incarnation of a node counts as a
+/// proxy.
 const MAX_PROXIES: usize = 64;
 
-/// A reply that is due, for the request that waits for it.
+/// A reply that is due, with the request that it answers.
 #[derive(Debug, PartialEq)]
 pub struct DueReply {
-    /// The request that waits.
+    /// The open request.
     pub request: RequestId,
-    /// What to reply.
+    /// The reply to send.
     pub reply: ForwardReply,
 }
 
-/// A request that waits until there is something to reply.
+/// A request that stays open until a reply is due.
 struct OpenForward {
     request: RequestId,
     sequence: u64,
     received_at: Time,
-    /// Its heartbeats were processed.
+    /// Whether its heartbeats are processed.
     ready: bool,
 }
 
@@ -34,14 +36,15 @@
     sent_at: Time,
 }
 
-/// The machines that only the leader answers, at some version; true if a task there
-/// has to be killed.
+/// Snapshot of `HeartbeatForwarding::leader_only` at some version.
 struct LeaderOnlySnapshot {
     version: u64,
+    /// The machines to which only the leader may respond; true if a task there has to be
+    /// killed.
     machines: BTreeMap<String, bool>,
 }
 
-/// A snapshot that was sent and not acknowledged yet.
+/// A snapshot that was sent but has not been acknowledged yet.
 struct SentSnapshot {
     sequence: u64,
     snapshot: LeaderOnlySnapshot,
@@ -49,29 +52,29 @@
 
 #[derive(Default)]
 struct ForwardingProxy {
-    /// Until when it may answer heartbeats, by this node's clock.
+    /// Time until which the proxy may respond to heartbeats, by this node's clock.
     lease_expires_at: Time,
-    /// Every heartbeat that it answered before then has been forwarded.
+    /// Time before which every heartbeat that the proxy responded to has been forwarded.
     complete_until: Time,
-    /// Replies that it may have received.
+    /// Replies that the proxy may have received.
     recent_replies: VecDeque<SentReply>,
     open: Option<OpenForward>,
     commands: Vec<MachineCommands>,
-    /// Machines whose content is wanted in full.
+    /// Machines whose content the proxy has to send in full.
     unknown: Vec<String>,
-    /// The snapshot of the last reply that it acknowledged; None: unknown.
+    /// The snapshot in the last reply that the proxy acknowledged, or None if there is none.
     acknowledged_leader_only: Option<LeaderOnlySnapshot>,
-    /// The snapshot that it has once the last reply arrives.
+    /// The snapshot that the proxy has once it receives the last reply.
     sent_leader_only: Option<SentSnapshot>,
 }
 
 impl ForwardingProxy {
-    /// Takes in that the proxy has received the reply of that sequence number.
+    /// Processes a request's acknowledgement of an earlier reply.
     fn acknowledge(&mut self, request: &ForwardRequest, ready: bool) {
         let Some(reply) = self.recent_replies.iter().find(|reply| reply.sequence == request.acked) else {
             return;
         };
-        // It made this request after that reply had arrived.
+        // The proxy made this request after it had received that reply.
         if request.complete && ready {
             self.complete_until = self.complete_until.max(reply.sent_at);
         }
@@ -84,20 +87,20 @@
         self.acknowledged_leader_only.as_ref().is_none_or(|snapshot| snapshot.version != version)
     }
 
-    /// Whether the open request is to be replied to at once.
+    /// Whether the open request has to be replied to immediately.
     fn is_urgent(&self, version: u64) -> bool {
         let has_unsent_change = self.is_leader_only_outdated(version) && self.sent_leader_only.is_none();
         !self.commands.is_empty() || !self.unknown.is_empty() || has_unsent_change
     }
 
-    /// Adds to `reply` how `current` differs from what the proxy has acknowledged.
+    /// Adds the difference between `current` and the acknowledged snapshot to `reply`.
     fn add_leader_only_changes(&self, reply: &mut ForwardReply, current: &BTreeMap<String, bool>) {
         let empty = BTreeMap::new();
         let base = self.acknowledged_leader_only.as_ref().map_or(&empty, |snapshot| &snapshot.machines);
         reply.attend = current
             .iter()
-            .filter(|(machine, stops)| base.get(*machine) != Some(stops))
-            .map(|(machine, stops)| LeaderOnly { machine: machine.clone(), stops: *stops })
+            .filter(|(machine, has_kill)| base.get(*machine) != Some(has_kill))
+            .map(|(machine, has_kill)| LeaderOnly { machine: machine.clone(), stops: *has_kill })
             .collect();
         reply.attend_no_more =
             base.keys().filter(|machine| !current.contains_key(*machine)).cloned().collect();
@@ -111,28 +114,29 @@
         }
     }
 
-    /// Whether a lease that a worker got by `renewed_at` or through this proxy is over.
-    fn surely_expired(&self, renewed_at: Time, worker_lease_s: f64, now: Time) -> bool {
+    /// Whether a worker's lease that was renewed at `renewed_at`, or later by this proxy, has
+    /// certainly expired.
+    fn has_certainly_expired(&self, renewed_at: Time, worker_lease_s: f64, now: Time) -> bool {
         renewed_at + worker_lease_s < self.complete_until
             || renewed_at.max(self.lease_expires_at) + worker_lease_s < now
     }
 }
 
-/// What the leader knows of the proxies that serve heartbeats for it.
+/// The leader's state of the proxies that serve heartbeats on its behalf.
 #[derive(Default)]
 pub struct HeartbeatForwarding {
-    /// Which nodes the workers reach, by the heartbeats that come through each.
+    /// Observations of which nodes the workers reach, from the heartbeats received by each.
     pub observations: HeartbeatObservations,
     proxies: BTreeMap<ProxyId, ForwardingProxy>,
-    /// Machines that only the leader answers; true if a task there has to be killed.
+    /// Machines to which only the leader may respond; true if a task there has to be killed.
     leader_only: BTreeMap<String, bool>,
-    /// Counts changes of `leader_only`.
+    /// Version of `leader_only`, which is incremented by each change.
     leader_only_version: u64,
 }
 
 impl HeartbeatForwarding {
-    /// Registers a proxy's request, which stays open until a reply is due. `ready`: its
-    /// heartbeats are processed. Returns false if there are too many proxies.
+    /// Registers a proxy's request, which stays open until a reply is due. `ready` states
+    /// whether its heartbeats are processed. Returns false if there are too many proxies.
     pub fn on_request(
         &mut self,
         now: Time,
@@ -151,42 +155,43 @@
         true
     }
 
-    /// Adds the response to a heartbeat that came through `source` to its next reply.
+    /// Adds the response to a heartbeat that `source` forwarded to the next reply to `source`.
     pub fn add_commands(&mut self, source: &ProxyId, commands: MachineCommands) {
         if let Some(proxy) = self.proxies.get_mut(source) {
             proxy.commands.push(commands);
         }
     }
 
-    /// Asks `source` for the full content of `machine`'s heartbeat.
+    /// Requests the full content of the heartbeat of `machine` from `source`.
     pub fn request_content(&mut self, source: &ProxyId, machine: &str) {
         if let Some(proxy) = self.proxies.get_mut(source) {
             proxy.unknown.push(machine.to_string());
         }
     }
 
-    /// Sets whether only the leader may answer `machine`'s heartbeats, and if so,
-    /// whether a task there has to be killed.
+    /// Sets whether only the leader may respond to `machine`. `has_pending_kill` is None if
+    /// proxies may respond, and otherwise states whether a task there has to be killed.
     pub fn set_leader_only(&mut self, machine: &str, has_pending_kill: Option<bool>) {
-        let before = match has_pending_kill {
+        let previous = match has_pending_kill {
             Some(value) => self.leader_only.insert(machine.to_string(), value),
             None => self.leader_only.remove(machine),
         };
-        self.leader_only_version += u64::from(before != has_pending_kill);
+        self.leader_only_version += u64::from(previous != has_pending_kill);
     }
 
-    /// Whether only the leader may answer `machine`'s heartbeats.
+    /// Whether only the leader may respond to the heartbeats of `machine`.
     pub fn is_leader_only(&self, machine: &str) -> bool {
         self.leader_only.contains_key(machine)
     }
 
-    /// Whether a request waits for its reply.
+    /// Whether any request waits for its reply.
     pub fn has_open_request(&self) -> bool {
         self.proxies.values().any(|proxy| proxy.open.is_some())
     }
 
-    /// Replies that are due: those with news for the proxy, and those that have waited
-    /// for `max_wait_s`. Each delegates a lease for `lease_s` seconds under `fencing_token`.
+    /// Returns the replies that are due: those with commands or changes for the proxy, and
+    /// those whose requests have waited for `max_wait_s`. Each delegates a lease of `lease_s`
+    /// seconds under `fencing_token`.
     pub fn take_due_replies(
         &mut self,
         now: Time,
@@ -222,23 +227,24 @@
         due
     }
 
-    /// Takes the requests that wait, for a node that no longer leads.
+    /// Takes the requests that wait for a reply. Called when this node no longer leads.
     pub fn take_waiting_requests(&mut self) -> Vec<RequestId> {
         self.proxies.values_mut().filter_map(|proxy| Some(proxy.open.take()?.request)).collect()
     }
 
-    /// Whether the lease of a worker that was last known to be renewed at `renewed_at`
-    /// has surely expired, worker leases being `worker_lease_s` long.
+    /// Whether the lease of a worker has certainly expired, if its last known renewal was at
+    /// `renewed_at` and worker leases last for `worker_lease_s`.
     ///
-    /// A proxy may have renewed it without this node's knowledge: not before the time up
-    /// to which it has forwarded everything (if the lease was over by then, it had not
-    /// been renewed), and not after the proxy's own lease.
-    pub fn lease_surely_expired(&self, renewed_at: Time, worker_lease_s: f64, now: Time) -> bool {
+    /// A proxy may have renewed the lease without this node's knowledge. Such a renewal can't
+    /// be earlier than the time up to which the proxy has forwarded everything (a lease that
+    /// had expired by then had not been renewed), nor later than the end of the proxy's own
+    /// lease.
+    pub fn lease_certainly_expired(&self, renewed_at: Time, worker_lease_s: f64, now: Time) -> bool {
         renewed_at + worker_lease_s < now
-            && self.proxies.values().all(|proxy| proxy.surely_expired(renewed_at, worker_lease_s, now))
+            && self.proxies.values().all(|proxy| proxy.has_certainly_expired(renewed_at, worker_lease_s, now))
     }
 
-    /// Nodes whose delegated lease may be valid at `now`.
+    /// Returns the nodes whose delegated lease may be valid at `now`.
     pub fn nodes_that_may_respond(&self, now: Time) -> impl Iterator<Item = &str> {
         self.proxies
             .iter()
@@ -246,8 +252,8 @@
             .map(|(proxy_id, _)| proxy_id.node.as_str())
     }
 
-    /// Forgets proxies whose last responses no longer matter, worker leases being
-    /// `worker_lease_s` long.
+    /// Forgets the proxies whose last responses can no longer keep a worker's lease valid, if
+    /// worker leases last for `worker_lease_s`.
     pub fn forget_expired(&mut self, now: Time, worker_lease_s: f64) {
         self.proxies.retain(|_, proxy| proxy.open.is_some() || now < proxy.lease_expires_at + worker_lease_s);
     }
--- a/crates/sharding/src/heartbeat_observations.rs
+++ b/crates/sharding/src/heartbeat_observations.rs
@@ -1,30 +1,30 @@
-//! Which nodes the workers of a zone reach, judged by the heartbeats that come through
-//! each. A node that its peers hear may be cut off from the workers, or from those of
-//! one zone.
+//! Observations of which nodes the workers of a zone can reach, from the heartbeats that
+//! each node receives. A node that its peers can reach may still be unreachable for the
+//! workers, or for those of one zone.
 
 use crate::Time;
 use std::collections::BTreeMap;
 
-/// Workers of a zone that a node should serve before their absence there says anything
-/// about the link between them.
+/// Number of workers of a zone that a node should serve for their absence to say anything
+/// about the link between the zone and the node.
 const MIN_EXPECTED_WORKERS: usize = 2;
 
-/// When a zone's heartbeats came through a node last, and since when without a gap.
+/// Period in which a node received heartbeats from a zone without a gap.
 #[derive(Debug, Clone, Copy)]
 struct ObservationSpan {
     last_at: Time,
     since: Time,
 }
 
-/// Heartbeats by node and zone. A state machine without clock.
+/// Observed heartbeats by node and zone. A state machine without a clock.
 #[derive(Debug, Default)]
 pub struct HeartbeatObservations {
     spans: BTreeMap<String, BTreeMap<String, ObservationSpan>>,
 }
 
 impl HeartbeatObservations {
-    /// Records that a heartbeat of a worker in `zone` came to `node` at `received_at`. A
-    /// silence longer than `max_gap_s` interrupts the span of that node and zone.
+    /// Records that `node` received a heartbeat of a worker in `zone` at `received_at`. A
+    /// silence longer than `max_gap_s` starts a new span for that node and zone.
     pub fn record(&mut self, received_at: Time, node: &str, zone: &str, max_gap_s: f64) {
         if !self.spans.contains_key(node) {
             self.spans.insert(node.to_string(), BTreeMap::new());
@@ -44,8 +44,8 @@
     }
 
     /// Whether workers of `zone` have reached `node` without interruption for the required
-    /// time. Nothing is known of a node that has served none of them lately or ever; it
-    /// counts as reached unless `expected_workers` of them should be its own.
+    /// time. If the node has served none of them recently or ever, nothing is known; it then
+    /// counts as reached if its expected share of them is too small to tell.
     pub fn reached_continuously(
         &self,
         now: Time,
@@ -62,13 +62,13 @@
     }
 }
 
-/// The time spans by which observations are judged, in seconds.
+/// Time limits by which observations are judged, in seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct ObservationWindows {
-    /// A longer silence interrupts a span.
+    /// Maximum silence within a span.
     pub max_gap_s: f64,
-    /// How long a span has to last; a younger one may follow a gap.
+    /// Minimum duration of a span. A shorter one may have started after a gap.
     pub required_s: f64,
-    /// Observations older than that say nothing.
+    /// Age beyond which an observation is irrelevant.
     pub relevance_s: f64,
 }
--- a/crates/sharding/src/identity.rs
+++ b/crates/sharding/src/identity.rs
@@ -1,19 +1,19 @@
-//! Names of the parties of the forwarding protocol.
+//! Identities of the participants in the forwarding protocol.
 
-/// One run of a proxy's process: a restarted node is another proxy.
+/// Identity of one run of a proxy's process. A restarted node counts as another proxy.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProxyId {
     /// The node's name.
     pub node: String,
-    /// Differs between two starts of the same node.
+    /// Number that differs between two starts of the same node.
     pub incarnation: u64,
 }
 
-/// A leader and the term in which it leads.
+/// Identity of a leader and of its term.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct LeaderIdentity {
     /// The node's name.
     pub node: String,
-    /// The fencing token of its term.
+    /// The fencing token of the leader's term.
     pub fencing_token: u64,
 }
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -1,11 +1,11 @@
-//! Sharding of the workers over the controllers: which controller serves which
-//! worker, and on which delegated lease. State machines without clock or I/O.
+//! Sharding of the workers across the controllers: which controller serves which worker,
+//! and under which delegated lease. State machines without a clock or I/O.
 //!
-//! Every controller accepts heartbeats ([`HeartbeatProxy`]), but only the leader
-//! makes decisions. With each reply to a forwarded batch it delegates a lease of a
-//! few seconds to the proxy ([`HeartbeatForwarding`]). Workers are spread over the
-//! controllers by what these can serve ([`ShardBalancer`]). `docs/heartbeat_proxying.md` has
-//! the safety argument.
+//! Every controller accepts heartbeats ([`HeartbeatProxy`]), but only the leader makes
+//! decisions. With each reply to a forwarded batch, the leader delegates a lease of a few
+//! seconds to the proxy ([`HeartbeatForwarding`]). Workers are distributed over the
+//! controllers by capacity ([`ShardBalancer`]). The safety argument is in
+//! `docs/heartbeat_proxying.md`.
 
 mod forwarding;
 mod heartbeat_observations;
@@ -25,5 +25,5 @@
 
 /// Seconds on the node's monotonic clock.
 pub type Time = f64;
-/// A request that waits at this node for its response.
+/// Identifier of a request that waits for its response at this node.
 pub type RequestId = u64;
--- a/crates/sharding/src/peer_liveness.rs
+++ b/crates/sharding/src/peer_liveness.rs
@@ -1,38 +1,38 @@
-//! Which of the other controllers have been reachable without interruption.
+//! Liveness of the other controllers: whether each has been reachable without interruption.
 
 use crate::Time;
 use std::collections::BTreeMap;
 
-/// Contact with a node.
+/// Period of contact with a node without a gap.
 #[derive(Debug, Clone, Copy)]
 struct ContactSpan {
     last_at: Time,
-    /// Since when there was no gap.
+    /// Time since which there has been no gap.
     since: Time,
 }
 
-/// When each node was last heard from, and since when without a gap.
+/// Last contact with each node, and the time since which there has been no gap.
 #[derive(Debug, Default)]
 pub struct PeerLiveness {
     contacts: BTreeMap<String, ContactSpan>,
-    /// The incarnation of each node that was seen last.
+    /// The last incarnation that was seen of each node.
     incarnations: BTreeMap<String, u64>,
 }
 
 impl PeerLiveness {
-    /// Records that `node` was heard from; a silence longer than `max_gap_s` interrupts
-    /// its presence.
+    /// Records contact with `node`. A silence longer than `max_gap_s` starts a new period of
+    /// contact.
     pub fn record_contact(&mut self, now: Time, node: &str, max_gap_s: f64) {
-        let first = ContactSpan { last_at: now, since: now };
-        let contact = self.contacts.entry(node.to_string()).or_insert(first);
+        let first_contact = ContactSpan { last_at: now, since: now };
+        let contact = self.contacts.entry(node.to_string()).or_insert(first_contact);
         if now - contact.last_at > max_gap_s {
             contact.since = now;
         }
         contact.last_at = now;
     }
 
-    /// Records that a request of that start of `node`'s process came. A process that
-    /// restarted faster than `max_gap_s` was interrupted all the same: the workers that
+    /// Records a request from an incarnation of `node`. A new incarnation starts a new period
+    /// of contact even if the process restarted within `max_gap_s`, because the workers that
     /// it served may still be trying the other nodes.
     pub fn record_incarnation(&mut self, now: Time, node: &str, incarnation: u64) {
         let previous = self.incarnations.insert(node.to_string(), incarnation);
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Whether `node` has been reachable for the last `required_s` seconds; if not, a
-    /// worker that it served may still be looking for another node.
+    /// Whether `node` has been reachable for the last `required_s` seconds. If not, a worker
+    /// that it served may still be looking for another node.
     pub fn is_live(&self, now: Time, max_gap_s: f64, required_s: f64, node: &str) -> bool {
         let Some(contact) = self.contacts.get(node) else { return false };
         let is_recent = now - contact.last_at <= max_gap_s;
-        // Right after this node's own start nobody has been heard from for long.
+        // Shortly after this node's own start, no contact can have lasted for `required_s`.
         let is_continuous = now - contact.since >= required_s || contact.since < required_s;
         is_recent && is_continuous
     }
--- a/crates/sharding/tests/heartbeat_proxy.rs
+++ b/crates/sharding/tests/heartbeat_proxy.rs
@@ -1,5 +1,5 @@
-//! One worker, two proxies that serve its heartbeats, a leader and its successor, with
-//! every message between nodes delayed, lost or reordered.
+//! Simulation of one worker, two proxies that serve its heartbeats, a leader and its
+//! successor. Every message between nodes may be delayed, lost or reordered.
 
 use anisecroft_sharding::{
     HeartbeatForwarding, HeartbeatProxy, LeaderIdentity, ProxyAction, ProxyId, ProxySafetyChecks, RequestId,
@@ -14,21 +14,22 @@
 const NODES: [&str; 2] = ["chiefs-1", "chiefs-2"];
 const MACHINE: &str = "vm-000001";
 
+/// Returns the timing of the example settings, and the duration of worker leases.
 fn timing() -> (Timing, f64) {
-    let s = Settings::parse(include_str!("../../../docs/example.toml")).unwrap();
-    (Timing::from(&s), s.params.workers.lease_s)
+    let settings = Settings::parse(include_str!("../../../docs/example.toml")).unwrap();
+    (Timing::from(&settings), settings.params.workers.lease_s)
 }
 
-/// A leader that answers every held heartbeat with a start command, whose attempt says
-/// by which leader and for which heartbeat it was given.
+/// A leader that responds to every held heartbeat with a start command. The attempt of the
+/// command encodes the leader's token and the heartbeat's sequence number.
 struct Leader {
     token: u64,
     forwarding: HeartbeatForwarding,
-    newest: (u64, u64),
-    content: (u64, u64),
-    answered: f64,
-    /// It replies until then; later its own lease is over.
-    until: f64,
+    newest_position: (u64, u64),
+    content_position: (u64, u64),
+    last_response_at: f64,
+    /// Time until which its own lease is valid, so that it delegates leases.
+    lease_expires_at: f64,
 }
 
 struct World {
@@ -38,31 +39,33 @@
     now: f64,
     proxies: Vec<HeartbeatProxy>,
     leaders: Vec<Leader>,
-    /// Messages on their way, with when they arrive.
+    /// Requests in flight: arrival time, index of the proxy, and request.
     requests: Vec<(f64, usize, ForwardRequest)>,
+    /// Replies in flight: arrival time, index of the proxy, number of the request, and reply.
     replies: Vec<(f64, usize, u64, ForwardReply)>,
-    /// Which node's request a leader has, and its number.
-    asked: BTreeMap<RequestId, (usize, u64)>,
-    /// The request of each node that is on its way, and since when.
+    /// Open requests at a leader: index of the proxy, and number of the request.
+    open_requests: BTreeMap<RequestId, (usize, u64)>,
+    /// The call that each proxy waits for: number of the request, and time of sending.
     calls: BTreeMap<usize, (u64, f64)>,
-    /// Heartbeats that wait at nodes: their sequence number, and when they were sent.
+    /// Heartbeats that wait at nodes: sequence number, and time of sending.
     waiting_heartbeats: BTreeMap<RequestId, (u64, f64)>,
-    seq: u64,
-    /// The heartbeat in flight.
+    sequence: u64,
+    /// The heartbeat that the worker waits for, and the time of sending.
     in_flight: Option<(RequestId, f64)>,
-    renewed: f64,
-    next: RequestId,
-    cut_until: f64,
-    answers: u64,
+    /// Time from which the worker's lease counts.
+    lease_renewed_at: f64,
+    last_request_id: RequestId,
+    partitioned_until: f64,
+    responses: u64,
     launches: u64,
-    broken: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 impl World {
     fn new(seed: u64, checks: ProxySafetyChecks) -> Self {
         let (timing, lease_s) = timing();
-        let proxies = NODES.iter().map(|n| {
-            let mut proxy = HeartbeatProxy::new(n, 7, timing);
+        let proxies = NODES.iter().map(|node| {
+            let mut proxy = HeartbeatProxy::new(node, 7, timing);
             proxy.checks = checks;
             proxy
         });
@@ -75,66 +78,71 @@
             leaders: vec![Leader::new(1, 0.0)],
             requests: vec![],
             replies: vec![],
-            asked: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
             calls: BTreeMap::new(),
             waiting_heartbeats: BTreeMap::new(),
-            seq: 0,
+            sequence: 0,
             in_flight: None,
-            renewed: 0.0,
-            next: 0,
-            cut_until: 0.0,
-            answers: 0,
+            lease_renewed_at: 0.0,
+            last_request_id: 0,
+            partitioned_until: 0.0,
+            responses: 0,
             launches: 0,
-            broken: None,
+            violation: None,
         }
     }
 
-    /// When a message between nodes arrives: soon, or when a cut ends, or never.
-    fn way(&mut self) -> Option<f64> {
-        let soon = self.now + self.rng.gen_range(0.001..0.02);
-        let held = self.now < self.cut_until;
-        (!self.rng.gen_bool(0.03)).then_some(if held { self.cut_until + 0.01 } else { soon })
+    /// Returns when a message between nodes arrives: shortly after it is sent, or when a
+    /// partition ends, or never.
+    fn arrival_time(&mut self) -> Option<f64> {
+        let undelayed = self.now + self.rng.gen_range(0.001..0.02);
+        let is_partitioned = self.now < self.partitioned_until;
+        (!self.rng.gen_bool(0.03)).then_some(if is_partitioned {
+            self.partitioned_until + 0.01
+        } else {
+            undelayed
+        })
     }
 
-    fn perform_actions(&mut self, n: usize) {
-        for act in self.proxies[n].take_actions() {
-            match act {
-                ProxyAction::Respond(id, answer) => self.answered(id, &answer),
+    fn perform_actions(&mut self, proxy_index: usize) {
+        for action in self.proxies[proxy_index].take_actions() {
+            match action {
+                ProxyAction::Respond(id, response) => self.on_response(id, &response),
                 ProxyAction::Redirect(id, _) | ProxyAction::Reject(id, _) => {
                     self.waiting_heartbeats.remove(&id);
                 }
                 ProxyAction::Forward(_, request) => {
-                    self.calls.insert(n, (request.number, self.now));
-                    if let Some(at) = self.way() {
-                        self.requests.push((at, n, request));
+                    self.calls.insert(proxy_index, (request.number, self.now));
+                    if let Some(at) = self.arrival_time() {
+                        self.requests.push((at, proxy_index, request));
                     }
                 }
             }
         }
     }
 
-    fn answered(&mut self, id: RequestId, answer: &HeartbeatResponse) {
-        let Some((seq, sent)) = self.waiting_heartbeats.remove(&id) else { return };
-        self.answers += 1;
-        for c in &answer.commands {
+    fn on_response(&mut self, id: RequestId, response: &HeartbeatResponse) {
+        let Some((sequence, sent_at)) = self.waiting_heartbeats.remove(&id) else { return };
+        self.responses += 1;
+        for command in &response.commands {
             self.launches += 1;
-            if c.attempt != answer.fencing_token * 1_000_000 + seq {
-                self.broken = Some("a command in another answer than it was given for");
+            if command.attempt != response.fencing_token * 1_000_000 + sequence {
+                self.violation = Some("a command was sent in response to another heartbeat");
             }
         }
-        if self.in_flight == Some((id, sent)) && self.now < sent + 4.0 {
+        if self.in_flight == Some((id, sent_at)) && self.now < sent_at + 4.0 {
             self.in_flight = None;
-            self.renewed = sent;
+            self.lease_renewed_at = sent_at;
         }
     }
 
     /// The worker sends a heartbeat to a random node.
     fn send_heartbeat(&mut self) {
-        if self.in_flight.is_some_and(|(_, sent)| self.now < sent + 4.0) {
+        if self.in_flight.is_some_and(|(_, sent_at)| self.now < sent_at + 4.0) {
             return;
         }
-        self.seq += 1;
-        self.next += 1;
+        self.sequence += 1;
+        self.last_request_id += 1;
         let task = TaskStatus {
             task: "req-1/0".into(),
             attempt: 1,
@@ -142,7 +150,7 @@
             exit_cause: None,
             checkpointed: None,
         };
-        // Now and then something is new, or it is idle.
+        // The content changes often because the machine is sometimes idle.
         let tasks = if self.rng.gen_bool(0.4) { vec![] } else { vec![task] };
         let heartbeat = Heartbeat {
             machine: MACHINE.into(),
@@ -151,41 +159,42 @@
             zone: "a".into(),
             spot: false,
             epoch: 1,
-            sequence: self.seq,
+            sequence: self.sequence,
             fencing_token: 0,
             notice_s: None,
             tasks,
         };
-        self.in_flight = Some((self.next, self.now));
-        self.waiting_heartbeats.insert(self.next, (self.seq, self.now));
-        let n = self.rng.gen_range(0..NODES.len());
-        self.proxies[n].on_heartbeat(self.now, self.next, heartbeat);
-        self.perform_actions(n);
+        self.in_flight = Some((self.last_request_id, self.now));
+        self.waiting_heartbeats.insert(self.last_request_id, (self.sequence, self.now));
+        let proxy_index = self.rng.gen_range(0..NODES.len());
+        self.proxies[proxy_index].on_heartbeat(self.now, self.last_request_id, heartbeat);
+        self.perform_actions(proxy_index);
     }
 
     fn deliver(&mut self) {
         let now = self.now;
         let requests = std::mem::take(&mut self.requests);
-        for (at, n, r) in requests {
+        for (at, proxy_index, request) in requests {
             if at > now {
-                self.requests.push((at, n, r));
+                self.requests.push((at, proxy_index, request));
                 continue;
             }
-            self.next += 1;
-            self.asked.insert(self.next, (n, r.number));
-            let last = self.leaders.len() - 1;
-            // A request goes to the leader that it was meant for.
-            let l = self.leaders.iter().position(|l| l.token == r.token).unwrap_or(last);
-            self.leaders[l].on_request(now, self.next, &r);
+            self.last_request_id += 1;
+            self.open_requests.insert(self.last_request_id, (proxy_index, request.number));
+            let newest_leader = self.leaders.len() - 1;
+            // A request is delivered to the leader for which it was sent.
+            let leader_index =
+                self.leaders.iter().position(|leader| leader.token == request.token).unwrap_or(newest_leader);
+            self.leaders[leader_index].on_request(now, self.last_request_id, &request);
         }
         let replies = std::mem::take(&mut self.replies);
-        for (at, n, number, reply) in replies {
+        for (at, proxy_index, number, reply) in replies {
             if at > now {
-                self.replies.push((at, n, number, reply));
-            } else if self.calls.get(&n).is_some_and(|c| c.0 == number) {
-                self.calls.remove(&n);
-                self.proxies[n].on_reply(now, Some(reply));
-                self.perform_actions(n);
+                self.replies.push((at, proxy_index, number, reply));
+            } else if self.calls.get(&proxy_index).is_some_and(|call| call.0 == number) {
+                self.calls.remove(&proxy_index);
+                self.proxies[proxy_index].on_reply(now, Some(reply));
+                self.perform_actions(proxy_index);
             }
         }
     }
@@ -193,52 +202,57 @@
     fn step(&mut self) {
         self.now += self.rng.gen_range(0.01..0.06);
         let now = self.now;
-        if now > self.cut_until + 3.0 && self.rng.gen_bool(0.01) {
-            // Some last longer than a worker's lease and a delegated lease.
-            let longest = if self.rng.gen_bool(0.2) { 45.0 } else { 9.0 };
-            self.cut_until = now + self.rng.gen_range(0.5..longest);
+        if now > self.partitioned_until + 3.0 && self.rng.gen_bool(0.01) {
+            // Some partitions last longer than a worker's lease and a delegated lease.
+            let max_duration_s = if self.rng.gen_bool(0.2) { 45.0 } else { 9.0 };
+            self.partitioned_until = now + self.rng.gen_range(0.5..max_duration_s);
         }
         if self.leaders.len() == 1 && now > 30.0 {
-            // What the old leader granted ends with its grace.
-            let mut new = Leader::new(2, now);
-            new.answered = now + self.timing.delegated_lease_s;
-            self.leaders[0].until = now + 2.0;
-            self.leaders.push(new);
+            // Proxies may respond on leases of the previous leader until these expire.
+            let mut successor = Leader::new(2, now);
+            successor.last_response_at = now + self.timing.delegated_lease_s;
+            self.leaders[0].lease_expires_at = now + 2.0;
+            self.leaders.push(successor);
         }
-        for n in 0..NODES.len() {
-            // The nodes hear of the successor at different times.
-            let unheard = self.leaders.len() == 2 && now < 31.0 + 3.0 * n as f64;
-            let token = self.leaders.len() as u64 - u64::from(unheard);
-            self.proxies[n]
+        for proxy_index in 0..NODES.len() {
+            // The nodes learn of the successor at different times.
+            let is_unaware = self.leaders.len() == 2 && now < 31.0 + 3.0 * proxy_index as f64;
+            let token = self.leaders.len() as u64 - u64::from(is_unaware);
+            self.proxies[proxy_index]
                 .set_leader(now, Some(LeaderIdentity { node: "chiefs-0".into(), fencing_token: token }));
-            self.proxies[n].tick(now);
-            self.perform_actions(n);
-            if self.calls.get(&n).is_some_and(|c| now > c.1 + 6.0) {
-                self.calls.remove(&n);
-                self.proxies[n].on_reply(now, None);
-                self.perform_actions(n);
+            self.proxies[proxy_index].tick(now);
+            self.perform_actions(proxy_index);
+            if self.calls.get(&proxy_index).is_some_and(|call| now > call.1 + 6.0) {
+                self.calls.remove(&proxy_index);
+                self.proxies[proxy_index].on_reply(now, None);
+                self.perform_actions(proxy_index);
             }
         }
         if self.rng.gen_bool(0.05) {
             self.send_heartbeat();
         }
         self.deliver();
-        for l in 0..self.leaders.len() {
-            let leave = self.timing.delegated_lease_s.min(self.leaders[l].until - now);
-            let token = self.leaders[l].token;
-            for due in
-                self.leaders[l].forwarding.take_due_replies(now, token, leave, self.timing.forward_interval_s)
-            {
-                let Some((n, number)) = self.asked.remove(&due.request) else { continue };
-                if let Some(at) = self.way() {
-                    self.replies.push((at, n, number, due.reply));
+        for leader_index in 0..self.leaders.len() {
+            let lease_s =
+                self.timing.delegated_lease_s.min(self.leaders[leader_index].lease_expires_at - now);
+            let token = self.leaders[leader_index].token;
+            for due in self.leaders[leader_index].forwarding.take_due_replies(
+                now,
+                token,
+                lease_s,
+                self.timing.forward_interval_s,
+            ) {
+                let Some((proxy_index, number)) = self.open_requests.remove(&due.request) else { continue };
+                if let Some(at) = self.arrival_time() {
+                    self.replies.push((at, proxy_index, number, due.reply));
                 }
             }
         }
         let current = &self.leaders[self.leaders.len() - 1];
-        let over = current.forwarding.lease_surely_expired(current.answered, self.lease_s, now);
-        if over && now < self.renewed + self.lease_s {
-            self.broken = Some("a lease is over for the leader and not for the worker");
+        let has_expired =
+            current.forwarding.lease_certainly_expired(current.last_response_at, self.lease_s, now);
+        if has_expired && now < self.lease_renewed_at + self.lease_s {
+            self.violation = Some("a lease has expired for the leader but not for the worker");
         }
     }
 }
@@ -248,46 +262,49 @@
         Leader {
             token,
             forwarding: HeartbeatForwarding::default(),
-            newest: (0, 0),
-            content: (0, 0),
-            answered: now,
-            until: f64::MAX,
+            newest_position: (0, 0),
+            content_position: (0, 0),
+            last_response_at: now,
+            lease_expires_at: f64::MAX,
         }
     }
 
-    fn on_request(&mut self, now: f64, id: RequestId, r: &ForwardRequest) {
-        let source = ProxyId { node: r.node.clone(), incarnation: r.incarnation };
-        let ready = r.token == self.token;
-        self.forwarding.on_request(now, id, r, ready);
-        for e in r.entries.iter().filter(|_| ready) {
-            let place = (e.session, e.seq);
-            if place <= self.newest {
+    fn on_request(&mut self, now: f64, id: RequestId, request: &ForwardRequest) {
+        let source = ProxyId { node: request.node.clone(), incarnation: request.incarnation };
+        let ready = request.token == self.token;
+        self.forwarding.on_request(now, id, request, ready);
+        for entry in request.entries.iter().filter(|_| ready) {
+            let position = (entry.session, entry.seq);
+            if position <= self.newest_position {
                 continue;
             }
-            if e.content.is_none() && self.content != (e.session, e.same_as) {
-                self.forwarding.request_content(&source, &e.machine);
+            if entry.content.is_none() && self.content_position != (entry.session, entry.same_as) {
+                self.forwarding.request_content(&source, &entry.machine);
                 continue;
             }
-            self.newest = place;
-            self.answered = now;
-            if e.content.is_some() {
-                self.content = place;
+            self.newest_position = position;
+            self.last_response_at = now;
+            if entry.content.is_some() {
+                self.content_position = position;
             }
-            if e.held {
-                let attempt = self.token * 1_000_000 + e.seq;
-                let order =
+            if entry.held {
+                let attempt = self.token * 1_000_000 + entry.seq;
+                let command =
                     TaskCommand { op: Op::Start.into(), task: "req-2/0".into(), attempt, grace_s: None };
-                let (machine, seq) = (e.machine.clone(), e.seq);
-                self.forwarding
-                    .add_commands(&source, MachineCommands { machine, session: 1, seq, orders: vec![order] });
+                let (machine, seq) = (entry.machine.clone(), entry.seq);
+                self.forwarding.add_commands(
+                    &source,
+                    MachineCommands { machine, session: 1, seq, orders: vec![command] },
+                );
             }
         }
     }
 }
 
+/// Runs the simulation until 150 s have passed or a safety property is violated.
 fn run(seed: u64, checks: ProxySafetyChecks) -> World {
     let mut world = World::new(seed, checks);
-    while world.now < 150.0 && world.broken.is_none() {
+    while world.now < 150.0 && world.violation.is_none() {
         world.step();
     }
     world
@@ -295,41 +312,41 @@
 
 #[test]
 fn responses_and_leases_are_safe_with_every_message_delayed() {
-    let (mut answers, mut launches) = (0, 0);
+    let (mut responses, mut launches) = (0, 0);
     for seed in 0..300 {
         let world = run(seed, ProxySafetyChecks::default());
-        assert_eq!(world.broken, None, "seed {seed} at {}", world.now);
-        (answers, launches) = (answers + world.answers, launches + world.launches);
+        assert_eq!(world.violation, None, "seed {seed} at {}", world.now);
+        (responses, launches) = (responses + world.responses, launches + world.launches);
     }
-    assert!(answers > 300 * 15 && launches > 300 * 3, "{answers} answers, {launches} launches");
+    assert!(responses > 300 * 15 && launches > 300 * 3, "{responses} responses, {launches} launches");
 }
 
-/// A proxy that answers after its lease has expired renews worker leases that the leader
-/// takes for expired.
+/// A proxy that responds after its lease has expired renews worker leases that the leader
+/// considers expired.
 #[test]
 fn without_lease_expiry_a_worker_lease_outlives_the_leaders_view() {
     let checks = ProxySafetyChecks { lease_expiry: false, ..ProxySafetyChecks::default() };
-    assert!((0..300).any(|seed| run(seed, checks).broken.is_some()));
+    assert!((0..300).any(|seed| run(seed, checks).violation.is_some()));
 }
 
-/// Commands that were given for one heartbeat answer another, or go out with a later
-/// leader's token.
+/// Without fencing, commands that were issued for one heartbeat are sent in response to
+/// another, or with the token of a later leader.
 #[test]
 fn without_fencing_a_command_answers_another_heartbeat() {
     let checks = ProxySafetyChecks { fencing: false, ..ProxySafetyChecks::default() };
-    assert!((0..300).any(|seed| run(seed, checks).broken.is_some()));
+    assert!((0..300).any(|seed| run(seed, checks).violation.is_some()));
 }
 
-/// 500 workers send heartbeats in the same half second after a failover: the leader has
-/// all of them, in full and with their age, after two requests.
+/// If 500 workers send heartbeats within the same half second after a failover, the leader
+/// receives all of them, in full and with their age, in two requests.
 #[test]
 fn a_failover_forwards_five_hundred_heartbeats_in_two_requests() {
     let (timing, _) = timing();
     let mut proxy = HeartbeatProxy::new(NODES[0], 7, timing);
-    let leave = |token| ForwardReply { token, leave_ms: 5000, ready: true, ..ForwardReply::default() };
+    let lease_reply = |token| ForwardReply { token, leave_ms: 5000, ready: true, ..ForwardReply::default() };
     proxy.set_leader(0.0, Some(LeaderIdentity { node: "chiefs-0".into(), fencing_token: 3 }));
     proxy.tick(timing.forward_interval_s);
-    proxy.on_reply(timing.forward_interval_s, Some(leave(3)));
+    proxy.on_reply(timing.forward_interval_s, Some(lease_reply(3)));
     proxy.take_actions();
     for n in 0..500u64 {
         let heartbeat = Heartbeat {
@@ -346,43 +363,45 @@
         };
         proxy.on_heartbeat(1.0 + n as f64 / 1000.0, n, heartbeat);
     }
-    let (mut heard, mut requests, mut now) = (0, 0, 1.5);
-    let mut oldest = 0;
-    while heard < 500 && requests < 10 {
+    let (mut forwarded, mut requests, mut now) = (0, 0, 1.5);
+    let mut max_age_ms = 0;
+    while forwarded < 500 && requests < 10 {
         proxy.tick(now);
-        for act in proxy.take_actions() {
-            let ProxyAction::Forward(_, request) = act else { continue };
+        for action in proxy.take_actions() {
+            let ProxyAction::Forward(_, request) = action else { continue };
             requests += 1;
-            heard += request.entries.len();
-            oldest = request.entries.iter().map(|e| e.age_ms).max().unwrap_or(0).max(oldest);
-            assert!(request.entries.iter().all(|e| e.content.is_some()));
-            assert_eq!(request.complete, heard == 500);
-            proxy.on_reply(now, Some(leave(3)));
+            forwarded += request.entries.len();
+            max_age_ms = request.entries.iter().map(|entry| entry.age_ms).max().unwrap_or(0).max(max_age_ms);
+            assert!(request.entries.iter().all(|entry| entry.content.is_some()));
+            assert_eq!(request.complete, forwarded == 500);
+            proxy.on_reply(now, Some(lease_reply(3)));
         }
         now += timing.forward_interval_s;
     }
-    assert_eq!((heard, requests), (500, 2));
-    assert!((500..1000).contains(&oldest), "{oldest} ms");
+    assert_eq!((forwarded, requests), (500, 2));
+    assert!((500..1000).contains(&max_age_ms), "{max_age_ms} ms");
 }
 
-/// A zone counts as back when half of its machines are heard. The other half is on its way:
-/// a third of a zone was once declared dead in that moment.
+/// A zone counts as recovered when half of its machines are heard, while the other half is
+/// about to reconnect. Without a waiting time, a third of a zone is declared dead at that
+/// moment.
 #[test]
 fn a_zone_that_has_just_recovered_is_waited_for() {
-    let mut reach = ZoneReachability::default();
-    let look = |reach: &mut ZoneReachability, now, heard: usize| {
+    let mut reachability = ZoneReachability::default();
+    let update = |reachability: &mut ZoneReachability, now, heard: usize| {
         let machines = (0..10).map(|n| ("a", n < heard)).chain((0..10).map(|_| ("b", true)));
-        reach.update(now, machines);
-        (reach.is_unreachable("a"), reach.recovered_within("a", now, 25.0))
+        reachability.update(now, machines);
+        (reachability.is_unreachable("a"), reachability.recovered_within("a", now, 25.0))
     };
-    assert_eq!(look(&mut reach, 10.0, 10), (false, false));
-    assert_eq!(look(&mut reach, 20.0, 2), (true, false));
-    assert_eq!(look(&mut reach, 90.0, 4), (true, false));
-    assert_eq!(look(&mut reach, 91.0, 5), (false, true));
-    assert_eq!(look(&mut reach, 115.0, 9), (false, true));
-    assert_eq!(look(&mut reach, 117.0, 10), (false, false));
-    // It is scaled in to nothing while it is unreachable: new machines may be added there.
-    assert_eq!(look(&mut reach, 200.0, 0), (true, false));
-    assert!(reach.update(300.0, (0..10).map(|_| ("b", true))));
-    assert!(!reach.is_unreachable("a"));
+    assert_eq!(update(&mut reachability, 10.0, 10), (false, false));
+    assert_eq!(update(&mut reachability, 20.0, 2), (true, false));
+    assert_eq!(update(&mut reachability, 90.0, 4), (true, false));
+    assert_eq!(update(&mut reachability, 91.0, 5), (false, true));
+    assert_eq!(update(&mut reachability, 115.0, 9), (false, true));
+    assert_eq!(update(&mut reachability, 117.0, 10), (false, false));
+    // All machines of the zone are scaled in while it is unreachable. It then no longer counts as
+    // unreachable, so that machines may be added there.
+    assert_eq!(update(&mut reachability, 200.0, 0), (true, false));
+    assert!(reachability.update(300.0, (0..10).map(|_| ("b", true))));
+    assert!(!reachability.is_unreachable("a"));
 }
--- a/crates/sharding/tests/peer_liveness.rs
+++ b/crates/sharding/tests/peer_liveness.rs
@@ -1,10 +1,10 @@
-//! Which nodes have been reachable without interruption.
+//! Tests of the detection of interrupted contact with other nodes.
 
 use anisecroft_sharding::PeerLiveness;
 
-/// A process that restarted before its next view was missed was interrupted all the same, as
-/// far as its workers go: they try the other nodes one after the other. (A live machine
-/// was once declared dead for it while another node was cut off.)
+/// A process that restarts before its next view is missed still counts as interrupted, because
+/// its workers try the other nodes one after the other. Otherwise a live machine is declared
+/// dead if another node is partitioned at the same time.
 #[test]
 fn a_node_that_restarted_quickly_was_interrupted() {
     let mut liveness = PeerLiveness::default();
