--- a/crates/sharding/src/shard_balancer.rs
+++ b/crates/sharding/src/shard_balancer.rs
@@ -1,4 +1,4 @@
-//! Spreads the workers over the controllers by what each can serve.
+//! Distribution of the workers over the controllers in proportion to their capacity.
 
 mod event_loop_lag;
 
@@ -7,29 +7,29 @@
 use crate::Time;
 use std::collections::BTreeMap;
 
-/// A node redirects workers only when it has that many times its fair share: each move
-/// costs connections, and the counts are seconds old.
+/// Multiple of its fair share above which a node redirects workers. Each move costs
+/// connections, and the worker counts are seconds old.
 const IMBALANCE_FACTOR: f64 = 1.12;
-/// Workers above the fair share that are tolerated in any case.
+/// Number of workers above the fair share that is always tolerated.
 const IMBALANCE_SLACK: f64 = 2.0;
-/// Workers sent to a node that has none, until one has stayed: the workers may be unable
-/// to reach it.
+/// Maximum number of workers redirected to a node that has none, until one has stayed. The
+/// workers may be unable to reach that node.
 const MAX_PROBES: u32 = 4;
-/// Moves that are remembered before old ones are dropped. In half a lease a node moves at
-/// most half of its fair share of the workers.
+/// Number of remembered moves from which old ones are dropped. In half a lease, a node moves
+/// at most half of its fair share of the workers.
 const MAX_MOVES: usize = 12_000;
 
-/// A node as a server of heartbeats.
+/// Load and capacity of a node that serves heartbeats.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ShardMember {
     /// The node's name.
     pub node: String,
-    /// Workers that it serves.
+    /// Number of workers that the node serves.
     pub workers: u32,
-    /// Workers that it can serve at most.
+    /// Maximum number of workers that the node can serve.
     pub capacity: u32,
-    /// The part of its usual share that it takes, from 0 to 1: less while its event loop
-    /// lags.
+    /// Fraction of its usual share that the node takes, from 0 to 1. It is lower while the
+    /// node's event loop lags.
     pub weight: f64,
 }
 
@@ -38,43 +38,43 @@
         f64::from(self.capacity) * self.weight.clamp(0.0, 1.0)
     }
 
-    /// Workers that it can serve besides those that it has.
+    /// Returns the number of additional workers that the node can serve.
     pub fn free_slots(&self) -> u32 {
         self.capacity.saturating_sub(self.workers)
     }
 }
 
-/// A worker that was redirected.
+/// Redirection of a worker to another node.
 #[derive(Debug)]
-struct Move {
+struct WorkerMove {
     to: String,
     sent_at: Time,
 }
 
-/// Moves to a node without workers, in a period of one lease.
+/// Moves to a node without workers in a period of one lease.
 #[derive(Debug)]
 struct ProbePeriod {
     probes: u32,
     since: Time,
 }
 
-/// Decides which workers are redirected, at a steady rate to avoid storms of
-/// reconnections.
+/// Decides which workers are redirected, at a steady rate to avoid reconnection storms.
 #[derive(Debug)]
 pub struct ShardBalancer {
     lease_s: f64,
-    /// Moves that are allowed now.
+    /// Number of moves that are allowed now.
     budget: f64,
     refilled_at: Time,
-    moves: BTreeMap<String, Move>,
-    /// Nodes that workers came back from, with until when they get none.
+    /// The last move of each machine's worker.
+    moves: BTreeMap<String, WorkerMove>,
+    /// Nodes from which workers returned, with the time until which they get no workers.
     avoided_until: BTreeMap<String, Time>,
     /// Moves to nodes that had no workers when they were last considered.
     probes: BTreeMap<String, ProbePeriod>,
 }
 
 impl ShardBalancer {
-    /// A balancer without history; `lease_s` is the duration of the workers' leases.
+    /// Creates a balancer without history. `lease_s` is the duration of the workers' leases.
     pub fn new(lease_s: f64) -> Self {
         ShardBalancer {
             lease_s,
@@ -86,31 +86,32 @@
         }
     }
 
-    /// The number of workers that `own` should serve.
-    fn fair_share(own: &ShardMember, others: &[ShardMember]) -> f64 {
-        let workers: u32 = own.workers + others.iter().map(|member| member.workers).sum::<u32>();
+    /// Returns the number of workers that `own_member` should serve.
+    fn fair_share(own_member: &ShardMember, others: &[ShardMember]) -> f64 {
+        let workers: u32 = own_member.workers + others.iter().map(|member| member.workers).sum::<u32>();
         let capacity =
-            own.weighted_capacity() + others.iter().map(ShardMember::weighted_capacity).sum::<f64>();
-        f64::from(workers) * own.weighted_capacity() / capacity.max(1e-9)
+            own_member.weighted_capacity() + others.iter().map(ShardMember::weighted_capacity).sum::<f64>();
+        f64::from(workers) * own_member.weighted_capacity() / capacity.max(1e-9)
     }
 
-    /// The node to which `machine`'s worker should be redirected, if any: only while this
-    /// node has clearly more than its fair share, and at most one share in a lease.
+    /// Returns the node to which the worker of `machine` should be redirected, if any. Workers
+    /// are redirected only while this node has clearly more than its fair share of them, and
+    /// at a rate of at most one fair share per lease.
     pub fn pick_better_node(
         &mut self,
         now: Time,
         machine: &str,
-        own: &ShardMember,
+        own_member: &ShardMember,
         others: &[ShardMember],
     ) -> Option<String> {
-        let fair_share = Self::fair_share(own, others);
+        let fair_share = Self::fair_share(own_member, others);
         self.refill_budget(now, fair_share);
-        let is_overloaded = f64::from(own.workers) > fair_share * IMBALANCE_FACTOR + IMBALANCE_SLACK;
+        let is_overloaded = f64::from(own_member.workers) > fair_share * IMBALANCE_FACTOR + IMBALANCE_SLACK;
         if !is_overloaded || self.budget < 1.0 {
             return None;
         }
         let best = self.least_loaded(now, others)?;
-        if best.workers >= own.workers {
+        if best.workers >= own_member.workers {
             return None;
         }
         if best.workers > 0 {
@@ -130,10 +131,11 @@
         self.refilled_at = now;
     }
 
-    /// Whether one more worker may be sent to `node`, which has none. Counts it if so.
+    /// Returns whether another worker may be sent to `node`, which has none, and counts it if
+    /// so.
     fn take_probe(&mut self, now: Time, node: &str) -> bool {
-        let first = ProbePeriod { probes: 0, since: now };
-        let period = self.probes.entry(node.to_string()).or_insert(first);
+        let first_period = ProbePeriod { probes: 0, since: now };
+        let period = self.probes.entry(node.to_string()).or_insert(first_period);
         if now - period.since > self.lease_s {
             *period = ProbePeriod { probes: 0, since: now };
         }
@@ -146,30 +148,32 @@
 
     fn record_move(&mut self, now: Time, machine: &str, node: &str) {
         if self.moves.len() >= MAX_MOVES {
-            // Later returns do not count. (Dropping all moves once lost the recent ones.)
+            // Moves older than the return period no longer matter. Recent ones are kept: when all
+            // moves were dropped, the returns of recently redirected workers went unnoticed.
             let return_period_s = self.return_period_s();
-            self.moves.retain(|_, entry| now - entry.sent_at < return_period_s);
+            self.moves.retain(|_, worker_move| now - worker_move.sent_at < return_period_s);
         }
-        self.moves.insert(machine.to_string(), Move { to: node.to_string(), sent_at: now });
+        self.moves.insert(machine.to_string(), WorkerMove { to: node.to_string(), sent_at: now });
     }
 
-    /// A worker that is back within this time was not served where it was sent.
+    /// Returns the time within which the return of a redirected worker shows that the other
+    /// node did not serve it, in seconds.
     fn return_period_s(&self) -> f64 {
         self.lease_s / 2.0
     }
 
-    /// Records that `machine`'s worker sends heartbeats here. If it was redirected a moment
-    /// ago, the other node did not answer and gets no workers for a lease. (A node that
-    /// workers did not reach once attracted them all, since it had none.)
+    /// Records that the worker of `machine` sends heartbeats to this node. If it was redirected
+    /// recently, the other node did not respond and gets no workers for a lease. Without this,
+    /// a node that workers could not reach attracted all of them, because it had none.
     pub fn on_heartbeat(&mut self, now: Time, machine: &str) {
-        let Some(entry) = self.moves.remove(machine) else { return };
-        if now - entry.sent_at < self.return_period_s() {
-            self.avoided_until.insert(entry.to, now + self.lease_s);
+        let Some(worker_move) = self.moves.remove(machine) else { return };
+        if now - worker_move.sent_at < self.return_period_s() {
+            self.avoided_until.insert(worker_move.to, now + self.lease_s);
         }
     }
 
-    /// The node with the most free weighted capacity, for a worker that finds no free
-    /// slot here.
+    /// Returns the node with the most free weighted capacity among those that have a free slot
+    /// and are not avoided.
     pub fn least_loaded<'a>(&self, now: Time, others: &'a [ShardMember]) -> Option<&'a ShardMember> {
         let is_avoided =
             |member: &ShardMember| self.avoided_until.get(&member.node).is_some_and(|until| now < *until);
