--- a/crates/controller/src/agents/failure_detection.rs
+++ b/crates/controller/src/agents/failure_detection.rs
@@ -81,8 +81,8 @@
         let Role::Leader(leader) = &mut self.role else { return };
         let silent = leader.find_silent_machines(&limits, &rule);
         let is_mass_silence = leader.is_mass_silence(now, suspicion_s);
-        let dead = leader.declare_dead(&silent.individual, is_mass_silence, &rule);
-        for machine in silent.expired_in_unreachable_zones.into_iter().chain(dead) {
+        let expired = leader.declare_dead(&silent.individual, is_mass_silence, &rule);
+        for machine in silent.expired_in_unreachable_zones.into_iter().chain(expired) {
             self.remove_machine_work(&machine, false);
         }
         let Role::Leader(leader) = &mut self.role else { return };
@@ -111,8 +111,8 @@
             return;
         }
         let machines = leader.cluster.machines.values().filter(|machine| machine.phase == MachinePhase::Up);
-        let heard = machines.map(|machine| (machine.zone.as_str(), machine.is_heard(now, &timing)));
-        if leader.fleet.zones.update(now, heard) {
+        let heard_by_zone = machines.map(|machine| (machine.zone.as_str(), machine.is_heard(now, &timing)));
+        if leader.fleet.zones.update(now, heard_by_zone) {
             let unreachable: Vec<&str> = leader.fleet.zones.unreachable().collect();
             warn!(dark = ?unreachable, "unreachable zones changed");
             leader.planning.needed = true;
@@ -244,7 +244,7 @@
     /// one by one, and when only those counted, a partitioned leader declared its whole fleet
     /// dead.
     fn is_mass_silence(&self, now: Time, suspicion_s: Time) -> bool {
-        let mut heard = 0;
+        let mut ever_heard = 0;
         let mut recently_heard = 0;
         for machine in self.cluster.machines.values() {
             let is_up = machine.phase == MachinePhase::Up;
@@ -252,12 +252,12 @@
                 continue;
             }
             let Some(last_heard_at) = machine.last_heard_at else { continue };
-            heard += 1;
+            ever_heard += 1;
             if now - last_heard_at < suspicion_s / 2.0 {
                 recently_heard += 1;
             }
         }
-        are_too_many_silent(heard, recently_heard)
+        are_too_many_silent(ever_heard, recently_heard)
     }
 
     /// Declares silent machines dead unless the network may be the cause, and returns those whose
@@ -299,8 +299,8 @@
 }
 
 /// Whether more than a third of the machines that were ever heard are silent now.
-fn are_too_many_silent(heard: usize, recently_heard: usize) -> bool {
-    heard > MAX_SMALL_FLEET && recently_heard * 3 < heard * 2
+fn are_too_many_silent(ever_heard: usize, recently_heard: usize) -> bool {
+    ever_heard > MAX_SMALL_FLEET && recently_heard * 3 < ever_heard * 2
 }
 
 /// Whether a peer would serve the workers better than this leader. `heard_by_peers` is the maximum
--- a/crates/controller/src/agents/pending_kills.rs
+++ b/crates/controller/src/agents/pending_kills.rs
@@ -111,13 +111,13 @@
         // The other half of the calls is reserved for new kills.
         let max_retry_calls = self.timing.max_worker_calls / 2;
         let Role::Leader(leader) = &mut self.role else { return };
-        let new = leader.take_machines_with_new_kills();
+        let with_new_kills = leader.take_machines_with_new_kills();
         let kills = &mut leader.pending_kills;
-        let retries = kills.take_due(now, max_retry_calls.saturating_sub(kills.calls_in_flight));
-        for machine in &new {
+        let due_retries = kills.take_due(now, max_retry_calls.saturating_sub(kills.calls_in_flight));
+        for machine in &with_new_kills {
             self.send_kills(machine, true);
         }
-        for machine in retries.iter().filter(|machine| !new.contains(*machine)) {
+        for machine in due_retries.iter().filter(|machine| !with_new_kills.contains(*machine)) {
             self.send_kills(machine, false);
         }
     }
@@ -185,7 +185,7 @@
     /// Returns the machines with tasks to be killed for which no kill was sent yet, and marks these
     /// kills as sent.
     fn take_machines_with_new_kills(&mut self) -> BTreeSet<String> {
-        let mut new = BTreeSet::new();
+        let mut with_new_kills = BTreeSet::new();
         for job_id in std::mem::take(&mut self.pending_kills.jobs) {
             let Some(job) = self.cluster.jobs.get_mut(&job_id) else { continue };
             for placement in job.placements.values_mut() {
@@ -199,11 +199,11 @@
                 let may_exist = placement.observed_state.is_some() || placement.launch_sent;
                 if may_exist && !placement.kill_sent {
                     placement.kill_sent = true;
-                    new.insert(placement.machine.clone());
+                    with_new_kills.insert(placement.machine.clone());
                 }
             }
         }
-        new
+        with_new_kills
     }
 
     /// Returns the commands that kill the tasks to be killed on `machine`.
--- a/crates/controller/src/proxy/leader_only.rs
+++ b/crates/controller/src/proxy/leader_only.rs
@@ -57,15 +57,15 @@
 
     /// Whether a live task on `machine` is not placed there, so that it has to be killed.
     fn has_unplaced_task(&self, machine: &str) -> bool {
-        let Some(known) = self.cluster.machines.get(machine) else { return false };
+        let Some(known_machine) = self.cluster.machines.get(machine) else { return false };
         let is_unplaced = |status: &TaskStatus| {
             let Some((job, task)) = split_task(&status.task) else { return false };
             let placement = self.placement(job, task);
             !placement
                 .is_some_and(|placement| placement.machine == machine && placement.attempt == status.attempt)
         };
-        let mut live = known.tasks.iter().filter(|status| status.state != TaskState::Exited);
-        live.any(is_unplaced)
+        let mut live_tasks = known_machine.tasks.iter().filter(|status| status.state != TaskState::Exited);
+        live_tasks.any(is_unplaced)
     }
 
     fn placement(&self, job: &str, task: u32) -> Option<&Placement> {
--- a/crates/sharding/src/heartbeat_proxy/batch.rs
+++ b/crates/sharding/src/heartbeat_proxy/batch.rs
@@ -43,14 +43,14 @@
     worker: &ProxiedWorker,
     fencing_token: u64,
 ) -> ForwardedHeartbeat {
-    let known = worker.known_position(fencing_token);
+    let known_position = worker.known_position(fencing_token);
     ForwardedHeartbeat {
         machine,
         session: worker.position.epoch,
         seq: worker.position.sequence,
-        same_as: known.map_or(0, |position| position.sequence),
+        same_as: known_position.map_or(0, |position| position.sequence),
         held: worker.held.is_some(),
-        content: known.is_none().then(|| HeartbeatContent::from(&worker.heartbeat)),
+        content: known_position.is_none().then(|| HeartbeatContent::from(&worker.heartbeat)),
         age_ms: to_millis(now - worker.received_at) as u32,
     }
 }
