--- a/crates/controller/src/agents/failure_detection.rs
+++ b/crates/controller/src/agents/failure_detection.rs
@@ -260,8 +260,9 @@
         are_too_many_silent(ever_heard, recently_heard)
     }
 
-    /// Declares silent machines dead unless the network may be the cause, and returns those whose
-    /// leases have expired.
+    /// Declares silent machines dead if their leases have expired or, unless so many are silent
+    /// that the network is the likely cause, if this leader has heard from them before. Returns
+    /// those whose leases have expired.
     fn declare_dead(
         &mut self,
         silent: &[String],
--- a/crates/controller/src/agents/heartbeat_ingestion.rs
+++ b/crates/controller/src/agents/heartbeat_ingestion.rs
@@ -84,8 +84,8 @@
         if !self.ingest_heartbeat(heartbeat, None, now) {
             // The heartbeat is late, or a duplicate or the reply to direct commands overtook it.
             // Its worker may still wait, and the response renews its lease, so the response has to
-            // carry the pending commands. Otherwise a duplicate that arrived first took the kills
-            // away from the worker.
+            // carry the pending commands. Otherwise a duplicate that arrived first got the kills,
+            // and the waiting worker did not.
             let response = self.build_response(&heartbeat.machine);
             return self.respond(request_id, 200, protocol::encode(&response));
         }
--- a/crates/controller/src/agents/pending_kills.rs
+++ b/crates/controller/src/agents/pending_kills.rs
@@ -22,7 +22,7 @@
     max_s: Time,
 }
 
-/// Next call to a machine.
+/// Schedule of the next call to a machine.
 struct Retry {
     at: Time,
     pause_s: Time,
--- a/crates/controller/src/proxy/sharding_state.rs
+++ b/crates/controller/src/proxy/sharding_state.rs
@@ -7,13 +7,13 @@
 
 /// Workers that this node serves, and the node's load.
 pub(crate) struct ShardingState {
-    /// Serves heartbeats on a delegated lease while another node leads.
+    /// Proxy that serves heartbeats under a delegated lease while another node leads.
     pub(crate) proxy: HeartbeatProxy,
-    /// Decides which workers to redirect to other nodes.
+    /// Balancer that decides which workers to redirect to other nodes.
     pub(crate) balancer: ShardBalancer,
     /// Lag of this node's timers.
     pub(crate) event_loop_lag: EventLoopLag,
-    /// Whether this node served on a delegated lease at the last tick.
+    /// Whether this node had a valid delegated lease at the last tick.
     pub(crate) was_proxying: bool,
     /// Number of workers that this node serves, as of the last count.
     pub(crate) worker_count: u32,
--- a/crates/sharding/src/forwarding.rs
+++ b/crates/sharding/src/forwarding.rs
@@ -62,7 +62,7 @@
     commands: Vec<MachineCommands>,
     /// Machines whose content the proxy has to send in full.
     unknown: Vec<String>,
-    /// The snapshot in the last reply that the proxy acknowledged, or None if there is none.
+    /// The last snapshot that the proxy acknowledged, or None if it is not known to have any.
     acknowledged_leader_only: Option<LeaderOnlySnapshot>,
     /// The snapshot that the proxy has once it receives the last reply.
     sent_leader_only: Option<SentSnapshot>,
--- a/crates/sharding/src/shard_balancer.rs
+++ b/crates/sharding/src/shard_balancer.rs
@@ -58,7 +58,8 @@
     since: Time,
 }
 
-/// Decides which workers are redirected, at a steady rate to avoid reconnection storms.
+/// Balancer that decides which workers are redirected. Redirects them at a limited rate to avoid
+/// reconnection storms.
 #[derive(Debug)]
 pub struct ShardBalancer {
     lease_s: f64,
--- a/crates/sharding/tests/heartbeat_proxy.rs
+++ b/crates/sharding/tests/heartbeat_proxy.rs
@@ -136,7 +136,8 @@
         }
     }
 
-    /// The worker sends a heartbeat to a random node.
+    /// Sends the worker's next heartbeat to a random node, unless the worker still waits for the
+    /// response to the previous one.
     fn send_heartbeat(&mut self) {
         if self.in_flight.is_some_and(|(_, sent_at)| self.now < sent_at + 4.0) {
             return;
