--- a/crates/controller/src/leader/terminal_jobs.rs
+++ b/crates/controller/src/leader/terminal_jobs.rs
@@ -69,7 +69,7 @@
             let terminal_job = TerminalJob::from_job(job);
             self.remove_terminal(terminal_job);
         } else {
-            self.kill_now(id);
+            self.schedule_kills(id);
         }
     }
 
