--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -86,7 +86,7 @@
         /// The dependency's id.
         id: String,
         /// Whether the archive is read, where the records of terminal jobs are.
-        over: bool,
+        in_archive: bool,
     },
     /// Write of the image locations.
     ImagesWrite {
@@ -98,7 +98,7 @@
         /// Fencing token of the leadership that made the call.
         token: u64,
         /// The number of the page.
-        part: usize,
+        page: usize,
     },
     /// Read of a record whose write had an unknown outcome.
     ReadBackRecord {
@@ -108,9 +108,9 @@
         key: String,
     },
     /// Watch that brings the cache of job statuses up to date.
-    FreshnessRead,
+    StatusCacheWatch,
     /// Comparison that tells which of the queried jobs exist.
-    CacheComparison,
+    ExistenceCheck,
     /// The record of a job whose status was queried.
     JobRead {
         /// The job's id.
--- a/crates/controller/src/client_api/status_queries/shared_reads.rs
+++ b/crates/controller/src/client_api/status_queries/shared_reads.rs
@@ -91,7 +91,7 @@
         let queries = std::mem::take(&mut self.status_queries.queued);
         self.status_queries.watch_read = Some(queries);
         let watch = StoreRequest::Watch { prefix: JOBS_WATCHED.to_string(), after, wait_ms: 0 };
-        self.call_store(CallContext::FreshnessRead, watch);
+        self.call_store(CallContext::StatusCacheWatch, watch);
     }
 
     /// Compares as many jobs as a transaction may, each in both places where it may be.
@@ -104,11 +104,11 @@
         keys.dedup();
         self.status_queries.comparison = Some(queries);
         let compares = keys.into_iter().map(|key| Compare { key, version: 0 }).collect();
-        self.commit_hedged(CallContext::CacheComparison, Transaction { compares, mutations: Vec::new() });
+        self.commit_hedged(CallContext::ExistenceCheck, Transaction { compares, mutations: Vec::new() });
     }
 
     /// The watch was answered.
-    pub(crate) fn on_freshness_read(&mut self, reply: StoreReply) {
+    pub(crate) fn on_status_cache_watch(&mut self, reply: StoreReply) {
         let queries = self.status_queries.watch_read.take().unwrap_or_default();
         match reply {
             StoreReply::Events(events) => {
@@ -142,7 +142,7 @@
     }
 
     /// The comparison was answered.
-    pub(crate) fn on_comparison(&mut self, reply: StoreReply) {
+    pub(crate) fn on_existence_check(&mut self, reply: StoreReply) {
         let queries = self.status_queries.comparison.take().unwrap_or_default();
         match reply {
             StoreReply::Committed(revision) => {
--- a/crates/controller/src/client_api/submissions.rs
+++ b/crates/controller/src/client_api/submissions.rs
@@ -127,7 +127,7 @@
             return self.respond_error(request_id, 503, ERROR_BUSY);
         }
         let max_value_bytes = self.store_limits.value_bytes();
-        let record = JobRecord { status, ..JobRecord::new(spec, self.time_of_day, max_value_bytes) };
+        let record = JobRecord { status, ..JobRecord::new(spec, self.wall_time_s, max_value_bytes) };
         let needs_chunks = json_size(&record) + RECORD_BYTES / 2 > max_value_bytes;
         let may_use_chunks = self.uses_current_format();
         // A restarted node that did not know the format yet once stored such a job whole. Under the
@@ -143,7 +143,7 @@
             cache_generation: self.status_queries.generation(),
         };
         if needs_chunks && may_use_chunks {
-            let nonce = nonce(self.time_of_day, self.rng.gen());
+            let nonce = nonce(self.wall_time_s, self.rng.gen());
             submission.split_spec(nonce, max_value_bytes);
         }
         self.client_requests.submissions.insert(id.clone(), submission);
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -41,7 +41,7 @@
     /// Time of the current input on the steady clock.
     pub(crate) now: Time,
     /// Unix time of the current input, in seconds.
-    pub(crate) time_of_day: f64,
+    pub(crate) wall_time_s: f64,
     /// Calls that wait for a reply.
     pub(crate) calls: PendingCalls,
     /// Outputs of the current input.
@@ -63,8 +63,8 @@
     pub(crate) spec_chunk_retries: Vec<SpecChunkRetry>,
     /// The cloud's machine types; none before they are read.
     pub(crate) machine_types: Option<Vec<MachineType>>,
-    /// When the machine types were last read.
-    pub(crate) read_types_at: Time,
+    /// Earliest time of the next read of the machine types.
+    pub(crate) next_types_read_at: Time,
     /// The other controllers' views, and when they were received.
     pub(crate) peers: BTreeMap<String, (View, Time)>,
     /// Failure detection between controllers.
@@ -98,7 +98,7 @@
             sharding: ShardingState::new(&settings, rng.gen(), timing),
             rng,
             now: 0.0,
-            time_of_day: 0.0,
+            wall_time_s: 0.0,
             calls: PendingCalls::default(),
             outputs: Vec::new(),
             role: Role::Follower,
@@ -108,7 +108,7 @@
             formats: FormatNegotiation::default(),
             spec_chunk_retries: Vec::new(),
             machine_types: None,
-            read_types_at: 0.0,
+            next_types_read_at: 0.0,
             peers: BTreeMap::new(),
             peer_liveness: PeerLiveness::default(),
             terminal_states: TerminalStateCache::default(),
--- a/crates/controller/src/election/campaign.rs
+++ b/crates/controller/src/election/campaign.rs
@@ -58,7 +58,7 @@
         if *node != self.settings.node {
             return None;
         }
-        self.election.previous_incarnation.succession(self.time_of_day, self.timing.leader_lease_s)
+        self.election.previous_incarnation.succession(self.wall_time_s, self.timing.leader_lease_s)
     }
 
     /// Handles the reply to the request for a lease: claims the leader key with it.
@@ -78,7 +78,7 @@
     fn claim_transaction(&self, lease: u64, terms: ElectionTerms) -> Transaction<Value> {
         let record = LeaderRecord {
             node: self.settings.node.clone(),
-            elected_wall_s: self.time_of_day,
+            elected_wall_s: self.wall_time_s,
             quick_restarts: terms.quick_restarts,
             lease,
         };
--- a/crates/controller/src/election/machine_types.rs
+++ b/crates/controller/src/election/machine_types.rs
@@ -7,10 +7,10 @@
 impl Controller {
     /// Reads the machine types until they are known.
     pub(super) fn read_stored_machine_types(&mut self) {
-        if self.machine_types.is_some() || self.now < self.read_types_at {
+        if self.machine_types.is_some() || self.now < self.next_types_read_at {
             return;
         }
-        self.read_types_at = self.now + self.timing.renewal_interval_s;
+        self.next_types_read_at = self.now + self.timing.renewal_interval_s;
         self.call_store(CallContext::TypesRead, StoreRequest::Get(TYPES_KEY.to_string()));
     }
 
--- a/crates/controller/src/leader/record_watch.rs
+++ b/crates/controller/src/leader/record_watch.rs
@@ -145,7 +145,7 @@
     }
 
     fn add_live_job(&mut self, id: &str, record: &JobRecord, version: u64) {
-        let submitted_at = self.now - (self.time_of_day - record.submitted_wall_s).max(0.0);
+        let submitted_at = self.now - (self.wall_time_s - record.submitted_wall_s).max(0.0);
         let Role::Leader(leader) = &mut self.role else { return };
         leader.cluster.insert_job(Job::from_record(record, version, submitted_at, &self.store_limits));
         leader.planning.needed = true;
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -325,10 +325,10 @@
     fn recovery_context(&self) -> RecoveryContext {
         RecoveryContext {
             now: self.now,
-            time_of_day: self.time_of_day,
+            time_of_day: self.wall_time_s,
             store_limits: self.store_limits.clone(),
             unreported_until: self.unreported_work_expiry(),
-            chunks_abandoned_before: self.time_of_day - self.timing.abandoned_submission_s,
+            chunks_abandoned_before: self.wall_time_s - self.timing.abandoned_submission_s,
         }
     }
 
--- a/crates/controller/src/routing.rs
+++ b/crates/controller/src/routing.rs
@@ -10,7 +10,7 @@
     /// `now` is the time on the steady clock and `time_of_day` the Unix time, both in seconds.
     pub fn handle(&mut self, now: Time, time_of_day: f64, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
-        self.time_of_day = time_of_day;
+        self.wall_time_s = time_of_day;
         self.route(input);
         self.tick();
         std::mem::take(&mut self.outputs)
@@ -79,11 +79,11 @@
             CallContext::FormatGateRead => self.on_format_gate_read(reply),
             CallContext::FormatRead { token } => self.on_format_read(token, reply),
             CallContext::FormatWrite { token, format } => self.on_format_write(token, format, reply),
-            CallContext::DependencyRead { token, id, over } => {
-                self.on_dependency_read(token, &id, over, reply);
+            CallContext::DependencyRead { token, id, in_archive } => {
+                self.on_dependency_read(token, &id, in_archive, reply);
             }
             CallContext::ImagesWrite { token } => self.on_images_write(token, reply),
-            CallContext::ImagesRead { token, part } => self.on_images_read(token, part, reply),
+            CallContext::ImagesRead { token, page } => self.on_images_read(token, page, reply),
             CallContext::ReadBackRecord { token, key } => self.on_read_back_record(token, &key, reply),
             client_call => self.on_client_call_reply(client_call, reply),
         }
@@ -92,8 +92,8 @@
     /// Routes the replies to calls that were made for clients' requests.
     fn on_client_call_reply(&mut self, context: CallContext, reply: StoreReply) {
         match context {
-            CallContext::FreshnessRead => self.on_freshness_read(reply),
-            CallContext::CacheComparison => self.on_comparison(reply),
+            CallContext::StatusCacheWatch => self.on_status_cache_watch(reply),
+            CallContext::ExistenceCheck => self.on_existence_check(reply),
             CallContext::JobRead { id, location } => self.on_job_read(&id, location, reply),
             CallContext::CancellationMarkCompare { id, record, version } => {
                 self.on_cancellation_mark_compared(&id, &record, version, reply);
--- a/crates/controller/src/scheduling/job_dependencies.rs
+++ b/crates/controller/src/scheduling/job_dependencies.rs
@@ -138,7 +138,7 @@
             self.on_cancelled_with_dependency(&id);
         }
         let Role::Leader(leader) = &mut self.role else { return };
-        for id in effects.forgotten {
+        for id in effects.unreferenced {
             leader.archive.release(&id);
         }
     }
@@ -149,7 +149,7 @@
         let Role::Leader(leader) = &mut self.role else { return };
         let Some(job) = leader.cluster.jobs.get_mut(id).filter(|job| !job.is_final()) else { return };
         info!(job = %id, waited_s = now - job.submitted_at, "job dependencies finished");
-        job.on_dependencies_done(now, self.time_of_day);
+        job.on_dependencies_done(now, self.wall_time_s);
         let spec = job.spec.clone();
         leader.planning.request_plan(now);
         self.record_arrival(&spec, now);
@@ -173,7 +173,7 @@
         let token = leader.fencing_token;
         for id in leader.dependencies.take_due_reads(now) {
             let request = StoreRequest::Get(job_key(&id));
-            self.call_store(CallContext::DependencyRead { token, id, over: false }, request);
+            self.call_store(CallContext::DependencyRead { token, id, in_archive: false }, request);
         }
     }
 
@@ -183,7 +183,7 @@
         let retry_at = self.now + self.timing.renewal_interval_s * RETRY_INTERVAL_PART;
         let Some(leader) = self.leader_state(token) else { return };
         if let (StoreReply::Missing(_), false) = (&reply, over) {
-            let context = CallContext::DependencyRead { token, id: id.to_string(), over: true };
+            let context = CallContext::DependencyRead { token, id: id.to_string(), in_archive: true };
             self.call_store(context, StoreRequest::Get(over_key(id)));
             return;
         }
--- a/crates/controller/src/storage/archive/machine_images.rs
+++ b/crates/controller/src/storage/archive/machine_images.rs
@@ -158,7 +158,7 @@
             // here then failed for ever, and no other part had its turn.)
             StoreReply::Conflict(_) | StoreReply::Unknown => {
                 images.check_at = next_check_at;
-                let context = CallContext::ImagesRead { token, part };
+                let context = CallContext::ImagesRead { token, page: part };
                 self.call_store(context, StoreRequest::Get(images_key(part)));
             }
             // Not urgent: it only helps the next leader.
--- a/crates/dependencies/src/graph.rs
+++ b/crates/dependencies/src/graph.rs
@@ -20,7 +20,7 @@
     /// tasks has ever started.
     pub cancelled: Vec<String>,
     /// Jobs that have ended and that no stored record names any more.
-    pub forgotten: Vec<String>,
+    pub unreferenced: Vec<String>,
 }
 
 /// A job with dependencies.
@@ -131,7 +131,7 @@
             if dependents.is_empty() {
                 self.dependents.remove(&dependency);
                 self.unknown.remove(&dependency);
-                effects.forgotten.push(dependency);
+                effects.unreferenced.push(dependency);
             }
         }
     }
@@ -143,7 +143,7 @@
         if self.waiting_jobs.get(id).is_some_and(|job| job.unfinished.is_empty()) {
             self.forget(id, &mut effects);
         }
-        effects.forgotten
+        effects.unreferenced
     }
 
     /// Whether a job may not start yet.
