--- a/crates/controller/src/client_api.rs
+++ b/crates/controller/src/client_api.rs
@@ -1,4 +1,4 @@
-//! Submissions, cancellations and status queries, which every node serves from the store.
+//! Submissions, cancellations and status queries of clients. Every node serves them from the store.
 
 pub(crate) mod cancellation_lineage;
 mod cancellations;
--- a/crates/controller/src/client_api/cancellations.rs
+++ b/crates/controller/src/client_api/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations: a read of the job's record, then a compare-and-swap of the version read.
+//! Cancellations of jobs: a read of the job's record, then a compare-and-swap on the version read.
 
 use crate::client_api::client_requests::{
     ERROR_BUSY, ERROR_NO_SUCH_JOB, ERROR_STORE_UNREACHABLE, MAX_WAITING_REQUESTS,
@@ -9,30 +9,31 @@
 use protocol::job::{valid_id, JobStatus};
 use protocol::state::{Compare, Item, Mutation, Transaction};
 
-/// Times that a cancellation is tried again after another node has written the record.
+/// Maximum number of retries of a cancellation after another node has written the record or the
+/// store has refused the record's size.
 const MAX_CANCELLATION_RETRIES: u32 = 8;
 
-/// The cancellation of one job.
+/// Cancellation of one job, in progress.
 pub(super) struct PendingCancellation {
-    /// Requests in the order in which they came.
+    /// Requests in the order of their arrival.
     waiting: Vec<RequestId>,
-    /// How many of them came before the read in flight was sent.
-    before_read: usize,
+    /// Number of requests that arrived before the read in flight was sent.
+    requests_before_read: usize,
 }
 
-/// Why a cancellation fails.
+/// Reason for the failure of a cancellation.
 #[derive(Debug, Clone, Copy, thiserror::Error)]
 enum CancellationError {
-    /// The job was never accepted.
+    /// No such job was accepted.
     #[error("{ERROR_NO_SUCH_JOB}")]
     NoSuchJob,
-    /// The store did not reply, or the record changed with every attempt.
+    /// The store refused or did not answer the call, or the retries were used up.
     #[error("{ERROR_STORE_UNREACHABLE}")]
     StoreUnreachable,
 }
 
 impl CancellationError {
-    /// HTTP status code of the response.
+    /// Returns the HTTP status code of the response.
     fn status_code(self) -> u16 {
         match self {
             CancellationError::NoSuchJob => 404,
@@ -42,7 +43,7 @@
 }
 
 impl Controller {
-    /// Handles the cancellation of job `id`.
+    /// Handles a request to cancel job `id`.
     pub(crate) fn on_cancel(&mut self, request_id: RequestId, id: &str) {
         if !valid_id(id) {
             return self.respond_error(request_id, 404, ERROR_NO_SUCH_JOB);
@@ -63,15 +64,15 @@
     }
 
     fn start_cancellation(&mut self, id: &str, waiting: Vec<RequestId>, tries: u32) {
-        let cancellation = PendingCancellation { waiting, before_read: 0 };
+        let cancellation = PendingCancellation { waiting, requests_before_read: 0 };
         self.client_requests.cancellations.insert(id.to_string(), cancellation);
         self.read_for_cancellation(id, tries);
     }
 
-    /// Reads the record on behalf of all requests that have come so far.
+    /// Reads the record for all requests that have arrived so far.
     fn read_for_cancellation(&mut self, id: &str, tries: u32) {
         if let Some(cancellation) = self.client_requests.cancellations.get_mut(id) {
-            cancellation.before_read = cancellation.waiting.len();
+            cancellation.requests_before_read = cancellation.waiting.len();
         }
         self.send_cancellation_read(id, tries, RecordLocation::Live);
     }
@@ -81,7 +82,7 @@
         self.call_store(context, StoreRequest::Get(location.key(id)));
     }
 
-    /// Answers all requests to cancel job `id`.
+    /// Answers all requests to cancel job `id` and ends the cancellation.
     fn finish_cancellation(&mut self, id: &str, outcome: Result<JobStatus, CancellationError>) {
         let Some(cancellation) = self.client_requests.cancellations.remove(id) else { return };
         for request_id in cancellation.waiting {
@@ -98,7 +99,7 @@
         self.finish_cancellation(id, Ok(status));
     }
 
-    /// The record of job `id` was read at `location` in order to cancel it.
+    /// Handles the reply to the read of job `id` at `location` that precedes its cancellation.
     pub(crate) fn on_cancel_read(
         &mut self,
         id: &str,
@@ -118,7 +119,7 @@
                 self.client_writes.try_acquire(self.now, 1.0);
                 self.commit_hedged(CallContext::CancelWrite { id: id.to_string(), tries }, transaction);
             }
-            // The job may have ended and its record been archived before that read.
+            // The job may have ended and its record may have been archived before the read.
             StoreReply::Missing(_) if location == RecordLocation::Live => {
                 self.send_cancellation_read(id, tries, RecordLocation::Archive);
             }
@@ -127,22 +128,22 @@
         }
     }
 
-    /// Requests that came after the read was sent need another read: the job may have been
-    /// accepted in between.
+    /// Answers the requests that arrived before the read with 404. Requests that arrived after it
+    /// was sent need another read, because the job may have been accepted in between.
     fn on_cancelled_job_missing(&mut self, id: &str, tries: u32) {
-        let came_later = match self.client_requests.cancellations.get_mut(id) {
-            Some(cancellation) => cancellation.waiting.split_off(cancellation.before_read),
+        let later_requests = match self.client_requests.cancellations.get_mut(id) {
+            Some(cancellation) => cancellation.waiting.split_off(cancellation.requests_before_read),
             None => Vec::new(),
         };
         self.finish_cancellation(id, Err(CancellationError::NoSuchJob));
-        if !came_later.is_empty() {
-            self.start_cancellation(id, came_later, tries);
+        if !later_requests.is_empty() {
+            self.start_cancellation(id, later_requests, tries);
         }
     }
 
-    /// The transaction that cancels the job with that record. A record that is too large to be
-    /// written again gets a cancellation mark beside it, which the leader takes into account with
-    /// its next write of the job.
+    /// Returns the transaction that cancels the job with that record. If the record is too large to
+    /// be written again, the transaction puts a cancellation mark beside it, which the leader takes
+    /// into account with its next write of the job.
     fn cancellation_transaction(&self, record: JobRecord, version: u64) -> Transaction<Value> {
         let id = record.spec.id.clone();
         let mut compares = vec![Compare { key: job_key(&id), version }];
@@ -166,7 +167,7 @@
         Transaction { compares, mutations: vec![Mutation::Put { key, value, lease: None }] }
     }
 
-    /// The cancellation of job `id` was written, or not.
+    /// Handles the reply to the write of the cancellation of job `id`.
     pub(crate) fn on_cancel_write(&mut self, id: &str, tries: u32, reply: StoreReply) {
         let may_retry = tries < MAX_CANCELLATION_RETRIES;
         match reply {
@@ -174,13 +175,13 @@
                 self.finish_cancellation_of_terminal(id, JobStatus::Cancelled, 0);
                 self.on_local_cancellation(id);
             }
-            // Another node has written the mark.
+            // Another node has already written the mark.
             StoreReply::Conflict(conflict) if conflict.failed.contains(&mark_key(id)) => {
                 self.finish_cancellation_of_terminal(id, JobStatus::Cancelled, 0);
             }
-            // The leader has written the record in between.
+            // The record was written by another node after it was read.
             StoreReply::Conflict(_) if may_retry => self.read_for_cancellation(id, tries + 1),
-            // The record is larger than the store accepts now: the next attempt writes a mark.
+            // The record exceeds the store's current size limit: the next attempt writes a mark.
             StoreReply::Invalid if may_retry => {
                 self.on_size_refused();
                 self.read_for_cancellation(id, tries + 1);
--- a/crates/controller/src/client_api/client_requests.rs
+++ b/crates/controller/src/client_api/client_requests.rs
@@ -1,4 +1,5 @@
-//! Submissions and cancellations that are in progress at this node.
+//! Submissions and cancellations in progress at this node, and limits and responses that clients'
+//! requests share.
 
 use crate::client_api::cancellations::PendingCancellation;
 use crate::client_api::dependency_checks::DependencyCheck;
@@ -8,7 +9,7 @@
 use protocol::job::{JobStatus, JobView};
 use std::collections::BTreeMap;
 
-/// Requests of one kind that may wait at a time.
+/// Maximum number of submissions, and of cancellations, in progress.
 pub(crate) const MAX_WAITING_REQUESTS: usize = 2_000;
 
 /// Error text of a request that exceeds a limit of this node.
@@ -18,30 +19,31 @@
 /// Error text of a request for a job that was never accepted.
 pub(crate) const ERROR_NO_SUCH_JOB: &str = "no such job";
 
-/// Part of the store's write rate that submissions through one node may use while the store
-/// accepts them. When it refuses, each node goes down as far as its share of what the leader
-/// leaves, and comes back as it is served. (That share alone once turned away nine in ten
-/// submissions while the store was half idle.)
+/// Share of the store's write rate that submissions through one node may use while the store
+/// accepts them. When the store refuses writes, the node reduces its rate, at the lowest to an equal
+/// share of what the leader leaves to the nodes, and raises it again when writes succeed. A fixed
+/// rate of that equal share rejected nine in ten submissions while the store was half idle.
 pub const MAX_CLIENT_WRITE_SHARE: f64 = 0.5;
 
-/// Submissions and cancellations in progress, by job id.
+/// Clients' requests in progress at this node, by job id.
 #[derive(Default)]
 pub struct ClientRequests {
     /// Submissions that are being written.
     pub(super) submissions: BTreeMap<String, PendingSubmission>,
     /// Submissions whose dependencies are being looked up.
     pub(super) dependency_checks: BTreeMap<String, DependencyCheck>,
-    /// Cancellations.
+    /// Cancellations in progress.
     pub(super) cancellations: BTreeMap<String, PendingCancellation>,
-    /// Always empty: the chunks of an unknown submission.
+    /// Always empty; stands for the chunks of an unknown submission.
     no_chunks: Vec<(String, Value)>,
-    /// Jobs that were submitted through this node, with the versions of their records, so that
-    /// a leader here need not wait for its watch.
+    /// Jobs that were submitted through this node, with the versions of their records. If this node
+    /// leads, it takes them from here without waiting for its watch.
     pub created: Vec<(String, JobRecord, u64)>,
 }
 
 impl ClientRequests {
-    /// Chunks of submission `id` that are not stored yet, in reverse order: key and value.
+    /// Returns the chunks of submission `id` that are not stored yet, in reverse order: key and
+    /// value.
     pub fn pending_chunks(&mut self, id: &str) -> &mut Vec<(String, Value)> {
         match self.submissions.get_mut(id) {
             Some(submission) => &mut submission.pending_chunks,
@@ -50,18 +52,18 @@
     }
 }
 
-/// Numbers of tasks that a response shows.
+/// Task counts of a job that a response shows.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TaskCounts {
-    /// Completed tasks.
+    /// Number of completed tasks.
     pub(crate) done: u32,
-    /// Running tasks.
+    /// Number of running tasks.
     pub(crate) running: u32,
 }
 
 impl TaskCounts {
-    /// Of a job that is terminal.
-    pub(crate) fn of_terminal(done: u32) -> Self {
+    /// Returns the counts of a terminal job, which has no running tasks.
+    pub(crate) fn terminal(done: u32) -> Self {
         TaskCounts { done, running: 0 }
     }
 }
@@ -85,7 +87,7 @@
         self.respond(request_id, status_code, protocol::encode(&view));
     }
 
-    /// Forgets what only a leader needs if this node does not lead.
+    /// Discards the list of created jobs, which only a leader needs, if this node does not lead.
     pub(crate) fn tick_client_requests(&mut self) {
         if !self.is_leader() {
             self.client_requests.created.clear();
--- a/crates/controller/src/client_api/dependency_checks.rs
+++ b/crates/controller/src/client_api/dependency_checks.rs
@@ -1,17 +1,17 @@
 //! Checks of the dependencies that a submission names.
 //!
-//! All of them must have been accepted, and none may be a service, which is never done. A
-//! dependency that is done need not be waited for; with one that is cancelled the submitted job
-//! is cancelled from the start.
+//! All of them must have been accepted, and none may be a service, because a service is never done.
+//! Dependencies that are already done are removed from the job. If a dependency is already
+//! cancelled, the submitted job is stored as cancelled.
 
 use crate::{Controller, RequestId};
 use protocol::job::{JobSpec, JobStatus};
 use std::collections::BTreeSet;
 use tracing::info;
 
-/// Dependencies that may be looked up at a time: as many as a request of 64 KiB can name.
+/// Maximum number of dependency lookups in progress: as many as one request of 64 KiB can name.
 const MAX_DEPENDENCY_LOOKUPS: usize = 8_000;
-/// Dependencies that a log line names.
+/// Maximum number of dependencies named in a log line.
 const MAX_LOGGED_DEPENDENCIES: usize = 16;
 
 /// A submission whose dependencies are being looked up.
@@ -20,36 +20,36 @@
     waiting: Vec<RequestId>,
     /// The job, without the dependencies that are done.
     spec: JobSpec,
-    /// Its dependencies, for the log.
-    logged_names: String,
-    /// Dependencies whose lookup is not finished.
+    /// Ids of the dependencies, for the log.
+    logged_dependencies: String,
+    /// Ids of the dependencies whose lookup is not finished.
     unresolved: BTreeSet<String>,
-    /// One of the dependencies is cancelled.
+    /// Whether a dependency is cancelled.
     cancelled: bool,
 }
 
-/// What the store says of a dependency.
+/// Result of the lookup of a dependency.
 pub(crate) enum DependencyLookup {
-    /// It has been accepted.
+    /// The job was accepted.
     Known {
-        /// Its status.
+        /// Status of the job.
         status: JobStatus,
-        /// Whether it is a service.
+        /// Whether the job is a service.
         service: bool,
     },
-    /// It was never accepted.
+    /// No such job was accepted.
     Missing,
     /// The store could not be read.
     Unavailable,
 }
 
-/// Why a submission is refused after a lookup of its dependencies.
+/// Reason for refusing a submission because of its dependencies.
 #[derive(Debug, Clone, Copy, thiserror::Error)]
 enum DependencyError {
     /// A dependency is a service.
     #[error("it awaits a service, which is never done")]
     Service,
-    /// A dependency was never accepted.
+    /// A dependency does not exist.
     #[error("it awaits a job that was never accepted")]
     Missing,
     /// The store could not be read.
@@ -58,7 +58,7 @@
 }
 
 impl DependencyError {
-    /// HTTP status code of the response.
+    /// Returns the HTTP status code of the response.
     fn status_code(self) -> u16 {
         match self {
             DependencyError::Service | DependencyError::Missing => 422,
@@ -73,14 +73,14 @@
         let logged: Vec<&str> = unresolved.iter().take(MAX_LOGGED_DEPENDENCIES).map(String::as_str).collect();
         DependencyCheck {
             waiting: vec![request_id],
-            logged_names: logged.join(","),
+            logged_dependencies: logged.join(","),
             spec,
             unresolved,
             cancelled: false,
         }
     }
 
-    /// Takes in the lookup of one dependency.
+    /// Applies the result of the lookup of one dependency.
     fn resolve(&mut self, dependency: &str, lookup: DependencyLookup) -> Result<(), DependencyError> {
         let status = match lookup {
             DependencyLookup::Known { service: true, .. } => return Err(DependencyError::Service),
@@ -100,7 +100,8 @@
     /// Looks up the dependencies of a submission, then creates the job or refuses it.
     pub(super) fn check_dependencies(&mut self, request_id: RequestId, spec: JobSpec) {
         let id = spec.id.clone();
-        // The operators announce dependencies to users only after every node has this version.
+        // Operators announce dependencies to users only after every node runs this version, so such a
+        // submission confirms the format.
         if self.formats.confirm() {
             info!("job with dependencies submitted: every node runs this version");
         }
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Takes in the lookup of one dependency of submission `id`.
+    /// Handles the result of the lookup of one dependency of submission `id`.
     pub(crate) fn on_dependency_checked(&mut self, id: &str, dependency: &str, lookup: DependencyLookup) {
         let Some(check) = self.client_requests.dependency_checks.get_mut(id) else { return };
         if !check.unresolved.remove(dependency) {
@@ -141,7 +142,7 @@
     }
 
     fn create_checked_job(&mut self, id: &str, check: DependencyCheck) {
-        info!(job = %id, awaits = %check.logged_names, "job has dependencies");
+        info!(job = %id, awaits = %check.logged_dependencies, "job has dependencies");
         let status = if check.cancelled { JobStatus::Cancelled } else { JobStatus::Pending };
         for request_id in check.waiting {
             self.create_job(request_id, check.spec.clone(), status);
@@ -153,7 +154,8 @@
         let message = error.to_string();
         for request_id in check.waiting {
             if status_code == 422 {
-                // The repeated submission of a known job gets its status, whatever it names now.
+                // A repeated submission of a known job is answered with the job's status, even if it
+                // names other dependencies now.
                 self.query_status(request_id, id, status_code, &message);
             } else {
                 self.respond_error(request_id, status_code, &message);
--- a/crates/controller/src/client_api/feasibility.rs
+++ b/crates/controller/src/client_api/feasibility.rs
@@ -1,4 +1,4 @@
-//! Whether a submitted job could ever run in this cluster.
+//! Feasibility check of submitted jobs: whether a job could ever run in this cluster.
 
 use planner::Resources;
 use protocol::cloud::MachineType;
@@ -9,16 +9,16 @@
 /// Tolerance for sums of fractional resources.
 const RESOURCE_EPSILON: f64 = 1e-6;
 
-/// Why a job can never run.
+/// Reason why a job can never run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Infeasible {
     /// The job names a team that is not in the settings.
     #[error("unknown team")]
     UnknownTeam,
-    /// No machine type that the job allows has room for a task.
+    /// A task fits none of the machine types that the job allows, in the zones that it allows.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
-    /// The job is to be spread over zones and bound to one.
+    /// The tasks have to be spread over zones, but only one zone is available to the job.
     #[error("a gang that is to be spread is bound to one zone")]
     SpreadInOneZone,
     /// The tasks that run at the same time exceed the team's quota.
@@ -29,7 +29,7 @@
 /// Checks a job against the machine types and the teams' quotas.
 ///
 /// # Errors
-/// The first reason why it can never run.
+/// Returns the first reason found why the job can never run.
 pub(super) fn check_feasibility(
     spec: &JobSpec,
     machine_types: &[MachineType],
@@ -40,7 +40,8 @@
     if zones.is_empty() {
         return Err(Infeasible::FitsNoMachineType);
     }
-    // All tasks of a gang run at the same time, and when spread at most half of them in one zone.
+    // All tasks of a gang run at the same time, and at most half of a spread gang's tasks may run in
+    // one zone.
     let is_spread_gang = spec.shape == Shape::Gang && spec.spread && spec.tasks > 1;
     if is_spread_gang && (spec.one_zone || zones.len() < 2) {
         return Err(Infeasible::SpreadInOneZone);
@@ -54,7 +55,7 @@
     Ok(())
 }
 
-/// Zones with a machine type on which a task of the job may run.
+/// Returns the zones with a machine type on which a task of the job may run.
 fn feasible_zones<'a>(spec: &JobSpec, machine_types: &'a [MachineType]) -> BTreeSet<&'a str> {
     let task = Resources::new(spec.cores, spec.accelerators, spec.memory_gb);
     let is_allowed = |machine_type: &MachineType| {
--- a/crates/controller/src/client_api/record_location.rs
+++ b/crates/controller/src/client_api/record_location.rs
@@ -1,8 +1,8 @@
-//! Where the record of a job is stored.
+//! Location of a job's record in the store.
 
 use crate::model::records::{job_key, over_key};
 
-/// A job's record is in one of two places at every revision of the store.
+/// Location of a job's record. At every revision of the store the record is in exactly one of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RecordLocation {
     /// Among the records that the leader reads after an election.
@@ -12,7 +12,7 @@
 }
 
 impl RecordLocation {
-    /// The key of job `id` there.
+    /// Returns the key of job `id` at this location.
     pub(crate) fn key(self, id: &str) -> String {
         match self {
             RecordLocation::Live => job_key(id),
--- a/crates/controller/src/client_api/status_queries.rs
+++ b/crates/controller/src/client_api/status_queries.rs
@@ -17,7 +17,7 @@
 mod job_reads;
 mod shared_reads;
 
-use crate::client_api::cancellation_lineage::CancellationLineage;
+use crate::client_api::cancellation_lineage::ParkedQueries;
 use crate::client_api::client_requests::{TaskCounts, ERROR_BUSY, ERROR_NO_SUCH_JOB};
 use crate::client_api::dependency_checks::DependencyLookup;
 use crate::{Controller, RequestId, Time};
@@ -36,7 +36,7 @@
 /// Who asks for the status of a job.
 pub(crate) enum Requester {
     /// A client.
-    User {
+    Client {
         /// The client's request.
         request: RequestId,
         /// HTTP status code if there is no such job.
@@ -66,7 +66,7 @@
     /// Statuses of jobs that were asked for.
     cache: JobCache,
     /// Queries that wait until more is known of the job's dependencies.
-    pub(crate) lineage: CancellationLineage,
+    pub(crate) parked: ParkedQueries,
     /// Queries that came after the watch in flight was sent.
     queued: Vec<StatusQuery>,
     /// Queries that the watch in flight answers.
@@ -124,14 +124,14 @@
     /// with `status_code` and `error` if no such job was accepted.
     pub(crate) fn query_status(&mut self, request: RequestId, id: &str, status_code: u16, error: &str) {
         if let Some((status, done)) = self.terminal_states.get(id) {
-            let counts = TaskCounts::of_terminal(done);
+            let counts = TaskCounts::terminal(done);
             return self.respond_with_job(request, 200, id, status, Some(counts));
         }
         if self.status_queries.waiting >= MAX_WAITING_QUERIES {
             return self.respond_error(request, 503, ERROR_BUSY);
         }
         self.status_queries.waiting += 1;
-        self.enqueue_query(Requester::User { request, status_code, error: error.to_string() }, id);
+        self.enqueue_query(Requester::Client { request, status_code, error: error.to_string() }, id);
     }
 
     /// Looks up job `id`, which the submission `submission` names as a dependency.
--- a/crates/controller/src/client_api/status_queries/answers.rs
+++ b/crates/controller/src/client_api/status_queries/answers.rs
@@ -1,6 +1,6 @@
 //! Answers to status queries, from the cache or from a record that was read.
 
-use crate::client_api::cancellation_lineage::{ClearedJobs, LineageCheck};
+use crate::client_api::cancellation_lineage::{LineageCheck, UncancelledJobs};
 use crate::client_api::client_requests::TaskCounts;
 use crate::client_api::dependency_checks::DependencyLookup;
 use crate::client_api::status_queries::{CacheGeneration, CachedJob, Requester, StatusQuery};
@@ -23,7 +23,7 @@
 impl JobAnswer {
     /// Of a job that is terminal.
     pub(super) fn terminal(status: JobStatus, done: u32) -> Self {
-        JobAnswer { status, counts: TaskCounts::of_terminal(done), is_service: false }
+        JobAnswer { status, counts: TaskCounts::terminal(done), is_service: false }
     }
 }
 
@@ -55,7 +55,7 @@
     /// Gives the requester the result.
     fn finish_query(&mut self, query: StatusQuery, outcome: QueryOutcome) {
         match query.requester {
-            Requester::User { request, status_code, error } => {
+            Requester::Client { request, status_code, error } => {
                 self.status_queries.waiting -= 1;
                 match outcome {
                     QueryOutcome::Known(answer) => {
@@ -68,7 +68,7 @@
             Requester::Submission(submission) => {
                 self.on_dependency_checked(&submission, &query.id, outcome.dependency_lookup());
             }
-            Requester::Lineage => self.status_queries.lineage.on_lookup_done(&query.id),
+            Requester::Lineage => self.status_queries.parked.on_lookup_done(&query.id),
         }
     }
 
@@ -102,7 +102,7 @@
     pub(crate) fn try_answer(
         &mut self,
         query: StatusQuery,
-        cleared: &mut ClearedJobs,
+        uncancelled: &mut UncancelledJobs,
     ) -> Option<StatusQuery> {
         if let Some((status, done)) = self.terminal_states.get(&query.id) {
             self.answer_query(query, JobAnswer::terminal(status, done));
@@ -119,7 +119,7 @@
             self.answer_query(query, answer);
             return None;
         }
-        match self.check_lineage(query, cleared) {
+        match self.check_lineage(query, uncancelled) {
             LineageCheck::Decided { query, cancelled: true } => {
                 self.answer_query(query, JobAnswer { status: JobStatus::Cancelled, ..answer });
             }
@@ -140,14 +140,14 @@
     ) {
         self.record_job_read(id, record, version, generation);
         let job = CachedJob::from_record(record, version);
-        let mut cleared = ClearedJobs::new();
+        let mut uncancelled = UncancelledJobs::new();
         for query in queries {
             if !job.waits_for_dependencies() || matches!(query.requester, Requester::Lineage) {
                 self.answer_query(query, job.answer());
                 continue;
             }
             // The job is cached now if it may be; else the next shared read brings it.
-            if let Some(unanswered) = self.try_answer(query, &mut cleared) {
+            if let Some(unanswered) = self.try_answer(query, &mut uncancelled) {
                 self.status_queries.queued.push(unanswered);
             }
         }
--- a/crates/controller/src/client_api/status_queries/shared_reads.rs
+++ b/crates/controller/src/client_api/status_queries/shared_reads.rs
@@ -1,7 +1,7 @@
 //! The reads that answer many queries at once: the watch that brings the cache up to date, and the
 //! comparison that tells which jobs exist.
 
-use crate::client_api::cancellation_lineage::ClearedJobs;
+use crate::client_api::cancellation_lineage::UncancelledJobs;
 use crate::client_api::client_requests::{ERROR_BUSY, ERROR_STORE_UNREACHABLE};
 use crate::client_api::record_location::RecordLocation;
 use crate::client_api::status_queries::{StatusQueries, StatusQuery};
@@ -127,9 +127,9 @@
 
     /// Answers queries from the cache; those that it lacks are compared next.
     fn answer_from_cache(&mut self, queries: Vec<StatusQuery>) {
-        let mut cleared = ClearedJobs::new();
+        let mut uncancelled = UncancelledJobs::new();
         for query in queries {
-            if let Some(unanswered) = self.try_answer(query, &mut cleared) {
+            if let Some(unanswered) = self.try_answer(query, &mut uncancelled) {
                 self.status_queries.enqueue_uncached(unanswered);
             }
         }
--- a/crates/controller/src/client_api/store_latency.rs
+++ b/crates/controller/src/client_api/store_latency.rs
@@ -1,21 +1,21 @@
-//! Estimate of the store's response time, and the timeout that follows from it.
+//! Estimate of the store's response time, and the timeout derived from it.
 
 use crate::messages::Time;
 
-/// Weight of a new sample in the mean, as in RFC 6298.
+/// Reciprocal of a new sample's weight in the mean, as in RFC 6298.
 const MEAN_GAIN_DIVISOR: f64 = 8.0;
-/// Weight of a new sample in the mean deviation, as in RFC 6298.
+/// Reciprocal of a new sample's weight in the mean deviation, as in RFC 6298.
 const DEVIATION_GAIN_DIVISOR: f64 = 4.0;
-/// Mean deviations above the mean after which an answer is overdue, as in RFC 6298.
+/// Number of mean deviations above the mean after which a reply is overdue, as in RFC 6298.
 const TIMEOUT_DEVIATIONS: f64 = 4.0;
 
-/// Smoothed mean and mean deviation of response times, as TCP estimates its round-trip time
-/// (RFC 6298). Calls without a reply are not counted: they do not tell how long a reply takes.
+/// Smoothed mean and mean deviation of response times, estimated like TCP's round-trip time
+/// (RFC 6298). Calls without a reply are not counted, because they have no response time.
 #[derive(Debug, Default)]
 pub struct RoundTripEstimator {
-    /// None before the first sample.
+    /// Smoothed mean, in seconds; none before the first sample.
     mean_s: Option<Time>,
-    /// Smoothed mean deviation.
+    /// Smoothed mean deviation, in seconds.
     deviation_s: Time,
 }
 
@@ -32,7 +32,7 @@
         self.mean_s = Some(mean_s + error_s / MEAN_GAIN_DIVISOR);
     }
 
-    /// Seconds after which a reply is overdue, but not less than `min_s`.
+    /// Returns the seconds after which a reply is overdue, at least `min_s`.
     pub fn timeout_s(&self, min_s: Time) -> Time {
         self.mean_s.map_or(min_s, |mean_s| (mean_s + TIMEOUT_DEVIATIONS * self.deviation_s).max(min_s))
     }
--- a/crates/controller/src/client_api/submissions.rs
+++ b/crates/controller/src/client_api/submissions.rs
@@ -88,7 +88,7 @@
             Err(error) => return self.refuse_invalid_submission(request_id, body, &error),
         };
         if let Some((status, done)) = self.terminal_states.get(&spec.id) {
-            let counts = TaskCounts::of_terminal(done);
+            let counts = TaskCounts::terminal(done);
             return self.respond_with_job(request_id, 200, &spec.id, status, Some(counts));
         }
         let Some(machine_types) = &self.machine_types else {
--- a/crates/controller/src/ticking.rs
+++ b/crates/controller/src/ticking.rs
@@ -17,7 +17,7 @@
     pub fn wake_interval_s(&self) -> f64 {
         let interval_s = self.role_wake_interval_s();
         // An overdue answer has to be noticed soon after it is overdue.
-        if self.hedged_requests.has_open() {
+        if self.hedged_requests.has_in_flight() {
             interval_s.min(self.timing.hedge_after_s / 3.0)
         } else {
             interval_s
