--- a/crates/controller/src/client_api/status_queries.rs
+++ b/crates/controller/src/client_api/status_queries.rs
@@ -1,16 +1,17 @@
-//! Status queries: one read of the store answers many.
+//! Status queries: one read of the store answers many of them.
 //!
-//! A node caches the statuses of the jobs that were asked for, and brings the cache up to date with
-//! the changes since (a watch that does not wait). That read answers every query that came before
-//! it was sent, so no answer is older than its query, and nothing that any node has answered
-//! before can be missing from it. Jobs that are not cached are compared in one transaction
-//! without writes; where none exists, all of them get their 404 from that. Only jobs that exist
-//! and were not asked for here before cost a read each. (Every query once cost a read of its own,
-//! from the budget that everything else needs.)
+//! A node caches the statuses of the jobs that were queried, and updates the cache by reading the
+//! changes since its last update (a watch that does not wait). That read answers every query that
+//! arrived before it was sent. So no answer is older than its query, and an answer includes
+//! everything that any node answered before. For jobs that are not cached, one transaction without
+//! writes, the existence check, compares the keys of many jobs; if none of them exists, all of the
+//! queries are answered with 404. Only a job that exists and was not queried at this node before
+//! costs a read of its own. With one read for each query, status queries used up the read budget
+//! that all other calls share.
 //!
-//! A job that waits for dependencies is cancelled as soon as one of them is, whatever its own
-//! record says yet: its status follows from the records of the dependencies, as fresh as its own
-//! (`docs/dependencies.md`).
+//! A job that waits for dependencies is cancelled as soon as one of them is, even if its own record
+//! does not say so yet: its status is derived from the records of the dependencies, which are read
+//! as fresh as its own record (`docs/dependencies.md`).
 
 mod answers;
 mod job_cache;
@@ -28,73 +29,74 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Queries of clients that may wait at a time.
+/// Maximum number of clients' queries that have not been answered.
 const MAX_WAITING_QUERIES: usize = 4_000;
-/// Seconds that clients wait for the answer to a status query (fixed by the protocol).
+/// Seconds that clients wait for the answer to a status query, as fixed by the protocol.
 const CLIENT_TIMEOUT_S: f64 = 2.0;
 
-/// Who asks for the status of a job.
+/// Originator of a status query.
 pub(crate) enum Requester {
     /// A client.
     Client {
-        /// The client's request.
+        /// Id of the client's request.
         request: RequestId,
-        /// HTTP status code if there is no such job.
+        /// HTTP status code of the response if no such job was accepted.
         status_code: u16,
-        /// Error text if there is no such job.
+        /// Error text of the response if no such job was accepted.
         error: String,
     },
     /// The submission with that id, which names the job as a dependency.
     Submission(String),
-    /// A query for a dependent of the job.
+    /// A parked query for a job that depends on this job, directly or indirectly.
     Lineage,
 }
 
 /// A query for the status of one job.
 pub(crate) struct StatusQuery {
-    /// Who gets the answer.
+    /// Recipient of the answer.
     pub(crate) requester: Requester,
-    /// The job's id.
+    /// Id of the job.
     pub(crate) id: String,
-    /// When the query came.
+    /// Time at which the query arrived.
     pub(crate) asked_at: Time,
 }
 
 /// Status queries in progress.
 #[derive(Default)]
 pub struct StatusQueries {
-    /// Statuses of jobs that were asked for.
+    /// Cached statuses of the jobs that were queried.
     cache: JobCache,
-    /// Queries that wait until more is known of the job's dependencies.
+    /// Queries that wait for lookups of the job's dependencies.
     pub(crate) parked: ParkedQueries,
-    /// Queries that came after the watch in flight was sent.
+    /// Queries that arrived after the watch in flight was sent.
     queued: Vec<StatusQuery>,
-    /// Queries that the watch in flight answers.
-    watch_read: Option<Vec<StatusQuery>>,
+    /// Queries that the watch in flight answers; none if no watch is in flight.
+    watch_queries: Option<Vec<StatusQuery>>,
     /// Queries for jobs that are not cached.
     uncached: Vec<StatusQuery>,
-    /// Queries for the jobs that are being compared.
-    comparison: Option<Vec<StatusQuery>>,
-    /// Records that are being read, by job id.
+    /// Queries that the existence check in flight answers; none if no check is in flight.
+    existence_check_queries: Option<Vec<StatusQuery>>,
+    /// Reads of job records in flight, by job id.
     job_reads: BTreeMap<String, PendingJobRead>,
-    /// Clients' queries that have not been answered.
-    waiting: usize,
-    /// No watch or comparison is sent before then.
+    /// Number of clients' queries that have not been answered.
+    open_client_queries: usize,
+    /// Earliest time of the next watch or existence check.
     next_read_at: Time,
 }
 
 impl StatusQueries {
-    /// The cache as it is now; none if it is not in use yet, or fell behind.
+    /// Returns the current generation of the cache; none if the cache is not in use.
     pub(crate) fn generation(&self) -> Option<CacheGeneration> {
         self.cache.generation()
     }
 
-    /// The cached record of job `id`.
+    /// Returns the cached status of job `id`.
     pub(crate) fn cached_job(&self, id: &str) -> Option<&CachedJob> {
         self.cache.get(id)
     }
 
-    /// All changes up to revision `to` were recorded by a reader that had seen revision `from`.
+    /// Marks the cache as up to date at revision `to` after a reader that had seen revision `from` has
+    /// recorded all changes up to `to`.
     pub(crate) fn extend_freshness(&mut self, from: u64, to: u64, now: Time) {
         self.cache.extend_freshness(from, to, now);
     }
@@ -112,7 +114,7 @@
             return self.respond_error(request_id, 404, ERROR_NO_SUCH_JOB);
         }
         // An overloaded node sheds status queries first, but never all of them, so that a client
-        // that keeps asking gets an answer.
+        // that retries is answered eventually.
         let shed_probability = self.sharding.event_loop_lag.shed_probability(CLIENT_TIMEOUT_S);
         if shed_probability > 0.0 && self.rng.gen_bool(shed_probability) {
             return self.respond_error(request_id, 503, "too late for polls");
@@ -120,21 +122,22 @@
         self.query_status(request_id, id, 404, ERROR_NO_SUCH_JOB);
     }
 
-    /// Answers a client's request with the status of job `id`, from a read that is sent after now;
-    /// with `status_code` and `error` if no such job was accepted.
+    /// Answers a client's request with the status of job `id`, from a terminal state in memory or from
+    /// a read that has not been sent yet. If no such job was accepted, the response has `status_code`
+    /// and `error`.
     pub(crate) fn query_status(&mut self, request: RequestId, id: &str, status_code: u16, error: &str) {
         if let Some((status, done)) = self.terminal_states.get(id) {
             let counts = TaskCounts::terminal(done);
             return self.respond_with_job(request, 200, id, status, Some(counts));
         }
-        if self.status_queries.waiting >= MAX_WAITING_QUERIES {
+        if self.status_queries.open_client_queries >= MAX_WAITING_QUERIES {
             return self.respond_error(request, 503, ERROR_BUSY);
         }
-        self.status_queries.waiting += 1;
+        self.status_queries.open_client_queries += 1;
         self.enqueue_query(Requester::Client { request, status_code, error: error.to_string() }, id);
     }
 
-    /// Looks up job `id`, which the submission `submission` names as a dependency.
+    /// Looks up job `id`, which submission `submission` names as a dependency.
     pub(crate) fn look_up_dependency(&mut self, submission: &str, id: &str) {
         if let Some((status, _)) = self.terminal_states.get(id) {
             let lookup = DependencyLookup::Known { status, service: false };
--- a/crates/controller/src/client_api/status_queries/answers.rs
+++ b/crates/controller/src/client_api/status_queries/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to status queries, from the cache or from a record that was read.
+//! Answers to status queries, from the cache or from a record read from the store.
 
 use crate::client_api::cancellation_lineage::{LineageCheck, UncancelledJobs};
 use crate::client_api::client_requests::TaskCounts;
@@ -9,37 +9,37 @@
 use protocol::job::JobStatus;
 use protocol::state::{Event, Events};
 
-/// What is known of a job that exists.
+/// Answer to a query for a job that exists.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct JobAnswer {
-    /// Its status.
+    /// Status of the job.
     pub(super) status: JobStatus,
-    /// Numbers of its tasks.
+    /// Task counts of the job.
     pub(super) counts: TaskCounts,
-    /// Whether it is a service, which is never done.
+    /// Whether the job is a service, which is never done.
     pub(super) is_service: bool,
 }
 
 impl JobAnswer {
-    /// Of a job that is terminal.
+    /// Returns the answer for a terminal job.
     pub(super) fn terminal(status: JobStatus, done: u32) -> Self {
         JobAnswer { status, counts: TaskCounts::terminal(done), is_service: false }
     }
 }
 
-/// The result of a status query.
+/// Result of a status query.
 #[derive(Clone, Copy)]
 enum QueryOutcome<'a> {
     /// The job exists.
     Known(JobAnswer),
     /// No such job was accepted.
     NoSuchJob,
-    /// The query failed, with that error text.
+    /// The query failed with that error text.
     Failed(&'a str),
 }
 
 impl QueryOutcome<'_> {
-    /// The result as the submission sees it that names the job.
+    /// Converts the result for a submission that names the job as a dependency.
     fn dependency_lookup(self) -> DependencyLookup {
         match self {
             QueryOutcome::Known(answer) => {
@@ -52,11 +52,11 @@
 }
 
 impl Controller {
-    /// Gives the requester the result.
+    /// Passes the result to the requester.
     fn finish_query(&mut self, query: StatusQuery, outcome: QueryOutcome) {
         match query.requester {
             Requester::Client { request, status_code, error } => {
-                self.status_queries.waiting -= 1;
+                self.status_queries.open_client_queries -= 1;
                 match outcome {
                     QueryOutcome::Known(answer) => {
                         self.respond_with_job(request, 200, &query.id, answer.status, Some(answer.counts));
@@ -76,21 +76,22 @@
         self.finish_query(query, QueryOutcome::Known(answer));
     }
 
-    /// Gives several queries for one job the same answer.
+    /// Answers several queries for one job alike.
     pub(super) fn answer_queries(&mut self, queries: Vec<StatusQuery>, answer: JobAnswer) {
         for query in queries {
             self.answer_query(query, answer);
         }
     }
 
-    /// Fails queries with an error text.
+    /// Fails the queries with an error text.
     pub(crate) fn fail_queries(&mut self, queries: Vec<StatusQuery>, error: &str) {
         for query in queries {
             self.finish_query(query, QueryOutcome::Failed(error));
         }
     }
 
-    /// Answers queries for jobs that were never accepted, as a read sent after the queries tells.
+    /// Answers queries for jobs that do not exist, according to a read that was sent after the queries
+    /// arrived.
     pub(super) fn answer_unknown(&mut self, queries: Vec<StatusQuery>) {
         for query in queries {
             self.finish_query(query, QueryOutcome::NoSuchJob);
@@ -114,7 +115,7 @@
         if waits_for_dependencies && job.external_spec.is_some() {
             return Some(query);
         }
-        // A lookup for a dependent asks only for the job's own record, which is known now.
+        // A lookup for a parked query needs only the job's own record, which is cached now.
         if !waits_for_dependencies || matches!(query.requester, Requester::Lineage) {
             self.answer_query(query, answer);
             return None;
@@ -129,7 +130,7 @@
         None
     }
 
-    /// Answers queries from a record that was read in `generation` of the cache.
+    /// Answers queries from a record that was read while the cache had `generation`.
     pub(super) fn answer_from_record(
         &mut self,
         id: &str,
@@ -146,14 +147,15 @@
                 self.answer_query(query, job.answer());
                 continue;
             }
-            // The job is cached now if it may be; else the next shared read brings it.
+            // The job is cached now, if caching it is allowed. Otherwise the query waits for the next
+            // shared read.
             if let Some(unanswered) = self.try_answer(query, &mut uncancelled) {
                 self.status_queries.queued.push(unanswered);
             }
         }
     }
 
-    /// Records the changes that a watch has shown.
+    /// Records the changes that a watch has returned.
     pub(crate) fn record_events(&mut self, events: &Events<Value>) {
         for event in &events.events {
             let Event::Put { key, value, version } = event else { continue };
@@ -167,7 +169,7 @@
 
     fn record_job_event(&mut self, key: &str, record: &JobRecord, version: u64) {
         let Some(id) = key.strip_prefix(JOB_PREFIX) else { return };
-        // The cache has seen all versions up to its revision, or began later.
+        // The cache has already recorded all versions up to its revision, or began after them.
         let is_newer = self.status_queries.cache.revision().is_some_and(|revision| version > revision);
         self.record_job_state(id, record, version, is_newer);
     }
@@ -179,9 +181,9 @@
         }
     }
 
-    /// Records a job's record that was read or written by a call sent in `generation` of the cache.
-    /// (Recorded before the cache had begun, a job was once answered as pending that another node
-    /// had cancelled by then.)
+    /// Records a job's record that was read or written by a call sent while the cache had `generation`.
+    /// A record from before the cache began is not cached: another node may have cancelled the job
+    /// since, and the job would be answered as pending.
     pub(crate) fn record_job_read(
         &mut self,
         id: &str,
@@ -193,9 +195,9 @@
         self.record_job_state(id, record, version, is_cacheable);
     }
 
-    /// Terminal jobs never come back into the cache. (A read that was answered after the end of a
-    /// job once left it there as running, and that was answered after the terminal state had been
-    /// evicted.)
+    /// Records the state of a job. A terminal job never returns to the cache: a read that was answered
+    /// after the end of the job would leave it there as running, and that status would be answered
+    /// once the terminal state has been evicted.
     fn record_job_state(&mut self, id: &str, record: &JobRecord, version: u64, is_cacheable: bool) {
         self.terminal_states.insert(id, record.status, record.done);
         if self.terminal_states.get(id).is_some() {
--- a/crates/controller/src/client_api/status_queries/job_cache.rs
+++ b/crates/controller/src/client_api/status_queries/job_cache.rs
@@ -1,4 +1,4 @@
-//! The cached statuses of jobs that are not terminal, as of one revision of the store.
+//! Cache of the statuses of jobs that are not terminal, as of one revision of the store.
 
 use crate::client_api::client_requests::TaskCounts;
 use crate::client_api::status_queries::answers::JobAnswer;
@@ -7,32 +7,33 @@
 use protocol::job::{JobStatus, Shape};
 use std::collections::BTreeMap;
 
-/// Jobs that are cached; beyond that the first by id is evicted.
+/// Maximum number of cached jobs; beyond that the job with the lowest id is evicted.
 const MAX_CACHED_JOBS: usize = 20_000;
 
-/// Counts how often the cache has begun anew. What is read while the cache has one generation may
-/// be recorded in it only as long as it has the same one.
+/// Number of times the cache has begun anew. A record may be cached only while the cache has the same
+/// generation as when the record was read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct CacheGeneration(u64);
 
-/// What a status query shows of a job.
+/// Cached status of a job, with what is needed to answer queries for it.
 pub(crate) struct CachedJob {
     /// Version of the record.
     version: u64,
     /// Status in the record.
     status: JobStatus,
-    /// Numbers of tasks in the record.
+    /// Task counts in the record.
     counts: TaskCounts,
-    /// Dependencies that the job waits for, as far as its record tells.
+    /// Dependencies of the job that its record names.
     pub(crate) dependencies: Vec<String>,
-    /// The dependencies are in chunks beside the record, which have not been read.
+    /// Chunks beside the record that hold the dependencies and have not been read; none if the
+    /// dependencies are known.
     pub(crate) external_spec: Option<SpecChunks>,
     /// Whether the job is a service, which is never done.
     is_service: bool,
 }
 
 impl CachedJob {
-    /// Of a job's record, with the version of the record.
+    /// Returns the cache entry for a job's record and its version.
     pub(super) fn from_record(record: &JobRecord, version: u64) -> Self {
         let lacks_spec = record.ready_wall_s.is_none() && record.spec.class.is_empty();
         CachedJob {
@@ -51,40 +52,41 @@
         self.status == JobStatus::Pending && may_have_dependencies
     }
 
-    /// What the job's own record tells.
+    /// Returns the answer according to the job's own record.
     pub(super) fn answer(&self) -> JobAnswer {
         JobAnswer { status: self.status, counts: self.counts, is_service: self.is_service }
     }
 
-    /// Replaces the job by a newer record, but keeps dependencies that were read from the same
-    /// chunks.
+    /// Replaces the entry by a newer one, but keeps the dependencies if they were read from the chunks
+    /// that the newer record refers to.
     fn replace(&mut self, newer: CachedJob) {
-        let chunks_were_read =
+        let keep_dependencies =
             newer.external_spec.is_some() && self.external_spec.is_none() && !self.dependencies.is_empty();
         let dependencies = std::mem::take(&mut self.dependencies);
         *self = newer;
-        if chunks_were_read {
+        if keep_dependencies {
             self.dependencies = dependencies;
             self.external_spec = None;
         }
     }
 }
 
-/// Cached jobs, and how fresh they are.
+/// Cached jobs, and the revision and time up to which they are current.
 #[derive(Default)]
 pub(super) struct JobCache {
     /// Jobs that are not terminal, as of `revision` or later.
     jobs: BTreeMap<String, CachedJob>,
-    /// None: the cache has not begun yet, or fell behind.
+    /// Revision up to which all changes are recorded; none if the cache has not begun yet or was
+    /// invalidated.
     revision: Option<u64>,
-    /// How often the cache has begun.
+    /// Current generation, or the last one if the cache is not in use.
     generation: CacheGeneration,
-    /// When the cache was last brought up to date.
-    fresh_at: Time,
+    /// Time of the last update of the cache.
+    updated_at: Time,
 }
 
 impl JobCache {
-    /// The cached job `id`.
+    /// Returns the cached status of job `id`.
     pub(super) fn get(&self, id: &str) -> Option<&CachedJob> {
         self.jobs.get(id)
     }
@@ -94,47 +96,49 @@
         self.jobs.is_empty()
     }
 
-    /// The revision up to which all changes are recorded; none if the cache has not begun.
+    /// Returns the revision up to which all changes are recorded; none if the cache is not in use.
     pub(super) fn revision(&self) -> Option<u64> {
         self.revision
     }
 
-    /// Seconds since the cache was brought up to date.
+    /// Returns the seconds since the last update of the cache.
     pub(super) fn age_s(&self, now: Time) -> Time {
-        now - self.fresh_at
+        now - self.updated_at
     }
 
-    /// None if the cache has not begun. What is read or written from now on may be recorded for as
-    /// long as the generation stays the same: every change since will come to the cache, or has.
+    /// Returns the current generation; none if the cache is not in use. A record that is read or
+    /// written from now on may be cached as long as the generation stays the same, because the cache
+    /// receives every later change as well.
     pub(super) fn generation(&self) -> Option<CacheGeneration> {
         self.revision.map(|_| self.generation)
     }
 
-    /// Begins a new generation at `revision`, unless the cache is in use.
+    /// Begins a new generation at `revision`, unless the cache is already in use.
     pub(super) fn begin(&mut self, revision: u64, now: Time) {
         if self.revision.is_none() {
             self.generation = CacheGeneration(self.generation.0 + 1);
             self.revision = Some(revision);
-            self.fresh_at = now;
+            self.updated_at = now;
         }
     }
 
-    /// All changes up to `revision` are recorded.
+    /// Marks the cache as up to date at `revision`.
     pub(super) fn advance(&mut self, revision: u64, now: Time) {
         self.revision = self.revision.max(Some(revision));
-        self.fresh_at = now;
+        self.updated_at = now;
     }
 
-    /// All changes up to revision `to` were recorded by a reader that had seen revision `from`.
+    /// Marks the cache as up to date at revision `to` after a reader that had seen revision `from` has
+    /// recorded all changes up to `to`.
     pub(super) fn extend_freshness(&mut self, from: u64, to: u64, now: Time) {
         let Some(revision) = &mut self.revision else { return };
         if from <= *revision && to > *revision {
             *revision = to;
-            self.fresh_at = now;
+            self.updated_at = now;
         }
     }
 
-    /// Ends the generation.
+    /// Empties the cache and ends its generation.
     pub(super) fn invalidate(&mut self) {
         self.jobs.clear();
         self.revision = None;
@@ -145,8 +149,8 @@
         self.jobs.remove(id);
     }
 
-    /// Records a job that is not terminal, unless a newer version is cached. The same version
-    /// counts as newer if the cached one lacks the chunks of its specification.
+    /// Caches a job that is not terminal, unless the cached version is as new or newer. A record of the
+    /// same version replaces the cached one if the latter lacks the chunks of its specification.
     pub(super) fn update(&mut self, id: &str, record: &JobRecord, version: u64) {
         let job = CachedJob::from_record(record, version);
         let Some(cached) = self.jobs.get_mut(id) else {
@@ -156,9 +160,9 @@
             }
             return;
         };
-        let is_current =
+        let is_up_to_date =
             cached.version > version || cached.version == version && cached.external_spec.is_none();
-        if !is_current {
+        if !is_up_to_date {
             cached.replace(job);
         }
     }
--- a/crates/controller/src/client_api/status_queries/job_reads.rs
+++ b/crates/controller/src/client_api/status_queries/job_reads.rs
@@ -9,10 +9,10 @@
 use protocol::job::JobStatus;
 use protocol::state::{Compare, Item, Transaction};
 
-/// The read of one job's record.
+/// Read of one job's record, in flight.
 #[derive(Default)]
 pub(super) struct PendingJobRead {
-    /// The cache when the read was sent.
+    /// Generation of the cache when the read was sent.
     generation: Option<CacheGeneration>,
     /// Queries that the read answers.
     queries: Vec<StatusQuery>,
@@ -35,19 +35,19 @@
         self.call_store(CallContext::JobRead { id, location }, StoreRequest::Get(key));
     }
 
-    /// Takes out the read of job `id`; without queries if there is none.
+    /// Removes and returns the read of job `id`, or a read without queries if there is none.
     fn take_job_read(&mut self, id: &str) -> PendingJobRead {
         self.status_queries.job_reads.remove(id).unwrap_or_default()
     }
 
-    /// The record of job `id` was read at `location`.
+    /// Handles the reply to the read of job `id` at `location`.
     pub(crate) fn on_job_read(&mut self, id: &str, location: RecordLocation, reply: StoreReply) {
         match reply {
             StoreReply::Item(Item { value: Value::Job(record), version, .. }) => {
                 self.on_job_record(id, record, version);
             }
-            // It was archived since, or never existed. The archive is read after the live records,
-            // so a move in between cannot be missed.
+            // The record has been archived since, or never existed. The archive is read after the live
+            // records, so that a move between the two reads cannot be missed.
             StoreReply::Missing(_) if location == RecordLocation::Live => {
                 let location = RecordLocation::Archive;
                 let context = CallContext::JobRead { id: id.to_string(), location };
@@ -71,13 +71,14 @@
         self.retry_parked_queries();
     }
 
-    /// The record alone may not tell the status: a large one may have a cancellation mark beside
-    /// it, and the dependencies may be in chunks.
+    /// Answers the queries from a live record, after further reads where the record is not sufficient:
+    /// a large record may have a cancellation mark beside it, and the dependencies may be in chunks.
     fn on_job_record(&mut self, id: &str, record: Box<JobRecord>, version: u64) {
         if record.status.is_final() {
             return self.finish_job_read_with_record(id, &record, version);
         }
-        // Without a pending read there are no queries, but the next reply needs an entry to take.
+        // Without a pending read there are no queries, but the reply to the next read still takes an
+        // entry.
         self.status_queries.job_reads.entry(id.to_string()).or_default();
         if record.may_have_cancellation_mark(self.store_limits.value_bytes()) {
             self.compare_cancellation_mark(id, record, version);
@@ -95,16 +96,16 @@
         self.retry_parked_queries();
     }
 
-    /// Compares the record and its cancellation mark in one transaction. (When the mark was read by
-    /// itself, the leader once wrote the terminal state and removed the mark in between, and a
-    /// cancelled job was answered as running.)
+    /// Compares the versions of the record and of its cancellation mark in one transaction. If the mark
+    /// were read separately, the leader could write the terminal state and remove the mark between the
+    /// two reads, and a cancelled job would be answered as running.
     fn compare_cancellation_mark(&mut self, id: &str, record: Box<JobRecord>, version: u64) {
         let compares = vec![Compare { key: job_key(id), version }, Compare { key: mark_key(id), version: 0 }];
         let context = CallContext::CancellationMarkCompare { id: id.to_string(), record, version };
         self.commit_hedged(context, Transaction { compares, mutations: Vec::new() });
     }
 
-    /// The record of job `id` and its cancellation mark were compared.
+    /// Handles the reply to the comparison of job `id`'s record and its cancellation mark.
     pub(crate) fn on_cancellation_mark_compared(
         &mut self,
         id: &str,
@@ -119,19 +120,19 @@
                 self.terminal_states.insert(id, JobStatus::Cancelled, 0);
                 self.answer_queries(queries, JobAnswer::terminal(JobStatus::Cancelled, 0));
             }
-            // The record has changed since it was read.
+            // The record has changed since it was read, so the job is checked and read again.
             StoreReply::Conflict(_) => self.status_queries.uncached.extend(queries),
             _ => self.fail_queries(queries, ERROR_STORE_UNREACHABLE),
         }
         self.retry_parked_queries();
     }
 
-    /// The chunks of a record's specification were read; `record` has them joined.
+    /// Answers the queries for a job whose specification chunks were read and joined into `record`.
     pub(crate) fn answer_from_joined_record(&mut self, record: &JobRecord, version: u64) {
         self.finish_job_read_with_record(&record.spec.id, record, version);
     }
 
-    /// The chunks of the record of job `id` could not be read.
+    /// Fails the queries for job `id` because the chunks of its record could not be read.
     pub(crate) fn on_job_read_failed(&mut self, id: &str) {
         let queries = self.take_job_read(id).queries;
         self.fail_queries(queries, ERROR_STORE_UNREACHABLE);
--- a/crates/controller/src/client_api/submissions.rs
+++ b/crates/controller/src/client_api/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions: checks of a job, and the transactions that store it.
+//! Submissions of jobs: the checks of a job, and the transactions that store it.
 
 use crate::client_api::client_requests::{
     TaskCounts, ERROR_BUSY, ERROR_STORE_UNREACHABLE, MAX_CLIENT_WRITE_SHARE, MAX_WAITING_REQUESTS,
@@ -18,15 +18,15 @@
 
 /// A submission that is being written.
 pub(super) struct PendingSubmission {
-    /// Requests that submitted it; the first one started the write.
+    /// Requests that submitted the job. The first one started the write.
     waiting: Vec<RequestId>,
-    /// The whole job.
+    /// Record of the whole job.
     record: JobRecord,
-    /// The record as it is stored if the specification is stored in chunks.
+    /// Record that is stored instead of `record` if the specification is stored in chunks.
     stored_record: Option<JobRecord>,
     /// Chunks that are not stored yet, in reverse order: key and value.
     pub(super) pending_chunks: Vec<(String, Value)>,
-    /// The status cache when the write began.
+    /// Generation of the status cache when the write began.
     cache_generation: Option<CacheGeneration>,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Why the body of a submission is not a valid job.
+/// Reason why the body of a submission is not a valid job.
 #[derive(Debug, thiserror::Error)]
 enum InvalidSubmission {
     /// The body exceeds the limit.
@@ -53,10 +53,10 @@
     Malformed(#[from] DecodeError),
 }
 
-/// The only field that is read of an invalid submission.
+/// The part of an invalid submission that is still read.
 #[derive(Deserialize)]
 struct JobIdOnly {
-    /// The job's id.
+    /// Id of the job.
     #[serde(default)]
     id: Option<String>,
 }
@@ -64,7 +64,7 @@
 /// Decodes and checks the body of a submission.
 ///
 /// # Errors
-/// Why the body is not a valid job.
+/// Returns the reason why the body is not a valid job.
 fn decode_submission(body: &[u8]) -> Result<JobSpec, InvalidSubmission> {
     if body.len() > protocol::MAX_BODY_BYTES {
         return Err(InvalidSubmission::TooLarge);
@@ -74,14 +74,14 @@
     Ok(spec)
 }
 
-/// The job id in the body of an invalid submission, if it has a valid one.
+/// Returns the job id in the body of an invalid submission, if the body has a valid one.
 fn submitted_id(body: &[u8]) -> Option<String> {
-    let (named, _) = protocol::first_map::<JobIdOnly>(body).ok()?;
-    named.id.filter(|id| valid_id(id))
+    let (body, _) = protocol::first_map::<JobIdOnly>(body).ok()?;
+    body.id.filter(|id| valid_id(id))
 }
 
 impl Controller {
-    /// Handles a submission: creates the job, or answers why it is refused.
+    /// Handles a submission: creates the job, or answers with the reason for refusing it.
     pub(crate) fn on_submit(&mut self, request_id: RequestId, body: &[u8]) {
         let spec = match decode_submission(body) {
             Ok(spec) => spec,
@@ -104,8 +104,8 @@
         }
     }
 
-    /// The repeated submission of a known job must never get 400, so the job is looked up first if
-    /// the body has an id.
+    /// Refuses an invalid submission with 400. If the body has an id, the job is looked up first,
+    /// because a repeated submission of a known job must never be answered with 400.
     fn refuse_invalid_submission(&mut self, request_id: RequestId, body: &[u8], error: &InvalidSubmission) {
         let message = error.to_string();
         match submitted_id(body) {
@@ -130,8 +130,9 @@
         let record = JobRecord { status, ..JobRecord::new(spec, self.wall_time_s, max_value_bytes) };
         let needs_chunks = json_size(&record) + RECORD_BYTES / 2 > max_value_bytes;
         let may_use_chunks = self.uses_current_format();
-        // A restarted node that did not know the format yet once stored such a job whole. Under the
-        // next limits the leader could never write it again, so it never ran.
+        // A restarted node that does not know the common format yet must not store such a job as a
+        // whole: under lower limits of the store the leader could not write the record again, and
+        // the job would never run.
         if needs_chunks && !may_use_chunks && !self.formats.gate.was_answered() {
             return self.respond_error(request_id, 503, "not known yet whether all nodes read parts");
         }
@@ -150,7 +151,7 @@
         self.store_next_chunks(&id);
     }
 
-    /// Stores the record of submission `id`, after all its chunks.
+    /// Stores the record of submission `id`. All chunks must have been stored before.
     pub(crate) fn store_job_record(&mut self, id: &str) {
         let Some(submission) = self.client_requests.submissions.get(id) else { return };
         let record = submission.stored_record.as_ref().unwrap_or(&submission.record).clone();
@@ -165,7 +166,7 @@
         self.commit_hedged(CallContext::Create { id: id.to_string() }, transaction);
     }
 
-    /// The record of submission `id` is stored, or one of its transactions has failed.
+    /// Handles the reply to the write of submission `id`'s record, or to a failed write of its chunks.
     pub(crate) fn on_job_created(&mut self, id: &str, reply: StoreReply) {
         let Some(submission) = self.client_requests.submissions.remove(id) else { return };
         self.adapt_store_limits(&reply, &submission.record);
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Learns the store's limits from its reply to a submission.
+    /// Adapts the estimate of the store's limits to its reply to a submission.
     fn adapt_store_limits(&mut self, reply: &StoreReply, record: &JobRecord) {
         match reply {
             StoreReply::Committed(_) => self.store_limits.on_write_served(),
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Raises or lowers the budget of client writes by the store's reply to a submission.
+    /// Raises or lowers the rate of client writes according to the store's reply to a submission.
     fn adapt_client_write_rate(&mut self, reply: &StoreReply) {
         let store_write_rps = self.store_limits.write_rps();
         match reply {
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Answers the requests of a job whose record is stored at `revision`.
+    /// Answers the requests that submitted a job whose record is stored at `revision`.
     fn finish_submission(&mut self, id: &str, submission: PendingSubmission, revision: u64) {
         let PendingSubmission { waiting, record, cache_generation, .. } = submission;
         let spec = &record.spec;
@@ -226,7 +227,7 @@
         if let Some(first) = waiting.next() {
             self.respond_with_job(first, 201, id, status, None);
         }
-        // Repeated submissions came after the write was sent: the job may have been cancelled
+        // Repeated submissions arrived after the write was sent, so the job may have been cancelled
         // through another node in between.
         for repeated in waiting {
             self.query_status(repeated, id, 503, ERROR_BUSY);
