--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -8,8 +8,8 @@
 use protocol::worker::DirectCommands;
 use std::collections::BTreeMap;
 
-/// What a call was made for, so that its reply can be routed. A `token` is the fencing token of
-/// the leadership that made the call; replies for an earlier leadership are dropped.
+/// Purpose of a call, by which its reply is routed. A `token` is the fencing token of the leadership
+/// that made the call; replies for an earlier leadership are dropped.
 #[derive(Debug, Clone)]
 pub(crate) enum CallContext {
     /// Read of the leader key.
@@ -22,19 +22,19 @@
     Grant,
     /// Compare-and-swap of the leader key.
     Campaign {
-        /// The lease that the key is to be bound to.
+        /// Id of the lease to which the key will be bound.
         lease: u64,
     },
-    /// Read of the leader key after a campaign without an answer.
+    /// Read of the leader key after a campaign without a reply.
     CampaignRead {
-        /// The lease of that campaign.
+        /// Id of the lease of that campaign.
         lease: u64,
     },
     /// Renewal of the leader's lease.
     Renew {
         /// Fencing token of the leadership that made the call.
         token: u64,
-        /// When the renewal was sent.
+        /// Time at which the renewal was sent.
         sent: Time,
     },
     /// Revocation of a lease; nothing depends on its reply.
@@ -43,21 +43,21 @@
     RecoveryPage {
         /// Fencing token of the leadership that made the call.
         token: u64,
-        /// When the read was sent.
+        /// Time at which the read was sent.
         sent: Time,
     },
     /// The leader's watch of the job records.
     JobWatch {
         /// Fencing token of the leadership that made the call.
         token: u64,
-        /// When the watch was sent.
+        /// Time at which the watch was sent.
         sent: Time,
     },
     /// A transaction of the leader's write queue.
     Commit {
         /// Fencing token of the leadership that made the call.
         token: u64,
-        /// The transaction's number in the queue.
+        /// Serial number of the transaction in the queue.
         serial: u64,
     },
     /// Move of a terminal job's record to the archive.
@@ -76,16 +76,16 @@
     FormatWrite {
         /// Fencing token of the leadership that made the call.
         token: u64,
-        /// The format that is written.
+        /// Format that is written.
         format: u32,
     },
-    /// The record of a dependency.
+    /// Read of a dependency's record by the leader.
     DependencyRead {
         /// Fencing token of the leadership that made the call.
         token: u64,
-        /// The dependency's id.
+        /// Id of the dependency.
         id: String,
-        /// Whether the archive is read, where the records of terminal jobs are.
+        /// Whether the archive is read, which holds the records of terminal jobs.
         in_archive: bool,
     },
     /// Write of the image locations.
@@ -97,91 +97,92 @@
     ImagesRead {
         /// Fencing token of the leadership that made the call.
         token: u64,
-        /// The number of the page.
+        /// Number of the page.
         page: usize,
     },
-    /// Read of a record whose write had an unknown outcome.
+    /// Read-back of a record whose write had an unknown outcome.
     ReadBackRecord {
         /// Fencing token of the leadership that made the call.
         token: u64,
-        /// The record's key.
+        /// Key of the record.
         key: String,
     },
-    /// Watch that brings the cache of job statuses up to date.
+    /// Watch that updates the cache of job statuses.
     StatusCacheWatch,
-    /// Comparison that tells which of the queried jobs exist.
+    /// Transaction without writes that tells which of the queried jobs exist.
     ExistenceCheck,
-    /// The record of a job whose status was queried.
+    /// Read of the record of a job whose status was queried.
     JobRead {
-        /// The job's id.
+        /// Id of the job.
         id: String,
-        /// Where the record is read.
+        /// Location at which the record is read.
         location: RecordLocation,
     },
-    /// Comparison of a job's record and of its cancellation mark with what was read.
+    /// Transaction without writes that checks whether a job's record is unchanged since it was read and
+    /// has no cancellation mark.
     CancellationMarkCompare {
-        /// The job's id.
+        /// Id of the job.
         id: String,
-        /// The record as it was read.
+        /// Record that was read.
         record: Box<JobRecord>,
-        /// The record's version.
+        /// Version of the record.
         version: u64,
     },
-    /// The next chunk of a record's specification.
+    /// Read of the next page of chunks of a record's specification.
     SpecChunks {
-        /// The leader's fencing token; none for status queries, which any node answers.
+        /// Fencing token of the leader; none for status queries, which any node answers.
         token: Option<u64>,
-        /// The record that names the chunks.
+        /// Record that refers to the chunks.
         record: Box<JobRecord>,
-        /// The record's version.
+        /// Version of the record.
         version: u64,
-        /// The chunks that have been read.
+        /// Texts of the chunks that have been read so far.
         pieces: Vec<String>,
     },
     /// Write of chunks of a submitted specification.
     CreateChunks {
-        /// The submitted job's id.
+        /// Id of the submitted job.
         id: String,
     },
     /// Write of a submitted job's record.
     Create {
-        /// The job's id.
+        /// Id of the submitted job.
         id: String,
     },
-    /// Read of the record of a job that is to be cancelled.
+    /// Read of a job's record that precedes its cancellation.
     CancelRead {
-        /// The job's id.
+        /// Id of the job.
         id: String,
-        /// Attempts before this one.
+        /// Number of earlier attempts.
         tries: u32,
-        /// Where the record is read.
+        /// Location at which the record is read.
         location: RecordLocation,
     },
     /// Write of a cancellation.
     CancelWrite {
-        /// The job's id.
+        /// Id of the job.
         id: String,
-        /// Attempts before this one.
+        /// Number of earlier attempts.
         tries: u32,
     },
-    /// A copy of a hedged transaction.
+    /// Copy of a hedged transaction.
     Hedged {
-        /// The hedged transaction.
+        /// Id of the hedged transaction.
         id: HedgedRequestId,
     },
     /// Read that tells whether a hedged transaction was executed.
     HedgedReadBack {
-        /// The hedged transaction.
+        /// Id of the hedged transaction.
         id: HedgedRequestId,
     },
     /// Write of the machine types; nothing depends on its reply.
     TypesWrite,
-    /// The cloud's machine types.
+    /// Read of the cloud's machine types.
     CloudTypes {
         /// Fencing token of the leadership that made the call.
         token: u64,
     },
-    /// The cloud's list of machines.
+    /// Read of one page of the cloud's list of machines.
     CloudList {
         /// Fencing token of the leadership that made the call.
         token: u64,
@@ -195,33 +196,33 @@
     Delete {
         /// Fencing token of the leadership that made the call.
         token: u64,
-        /// The ids of the machines.
+        /// Ids of the machines.
         machines: Vec<String>,
     },
-    /// Commands that were sent to a worker directly.
+    /// Commands sent directly to a worker.
     WorkerCall {
         /// Fencing token of the leadership that made the call.
         token: u64,
-        /// The worker's machine.
+        /// Id of the worker's machine.
         machine: String,
-        /// The agent epoch that the commands are meant for.
+        /// Agent epoch for which the commands are meant.
         session: u64,
     },
-    /// Heartbeats that were forwarded to another controller.
+    /// Heartbeats forwarded to another controller.
     Forward,
 }
 
-/// A call that has not been answered.
+/// Call that has not been answered.
 pub(crate) struct PendingCall {
-    /// When it was sent.
+    /// Time at which the call was sent.
     pub(crate) sent_at: Time,
-    /// What it was made for.
+    /// Purpose of the call.
     pub(crate) context: CallContext,
 }
 
 /// All calls that have not been answered.
 pub(crate) struct PendingCalls {
-    /// The id of the next call.
+    /// Id of the next call.
     next_id: CallId,
     /// Calls by id.
     pending: BTreeMap<CallId, PendingCall>,
@@ -234,7 +235,7 @@
 }
 
 impl PendingCalls {
-    /// Records a call that is sent `now`, and returns its id.
+    /// Records a call that is sent at `now`, and returns its id.
     pub(crate) fn register(&mut self, now: Time, context: CallContext) -> CallId {
         let id = self.next_id;
         self.next_id += 1;
@@ -242,33 +243,33 @@
         id
     }
 
-    /// Takes out the call that a reply belongs to; none if it was already answered.
+    /// Removes and returns the call to which a reply belongs; none if it was already answered.
     pub(crate) fn complete(&mut self, id: CallId) -> Option<PendingCall> {
         self.pending.remove(&id)
     }
 }
 
 impl Controller {
-    /// Records a call that the caller sends itself.
+    /// Records a call that is sent by the caller of this function.
     pub(crate) fn register_call(&mut self, context: CallContext) -> CallId {
         self.calls.register(self.now, context)
     }
 
-    /// Sends a request to the store.
+    /// Sends a request to the store and returns the id of the call.
     pub(crate) fn call_store(&mut self, context: CallContext, request: StoreRequest) -> CallId {
         let id = self.register_call(context);
         self.outputs.push(Output::Store(id, request));
         id
     }
 
-    /// Sends a request to the cloud.
+    /// Sends a request to the cloud and returns the id of the call.
     pub(crate) fn call_cloud(&mut self, context: CallContext, request: CloudRequest) -> CallId {
         let id = self.register_call(context);
         self.outputs.push(Output::Cloud(id, request));
         id
     }
 
-    /// Sends commands to the worker at `address` without waiting for its next heartbeat.
+    /// Sends commands directly to the worker at `address`, without waiting for its next heartbeat.
     pub(crate) fn call_worker(&mut self, context: CallContext, address: &str, commands: DirectCommands) {
         let id = self.register_call(context);
         self.outputs.push(Output::Worker(id, address.to_string(), commands));
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -1,4 +1,4 @@
-//! The controller's state: one field for each part that owns some of it.
+//! State of the controller: one field for each component that owns a part of it.
 
 use crate::calls::PendingCalls;
 use crate::client_api::client_requests::{ClientRequests, MAX_CLIENT_WRITE_SHARE};
@@ -22,23 +22,23 @@
 use sharding::PeerLiveness;
 use std::collections::BTreeMap;
 
-/// Part of the store's read rate that clients' requests may use at all nodes together; the rest is
-/// for lease renewals, watches and the leader.
+/// Share of the store's read rate that clients' requests at all nodes together may use. The rest is for
+/// lease renewals, watches and the leader.
 const CLIENT_READ_SHARE: f64 = 0.8;
 
-/// One node's controller.
+/// Controller of one node.
 pub struct Controller {
-    /// Which safety checks are on.
+    /// Switches of the safety checks.
     pub(crate) checks: SafetyChecks,
-    /// The node's settings.
+    /// Settings of the node.
     pub(crate) settings: Settings,
     /// Durations derived from the settings.
     pub(crate) timing: Timing,
-    /// The operator's overrides.
+    /// Overrides set by the operator.
     pub(crate) operator: Operator,
-    /// The only source of randomness.
+    /// Only source of randomness.
     pub(crate) rng: SmallRng,
-    /// Time of the current input on the steady clock.
+    /// Time of the current input on the monotonic clock, in seconds.
     pub(crate) now: Time,
     /// Unix time of the current input, in seconds.
     pub(crate) wall_time_s: f64,
@@ -46,26 +46,25 @@
     pub(crate) calls: PendingCalls,
     /// Outputs of the current input.
     pub(crate) outputs: Vec<Output>,
-    /// Whether this node leads, and the leader's state.
+    /// Role of this node, with the leader's state if it leads.
     pub(crate) role: Role,
-    /// The leader key and this node's campaign.
+    /// State of the leader key and of this node's campaign.
     pub(crate) election: ElectionState,
-    /// Which workers this node serves.
+    /// Assignment of workers to controllers.
     pub(crate) sharding: ShardingState,
-    /// Whether the store answers this node.
+    /// Reachability of the store from this node.
     pub(crate) store_health: StoreHealth,
-    /// The store's limits, as learned from its refusals.
+    /// Limits of the store, as learned from its refusals.
     pub(crate) store_limits: StoreLimits,
-    /// Which record format every node reads.
+    /// Negotiation of the record format that every node reads.
     pub(crate) formats: FormatNegotiation,
-    /// Records with specification chunks that could not be read: when the read was last tried,
-    /// the record, its version.
+    /// Records whose specification chunks could not be read, and will be read again.
     pub(crate) spec_chunk_retries: Vec<SpecChunkRetry>,
-    /// The cloud's machine types; none before they are read.
+    /// Machine types of the cloud; none before they have been read.
     pub(crate) machine_types: Option<Vec<MachineType>>,
     /// Earliest time of the next read of the machine types.
     pub(crate) next_types_read_at: Time,
-    /// The other controllers' views, and when they were received.
+    /// Views of the other controllers by node, with the time of receipt.
     pub(crate) peers: BTreeMap<String, (View, Time)>,
     /// Failure detection between controllers.
     pub(crate) peer_liveness: PeerLiveness,
@@ -75,16 +74,16 @@
     pub(crate) client_requests: ClientRequests,
     /// Status queries in progress.
     pub(crate) status_queries: StatusQueries,
-    /// Clients' transactions in flight.
+    /// Transactions of clients' requests in flight.
     pub(crate) hedged_requests: HedgedRequests,
-    /// Budget of reads for clients' requests.
+    /// Read budget of clients' requests.
     pub(crate) client_reads: RateLimiter,
-    /// Budget of writes for clients' requests.
+    /// Write budget of clients' requests.
     pub(crate) client_writes: RateLimiter,
 }
 
 impl Controller {
-    /// A follower that has read nothing; `seed` determines all its random choices.
+    /// Creates a follower that has read nothing yet. `seed` determines all random choices.
     pub fn new(settings: Settings, operator: Operator, seed: u64) -> Self {
         let mut timing = Timing::from(&settings);
         timing.planning_interval_s = operator.tick_s.unwrap_or(timing.planning_interval_s);
@@ -123,7 +122,7 @@
         }
     }
 
-    /// Turns safety checks off, for tests.
+    /// Replaces the switches of the safety checks, for tests.
     pub fn set_safety_checks(&mut self, checks: SafetyChecks) {
         self.checks = checks;
         self.sharding.proxy.checks = checks.proxy;
@@ -134,7 +133,7 @@
         self.sharding.event_loop_lag.record(lag_s);
     }
 
-    /// The leader's state, if this node leads with that fencing token.
+    /// Returns the leader's state if this node leads with fencing token `token`.
     pub(crate) fn leader_state(&mut self, token: u64) -> Option<&mut LeaderState> {
         match &mut self.role {
             Role::Leader(leader) if leader.fencing_token == token => Some(leader),
--- a/crates/controller/src/health.rs
+++ b/crates/controller/src/health.rs
@@ -1,4 +1,4 @@
-//! Health of this node: whether it reaches the store, and what it tells load balancers and peers.
+//! Health of this node: whether it reaches the store, and what it reports to load balancers and peers.
 
 use crate::client_api::store_latency::RoundTripEstimator;
 use crate::controller::Controller;
@@ -7,12 +7,12 @@
 use crate::model::records::FORMAT;
 use protocol::peer::View;
 
-/// How the store has answered the calls of this node.
+/// Reachability of the store, according to its replies to the calls of this node.
 #[derive(Default)]
 pub(crate) struct StoreHealth {
-    /// When the store last executed a call.
+    /// Time of the last reply of the store other than [`StoreReply::Refused`].
     pub(crate) reached_at: Time,
-    /// Since when the store has refused or not answered every call; none if it answers.
+    /// Time since which the store has refused or not answered every call; none if it answers.
     pub(crate) failing_since: Option<Time>,
     /// Estimate of the store's response time.
     pub(crate) latency: RoundTripEstimator,
@@ -27,20 +27,20 @@
         }
         self.reached_at = now;
         self.failing_since = None;
-        // A watch is answered when something changes, so its duration says nothing.
+        // A watch may wait for a change, so its duration does not measure the store's response time.
         if !matches!(reply, StoreReply::Events(_)) {
             self.latency.record(now - sent_at);
         }
     }
 
-    /// Whether the store has answered within the last `window_s` seconds and does not fail now.
+    /// Whether the store has answered within the last `window_s` seconds and is not failing now.
     fn is_reachable(&self, now: Time, window_s: Time) -> bool {
         self.failing_since.is_none() && now - self.reached_at < window_s
     }
 }
 
 impl Controller {
-    /// This node's view of the cluster, for its peers.
+    /// Returns this node's view of the cluster, for its peers.
     pub fn view_for_peers(&self) -> View {
         let contact_cutoff = self.now - self.timing.heartbeat_validity_s;
         let recent_contacts =
@@ -75,7 +75,7 @@
         self.peers.insert(view.node.clone(), (view, self.now));
     }
 
-    /// Answers a health check of a load balancer.
+    /// Answers a load balancer's health check.
     pub(crate) fn on_health_check(&mut self, request_id: RequestId) {
         if self.should_fail_health_check() {
             self.respond_error(request_id, 503, "state service not reached from here");
@@ -86,20 +86,20 @@
         }
     }
 
-    /// Whether users are better served by other nodes: this node does not reach the store while a
-    /// peer does, or it is cut off from the store and from all peers. In an outage of the store
-    /// itself all nodes stay healthy, or load balancers would keep users away for longer than the
-    /// outage lasts.
+    /// Whether load balancers should send users to other nodes: this node does not reach the store
+    /// while a peer does, or it reaches neither the store nor any peer. During an outage of the store
+    /// itself all nodes report themselves healthy, because load balancers would otherwise keep users
+    /// away for longer than the outage lasts.
     fn should_fail_health_check(&self) -> bool {
         let Some(failing_since) = self.store_health.failing_since else { return false };
-        let isolated = !self.peers.is_empty()
+        let is_isolated = !self.peers.is_empty()
             && self.peers.values().all(|(_, received_at)| *received_at < failing_since);
-        if isolated && self.now > failing_since + self.timing.leader_lease_s {
+        if is_isolated && self.now > failing_since + self.timing.leader_lease_s {
             return true;
         }
-        let judged_at = failing_since + self.timing.renewal_interval_s;
+        let evaluation_start = failing_since + self.timing.renewal_interval_s;
         let reached_by_peer =
-            |(view, received_at): &(View, Time)| view.state_reached && *received_at > judged_at;
-        self.now > judged_at && self.peers.values().any(reached_by_peer)
+            |(view, received_at): &(View, Time)| view.state_reached && *received_at > evaluation_start;
+        self.now > evaluation_start && self.peers.values().any(reached_by_peer)
     }
 }
--- a/crates/controller/src/inspection.rs
+++ b/crates/controller/src/inspection.rs
@@ -1,4 +1,4 @@
-//! Read-only views of the controller's state, for the simulation's checks and for metrics.
+//! Read-only access to the controller's state, for the simulation's checks and for metrics.
 
 use crate::controller::Controller;
 use crate::leader::state::{LeaderState, Role};
@@ -10,7 +10,7 @@
         matches!(self.role, Role::Leader(_))
     }
 
-    /// The fencing token with which this node leads; none if it does not lead.
+    /// Returns the fencing token with which this node leads; none if it does not lead.
     pub fn token(&self) -> Option<u64> {
         self.inspected_leader().map(|leader| leader.fencing_token)
     }
@@ -20,41 +20,41 @@
         self.inspected_leader().is_some_and(|leader| leader.recovery.finished)
     }
 
-    /// Ids of the machines that this leader has quarantined.
+    /// Returns the ids of the machines that this leader has quarantined.
     pub fn quarantined(&self) -> impl Iterator<Item = &str> {
         self.machines().filter(|machine| machine.quarantined).map(|machine| machine.id.as_str())
     }
 
-    /// Ids of the machines that accept work and whose workers are heard.
+    /// Returns the ids of the machines that accept work and whose workers send heartbeats.
     pub fn usable_machines(&self) -> impl Iterator<Item = &str> {
         let usable = |machine: &&Machine| machine.accepts_work() && machine.is_heard(self.now, &self.timing);
         self.machines().filter(usable).map(|machine| machine.id.as_str())
     }
 
-    /// Ids of the machines that are being scaled in or are quarantined.
+    /// Returns the ids of the machines that are being scaled in or are quarantined.
     pub fn machines_leaving(&self) -> impl Iterator<Item = &str> {
         self.machines().filter(|machine| !machine.accepts_work()).map(|machine| machine.id.as_str())
     }
 
-    /// Ids of the machines that this leader has declared dead and that may still run, whether or
-    /// not its lease still entitles it to act upon that.
+    /// Returns the ids of the machines that this leader has declared dead and that may still run,
+    /// whether or not its lease still entitles it to act on that.
     pub fn machines_given_up(&self) -> impl Iterator<Item = &str> {
         self.machines().filter(|machine| machine.given_up).map(|machine| machine.id.as_str())
     }
 
-    /// Number of placements that this leader knows of.
+    /// Returns the number of placements that this leader knows of.
     pub fn placement_count(&self) -> usize {
         let Some(leader) = self.inspected_leader() else { return 0 };
         leader.cluster.jobs.values().map(|job| job.placements.len()).sum()
     }
 
-    /// Number of completed tasks of the jobs that are not terminal, as this leader knows them.
+    /// Returns the number of completed tasks of the jobs that are not terminal, as known to this leader.
     pub fn completed_task_count(&self) -> usize {
         let Some(leader) = self.inspected_leader() else { return 0 };
         leader.cluster.jobs.values().map(|job| job.done_count as usize).sum()
     }
 
-    /// Number of jobs that wait for dependencies, as this leader knows them.
+    /// Returns the number of jobs that wait for dependencies, as known to this leader.
     pub fn waiting_job_count(&self) -> usize {
         self.inspected_leader().map_or(0, |leader| leader.dependencies.graph.waiting_count())
     }
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,9 +1,9 @@
-//! The controller of the cluster scheduler as a state machine without I/O.
+//! Controller of the cluster scheduler, as a state machine without I/O.
 //!
-//! [`Controller::handle`] takes one [`Input`] (a request, a reply, a tick) and returns the
-//! [`Output`]s to carry out (responses, calls to the store, the cloud, workers and other
-//! controllers). It reads no clock, opens no socket, and draws random numbers only from the seed
-//! that it was given, so a simulated run repeats exactly.
+//! [`Controller::handle`] processes one [`Input`] (a request, a reply, a tick) and returns the
+//! [`Output`]s to carry out (responses, and calls to the store, the cloud, workers and other
+//! controllers). It reads no clock, opens no socket, and derives all random numbers from its seed, so
+//! a simulated run is deterministic.
 
 mod agents;
 mod autoscaling;
--- a/crates/controller/src/messages.rs
+++ b/crates/controller/src/messages.rs
@@ -1,4 +1,4 @@
-//! The inputs and outputs of the controller's state machine.
+//! Inputs and outputs of the controller's state machine.
 
 use crate::model::records::Value;
 use protocol::cloud::{MachineList, MachineTypes, Machines, RentRequest};
@@ -6,14 +6,14 @@
 use protocol::state::{CasConflict, Events, Item, Page, Transaction};
 use protocol::worker::{DirectCommands, Heartbeat};
 
-/// Seconds on the steady clock.
+/// Time on the monotonic clock, in seconds.
 pub type Time = f64;
-/// Identifies a call of the controller; a reply carries the id of its call.
+/// Id of a call of the controller. A reply carries the id of its call.
 pub type CallId = u64;
-/// Identifies a request to the controller; a response carries the id of its request.
+/// Id of a request to the controller. A response carries the id of its request.
 pub type RequestId = u64;
 
-/// An HTTP request to this node.
+/// HTTP request to this node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Request {
     /// Submission of a job, with the undecoded body.
@@ -28,27 +28,27 @@
     HealthCheck,
 }
 
-/// The response to a [`Request`].
+/// Response to a [`Request`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct HttpResponse {
     /// HTTP status code.
     pub status: u16,
     /// Encoded body.
     pub body: Vec<u8>,
-    /// Seconds for the `Retry-After` header, if it is to be sent.
+    /// Value of the `Retry-After` header in seconds; none if the header is not sent.
     pub retry_after_s: Option<u32>,
 }
 
-/// A request to the key-value store.
+/// Request to the key-value store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreRequest {
     /// Reads one key.
     Get(String),
-    /// Reads one page of the keys with that prefix.
+    /// Reads one page of the keys with a prefix.
     List {
         /// Prefix of the keys.
         prefix: String,
-        /// Last key of the page before; none for the first page.
+        /// Last key of the previous page; none for the first page.
         after: Option<String>,
     },
     /// Executes a compare-and-swap transaction.
@@ -58,71 +58,71 @@
         /// Time to live, in milliseconds.
         ttl_ms: u64,
     },
-    /// Renews the lease with that id.
+    /// Renews the lease with this id.
     Renew(u64),
-    /// Revokes the lease with that id, and deletes the keys that are bound to it.
+    /// Revokes the lease with this id and deletes the keys bound to it.
     Revoke(u64),
-    /// Waits for changes of the keys with that prefix.
+    /// Waits for changes of the keys with a prefix.
     Watch {
         /// Prefix of the keys.
         prefix: String,
-        /// Revision after which changes are wanted.
+        /// Revision after which changes are returned.
         after: u64,
-        /// How long to wait for a change, in milliseconds; 0: answer at once.
+        /// Maximum time to wait for a change, in milliseconds; 0 returns at once.
         wait_ms: u64,
     },
 }
 
-/// The store's reply to a [`StoreRequest`].
+/// Reply of the store to a [`StoreRequest`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum StoreReply {
     /// The key that was read.
     Item(Item<Value>),
-    /// The key does not exist, as of that revision.
+    /// The key does not exist as of this revision.
     Missing(u64),
     /// The page that was read.
     Page(Page<Value>),
-    /// The transaction was executed at that revision.
+    /// The transaction was executed at this revision.
     Committed(u64),
     /// A compare of the transaction failed, so it was not executed.
     Conflict(CasConflict),
-    /// The lease with that id was granted.
+    /// A lease with this id was granted.
     Granted(u64),
     /// The lease was renewed or revoked.
     Done,
-    /// The changes that the watch has seen.
+    /// The changes returned by a watch.
     Events(Events<Value>),
     /// The lease or the watched revision no longer exists: 404 for a lease, 410 for a watch,
     /// 400 "no such lease" for a transaction.
     Gone,
-    /// Certainly not executed: 400 for a transaction for any other reason. A value or the
-    /// transaction is too large, or it is malformed.
+    /// Certainly not executed: 400 for a transaction for any other reason, such as a value or a
+    /// transaction that is too large, or malformed.
     Invalid,
     /// Certainly not executed: 429, the store's rate limit.
     Limited,
     /// Certainly not executed: 503, or no connection.
     Refused,
-    /// No reply: executed, not executed, or yet to be executed.
+    /// No reply: the request was executed, was not executed, or may still be executed.
     Unknown,
 }
 
-/// A request to the cloud.
+/// Request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
     /// Reads the machine types.
     Types,
     /// Reads one page of the machines.
     List {
-        /// Last machine of the page before; none for the first page.
+        /// Last machine of the previous page; none for the first page.
         after: Option<String>,
     },
     /// Starts machines.
     Rent(RentRequest),
-    /// Deletes the machines with those ids.
+    /// Deletes the machines with these ids.
     Delete(Vec<String>),
 }
 
-/// The cloud's reply to a [`CloudRequest`].
+/// Reply of the cloud to a [`CloudRequest`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
     /// The machine types.
@@ -131,7 +131,7 @@
     List(MachineList),
     /// The machines that were started.
     Machines(Machines),
-    /// The cloud has no machines of that type in that zone now.
+    /// The cloud has no machines of the requested type in the requested zone now.
     NoCapacity,
     /// The machines were deleted.
     Done,
@@ -139,30 +139,30 @@
     Malformed,
     /// Certainly not executed.
     Refused,
-    /// No reply: executed, not executed, or yet to be executed.
+    /// No reply: the request was executed, was not executed, or may still be executed.
     Unknown,
 }
 
-/// A worker's reply to commands that were sent to it directly.
+/// Reply of a worker to commands that were sent to it directly.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WorkerReply {
     /// 200 or 409, with the worker's state.
     Heartbeat {
         /// Whether the commands were executed (200).
         executed: bool,
-        /// The worker's state after that.
+        /// State of the worker after it has handled the commands.
         report: Box<Heartbeat>,
     },
     /// No reply, or any other status.
     Failed,
 }
 
-/// An event for the controller.
+/// Event for the controller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Input {
-    /// Time has passed; due after `Controller::wake_interval_s` without another input.
+    /// Passage of time, due after `Controller::wake_interval_s` without another input.
     Tick,
-    /// A request, which gets exactly one [`Output::Response`].
+    /// A request, which is answered by exactly one [`Output::Response`].
     Request(RequestId, Request),
     /// The store's reply to a call.
     Store(CallId, StoreReply),
@@ -172,13 +172,13 @@
     Worker(CallId, WorkerReply),
     /// A peer's view of the cluster.
     PeerView(View),
-    /// Heartbeats that a proxy forwards to this node.
+    /// Heartbeats forwarded to this node by a proxy.
     ForwardRequest(RequestId, ForwardRequest),
-    /// The leader's reply to forwarded heartbeats; none if it did not come in time.
+    /// The leader's reply to forwarded heartbeats; none if it did not arrive in time.
     ForwardReply(CallId, Option<ForwardReply>),
 }
 
-/// An action that the controller's driver is to carry out.
+/// Action that the controller's driver has to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
     /// Answers a request.
@@ -187,10 +187,10 @@
     Store(CallId, StoreRequest),
     /// Calls the cloud.
     Cloud(CallId, CloudRequest),
-    /// Sends commands to the worker at that address.
+    /// Sends commands to the worker at this address.
     Worker(CallId, String, DirectCommands),
-    /// Forwards heartbeats to the controller with that name.
+    /// Forwards heartbeats to the controller with this name.
     Forward(CallId, String, ForwardRequest),
-    /// Answers heartbeats that another controller has forwarded.
+    /// Answers heartbeats forwarded by another controller.
     ForwardReply(RequestId, ForwardReply),
 }
--- a/crates/controller/src/responses.rs
+++ b/crates/controller/src/responses.rs
@@ -4,9 +4,9 @@
 use crate::messages::{HttpResponse, Output, RequestId};
 use protocol::job::ErrorResponse;
 
-/// The status of a response to a request that may succeed when it is repeated.
+/// HTTP status code of a response to a request that may succeed if it is repeated.
 const SERVICE_UNAVAILABLE: u16 = 503;
-/// Seconds after which such a request may be repeated. Clients wait a second at least anyway.
+/// Seconds after which such a request may be repeated. Clients wait at least one second in any case.
 const RETRY_AFTER_S: u32 = 1;
 
 impl Controller {
--- a/crates/controller/src/safety_checks.rs
+++ b/crates/controller/src/safety_checks.rs
@@ -1,46 +1,46 @@
-//! Switches for the checks that keep the safety and liveness invariants.
+//! Switches for the checks that uphold the safety and liveness invariants.
 
 use sharding::ProxySafetyChecks;
 
-/// All checks are on in service. Tests turn one off to show that the simulation notices the
-/// violation.
+/// Switches of the checks. All checks are on in production. A test turns one off to show that the
+/// simulation detects the violation.
 #[derive(Debug, Clone, Copy)]
 pub struct SafetyChecks {
     /// A task is launched only after its placement is committed to the store.
     pub launch_after_commit: bool,
-    /// A task that is missing from a heartbeat counts as gone only if the heartbeat carries this
+    /// A task that is missing from a heartbeat counts as lost only if the heartbeat carries this
     /// leader's fencing token.
     pub absence_needs_current_token: bool,
-    /// Heartbeats are answered only within the response grace, counted from the last confirmed
-    /// lease renewal and from the last complete read of the store, whichever is older.
+    /// Heartbeats are answered only within the response grace period, counted from the last confirmed
+    /// lease renewal or the last complete read of the store, whichever is older.
     pub response_grace: bool,
     /// The tasks of a silent machine are replaced only after the worker's lease has expired.
     pub wait_for_lease_expiry: bool,
-    /// The placements of a team stay within its quota.
+    /// The placements of a team never exceed its quota.
     pub quota: bool,
-    /// A cancellation replaces only the record version that it read, and the leader overwrites
-    /// only the version that it knows.
+    /// A cancellation replaces only the record version that it has read, and the leader overwrites only
+    /// the version that it knows.
     pub version_checks: bool,
-    /// Heartbeats of one worker are applied in the order in which it sent them, whether they come
+    /// Heartbeats of one worker are applied in the order in which it sent them, whether they arrive
     /// directly or through a proxy.
     pub heartbeat_order: bool,
-    /// After a proxy is lost, the leader waits as long as the proxy may have renewed workers'
+    /// After a proxy is lost, the leader waits for as long as the proxy may have renewed workers'
     /// leases.
     pub wait_for_lost_proxies: bool,
     /// A job starts only after its dependencies are done.
     pub dependency_order: bool,
-    /// The status that users see of a job follows from the statuses of its dependencies.
+    /// A status query reports a job as cancelled if one of its dependencies is cancelled.
     pub cancellation_lineage: bool,
-    /// A machine that does not receive responses gets no work.
+    /// A machine that does not receive responses is given no work.
     pub one_way_partitions: bool,
-    /// Work does not wait for long while capacity that fits it is idle.
+    /// Pending work does not wait for long while idle capacity fits it.
     pub work_conservation: bool,
-    /// Machines that are silent only because of a failover, or because nobody answered their
+    /// Machines that are silent only because of a failover, or because no controller answered their
     /// zone, are neither replaced nor scaled in.
     pub retain_silent_machines: bool,
-    /// Capacity for work that is bound to zones is scaled out in those zones.
+    /// Capacity for work that is restricted to certain zones is scaled out in those zones.
     pub zonal_scale_out: bool,
-    /// The checks of the heartbeat proxy.
+    /// Checks of the heartbeat proxy.
     pub proxy: ProxySafetyChecks,
 }
 
--- a/crates/controller/src/terminal_states.rs
+++ b/crates/controller/src/terminal_states.rs
@@ -1,17 +1,17 @@
-//! A bounded cache of the terminal states of jobs.
+//! Bounded cache of the terminal states of jobs.
 
 use protocol::job::JobStatus;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Jobs that the cache holds; the oldest entry is evicted first.
+/// Maximum number of cached jobs; beyond that the oldest entry is evicted.
 const MAX_CACHED_STATES: usize = 20_000;
 
-/// Terminal states by job. They never change, so they may be served from memory.
+/// Terminal states by job. A terminal state never changes, so it may be served from memory.
 #[derive(Default)]
 pub(crate) struct TerminalStateCache {
-    /// Status and number of completed tasks, by job id.
+    /// Terminal status and number of completed tasks, by job id.
     states: BTreeMap<String, (JobStatus, u32)>,
-    /// Job ids, the oldest entry first.
+    /// Job ids in the order of insertion, the oldest first.
     insertion_order: VecDeque<String>,
 }
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Terminal status and number of completed tasks of job `id`, if they are cached.
+    /// Returns the terminal status and the number of completed tasks of job `id`, if they are cached.
     pub(crate) fn get(&self, id: &str) -> Option<(JobStatus, u32)> {
         self.states.get(id).copied()
     }
--- a/crates/controller/src/ticking.rs
+++ b/crates/controller/src/ticking.rs
@@ -1,22 +1,23 @@
-//! Periodic work: its order within a tick, and when the next tick is due.
+//! Periodic work: the order of the components within a tick, and the interval between ticks.
 
 use crate::controller::Controller;
 use crate::leader::state::Role;
 
-/// Seconds between ticks of a leader while heartbeats wait for the end of their batch.
+/// Maximum seconds between ticks of a leader while heartbeats wait for the end of their batch.
 const PENDING_HEARTBEAT_TICK_S: f64 = 0.02;
-/// Seconds between ticks of a leader, at most.
+/// Maximum seconds between ticks of a leader.
 const LEADER_TICK_S: f64 = 0.1;
-/// Seconds between ticks of a follower, at most.
+/// Maximum seconds between ticks of a follower.
 const FOLLOWER_TICK_S: f64 = 0.2;
-/// Part of a heartbeat interval by which a timer may be late before workers notice.
+/// Divisor of the heartbeat interval that gives the delay of a timer up to which workers are not
+/// affected.
 const TOLERATED_LAG_DIVISOR: f64 = 12.0;
 
 impl Controller {
-    /// Seconds until the next `Input::Tick` is due if no other input comes before.
+    /// Returns the seconds until the next `Input::Tick` is due if no other input arrives before.
     pub fn wake_interval_s(&self) -> f64 {
         let interval_s = self.role_wake_interval_s();
-        // An overdue answer has to be noticed soon after it is overdue.
+        // An overdue reply has to be detected soon after it is overdue.
         if self.hedged_requests.has_in_flight() {
             interval_s.min(self.timing.hedge_after_s / 3.0)
         } else {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Gives each part its turn, after every input.
+    /// Runs the periodic work of each component, after every input.
     pub(crate) fn tick(&mut self) {
         self.tick_election();
         self.tick_format_gate();
