--- a/crates/controller/src/inspection.rs
+++ b/crates/controller/src/inspection.rs
@@ -31,8 +31,9 @@
         self.machines().filter(usable).map(|machine| machine.id.as_str())
     }
 
-    /// Returns the ids of the machines that are being scaled in or are quarantined.
-    pub fn machines_leaving(&self) -> impl Iterator<Item = &str> {
+    /// Returns the ids of the machines that do not accept work, for example because they are scaled in,
+    /// quarantined or suspected.
+    pub fn machines_not_accepting_work(&self) -> impl Iterator<Item = &str> {
         self.machines().filter(|machine| !machine.accepts_work()).map(|machine| machine.id.as_str())
     }
 
--- a/crates/simulation/src/sim/inspection.rs
+++ b/crates/simulation/src/sim/inspection.rs
@@ -13,7 +13,9 @@
     pub fn unknown_workers(&self) -> Vec<&str> {
         let known: BTreeSet<&str> = self
             .controllers()
-            .flat_map(|controller| controller.usable_machines().chain(controller.machines_leaving()))
+            .flat_map(|controller| {
+                controller.usable_machines().chain(controller.machines_not_accepting_work())
+            })
             .collect();
         let is_live = |worker: &Worker| self.now >= worker.hung_until && !worker.faulty;
         let live = self.workers.iter().filter(|(_, worker)| is_live(worker));
