--- a/crates/dependencies/src/inheritance.rs
+++ b/crates/dependencies/src/inheritance.rs
@@ -1,50 +1,55 @@
-//! Priorities and deadlines that jobs inherit from those that depend on them, along the graph.
+//! Priorities and deadlines that jobs inherit along the graph from the jobs that depend on them.
 
 use crate::DependencyGraph;
 use std::collections::HashMap;
 
-/// A job by itself. Times are seconds on the caller's clock.
+/// Priority and deadlines of a job without regard to other jobs. Times are seconds on the caller's
+/// clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OwnPriority {
-    /// Its priority; a larger one is more urgent.
+    /// Priority; a higher value is more urgent.
     pub priority: u8,
-    /// When it has to be complete; `f64::MAX`, or what the caller uses for never, if it need not.
+    /// Time by which the job has to be complete. A job without a deadline has `f64::MAX`, or another
+    /// value that the caller uses for never.
     pub deadline: f64,
-    /// The latest end that is still of some use.
+    /// Latest time at which the completion of the job is still useful.
     pub latest_useful_end: f64,
-    /// Expected time from the end of its last dependency to its own end, in seconds.
+    /// Expected time from the end of the job's last dependency to its own end, in seconds.
     pub expected_duration_s: f64,
 }
 
-/// What the jobs that depend on a job demand of it.
+/// Demands on a job by the jobs that depend on it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct InheritedPriority {
-    /// The priority of the most urgent of them.
+    /// Highest priority among the jobs that depend on it.
     pub priority: u8,
-    /// The latest end with which all of them can still meet their deadlines.
+    /// Latest end of the job with which all of them can still meet their deadlines.
     pub deadline: f64,
-    /// The latest end with which all of them can still be of some use.
+    /// Latest end of the job with which all of them can still be useful.
     pub latest_useful_end: f64,
 }
 
 impl InheritedPriority {
-    /// What a job demands of its dependencies, given what others demand of it.
-    fn for_dependencies(own: &OwnPriority, inherited: Option<InheritedPriority>) -> InheritedPriority {
+    /// Returns what a job demands of its dependencies, given what its own dependents demand of it.
+    fn for_dependencies(
+        own_priority: &OwnPriority,
+        inherited: Option<InheritedPriority>,
+    ) -> InheritedPriority {
         let own_demand = InheritedPriority {
-            priority: own.priority,
-            deadline: own.deadline,
-            latest_useful_end: own.latest_useful_end,
+            priority: own_priority.priority,
+            deadline: own_priority.deadline,
+            latest_useful_end: own_priority.latest_useful_end,
         };
-        let demand = inherited.map_or(own_demand, |inherited| own_demand.most_demanding(inherited));
+        let demand = inherited.map_or(own_demand, |inherited| own_demand.combine(inherited));
         InheritedPriority {
             priority: demand.priority,
-            deadline: demand.deadline - own.expected_duration_s,
-            latest_useful_end: demand.latest_useful_end - own.expected_duration_s,
+            deadline: demand.deadline - own_priority.expected_duration_s,
+            latest_useful_end: demand.latest_useful_end - own_priority.expected_duration_s,
         }
     }
 
-    /// The demand that meets both.
-    fn most_demanding(self, other: InheritedPriority) -> InheritedPriority {
+    /// Returns the weakest demand that satisfies both.
+    fn combine(self, other: InheritedPriority) -> InheritedPriority {
         InheritedPriority {
             priority: self.priority.max(other.priority),
             deadline: self.deadline.min(other.deadline),
@@ -53,7 +58,7 @@
     }
 }
 
-/// A step of the traversal of the graph.
+/// Step of the traversal of the graph.
 enum Visit<'a> {
     /// Visit the job's dependents first.
     Enter(&'a str),
@@ -61,31 +66,32 @@
     Leave(&'a str),
 }
 
-/// What each visited job inherits; `None` if nothing, or while its dependents are being visited.
+/// Demands that each visited job inherits; `None` if there are none, or while its dependents are being
+/// visited.
 type Inherited<'a> = HashMap<&'a str, Option<InheritedPriority>>;
 
 impl DependencyGraph {
-    /// What every job that another one depends on inherits. `own` gives a waiting job's own
-    /// figures; a job that it does not know demands nothing. The time is in proportion to the
-    /// number of waiting jobs and their dependencies.
+    /// Returns what every job on which others depend inherits. `own_priority` returns the priority of a
+    /// waiting job by itself; a job for which it returns `None` demands nothing. Takes time
+    /// proportional to the number of waiting jobs and their dependencies.
     pub fn inherited_priorities(
         &self,
-        own: impl Fn(&str) -> Option<OwnPriority>,
+        own_priority: impl Fn(&str) -> Option<OwnPriority>,
     ) -> HashMap<&str, InheritedPriority> {
         let mut inherited: Inherited = HashMap::new();
         for root in self.dependencies() {
-            // A list stands in for recursion: a chain may have thousands of jobs.
+            // Uses a work list instead of recursion, because a chain may have thousands of jobs.
             let mut visits = vec![Visit::Enter(root)];
             while let Some(visit) = visits.pop() {
                 match visit {
                     Visit::Leave(id) => {
-                        let demand = self.demand_of_dependents(id, &inherited, &own);
+                        let demand = self.demand_of_dependents(id, &inherited, &own_priority);
                         inherited.insert(id, demand);
                     }
                     Visit::Enter(id) if inherited.contains_key(id) => {}
                     Visit::Enter(id) => {
-                        // The entry made here would end the traversal of a cycle. There is none:
-                        // clients can name accepted jobs only.
+                        // This entry would also end the traversal of a cycle. Cycles cannot occur,
+                        // because a job can name only jobs that were accepted before it.
                         inherited.insert(id, None);
                         visits.push(Visit::Leave(id));
                         let dependents = self.waiting_dependents(id);
@@ -97,19 +103,19 @@
         inherited.into_iter().filter_map(|(id, demand)| Some((id, demand?))).collect()
     }
 
-    /// What the dependents of a job, all visited, demand of it.
+    /// Returns what the dependents of a job demand of it. All of them must have been visited.
     fn demand_of_dependents(
         &self,
         id: &str,
         inherited: &Inherited,
-        own: impl Fn(&str) -> Option<OwnPriority>,
+        own_priority: impl Fn(&str) -> Option<OwnPriority>,
     ) -> Option<InheritedPriority> {
         self.waiting_dependents(id)
             .filter_map(|dependent| {
                 let demand_on_dependent = inherited.get(dependent).copied().flatten();
-                let own_figures = own(dependent)?;
-                Some(InheritedPriority::for_dependencies(&own_figures, demand_on_dependent))
+                let priority = own_priority(dependent)?;
+                Some(InheritedPriority::for_dependencies(&priority, demand_on_dependent))
             })
-            .reduce(InheritedPriority::most_demanding)
+            .reduce(InheritedPriority::combine)
     }
 }
--- a/crates/dependencies/src/lib.rs
+++ b/crates/dependencies/src/lib.rs
@@ -1,9 +1,10 @@
-//! Dependencies between the jobs that a leader knows: a directed acyclic graph.
+//! Dependencies between the jobs that a leader knows, as a directed acyclic graph.
 //!
 //! A job with dependencies starts after all of them are done, and is cancelled as soon as one of
-//! them is cancelled. Both follow from facts that are stored for good: the graph learns such facts
-//! only, never what a leader is about to store. It holds live jobs and their dependencies, no
-//! history, and has neither clock nor I/O. `docs/dependencies.md` has the argument.
+//! them is cancelled. Both are derived from outcomes that are stored and never change: the graph is
+//! told of an outcome only after it is stored, never of one that a leader is about to store. It holds
+//! live jobs and their dependencies but no history, and uses neither clock nor I/O.
+//! `docs/dependencies.md` argues why this is correct.
 
 mod graph;
 mod inheritance;
--- a/crates/dependencies/tests/graph.rs
+++ b/crates/dependencies/tests/graph.rs
@@ -1,4 +1,4 @@
-//! The dependency graph against a plain model over generated graphs.
+//! Compares the dependency graph with a simple model on generated graphs.
 
 use anisecroft_dependencies::{DependencyGraph, GraphEffects, InheritedPriority, JobOutcome, OwnPriority};
 use proptest::prelude::*;
@@ -13,7 +13,7 @@
     id["req-".len()..].parse().unwrap()
 }
 
-/// Jobs that each depend on some of the earlier ones.
+/// Returns the dependencies of each job. Every job depends on up to three of the earlier jobs.
 fn random_dag(rng: &mut SmallRng, jobs: usize) -> Vec<Vec<usize>> {
     (0..jobs)
         .map(|job| {
@@ -24,16 +24,17 @@
         .collect()
 }
 
-/// What the stored facts say, by looking at everything.
+/// Model that derives the status of every job from all stored outcomes.
 struct Model {
+    /// Dependencies of each job.
     dependencies: Vec<Vec<usize>>,
-    /// Outcomes of jobs by their own records.
+    /// Outcomes of jobs according to their own records.
     outcomes: BTreeMap<usize, JobOutcome>,
-    /// Cancelled with a dependency, by the graph and not by their own records.
+    /// Jobs that the graph has cancelled with a dependency.
     cancelled_by_graph: BTreeSet<usize>,
-    /// Ready, by the graph.
+    /// Jobs that the graph has reported as ready.
     ready: BTreeSet<usize>,
-    /// The jobs below this number have been added to the graph.
+    /// Number of jobs that have been added to the graph, in the order of their numbers.
     added: usize,
 }
 
@@ -62,7 +63,7 @@
         self.dependencies[job].iter().all(is_done)
     }
 
-    /// The outcome that the graph may ask for.
+    /// Returns the outcome of a job as the graph's caller knows it.
     fn known_outcome(&self, job: usize) -> Option<JobOutcome> {
         let by_graph = self.cancelled_by_graph.contains(&job).then_some(JobOutcome::Cancelled);
         self.outcomes.get(&job).copied().or(by_graph)
@@ -92,7 +93,7 @@
         Some(graph.record_outcome(&id(job), outcome))
     }
 
-    /// Checks that the effects follow from the facts, each once.
+    /// Checks that each effect agrees with the model and occurs only once.
     fn check_effects(&mut self, effects: &GraphEffects) -> Result<(), TestCaseError> {
         for job in effects.cancelled.iter().map(|id| number(id)) {
             prop_assert!(self.cancelled_by_graph.insert(job), "cancelled twice");
@@ -105,7 +106,7 @@
         Ok(())
     }
 
-    /// Checks that the graph knows of every job what the facts say.
+    /// Checks that the graph agrees with the model on every job.
     fn check_graph(&self, graph: &DependencyGraph) -> Result<(), TestCaseError> {
         for job in 0..self.added {
             let has_ended = self.has_ended(job);
@@ -121,7 +122,7 @@
     }
 }
 
-/// What a job inherits, worked out path by path.
+/// Returns what a job inherits, computed separately for every path through its dependents.
 fn inherited_by_all_paths(
     job: usize,
     dependencies: &[Vec<usize>],
@@ -155,8 +156,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Jobs are added and end in any order that the protocol allows; which ones become ready and
-    /// which are cancelled is what the facts say, each once, and nothing is kept of ended jobs.
+    /// Adds and ends jobs in random orders that the protocol allows. Each job must become ready or
+    /// cancelled exactly when the stored outcomes say so, and at most once, and the graph must keep
+    /// nothing about ended jobs.
     #[test]
     fn effects_follow_from_the_facts(seed in any::<u64>(), jobs in 1usize..30) {
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -172,7 +174,7 @@
             model.check_effects(&effects)?;
             model.check_graph(&graph)?;
         }
-        // All end: nothing is left that a record would be kept for.
+        // After all jobs have ended, no record is needed for a dependent any more.
         for job in 0..model.added {
             graph.on_ready_stored(&id(job));
             graph.record_outcome(&id(job), JobOutcome::Cancelled);
@@ -181,7 +183,7 @@
         prop_assert_eq!(graph.unknown().count(), 0);
     }
 
-    /// What a job inherits is the most demanding over all paths through its dependents.
+    /// A job must inherit the strictest demands of all paths through its dependents.
     #[test]
     fn priorities_are_inherited_along_every_path(seed in any::<u64>(), jobs in 2usize..14) {
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -207,8 +209,8 @@
     }
 }
 
-/// A chain of thousands of jobs, and a job that ten thousand others depend on: with lists, not by
-/// recursion, and each edge once.
+/// Long chains and jobs with many dependents must not overflow the stack or visit an edge more than
+/// once: a chain of 5,000 jobs, and a job with 10,000 dependents.
 #[test]
 fn long_chains_and_wide_fans_end() {
     let mut graph = DependencyGraph::default();
@@ -225,7 +227,8 @@
     assert_eq!(graph.record_outcome("req-0", JobOutcome::Done).ready.len(), 9_999);
 }
 
-/// A dependency of which nothing is known stays unknown until it is known or no job depends on it.
+/// A dependency whose state is not known stays unknown until its outcome is recorded or no job waits
+/// for it.
 #[test]
 fn dependencies_stay_unknown_while_a_job_waits_for_them() {
     let mut graph = DependencyGraph::default();
@@ -236,7 +239,7 @@
     graph.record_outcome("req-8", JobOutcome::Done);
     assert_eq!((graph.unknown().count(), graph.is_waiting("req-1")), (0, true));
     assert_eq!(graph.record_outcome("req-7", JobOutcome::Done).ready, ["req-1"]);
-    // The stored record still names both, so the next leader will need their outcomes.
+    // The stored record still names both dependencies, so the next leader will need their outcomes.
     assert!(graph.has_dependents("req-7") && graph.has_dependents("req-8"));
     assert_eq!(graph.on_ready_stored("req-1"), ["req-7", "req-8"]);
     assert!(!graph.has_dependents("req-7"));
