--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -39,7 +39,7 @@
     },
     /// Revocation of a lease; nothing depends on its reply.
     Revoke,
-    /// One page of the stored records, read after an election.
+    /// Read of one page of the stored records after an election.
     RecoveryPage {
         /// Fencing token of the leadership that made the call.
         token: u64,
@@ -93,7 +93,7 @@
         /// Fencing token of the leadership that made the call.
         token: u64,
     },
-    /// Read of the image locations.
+    /// Read of one page of the image locations.
     ImagesRead {
         /// Fencing token of the leadership that made the call.
         token: u64,
--- a/crates/controller/src/client_api/cancellation_lineage.rs
+++ b/crates/controller/src/client_api/cancellation_lineage.rs
@@ -72,7 +72,7 @@
 
 impl Controller {
     /// Traverses the unfinished dependencies of job `id`, except the jobs in `uncancelled`.
-    fn lineage(&self, id: &str, uncancelled: &mut UncancelledJobs) -> LineageStatus {
+    fn lineage_status(&self, id: &str, uncancelled: &mut UncancelledJobs) -> LineageStatus {
         let mut visited: BTreeSet<&str> = BTreeSet::new();
         let mut to_visit = vec![id];
         let mut unknown = Vec::new();
@@ -107,7 +107,7 @@
         if !self.checks.cancellation_lineage {
             return LineageCheck::Decided { query, cancelled: false };
         }
-        match self.lineage(&query.id, uncancelled) {
+        match self.lineage_status(&query.id, uncancelled) {
             LineageStatus::NotCancelled => LineageCheck::Decided { query, cancelled: false },
             LineageStatus::Cancelled => {
                 // The dependency's cancellation is stored and final, so this one is final as well.
--- a/crates/controller/src/client_api/hedged_requests.rs
+++ b/crates/controller/src/client_api/hedged_requests.rs
@@ -263,7 +263,7 @@
             return;
         }
         let overdue = self.hedged_requests.overdue(self.now, hedge_after_s);
-        // While the store answers no call, only one read-back at a time probes whether it is back.
+        // While the store answers no call, only one read-back at a time probes whether it has recovered.
         let is_silent =
             self.store_health.failing_since.is_some_and(|since| self.now - since > store_timeout_s);
         let max_read_backs = if is_silent {
