--- a/crates/controller/src/client_api/status_queries.rs
+++ b/crates/controller/src/client_api/status_queries.rs
@@ -6,8 +6,8 @@
 //! everything that any node answered before. For jobs that are not cached, one transaction without
 //! writes, the existence check, compares the keys of many jobs; if none of them exists, all of the
 //! queries are answered with 404. Only a job that exists and was not queried at this node before
-//! costs a read of its own. One read for every query would take too much of the read
-//! budget that everything else needs.
+//! costs a read of its own. One read for every query would take too much of the read budget that
+//! everything else needs.
 //!
 //! A job that waits for dependencies is cancelled as soon as one of them is, even if its own record
 //! does not say so yet: its status is derived from the records of the dependencies, which are read
--- a/crates/controller/src/client_api/status_queries/answers.rs
+++ b/crates/controller/src/client_api/status_queries/answers.rs
@@ -76,7 +76,7 @@
         self.finish_query(query, QueryOutcome::Known(answer));
     }
 
-    /// Answers several queries for one job alike.
+    /// Gives several queries for one job the same answer.
     pub(super) fn answer_queries(&mut self, queries: Vec<StatusQuery>, answer: JobAnswer) {
         for query in queries {
             self.answer_query(query, answer);
--- a/crates/controller/src/messages.rs
+++ b/crates/controller/src/messages.rs
@@ -18,9 +18,9 @@
 pub enum Request {
     /// Submission of a job, with the undecoded body.
     Submit(Vec<u8>),
-    /// Query of the status of the job with that id.
+    /// Query of the status of the job with this id.
     QueryStatus(String),
-    /// Cancellation of the job with that id.
+    /// Cancellation of the job with this id.
     Cancel(String),
     /// A worker's heartbeat, with the undecoded body.
     Heartbeat(Vec<u8>),
