--- a/crates/controller/src/client_api/submissions.rs
+++ b/crates/controller/src/client_api/submissions.rs
@@ -76,7 +76,7 @@
 
 /// The job id in the body of an invalid submission, if it has a valid one.
 fn submitted_id(body: &[u8]) -> Option<String> {
-    let (named, _) = protocol::first_map::<JobIdOnly>(body).ok()?;
+    let (named, _) = protocol::decode_prefix::<JobIdOnly>(body).ok()?;
     named.id.filter(|id| valid_id(id))
 }
 
--- a/crates/controller/src/proxy/follower.rs
+++ b/crates/controller/src/proxy/follower.rs
@@ -10,7 +10,7 @@
 impl Controller {
     /// Tells a worker to send its heartbeats to another node, or to any other if `node` is None.
     pub(crate) fn redirect(&mut self, request_id: RequestId, node: Option<String>) {
-        self.respond(request_id, 421, protocol::encode(&Redirect { report_to: node }));
+        self.respond(request_id, 421, protocol::encode(&Redirect { addr: node }));
     }
 
     /// A worker sent a heartbeat to this node while it doesn't lead.
--- a/crates/controller/src/scheduling/planner_input.rs
+++ b/crates/controller/src/scheduling/planner_input.rs
@@ -132,7 +132,7 @@
         &self,
         machines: Vec<planner::Machine>,
         jobs: Vec<planner::Job>,
-        teams: Vec<planner::Team>,
+        teams: Vec<planner::TeamQuota>,
     ) -> Problem {
         Problem {
             now: self.now,
--- a/crates/controller/src/scheduling/running_tasks.rs
+++ b/crates/controller/src/scheduling/running_tasks.rs
@@ -46,7 +46,7 @@
 
 /// What a pass over all placed tasks finds.
 pub(super) struct RunningTasks<'a> {
-    /// Tasks by the number of their owner in a preemption candidate.
+    /// Tasks by their `task_id` in a preemption candidate.
     pub preemptible_tasks: Vec<PlacedTask>,
     /// Machines with work other than best-effort work.
     pub demanded_machines: HashSet<&'a str>,
@@ -126,8 +126,8 @@
             return None;
         }
         self.preemptible_tasks.push(PlacedTask { job: placed.id.clone(), task });
-        let owner = self.preemptible_tasks.len() - 1;
-        Some(preemption_cost(now, placed.job, placement, owner))
+        let task_id = self.preemptible_tasks.len() - 1;
+        Some(preemption_cost(now, placed.job, placement, task_id))
     }
 
     /// How many machines best-effort work may take, besides those that it has: half as many as
@@ -200,13 +200,13 @@
 }
 
 /// What preempting a task would lose, and how long it would take.
-fn preemption_cost(now: Time, job: &Job, placement: &Placement, owner: usize) -> PreemptionCandidate {
+fn preemption_cost(now: Time, job: &Job, placement: &Placement, task_id: usize) -> PreemptionCandidate {
     if job.spec.checkpoint_interval_s > 0.0 {
         let save_s = job.spec.save_s;
-        return PreemptionCandidate { owner, lost_work_s: save_s, stop_s: save_s + STOP_S };
+        return PreemptionCandidate { task_id, lost_work_s: save_s, stop_s: save_s + STOP_S };
     }
     let lost_work_s = placement.running_since.map_or(0.0, |since| now - since);
-    PreemptionCandidate { owner, lost_work_s, stop_s: STOP_S }
+    PreemptionCandidate { task_id, lost_work_s, stop_s: STOP_S }
 }
 
 /// Whether a job that went first because it was overdue has only just started: until it has run
--- a/crates/controller/src/scheduling/starvation.rs
+++ b/crates/controller/src/scheduling/starvation.rs
@@ -199,7 +199,7 @@
         }
         let is_protected = |owner: usize| spec(owner).is_some_and(|spec| self.contains(spec));
         for task in tasks {
-            task.preemption = task.preemption.filter(|candidate| !is_protected(candidate.owner));
+            task.preemption = task.preemption.filter(|candidate| !is_protected(candidate.task_id));
         }
     }
 }
--- a/crates/controller/src/scheduling/teams.rs
+++ b/crates/controller/src/scheduling/teams.rs
@@ -14,7 +14,7 @@
     /// The teams as the settings have them, by number.
     settings: &'a [Team],
     /// What the planner gets, by number.
-    pub teams: Vec<planner::Team>,
+    pub teams: Vec<planner::TeamQuota>,
     /// Whether usage counts against the limits.
     enforced: bool,
 }
@@ -24,7 +24,7 @@
     pub fn new(context: &PlanningContext<'a>) -> Self {
         let settings: &[Team] = &context.controller.settings.params.teams;
         let limit = |quota: f64| (quota > 0.0).then_some(quota);
-        let to_planner_team = |team: &Team| planner::Team {
+        let to_planner_team = |team: &Team| planner::TeamQuota {
             cores_left: limit(team.cores_max),
             accelerators_left: limit(team.accelerators_max),
         };
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -28,5 +28,5 @@
 pub use cost::{deferrals, pair_cost};
 pub use ordering::order;
 pub use plan::{plan, Plan, Reservation, Start, UnmetDemand};
-pub use problem::{InstanceType, Job, Machine, PreemptionCandidate, Problem, RunningTask, Shape, Team};
+pub use problem::{InstanceType, Job, Machine, PreemptionCandidate, Problem, RunningTask, Shape, TeamQuota};
 pub use resources::Resources;
--- a/crates/planner/src/plan.rs
+++ b/crates/planner/src/plan.rs
@@ -52,7 +52,7 @@
     pub reservations: Vec<Reservation>,
     /// Tasks that found no capacity now, by job.
     pub unmet: Vec<UnmetDemand>,
-    /// Running tasks to preempt, by [`crate::PreemptionCandidate::owner`].
+    /// Running tasks to preempt, by [`crate::PreemptionCandidate::task_id`].
     pub preemptions: Vec<usize>,
     /// Jobs that wait although capacity that they could use is free.
     pub waiting_beside_capacity: Vec<usize>,
--- a/crates/planner/src/planner.rs
+++ b/crates/planner/src/planner.rs
@@ -2,7 +2,7 @@
 
 use crate::misfit::KnownMisfit;
 use crate::plan::{Plan, Reservation};
-use crate::problem::{Job, Problem, RunningTask, Shape, Team};
+use crate::problem::{Job, Problem, RunningTask, Shape, TeamQuota};
 use crate::resources::Resources;
 use crate::timeline::MachineTimeline;
 
@@ -43,7 +43,7 @@
     /// By machine.
     pub(crate) timelines: Vec<MachineTimeline>,
     /// By team, with what this plan starts taken off.
-    pub(crate) teams: Vec<Team>,
+    pub(crate) teams: Vec<TeamQuota>,
     /// By machine: images that it holds, is fetching or will fetch for this plan.
     pub(crate) images: Vec<Vec<u32>>,
     /// Machines where some job may still find capacity.
--- a/crates/planner/src/preemption.rs
+++ b/crates/planner/src/preemption.rs
@@ -255,8 +255,8 @@
     /// Preempts what the option names. Returns when its resources are free.
     fn preempt(&mut self, option: &PreemptionOption) -> f64 {
         let free_at = self.problem.now + option.stop_s.max(MIN_DELAY_S);
-        let owners = self.timelines[option.machine].preempt(&option.positions, free_at);
-        self.plan.preemptions.extend(owners);
+        let task_ids = self.timelines[option.machine].preempt(&option.positions, free_at);
+        self.plan.preemptions.extend(task_ids);
         free_at
     }
 }
--- a/crates/planner/src/problem.rs
+++ b/crates/planner/src/problem.rs
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PreemptionCandidate {
     /// The caller's own number of the task; preempted tasks are named by it.
-    pub owner: usize,
+    pub task_id: usize,
     /// Run time that would be lost, in seconds.
     pub lost_work_s: f64,
     /// Seconds until its resources are free.
@@ -152,14 +152,14 @@
 
 /// What a team may still add; `None` where it has no limit.
 #[derive(Debug, Clone, Default)]
-pub struct Team {
+pub struct TeamQuota {
     /// Cores below the team's limit.
     pub cores_left: Option<f64>,
     /// Accelerators below the team's limit.
     pub accelerators_left: Option<f64>,
 }
 
-impl Team {
+impl TeamQuota {
     /// Whether the quota admits `need` once `returning` has come back to it.
     pub(crate) fn admits(&self, need: &Resources, returning: &Resources) -> bool {
         let enough = |left: Option<f64>, returning: f64, need: f64| {
@@ -194,7 +194,7 @@
     /// All jobs with pending tasks.
     pub jobs: Vec<Job>,
     /// All teams.
-    pub teams: Vec<Team>,
+    pub teams: Vec<TeamQuota>,
     /// No reservation window reaches further than this, in seconds.
     pub max_window_s: f64,
     /// How long a more urgent job waits rather than preempt running work, in seconds.
--- a/crates/planner/src/timeline.rs
+++ b/crates/planner/src/timeline.rs
@@ -96,19 +96,19 @@
         self.last_reserved_start = self.last_reserved_start.max(starts_at);
     }
 
-    /// Preempts the running tasks at `positions`: they end at `ends_at`. Returns their owners.
+    /// Preempts the running tasks at `positions`: they end at `ends_at`. Returns their ids.
     ///
     /// The tasks are changed in place and sorted again afterwards. (They were once taken out and put
     /// in front one by one, which moved the positions of the others: the wrong work was stopped.)
     pub(crate) fn preempt(&mut self, positions: &[usize], ends_at: f64) -> Vec<usize> {
-        let mut owners = Vec::new();
+        let mut task_ids = Vec::new();
         for &position in positions {
             let task = &mut self.running[position];
-            owners.extend(task.preemption.take().map(|candidate| candidate.owner));
+            task_ids.extend(task.preemption.take().map(|candidate| candidate.task_id));
             task.ends_at = ends_at;
             task.endless = false;
         }
         self.running.sort_by(|a, b| a.ends_at.total_cmp(&b.ends_at));
-        owners
+        task_ids
     }
 }
--- a/crates/planner/tests/common/mod.rs
+++ b/crates/planner/tests/common/mod.rs
@@ -81,7 +81,7 @@
         zones: 2,
         machines,
         jobs,
-        teams: vec![Team::default()],
+        teams: vec![TeamQuota::default()],
         max_window_s: 1000.0,
         preemption_wait_s: 5.0,
     }
--- a/crates/planner/tests/plan.rs
+++ b/crates/planner/tests/plan.rs
@@ -68,8 +68,8 @@
     full.free = Resources::new(50.0, 0.0, 50.0);
     let lost_work = [40.0, 5.0, 60.0, 3.0].iter().enumerate();
     full.running = lost_work
-        .map(|(owner, &lost_work_s)| RunningTask {
-            preemption: Some(PreemptionCandidate { owner, lost_work_s, stop_s: 1.0 }),
+        .map(|(task_id, &lost_work_s)| RunningTask {
+            preemption: Some(PreemptionCandidate { task_id, lost_work_s, stop_s: 1.0 }),
             ..running(100.0 - lost_work_s, Resources::new(1.0, 1.0, 1.0))
         })
         .collect();
@@ -86,17 +86,17 @@
 /// priority; low-priority arrays once held whole fleets against it.
 #[test]
 fn a_guarantee_preempts_work_beyond_other_guarantees() {
-    let task = |owner: usize, team: usize, within_guarantee: bool| RunningTask {
+    let task = |task_id: usize, team: usize, within_guarantee: bool| RunningTask {
         team,
         within_guarantee,
-        preemption: Some(PreemptionCandidate { owner, lost_work_s: 10.0, stop_s: 1.0 }),
+        preemption: Some(PreemptionCandidate { task_id, lost_work_s: 10.0, stop_s: 1.0 }),
         ..running(400.0, Resources::new(1.0, 1.0, 1.0))
     };
     let mut full = machine(0, 0);
     full.free = Resources::new(50.0, 0.0, 50.0);
     full.running = vec![task(0, 1, true), task(1, 1, false), task(2, 0, false), task(3, 1, false)];
     let mut problem = problem(vec![full], vec![job(Shape::Array, 3, 1.0, 30.0, 900.0)]);
-    problem.teams.push(Team::default());
+    problem.teams.push(TeamQuota::default());
     assert!(plan(&problem).preemptions.is_empty());
     problem.jobs[0].guaranteed = true;
     let mut preempted = plan(&problem).preemptions;
@@ -113,7 +113,7 @@
     full.free = Resources::new(50.0, 0.0, 50.0);
     full.running = vec![RunningTask {
         priority: 0,
-        preemption: Some(PreemptionCandidate { owner: 7, lost_work_s: 10.0, stop_s: 1.0 }),
+        preemption: Some(PreemptionCandidate { task_id: 7, lost_work_s: 10.0, stop_s: 1.0 }),
         ..running(60.0, Resources::new(4.0, 4.0, 4.0))
     }];
     full
@@ -192,9 +192,9 @@
             ..machine(0, 0)
         };
         let machines = vec![half_used, machine(0, 0), machine(0, 0)];
-        let limited = Team { cores_left: None, accelerators_left: Some(2.0) };
+        let limited = TeamQuota { cores_left: None, accelerators_left: Some(2.0) };
         let problem = Problem {
-            teams: vec![limited, Team::default()],
+            teams: vec![limited, TeamQuota::default()],
             ..problem(machines, vec![gang, small_job, other_teams_job])
         };
         let mut started: Vec<usize> = plan(&problem).starts.iter().map(|start| start.job).collect();
--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -28,7 +28,7 @@
 /// # Errors
 /// If the body is not a map of the expected fields, or goes on after it.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
-    match first_map(body)? {
+    match decode_prefix(body)? {
         (value, []) => Ok(value),
         _ => Err(DecodeError::Trailing),
     }
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 /// If the body does not begin with a map of the expected fields.
-pub fn first_map<T: DeserializeOwned>(body: &[u8]) -> Result<(T, &[u8]), DecodeError> {
+pub fn decode_prefix<T: DeserializeOwned>(body: &[u8]) -> Result<(T, &[u8]), DecodeError> {
     // Markers of a map: of up to 15 entries, with a 16-bit and with a 32-bit size.
     let Some(0x80..=0x8f | 0xde | 0xdf) = body.first() else { return Err(DecodeError::NotAMap) };
     let mut rest = body;
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod state;
 pub mod worker;
 
-pub use codec::{decode, encode, first_map, DecodeError};
+pub use codec::{decode, decode_prefix, encode, DecodeError};
 
 /// Largest request body that a receiver has to accept, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -157,7 +157,7 @@
 pub struct Redirect {
     /// Address of that node; `None` if the worker is to choose one.
     #[serde(rename = "dispatcher", default, skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<String>,
+    pub addr: Option<String>,
 }
 
 /// Body of commands that a controller sends to a worker directly.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -14,4 +14,4 @@
 pub use limits::{CloudLimits, NextLimits, Resources, StateLimits};
 pub use operator::Operator;
 pub use platform::{Params, Peer, Services, Settings, Slo, Team, Workers};
-pub use timing::{Timing, DRIFT};
+pub use timing::{Timing, CLOCK_DRIFT_FACTOR};
--- a/crates/settings/src/timing.rs
+++ b/crates/settings/src/timing.rs
@@ -34,7 +34,7 @@
 const MAX_WAIT_BESIDE_CAPACITY_S: f64 = 90.0;
 
 /// How much faster one clock may run than another, as a factor: 0.05% each, with a margin.
-pub const DRIFT: f64 = 1.002;
+pub const CLOCK_DRIFT_FACTOR: f64 = 1.002;
 
 /// Intervals and limits that follow from the settings; all times in seconds.
 #[derive(Debug, Clone, Copy)]
@@ -151,7 +151,7 @@
             max_workers: share_of_connections(0.78) as u32,
             max_front_connections: share_of_connections(0.85) as usize,
             max_worker_calls: (max_connections / 20).max(2),
-            lease_expiry_s: lease_s * DRIFT + EXPIRY_MARGIN_S,
+            lease_expiry_s: lease_s * CLOCK_DRIFT_FACTOR + EXPIRY_MARGIN_S,
             worker_failover_s: WORKER_TIMEOUT_S + WORKER_RETRY_PAUSE_S,
             failure_suspicion_s: heartbeat_interval_s * 3.5,
             gang_assembly_s: workers.gang_wait_s * 4.0,
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -2,7 +2,7 @@
 
 use crate::error::SettingsError;
 use crate::platform::{Params, Peer, Settings, Slo, Team};
-use crate::timing::{Timing, DRIFT, GRACE_SHARE, MAX_EXPIRY_DELAY_S};
+use crate::timing::{Timing, CLOCK_DRIFT_FACTOR, GRACE_SHARE, MAX_EXPIRY_DELAY_S};
 
 /// Upper bound of all plain numbers.
 const MAX_NUMBER: f64 = 1e7;
@@ -98,15 +98,15 @@
 fn check_cancellation_time(settings: &Settings) -> Check {
     let workers = &settings.params.workers;
     let timing = Timing::from(settings);
-    let grace_and_lease_s = (timing.response_grace_s + workers.lease_s) * DRIFT;
+    let grace_and_lease_s = (timing.response_grace_s + workers.lease_s) * CLOCK_DRIFT_FACTOR;
     let cancellation_slack_s = workers.cancel_s - grace_and_lease_s - MAX_EXPIRY_DELAY_S;
     let renewal_slack_s = timing.response_grace_s - 2.0 * timing.renewal_interval_s - timing.store_timeout_s;
     if cancellation_slack_s >= 0.0 && renewal_slack_s >= 0.0 {
         return Ok(());
     }
     let for_renewals_s = (2.0 * timing.renewal_interval_s + timing.store_timeout_s) / GRACE_SHARE;
-    let lost_to_clocks_s = workers.lease_s * (DRIFT - 1.0) + MAX_EXPIRY_DELAY_S;
-    let for_cancellations_s = (lost_to_clocks_s / (1.0 - GRACE_SHARE * DRIFT)).ceil();
+    let lost_to_clocks_s = workers.lease_s * (CLOCK_DRIFT_FACTOR - 1.0) + MAX_EXPIRY_DELAY_S;
+    let for_cancellations_s = (lost_to_clocks_s / (1.0 - GRACE_SHARE * CLOCK_DRIFT_FACTOR)).ceil();
     let needed_s = for_renewals_s.max(for_cancellations_s);
     let actual_s = workers.cancel_s - workers.lease_s;
     let problem = format!(
--- a/crates/sharding/src/forwarding.rs
+++ b/crates/sharding/src/forwarding.rs
@@ -3,7 +3,7 @@
 
 use crate::{HeartbeatObservations, ProxyId, RequestId, Time};
 use protocol::peer::{ForwardReply, ForwardRequest, LeaderOnly, MachineCommands};
-use settings::DRIFT;
+use settings::CLOCK_DRIFT_FACTOR;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Replies whose times are remembered; one request of a proxy is open at a time.
@@ -104,7 +104,7 @@
     }
 
     fn record_reply(&mut self, now: Time, sequence: u64, lease_s: f64) {
-        self.lease_expires_at = self.lease_expires_at.max(now + lease_s.max(0.0) * DRIFT);
+        self.lease_expires_at = self.lease_expires_at.max(now + lease_s.max(0.0) * CLOCK_DRIFT_FACTOR);
         self.recent_replies.push_back(SentReply { sequence, sent_at: now });
         if self.recent_replies.len() > MAX_RECENT_REPLIES {
             self.recent_replies.pop_front();
--- a/crates/simulation/src/sim/workers.rs
+++ b/crates/simulation/src/sim/workers.rs
@@ -128,7 +128,7 @@
 
     /// Another node is to take the worker's heartbeats.
     fn redirect_worker(&mut self, id: &str, node: usize, body: &[u8]) {
-        let target = protocol::decode::<Redirect>(body).ok().and_then(|redirect| redirect.report_to);
+        let target = protocol::decode::<Redirect>(body).ok().and_then(|redirect| redirect.addr);
         let known = target.and_then(|name| NODE_NAMES.iter().position(|known| *known == name));
         let Some(to) = known.filter(|&to| to != node) else { return self.try_next_node(id) };
         let now = self.now;
