--- a/crates/planner/src/cost.rs
+++ b/crates/planner/src/cost.rs
@@ -1,19 +1,21 @@
-//! What running a job costs, and what deferring it behind the others would cost.
+//! Cost of running a job, and the cost of deferring it until after the other jobs.
 
 use crate::problem::{InstanceType, Job};
 
-/// A job that cannot meet its deadline is priced as if it were bought elsewhere at this multiple.
+/// Multiple of its cheapest cost at which a job is priced that cannot meet its deadline, as if the
+/// work were bought elsewhere.
 const LATE_COST_FACTOR: f64 = 2.0;
 
-/// A job on one machine type.
+/// Choice of a machine type for a job.
 pub(crate) struct Configuration {
     /// Index of the machine type.
     pub(crate) instance_type: usize,
-    /// Price of one task's part of a machine, per second.
+    /// Price per second of the fraction of a machine that one task uses.
     pub(crate) task_price: f64,
 }
 
-/// Price per second of one task's part of a machine; `None` if no task fits on one.
+/// Returns the price per second of the fraction of a machine that one task uses; `None` if no task
+/// fits on a machine of this type.
 fn task_price(instance_type: &InstanceType, job: &Job) -> Option<f64> {
     let instances = instance_type.size.instances_that_fit(&job.resources);
     if instances == 0 {
@@ -24,27 +26,27 @@
     Some(price / f64::from(instances))
 }
 
-/// The job's allowed types, cheapest first. On ties the type that holds more of the job's tasks
-/// comes first, because it takes fewer machines.
+/// Returns the job's allowed types, cheapest first. On ties the type that holds more of the job's
+/// tasks comes first, because it takes fewer machines.
 pub(crate) fn configurations(types: &[InstanceType], job: &Job) -> Vec<Configuration> {
     let instances = |instance_type: usize| types[instance_type].size.instances_that_fit(&job.resources);
     let configuration = |&instance_type: &usize| {
         let task_price = task_price(&types[instance_type], job)?;
         Some(Configuration { instance_type, task_price })
     };
-    let mut list: Vec<Configuration> = job.instance_types.iter().filter_map(configuration).collect();
-    list.sort_by(|a, b| {
+    let mut sorted: Vec<Configuration> = job.instance_types.iter().filter_map(configuration).collect();
+    sorted.sort_by(|a, b| {
         a.task_price
             .total_cmp(&b.task_price)
             .then_with(|| instances(b.instance_type).cmp(&instances(a.instance_type)))
             .then(a.instance_type.cmp(&b.instance_type))
     });
-    list
+    sorted
 }
 
-/// Cost of running `first` and, once it has ended, `second`, each on its cheapest configuration
-/// that meets the deadline. A configuration that meets the deadline only by more machines costs
-/// their fetches too; a job that cannot meet it at all costs twice its cheapest run.
+/// Returns the cost of running `first` and, once it has ended, `second`, each on its cheapest
+/// configuration that meets the deadline. The cost of a run includes one image fetch. A job that
+/// cannot meet its deadline on any configuration costs twice its cheapest run.
 pub fn pair_cost(now: f64, types: &[InstanceType], first: &Job, second: &Job) -> f64 {
     let first_run = CostCurve::of(types, first).run_from(now);
     let second_run = CostCurve::of(types, second).run_from(first_run.ends_at);
@@ -58,23 +60,23 @@
     duration_s: f64,
 }
 
-/// A configuration and until when it is the cheapest one that meets the deadline.
+/// Run of the cheapest configuration that meets the deadline, and the latest start for which it does.
 struct CostStep {
     latest_start: f64,
     run: RunCost,
 }
 
-/// A run that begins at a given time.
+/// Cost and end of a run that begins at a given time.
 struct RunEstimate {
     cost: f64,
     ends_at: f64,
 }
 
-/// A job's cost as a step function of its start, worked out once per plan.
+/// Cost of a job as a step function of its start, computed once per plan.
 struct CostCurve {
-    /// By rising latest start.
+    /// Steps in ascending order of their latest start.
     steps: Vec<CostStep>,
-    /// When no configuration meets the deadline any more.
+    /// Run after the last step, when no configuration meets the deadline any more.
     late: RunCost,
 }
 
@@ -102,37 +104,37 @@
         CostCurve { steps, late }
     }
 
-    /// The run that begins at `start`.
+    /// Returns the run that begins at `start`.
     fn run_from(&self, start: f64) -> RunEstimate {
         let step = self.steps.iter().find(|step| start <= step.latest_start);
         let run = step.map_or(self.late, |step| step.run);
         RunEstimate { cost: run.cost, ends_at: start + run.duration_s }
     }
 
-    /// The sum of this job's costs when it begins at each of `starts`, which rise.
+    /// Returns the sum of this job's costs over all `starts`, which are in ascending order.
     fn total_over_starts(&self, starts: &[f64]) -> f64 {
         let mut total = 0.0;
-        let mut counted = 0;
+        let mut counted_starts = 0;
         for step in &self.steps {
             let in_time = starts.partition_point(|start| *start <= step.latest_start);
-            total += (in_time - counted) as f64 * step.run.cost;
-            counted = in_time;
+            total += (in_time - counted_starts) as f64 * step.run.cost;
+            counted_starts = in_time;
         }
-        total + (starts.len() - counted) as f64 * self.late.cost
+        total + (starts.len() - counted_starts) as f64 * self.late.cost
     }
 }
 
-/// The sum of all jobs' costs behind one latest start.
+/// Sum of all jobs' costs for starts after `latest_start`.
 struct SummedStep {
     latest_start: f64,
     cost: f64,
 }
 
-/// The sum of all jobs' cost curves, again a step function of a common start.
+/// Sum of all jobs' cost curves: a step function of a common start.
 struct SummedCost {
-    /// Before the first step.
+    /// Cost before the first step.
     initial: f64,
-    /// By rising latest start.
+    /// Steps in ascending order of their latest start.
     steps: Vec<SummedStep>,
 }
 
@@ -155,8 +157,8 @@
         SummedCost { initial, steps }
     }
 
-    /// The sum of all jobs' costs when all begin at `start`.
-    fn at(&self, start: f64) -> f64 {
+    /// Returns the sum of all jobs' costs when all begin at `start`.
+    fn cost_at(&self, start: f64) -> f64 {
         let passed = self.steps.partition_point(|step| step.latest_start < start);
         if passed == 0 {
             self.initial
@@ -166,13 +168,13 @@
     }
 }
 
-/// Every job's deferral cost: the sum, over all others, of
+/// Returns every job's deferral cost: the sum, over all others, of
 /// `pair_cost(other, job) - pair_cost(job, other)`.
 ///
-/// Costs are step functions of the start, so each sum is taken over sorted ends and steps: n log n
-/// steps instead of n squared, which needs no cut-off for a flood of jobs. A test compares the
-/// result with the plain sum.
-pub fn deferrals(now: f64, types: &[InstanceType], jobs: &[Job]) -> Vec<f64> {
+/// Costs are step functions of the start, so the sums are computed from sorted ends and steps in
+/// O(n log n) instead of O(n²). The number of jobs therefore needs no cut-off. A test compares the
+/// result with the sum over all pairs.
+pub fn deferral_costs(now: f64, types: &[InstanceType], jobs: &[Job]) -> Vec<f64> {
     let curves: Vec<CostCurve> = jobs.iter().map(|job| CostCurve::of(types, job)).collect();
     let runs: Vec<RunEstimate> = curves.iter().map(|curve| curve.run_from(now)).collect();
     let mut sorted_ends: Vec<f64> = runs.iter().map(|run| run.ends_at).collect();
@@ -184,10 +186,10 @@
         .iter()
         .zip(&runs)
         .map(|(curve, run)| {
-            // Both sums include the job paired with itself: the same term, which cancels out.
-            let behind_others = curve.total_over_starts(&sorted_ends);
-            let others_behind = summed_cost.at(run.ends_at);
-            behind_others - others_behind + total_cost - job_count * run.cost
+            // Both sums include the job paired with itself; the two terms are equal and cancel out.
+            let cost_after_others = curve.total_over_starts(&sorted_ends);
+            let others_cost_after = summed_cost.cost_at(run.ends_at);
+            cost_after_others - others_cost_after + total_cost - job_count * run.cost
         })
         .collect()
 }
--- a/crates/planner/src/feasibility.rs
+++ b/crates/planner/src/feasibility.rs
@@ -1,34 +1,35 @@
-//! Which jobs can still meet their deadlines, given the queue ahead of them.
+//! Estimates which jobs can still meet their deadlines, given the queue ahead of them.
 
 use crate::problem::{Job, Machine, Problem};
 use crate::resources::Resources;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 
-/// Part of its machines' time that a priority really gets: some goes into fetches, heartbeats and
-/// stops.
+/// Share of the machines' time that is available for running tasks. The rest is spent on image
+/// fetches, heartbeats and stopping tasks.
 const ATTAINABLE_SHARE: f64 = 0.9;
 
-/// A job counts on this many tasks side by side at least, so that its work stays finite where no
-/// machine is up.
+/// Lower bound on the number of concurrent tasks that a job is assumed to have. It keeps the work
+/// estimate finite when no machine is up.
 const MIN_CONCURRENT_TASKS: f64 = 0.5;
 
-/// How well a job can still do; the smaller is served first.
+/// Whether a job can still meet its deadline; jobs with the smaller value are planned first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Feasibility {
-    /// It can meet its deadline.
+    /// The job can meet its deadline.
     InTime,
-    /// It can end while that is still of some use.
+    /// The job misses its deadline, but can end by its latest useful end.
     Useful,
-    /// It can do neither.
+    /// The job misses both.
     TooLate,
 }
 
-/// The feasibility of every job. `by_deadline` has all jobs by rising deadline.
+/// Returns the feasibility of every job. `by_deadline` lists all jobs in ascending order of their
+/// deadlines.
 ///
-/// Jobs are judged with the queue ahead of them, not alone: when the work of a priority exceeds
-/// what its machines can do in time, earliest-deadline order would make nearly every job a little
-/// late. Moore and Hodgson's rule gives up the fewest.
+/// Each job is assessed together with the queue ahead of it: when the work of a priority exceeds
+/// what its machines can do in time, earliest-deadline-first order would make nearly every job a
+/// little late. The Moore–Hodgson algorithm minimizes the number of late jobs.
 pub(crate) fn feasibilities(problem: &Problem, by_deadline: &[usize]) -> Vec<Feasibility> {
     let mut result = vec![Feasibility::TooLate; problem.jobs.len()];
     let mut estimator = WorkEstimator::new(problem);
@@ -52,18 +53,18 @@
     result
 }
 
-/// The outcome of Moore and Hodgson's rule.
+/// Result of the Moore–Hodgson algorithm.
 struct Selection {
-    /// Jobs that can end in time, in no order.
+    /// Jobs that can end in time, in no particular order.
     kept: Vec<usize>,
-    /// Jobs that were given up for the others.
+    /// Jobs that were dropped so that the others can end in time.
     dropped: Vec<usize>,
-    /// Seconds of work up to the last job that was kept.
+    /// Work in the queue, including the jobs that were kept, in seconds.
     queued_s: f64,
 }
 
-/// Moore and Hodgson's rule: in the order of due times, whenever a job would end too late, the
-/// largest one so far is given up.
+/// Applies the Moore–Hodgson algorithm: jobs are added in the order of their due times; whenever one
+/// would end too late, the largest job added so far is dropped.
 fn select_feasible(
     estimator: &mut WorkEstimator,
     mut candidates: Vec<usize>,
@@ -71,11 +72,11 @@
     level: Feasibility,
 ) -> Selection {
     let problem = estimator.problem;
-    let due = |job: usize| match level {
+    let due_at = |job: usize| match level {
         Feasibility::InTime => problem.jobs[job].deadline,
         _ => problem.jobs[job].latest_useful_end,
     };
-    candidates.sort_by(|&a, &b| due(a).total_cmp(&due(b)).then(a.cmp(&b)));
+    candidates.sort_by(|&a, &b| due_at(a).total_cmp(&due_at(b)).then(a.cmp(&b)));
     let mut kept: BinaryHeap<JobWork> = BinaryHeap::new();
     let mut dropped = Vec::new();
     let mut queued_s = queued_before_s;
@@ -83,9 +84,9 @@
         let work_s = estimator.work_s(job);
         kept.push(JobWork { work_s, job });
         queued_s += work_s;
-        // Behind the queue, the job's own tasks take one run at least.
-        let own_run_s = work_s.max(problem.jobs[job].run_s);
-        while problem.now + (queued_s - work_s).max(0.0) / ATTAINABLE_SHARE + own_run_s > due(job) {
+        // After the queue ahead of it, the job itself takes at least the run time of one task.
+        let job_run_s = work_s.max(problem.jobs[job].run_s);
+        while problem.now + (queued_s - work_s).max(0.0) / ATTAINABLE_SHARE + job_run_s > due_at(job) {
             let Some(largest) = kept.pop() else { break };
             queued_s -= largest.work_s;
             dropped.push(largest.job);
@@ -97,7 +98,7 @@
     Selection { kept: kept.into_iter().map(|entry| entry.job).collect(), dropped, queued_s }
 }
 
-/// A job's work, ordered by size.
+/// Work of a job, ordered by its amount.
 struct JobWork {
     work_s: f64,
     job: usize,
@@ -123,7 +124,7 @@
 
 impl Eq for JobWork {}
 
-/// Which machines a job may have, as far as its share of their time depends on it.
+/// Attributes of a job that determine which capacity is available to it.
 #[derive(PartialEq)]
 struct CapacityView {
     priority: u8,
@@ -149,29 +150,29 @@
     }
 }
 
-/// Machines with the same usable resources.
+/// Number of machines with the same usable resources.
 struct MachineGroup {
     resources: Resources,
     machines: f64,
 }
 
-/// Estimates how long jobs take on the machines that they may have.
+/// Estimates how long jobs take on the machines that they may use.
 struct WorkEstimator<'a> {
     problem: &'a Problem,
-    /// Machines that are up before the longest window ends.
-    usable: Vec<&'a Machine>,
-    /// Capacity by view: jobs mostly share a few views.
+    /// Machines that will be up before the longest reservation window ends.
+    usable_machines: Vec<&'a Machine>,
+    /// Capacity by view. Most jobs share a few views.
     capacities: Vec<(CapacityView, Vec<MachineGroup>)>,
 }
 
 impl<'a> WorkEstimator<'a> {
     fn new(problem: &'a Problem) -> Self {
         let horizon = problem.now + problem.max_window_s;
-        let usable = problem.machines.iter().filter(|machine| machine.ready_at <= horizon).collect();
-        WorkEstimator { problem, usable, capacities: Vec::new() }
+        let usable_machines = problem.machines.iter().filter(|machine| machine.ready_at <= horizon).collect();
+        WorkEstimator { problem, usable_machines, capacities: Vec::new() }
     }
 
-    /// Mean time for which running work and boots still hold a machine, in seconds.
+    /// Returns the mean time for which running tasks and boots still occupy a machine, in seconds.
     fn mean_committed_s(&self) -> f64 {
         let now = self.problem.now;
         let committed_s = |machine: &&Machine| {
@@ -182,10 +183,11 @@
                 .sum::<f64>()
                 + (machine.ready_at - now).max(0.0)
         };
-        self.usable.iter().map(committed_s).sum::<f64>() / (self.usable.len().max(1) as f64)
+        self.usable_machines.iter().map(committed_s).sum::<f64>() / (self.usable_machines.len().max(1) as f64)
     }
 
-    /// Time that the job's pending tasks take of all its machines together, in seconds.
+    /// Returns the time in seconds that the job's pending tasks take if they use all of the job's
+    /// machines.
     fn work_s(&mut self, job: usize) -> f64 {
         let job = &self.problem.jobs[job];
         let concurrent_tasks: f64 = self
@@ -198,8 +200,8 @@
 
     fn capacity_for(&mut self, job: &Job) -> &[MachineGroup] {
         let view = CapacityView::of(job);
-        let known = self.capacities.iter().position(|(other, _)| *other == view);
-        let index = known.unwrap_or_else(|| {
+        let existing = self.capacities.iter().position(|(other, _)| *other == view);
+        let index = existing.unwrap_or_else(|| {
             let groups = self.machine_groups(&view);
             self.capacities.push((view, groups));
             self.capacities.len() - 1
@@ -207,11 +209,11 @@
         &self.capacities[index].1
     }
 
-    /// Resources that a view may count on. Most machines are alike, so grouping them spares every
-    /// job a look at each.
+    /// Groups the machines of a view by the resources that they offer to it. Most machines are alike,
+    /// so a job is compared with a few groups instead of every machine.
     fn machine_groups(&self, view: &CapacityView) -> Vec<MachineGroup> {
         let mut groups: Vec<MachineGroup> = Vec::new();
-        for machine in self.usable.iter().filter(|machine| view.includes(machine)) {
+        for machine in self.usable_machines.iter().filter(|machine| view.includes(machine)) {
             let mut resources = self.problem.instance_types[machine.instance_type].size;
             for task in machine.running.iter().filter(|task| task.priority > view.priority) {
                 resources.subtract(&task.resources);
--- a/crates/planner/src/gang.rs
+++ b/crates/planner/src/gang.rs
@@ -1,4 +1,4 @@
-//! Reservations of gangs: all tasks start together, on one machine type.
+//! Reservations for gangs, whose tasks all start together on one machine type.
 
 use crate::cost::{configurations, Configuration};
 use crate::plan::{Reservation, Start};
@@ -6,29 +6,29 @@
 use crate::problem::Job;
 use crate::zones::{zone_choices, ZoneLoad};
 
-/// Machines for all tasks of a gang.
+/// Machines for all tasks of a gang, and its start.
 struct GangPlacement {
-    /// One entry for each task.
+    /// Index of the machine of each task.
     machines: Vec<usize>,
     starts_at: f64,
 }
 
-/// How good a gang's placement is; the smaller the better, field by field.
+/// Rank of a gang's placement, compared field by field; smaller is better.
 #[derive(PartialEq, PartialOrd)]
 struct GangRank {
-    /// It leaves the zone in which machines are being assembled.
+    /// Whether it leaves the zone in which machines are being assembled for the gang.
     leaves_assembly_zone: bool,
-    /// It misses the deadline.
+    /// Whether it misses the deadline.
     late: bool,
-    /// It meets the deadline, but does not start now.
+    /// Whether it meets the deadline, but does not start now.
     delayed: bool,
-    /// The end if it is late, else the cost.
+    /// End time if the placement is late, else its cost.
     main_criterion: f64,
-    /// The cost if it is late, else the end.
+    /// Cost if the placement is late, else its end time.
     tie_breaker: f64,
 }
 
-/// A gang on one machine type in one zone.
+/// Ranked placement of a gang on one machine type.
 struct GangChoice {
     rank: GangRank,
     instance_type: usize,
@@ -37,51 +37,53 @@
     ends_at: f64,
 }
 
-/// The result of the search over types and zones.
+/// Result of the search over types and zones.
 struct GangSearch {
     best: Option<GangChoice>,
-    /// The soonest start of any choice; `f64::MAX` if there is none.
-    soonest: f64,
+    /// Earliest start of all choices; `f64::MAX` if there is none.
+    earliest_start: f64,
 }
 
 impl Planner<'_> {
-    /// Reserves capacity for a whole gang, by preemption if that is much sooner.
+    /// Reserves capacity for a whole gang. Preempts less urgent work if the gang would otherwise
+    /// wait longer than [`crate::Problem::preemption_wait_s`].
     pub(crate) fn reserve_gang(&mut self, job_index: usize) -> Option<Reservation> {
         let problem = self.problem;
         let job = &problem.jobs[job_index];
         if !self.fits_team_quota(job, job.pending_tasks.len() as u32) {
             return None;
         }
-        let GangSearch { best, soonest } = self.search_gang_choices(job);
-        let patient_until = problem.now + problem.preemption_wait_s;
-        let is_patient = best.as_ref().is_some_and(|choice| choice.starts_at <= patient_until);
-        if !job.probing && !is_patient {
+        let GangSearch { best, earliest_start } = self.search_gang_choices(job);
+        let latest_acceptable_start = problem.now + problem.preemption_wait_s;
+        let starts_soon_enough =
+            best.as_ref().is_some_and(|choice| choice.starts_at <= latest_acceptable_start);
+        if !job.probing && !starts_soon_enough {
             if let Some(reservation) = self.reserve_by_preemption(job_index) {
                 return Some(reservation);
             }
         }
-        if soonest > patient_until && !self.window_is_reachable(job, soonest) {
-            self.record_misfit(job);
+        if earliest_start > latest_acceptable_start && !self.window_is_reachable(job, earliest_start) {
+            self.record_unplaceable(job);
         }
         let choice = best?;
         let delayed = choice.starts_at > problem.now;
         if !self.is_inside_window(choice.instance_type, choice.starts_at) || job.probing && delayed {
             return None;
         }
-        Some(self.take_gang_choice(job_index, &choice))
+        Some(self.apply_gang_choice(job_index, &choice))
     }
 
-    /// Tries every type and zone. A configuration that meets the deadline beats one that does not;
-    /// of those that do, a start now beats a later one, then the cheapest wins; if none does, the
-    /// one that ends first.
+    /// Tries every type and zone. Placements that meet the deadline come first; among those, one that
+    /// starts now is preferred to a later one, then the cheapest. If none meets the deadline, the one
+    /// that ends first is chosen.
     fn search_gang_choices(&mut self, job: &Job) -> GangSearch {
-        let mut search = GangSearch { best: None, soonest: f64::MAX };
+        let mut search = GangSearch { best: None, earliest_start: f64::MAX };
         for configuration in configurations(&self.problem.instance_types, job) {
             for zone in zone_choices(job, self.problem.zones) {
                 let Some(placement) = self.place_gang(job, configuration.instance_type, zone) else {
                     continue;
                 };
-                search.soonest = search.soonest.min(placement.starts_at);
+                search.earliest_start = search.earliest_start.min(placement.starts_at);
                 let choice = self.assess_gang_placement(job, &configuration, zone, placement);
                 if search.best.as_ref().is_none_or(|best| choice.rank < best.rank) {
                     search.best = Some(choice);
@@ -91,8 +93,8 @@
         search
     }
 
-    /// Finds machines of one type for all tasks at once: on distinct capacity, in `zone` if that is
-    /// given, and within the limit of each zone.
+    /// Finds machines of one type for all tasks of a gang, in `zone` if it is given, without using
+    /// any capacity twice and within the job's limit for each zone.
     fn place_gang(&mut self, job: &Job, instance_type: usize, zone: Option<usize>) -> Option<GangPlacement> {
         let tasks = job.pending_tasks.len();
         let now = self.problem.now;
@@ -131,8 +133,9 @@
         let ends_at = starts_at + fetch_s + run_s;
         let cost = self.gang_price(job, configuration, &machines) * (fetch_s + run_s);
         let delayed = starts_at > self.problem.now;
-        // Machines are assembled in one zone unless another has them all. (Where they were half
-        // assembled, others took them.)
+        // Machines are assembled in the same zone until the gang can start there or in another zone
+        // that has enough free machines. When the zone changed between plans, other jobs took the
+        // machines assembled so far.
         let leaves_assembly_zone = delayed && job.assembly_zone.is_some_and(|known| zone != Some(known));
         let late = ends_at > job.deadline;
         let rank = GangRank {
@@ -145,8 +148,8 @@
         GangChoice { rank, instance_type: configuration.instance_type, machines, starts_at, ends_at }
     }
 
-    /// Price per second of a task's part of the machines, where some may be on-demand machines
-    /// although the job may use spot ones.
+    /// Returns the mean price per second of the fraction of a machine that one task uses. Some of the
+    /// machines may be on-demand machines although the job may use spot machines.
     fn gang_price(&self, job: &Job, configuration: &Configuration, machines: &[usize]) -> f64 {
         let instance_type = &self.problem.instance_types[configuration.instance_type];
         let has_spot_price = job.spot && instance_type.spot_price > 0.0;
@@ -157,8 +160,8 @@
         configuration.task_price * (1.0 + on_demand_share * (on_demand_ratio - 1.0))
     }
 
-    /// Starts or reserves the choice.
-    fn take_gang_choice(&mut self, job_index: usize, choice: &GangChoice) -> Reservation {
+    /// Starts the gang's tasks if the choice starts now, else reserves the machines.
+    fn apply_gang_choice(&mut self, job_index: usize, choice: &GangChoice) -> Reservation {
         let problem = self.problem;
         let job = &problem.jobs[job_index];
         let delayed = choice.starts_at > problem.now;
@@ -167,8 +170,8 @@
             let zone = first_machine.map(|&machine| problem.machines[machine].zone);
             self.plan.gang_assembly = zone.map(|zone| (job_index, zone)).or(self.plan.gang_assembly);
         }
-        // Machines that are free already stay idle for an overdue gang: short work that was let in
-        // before the last machine came free ended later than expected, again and again.
+        // Machines that are already free stay idle for an overdue gang: short tasks that were started
+        // there until the last machine came free repeatedly ended later than expected.
         let stays_idle = delayed && choice.starts_at <= job.reserves_until;
         let occupied_from = if stays_idle { problem.now + MIN_DELAY_S } else { choice.starts_at };
         for (&task, &machine) in job.pending_tasks.iter().zip(&choice.machines) {
--- a/crates/planner/src/ordering.rs
+++ b/crates/planner/src/ordering.rs
@@ -1,21 +1,23 @@
-//! The order in which jobs are planned.
+//! Order in which jobs are planned.
 
-use crate::cost::deferrals;
+use crate::cost::deferral_costs;
 use crate::feasibility::{feasibilities, Feasibility};
 use crate::problem::Problem;
 use std::cmp::Ordering;
 
-/// Jobs by falling priority. Starvation relief comes first, then the job's priority; inside a
-/// priority, work that a guaranteed quota covers, then jobs that can still meet their deadline,
-/// then the higher deferral cost, then the earlier deadline.
+/// Returns the indices of all jobs in the order in which they are planned. Starvation relief comes
+/// first, then the higher priority. Within a priority, probing jobs come last and best-effort jobs
+/// just before them; the others are ordered by whether a guaranteed quota covers them, whether they
+/// can still meet their deadline, the higher deferral cost (skipped if the priority is overloaded),
+/// and the earlier deadline.
 pub fn order(problem: &Problem) -> Vec<usize> {
     let jobs = &problem.jobs;
     let mut order: Vec<usize> = (0..jobs.len()).collect();
     order.sort_by(|&a, &b| jobs[a].deadline.total_cmp(&jobs[b].deadline).then(a.cmp(&b)));
-    let deferral_cost = deferrals(problem.now, &problem.instance_types, jobs);
+    let deferral_cost = deferral_costs(problem.now, &problem.instance_types, jobs);
     let feasibility = feasibilities(problem, &order);
-    // Where a priority cannot do everything in time, the jobs that can be in time are served in
-    // the order by which that was judged.
+    // If not all jobs of a priority can be in time, they are planned in deadline order, because their
+    // feasibility was computed for that order.
     let mut overloaded = [false; 1 + u8::MAX as usize];
     for (job, feasibility) in jobs.iter().zip(&feasibility) {
         overloaded[job.priority as usize] |= *feasibility != Feasibility::InTime;
--- a/crates/planner/src/placement.rs
+++ b/crates/planner/src/placement.rs
@@ -1,32 +1,33 @@
-//! Where and when a single task could run, and how well it fits there.
+//! Placement options of single tasks: machine, start and rank.
 
 use crate::planner::Planner;
 use crate::problem::Job;
 use crate::resources::RESOURCE_TOLERANCE;
 use std::cmp::Ordering;
 
-/// Extra cost of an emptier machine, per unused share of its cores and accelerators: more than a
-/// usual fetch, less than the price step to another machine type.
+/// Relative cost added per unused share of a machine's cores and accelerators, so that fuller
+/// machines are preferred. It is larger than the cost of a usual image fetch and smaller than the
+/// price difference to another machine type.
 const EMPTY_MACHINE_PENALTY: f64 = 0.15;
 
-/// How well a task fits a machine; the smaller the better.
+/// Rank of a task's placement on a machine; smaller is better.
 #[derive(Clone, Copy)]
 pub(crate) struct PlacementRank {
     /// Cost of the run, with the penalty for emptier machines.
     weighted_cost: f64,
-    /// Shares of the machine that stay unused: cores plus accelerators.
+    /// Unused share of the machine's cores plus unused share of its accelerators.
     unused_share: f64,
 }
 
-/// A machine that could run a task, and from when on. The smaller option is the better one:
-/// earlier, then by rank.
+/// Machine that could run a task, with the earliest start there. Options are ordered by start, then
+/// by rank; smaller is better.
 #[derive(Clone, Copy)]
 pub(crate) struct PlacementOption {
     /// Index of the machine.
     pub(crate) machine: usize,
-    /// When the task could start there.
+    /// Earliest start of the task on the machine.
     pub(crate) starts_at: f64,
-    /// How well the task fits there.
+    /// Rank of the task's placement on the machine.
     pub(crate) rank: PlacementRank,
 }
 
@@ -64,12 +65,13 @@
             && job.zone.is_none_or(|zone| zone == machine.zone)
     }
 
-    /// Whether the job may run on `machine`, which must not be one that it failed on.
+    /// Whether the job may run on `machine`: its constraints admit the machine and it has not failed
+    /// there.
     pub(crate) fn is_allowed(&self, job: &Job, machine: usize) -> bool {
         self.can_host(job, machine) && !job.excluded_machines.contains(&machine)
     }
 
-    /// Seconds until the job's image would be on `machine`.
+    /// Returns the seconds that `machine` needs to fetch the job's image; 0 if it holds the image.
     pub(crate) fn fetch_s(&self, job: &Job, machine: usize) -> f64 {
         if self.images[machine].contains(&job.image) {
             return 0.0;
@@ -78,25 +80,25 @@
         self.problem.instance_types[instance_type].fetch_s(job.image_gb)
     }
 
-    /// How well a task of the job fits `machine`.
+    /// Ranks the placement of one task of the job on `machine`.
     pub(crate) fn rank(&self, job: &Job, machine: usize) -> PlacementRank {
         let fetch_s = self.fetch_s(job, machine);
-        let mut left = self.timelines[machine].free;
-        left.subtract(&job.resources);
+        let mut remaining = self.timelines[machine].free;
+        remaining.subtract(&job.resources);
         let machine = &self.problem.machines[machine];
         let instance_type = &self.problem.instance_types[machine.instance_type];
         let size = &instance_type.size;
         let instances = f64::from(size.instances_that_fit(&job.resources).max(1));
-        // Expensive machines are kept for jobs that need them: an on-demand machine ranks behind any
-        // spot machine for a job that may use either.
+        // Ranking by actual price keeps expensive machines free for jobs that need them: a job that
+        // may use spot machines prefers them to on-demand machines of the same type.
         let price = if machine.spot { instance_type.spot_price } else { instance_type.price };
         let cost = price / instances * (job.run_s * machine.slowness + fetch_s);
-        let unused_share = left.cores / size.cores.max(RESOURCE_TOLERANCE)
-            + left.accelerators / size.accelerators.max(RESOURCE_TOLERANCE);
+        let unused_share = remaining.cores / size.cores.max(RESOURCE_TOLERANCE)
+            + remaining.accelerators / size.accelerators.max(RESOURCE_TOLERANCE);
         PlacementRank { weighted_cost: cost * (1.0 + EMPTY_MACHINE_PENALTY * unused_share), unused_share }
     }
 
-    /// The earliest placement of one task on `machine`, if there is any.
+    /// Returns the earliest placement of one task on `machine`, if there is one.
     pub(crate) fn placement_option(&self, job: &Job, machine: usize) -> Option<PlacementOption> {
         if !self.is_allowed(job, machine) {
             return None;
@@ -108,7 +110,8 @@
         Some(PlacementOption { machine, starts_at, rank: self.rank(job, machine) })
     }
 
-    /// The options on all open machines, of one type and zone where these are given, in no order.
+    /// Returns the placement options on all open machines, restricted to one type and one zone if
+    /// these are given, in no particular order.
     pub(crate) fn placement_options(
         &mut self,
         job: &Job,
--- a/crates/planner/src/plan.rs
+++ b/crates/planner/src/plan.rs
@@ -1,47 +1,47 @@
-//! The planner's output, and the main loop that makes it.
+//! Output of the planner, and the main loop that produces it.
 
 use crate::ordering::order;
 use crate::planner::Planner;
 use crate::problem::{Problem, Shape};
 
-/// One task that starts now.
+/// Task that starts now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Start {
     /// Index of its job in [`Problem::jobs`].
     pub job: usize,
-    /// Its number, out of the job's pending tasks.
+    /// Number of the task, one of the job's pending tasks.
     pub task: u32,
     /// Index of its machine in [`Problem::machines`].
     pub machine: usize,
 }
 
-/// When a job is expected to run; it holds for this plan only.
+/// Expected run of a job. It is valid for this plan only.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reservation {
     /// Index of the job in [`Problem::jobs`].
     pub job: usize,
-    /// The machine type that its first task uses.
+    /// Index of the machine type that its first task uses.
     pub instance_type: usize,
-    /// Start of its first task; of a gang all start then.
+    /// Start of its first task; all tasks of a gang start then.
     pub starts_at: f64,
     /// End of its last task.
     pub ends_at: f64,
-    /// Its end fixed the window of its machine type.
+    /// Whether its end determined the window of its machine type.
     pub sets_window: bool,
 }
 
-/// Tasks of a job that found no capacity now.
+/// Number of tasks of a job that do not start now for lack of capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnmetDemand {
     /// Index of the job in [`Problem::jobs`].
     pub job: usize,
-    /// How many of its tasks do not start now.
+    /// Number of its tasks that do not start now.
     pub tasks: u32,
-    /// How many of these are expected to miss their deadline.
+    /// Number of these tasks that are expected to miss their deadline.
     pub late_tasks: u32,
 }
 
-/// What is to be done, and what is expected.
+/// Actions to take now, and the expected runs.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
     /// All jobs in the order in which they were planned.
@@ -50,21 +50,22 @@
     pub starts: Vec<Start>,
     /// Expected runs, in the order of the jobs.
     pub reservations: Vec<Reservation>,
-    /// Tasks that found no capacity now, by job.
+    /// Demand for which there is no capacity now, one entry for each job.
     pub unmet: Vec<UnmetDemand>,
     /// Running tasks to preempt, by [`crate::PreemptionCandidate::task_id`].
     pub preemptions: Vec<usize>,
     /// Jobs that wait although capacity that they could use is free.
     pub waiting_beside_capacity: Vec<usize>,
-    /// The overdue gang that needs a single zone, and the zone in which its machines are assembled.
+    /// Index of the overdue gang that needs a single zone, and the zone in which machines are
+    /// assembled for it.
     pub gang_assembly: Option<(usize, usize)>,
-    /// Effort: how often a machine or a job was looked at.
+    /// Number of times that a machine or a job was examined, a measure of the planning effort.
     pub steps: u64,
 }
 
-/// Makes the plan: the first job gets a reservation, whose end, at most the longest window, fixes
-/// the window of its machine type. The others follow by falling priority and get one if they start
-/// inside the window of their type.
+/// Makes the plan. Jobs are planned in descending order of priority. The end of a machine type's
+/// first reservation, but at most [`Problem::max_window_s`] from now, determines the window of that
+/// type; later jobs get a reservation if they start inside the window of their type.
 pub fn plan(problem: &Problem) -> Plan {
     let order = order(problem);
     let mut planner = Planner::new(problem);
@@ -99,8 +100,9 @@
         job.pending_tasks.len() as u32 - started
     }
 
-    /// Fixes the window of the reservation's machine type if it has none yet. Starvation relief
-    /// decides nothing for others. Returns whether the window was fixed.
+    /// Sets the window of the reservation's machine type if it has none yet. Jobs that are planned
+    /// first for starvation relief set no window, so they do not restrict other jobs. Returns whether
+    /// the window was set.
     fn open_window(&mut self, reservation: &Reservation) -> bool {
         let window = &mut self.windows[reservation.instance_type];
         if window.is_some() || self.problem.jobs[reservation.job].starvation_relief {
@@ -111,7 +113,8 @@
         true
     }
 
-    /// Notes tasks that a larger fleet could start now. A probing job asks for nothing.
+    /// Records tasks that a larger fleet could start now. Probing jobs cause no scale-out and are not
+    /// recorded.
     fn record_unmet_demand(&mut self, job: usize, tasks: u32) {
         if !self.problem.jobs[job].probing {
             let late_tasks = tasks.saturating_sub(self.on_time_tasks);
--- a/crates/planner/src/preemption.rs
+++ b/crates/planner/src/preemption.rs
@@ -1,5 +1,4 @@
-//! Preemption: less urgent work is stopped where that costs least. (An exception to Cura, which
-//! stops nothing.)
+//! Preemption of less urgent work where that costs least. This extends Cura, which never preempts.
 
 use crate::plan::Reservation;
 use crate::planner::{Planner, MIN_DELAY_S};
@@ -7,13 +6,14 @@
 use crate::resources::Resources;
 use crate::zones::{zone_choices, ZoneLoad};
 
-/// Preemption for a gang counts a fetch this many times: an image that is there already is worth
-/// its fetch on the whole machine.
+/// Weight of the image fetch in the cost of a preemption for a gang: a machine that already holds the
+/// image saves the fetch time on the whole machine.
 const GANG_FETCH_WEIGHT: f64 = 2.0;
 
-/// Whether `task` may be preempted for `job`: any less urgent work, and for a team's guaranteed
-/// quota what another team runs beyond its own, unless that is more urgent. (Without that
-/// exception the guaranteed jobs of one team once kept stopping the urgent jobs of another.)
+/// Whether `task` may be preempted for `job`. A job may preempt any work of lower priority. A job
+/// covered by its team's guaranteed quota may also preempt work of its own priority that another team
+/// runs beyond its guarantee. More urgent work is exempt: otherwise the guaranteed jobs of one team
+/// kept preempting the urgent jobs of another.
 pub(crate) fn may_preempt(job: &Job, task: &RunningTask) -> bool {
     let is_less_urgent = task.priority < job.priority;
     let claims_guarantee =
@@ -21,23 +21,23 @@
     is_less_urgent || claims_guarantee
 }
 
-/// A running task that may be preempted.
+/// Running task that may be preempted.
 struct Victim {
-    /// Its position in the machine's timeline.
+    /// Position of the task in the machine's timeline.
     position: usize,
     candidate: PreemptionCandidate,
     resources: Resources,
 }
 
-/// Tasks to preempt on one machine, and what that frees and costs.
+/// Tasks to preempt on one machine, with the resources that this frees and its cost.
 struct PreemptionSet {
-    /// Resources that are free once all are stopped.
+    /// Free resources of the machine once all tasks of the set have stopped.
     free: Resources,
-    /// Lost run time in seconds, each task's weighted by its share of the machine.
+    /// Lost run time in seconds, weighted by each task's share of the machine.
     lost_work_s: f64,
-    /// Seconds until the last one has stopped.
+    /// Seconds until the last task has stopped.
     stop_s: f64,
-    /// Positions in the machine's timeline.
+    /// Positions of the tasks in the machine's timeline.
     positions: Vec<usize>,
 }
 
@@ -54,34 +54,34 @@
     }
 }
 
-/// Tasks that one machine could run after a preemption.
+/// Possible preemption on one machine, and the tasks that the machine could run after it.
 struct PreemptionOption {
-    /// Cost for each task, in seconds.
+    /// Cost per task that could run, in seconds.
     cost_per_task: f64,
     machine: usize,
-    /// How many tasks it could run.
+    /// Number of tasks that the machine could run.
     tasks: usize,
     /// Seconds until the preempted work has stopped.
     stop_s: f64,
-    /// What to preempt: positions in the machine's timeline.
+    /// Positions of the tasks to preempt in the machine's timeline.
     positions: Vec<usize>,
 }
 
-/// Tasks of an array that got capacity by preemption.
+/// Result of a preemption for an array.
 pub(crate) struct PreemptedTasks {
-    /// How many there are; at least one.
+    /// Number of the array's tasks that got capacity; at least one.
     pub(crate) tasks: usize,
-    /// The run of the first ones.
+    /// Expected run of the tasks on the first machine.
     pub(crate) reservation: Reservation,
 }
 
-/// Sorts the options, the cheapest first.
+/// Sorts the options by cost, cheapest first.
 fn sort_by_cost(options: &mut [PreemptionOption]) {
     options.sort_by(|a, b| a.cost_per_task.total_cmp(&b.cost_per_task).then(a.machine.cmp(&b.machine)));
 }
 
 impl Planner<'_> {
-    /// Preempts less urgent work for a gang and reserves what comes free.
+    /// Preempts less urgent work for a gang and reserves the capacity that this frees.
     pub(crate) fn reserve_by_preemption(&mut self, job_index: usize) -> Option<Reservation> {
         let problem = self.problem;
         let job = &problem.jobs[job_index];
@@ -110,8 +110,8 @@
         Some(reservation)
     }
 
-    /// Preempts work that `may_preempt` allows, where it costs least for each task, for up to
-    /// `max_tasks` tasks of an array.
+    /// Preempts work for up to `max_tasks` tasks of an array, on the machines with the lowest cost per
+    /// task. Only work that [`may_preempt`] allows is preempted.
     pub(crate) fn preempt_for_tasks(&mut self, job_index: usize, max_tasks: usize) -> Option<PreemptedTasks> {
         let problem = self.problem;
         let job = &problem.jobs[job_index];
@@ -147,15 +147,15 @@
         (tasks > 0).then_some(PreemptedTasks { tasks, reservation })
     }
 
-    /// Whether a job may preempt work on `machine` at all. Capacity behind a reservation belongs to
-    /// the job that reserved it.
+    /// Whether a job may preempt work on `machine` at all. On a machine with a reservation, capacity
+    /// that becomes free belongs to the job that reserved it.
     fn may_preempt_on(&self, job: &Job, machine: usize) -> bool {
         self.is_allowed(job, machine)
             && self.problem.machines[machine].ready_at <= self.problem.now
             && !self.timelines[machine].has_reservations()
     }
 
-    /// What the job may preempt on `machine`, the soonest end first.
+    /// Returns the tasks that the job may preempt on `machine`, in ascending order of their end.
     fn victims<'s>(&'s self, job: &'s Job, machine: usize) -> impl Iterator<Item = Victim> + 's {
         let running = self.timelines[machine].running.iter().enumerate();
         running.filter_map(move |(position, task)| {
@@ -164,7 +164,7 @@
         })
     }
 
-    /// What to preempt on `machine` for one task of a gang, the least lost work first.
+    /// Selects the tasks to preempt on `machine` for one task of a gang, least lost work first.
     fn gang_preemption_option(&self, job: &Job, machine: usize) -> Option<PreemptionOption> {
         if !self.may_preempt_on(job, machine) {
             return None;
@@ -192,7 +192,8 @@
         })
     }
 
-    /// What to preempt on `machine` for up to `max_tasks` tasks of an array, the soonest end first.
+    /// Selects the tasks to preempt on `machine` for up to `max_tasks` tasks of an array, earliest
+    /// end first.
     fn array_preemption_option(
         &self,
         job: &Job,
@@ -224,7 +225,8 @@
         })
     }
 
-    /// One option for each of the gang's tasks: the cheapest set that the job's zones admit.
+    /// Returns the cheapest set of options, one for each of the gang's tasks, that satisfies the
+    /// job's zone constraints.
     fn cheapest_gang_preemption<'o>(
         &self,
         job: &Job,
@@ -245,14 +247,14 @@
                     picked.push(option);
                 }
             }
-            if picked.len() == tasks && best.as_ref().is_none_or(|(least, _)| cost < *least) {
+            if picked.len() == tasks && best.as_ref().is_none_or(|(lowest_cost, _)| cost < *lowest_cost) {
                 best = Some((cost, picked));
             }
         }
         best.map(|(_, picked)| picked)
     }
 
-    /// Preempts what the option names. Returns when its resources are free.
+    /// Preempts the tasks of the option. Returns the time at which their resources are free.
     fn preempt(&mut self, option: &PreemptionOption) -> f64 {
         let free_at = self.problem.now + option.stop_s.max(MIN_DELAY_S);
         let task_ids = self.timelines[option.machine].preempt(&option.positions, free_at);
--- a/crates/planner/src/problem.rs
+++ b/crates/planner/src/problem.rs
@@ -1,8 +1,8 @@
-//! The planner's input: machines, their running tasks, waiting jobs and team quotas.
+//! Input of the planner: machines, their running tasks, waiting jobs and team quotas.
 
 use crate::resources::{Resources, RESOURCE_TOLERANCE};
 
-/// A machine type and its prices.
+/// Machine type with its size and prices.
 #[derive(Debug, Clone)]
 pub struct InstanceType {
     /// Resources of an empty machine.
@@ -16,7 +16,7 @@
 }
 
 impl InstanceType {
-    /// Seconds to fetch an image of `image_gb`.
+    /// Returns the seconds that fetching an image of `image_gb` takes.
     pub(crate) fn fetch_s(&self, image_gb: f64) -> f64 {
         if self.fetch_gb_per_s > 0.0 {
             image_gb / self.fetch_gb_per_s
@@ -26,58 +26,58 @@
     }
 }
 
-/// A task that runs on a machine.
+/// Task that runs on a machine.
 #[derive(Debug, Clone, Copy)]
 pub struct RunningTask {
     /// Expected end.
     pub ends_at: f64,
-    /// It ends only when it is cancelled or preempted: nothing is reserved behind it.
+    /// Whether it ends only when it is cancelled or preempted. No reservation waits for its end.
     pub endless: bool,
-    /// Resources that it holds.
+    /// Resources that it uses.
     pub resources: Resources,
     /// Priority of its job.
     pub priority: u8,
     /// Index of its team in [`Problem::teams`].
     pub team: usize,
-    /// Its team's guaranteed quota covers it.
+    /// Whether its team's guaranteed quota covers it.
     pub within_guarantee: bool,
-    /// What preempting it would cost; `None` if it must not be preempted.
+    /// Cost of preempting it; `None` if it must not be preempted.
     pub preemption: Option<PreemptionCandidate>,
 }
 
-/// A running task that a more urgent job may preempt.
+/// Running task that a more urgent job may preempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PreemptionCandidate {
-    /// The caller's own number of the task; preempted tasks are named by it.
+    /// Id that the caller assigned to the task; it identifies preempted tasks in the plan.
     pub task_id: usize,
     /// Run time that would be lost, in seconds.
     pub lost_work_s: f64,
-    /// Seconds until its resources are free.
+    /// Time that the task takes to stop and free its resources, in seconds.
     pub stop_s: f64,
 }
 
-/// A machine and what runs on it.
+/// Machine and the tasks that run on it.
 #[derive(Debug, Clone)]
 pub struct Machine {
     /// Index of its type in [`Problem::instance_types`].
     pub instance_type: usize,
-    /// Its zone, below [`Problem::zones`].
+    /// Index of its zone, less than [`Problem::zones`].
     pub zone: usize,
     /// Whether the cloud may reclaim it.
     pub spot: bool,
-    /// When it can start tasks: now, or the expected end of its boot.
+    /// Earliest time at which it can start tasks: now, or the expected end of its boot.
     pub ready_at: f64,
-    /// Resources that no running task holds.
+    /// Resources that no running task uses.
     pub free: Resources,
     /// Tasks that run on it.
     pub running: Vec<RunningTask>,
-    /// Images that it holds or is fetching, by the caller's numbers.
+    /// Ids, assigned by the caller, of the images that it holds or is fetching.
     pub images: Vec<u32>,
-    /// Learned ratio of run times on this machine to the usual ones; 1 when nothing is known.
+    /// Learned ratio of run times on this machine to the usual ones; 1 if nothing is known.
     pub slowness: f64,
 }
 
-/// How the tasks of a job belong together.
+/// Relation between the tasks of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shape {
     /// Independent tasks.
@@ -88,20 +88,20 @@
     Service,
 }
 
-/// A job with tasks that wait.
+/// Job with pending tasks.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// A larger priority always goes first, except for starvation relief.
+    /// Priority; jobs with a larger one are planned first, except for starvation relief.
     pub priority: u8,
-    /// How its tasks belong together.
+    /// Relation between its tasks.
     pub shape: Shape,
-    /// Unfinished tasks without a machine.
+    /// Numbers of its unfinished tasks that have no machine.
     pub pending_tasks: Vec<u32>,
-    /// What each task needs.
+    /// Resources that each task needs.
     pub resources: Resources,
     /// Expected run time of a task, in seconds.
     pub run_s: f64,
-    /// The caller's own number of its image.
+    /// Id that the caller assigned to its image.
     pub image: u32,
     /// Size of its image in GB.
     pub image_gb: f64,
@@ -109,94 +109,95 @@
     pub instance_types: Vec<usize>,
     /// The only allowed zone, if there is one.
     pub zone: Option<usize>,
-    /// All tasks have to run in the same zone.
+    /// Whether all tasks have to run in the same zone.
     pub one_zone: bool,
     /// Maximum number of tasks in a zone.
     pub max_per_zone: Option<u32>,
-    /// How many tasks run in each zone already; missing zones have none.
+    /// Number of tasks that already run in each zone; zones beyond the end of the list have none.
     pub placed_per_zone: Vec<u32>,
-    /// Spot machines are allowed.
+    /// Whether spot machines are allowed.
     pub spot: bool,
-    /// When it was submitted.
+    /// Time of submission.
     pub submitted_at: f64,
-    /// When it has to be complete.
+    /// Time by which it has to be complete.
     pub deadline: f64,
-    /// The latest end that is still of some use; the deadline itself where nothing later is.
+    /// Latest end at which its result is still of use; equal to the deadline if a late result is not.
     pub latest_useful_end: f64,
     /// Index of its team in [`Problem::teams`].
     pub team: usize,
-    /// Its team's guaranteed quota covers it.
+    /// Whether its team's guaranteed quota covers it.
     pub guaranteed: bool,
-    /// It must not start before this time (back-off after failures).
+    /// Earliest start (back-off after failures).
     pub not_before: f64,
-    /// It has failed wherever it ran: it may use free capacity, but gets no reservation, preempts
-    /// nothing and causes no scale-out.
+    /// Whether it has failed wherever it ran. Such a job may use free capacity, but gets no
+    /// reservation, preempts nothing and causes no scale-out.
     pub probing: bool,
-    /// Nobody waits for it: it follows all other jobs of its priority.
+    /// Whether nobody waits for it. Such a job is planned after the other jobs of its priority.
     pub best_effort: bool,
-    /// Only spot machines are allowed.
+    /// Whether only spot machines are allowed.
     pub spot_only: bool,
-    /// Its class or team is starving: it goes before all others (see [`crate::starvation`]).
+    /// Whether it is planned before all others because its class or team is starving (see
+    /// [`crate::starvation`]).
     pub starvation_relief: bool,
-    /// Until then its team's quota and assembled machines are kept for it if they do not suffice
-    /// yet (see [`crate::starvation::reservation_expiry`]).
+    /// Time until which its team's quota and assembled machines are kept for it while they do not
+    /// suffice yet (see [`crate::starvation::reservation_expiry`]).
     pub reserves_until: f64,
-    /// The zone in which the last plan assembled machines for it.
+    /// Zone in which the last plan assembled machines for it.
     pub assembly_zone: Option<usize>,
-    /// It has waited beside free capacity for too long: it takes that capacity whatever is
-    /// reserved there for later.
+    /// Whether it has waited too long although capacity that it could use was free. Such a job takes
+    /// that capacity even if it is reserved for a later time.
     pub waits_beside_capacity: bool,
-    /// Machines that it failed on.
+    /// Indices of the machines on which it failed.
     pub excluded_machines: Vec<usize>,
 }
 
-/// What a team may still add; `None` where it has no limit.
+/// Remaining quota of a team; `None` where it has no limit.
 #[derive(Debug, Clone, Default)]
 pub struct TeamQuota {
-    /// Cores below the team's limit.
+    /// Cores that the team may still use.
     pub cores_left: Option<f64>,
-    /// Accelerators below the team's limit.
+    /// Accelerators that the team may still use.
     pub accelerators_left: Option<f64>,
 }
 
 impl TeamQuota {
-    /// Whether the quota admits `need` once `returning` has come back to it.
-    pub(crate) fn admits(&self, need: &Resources, returning: &Resources) -> bool {
-        let enough = |left: Option<f64>, returning: f64, need: f64| {
-            left.is_none_or(|left| need <= left + returning + RESOURCE_TOLERANCE)
+    /// Whether the quota admits `need` once `freed` has been returned to it.
+    pub(crate) fn admits(&self, need: &Resources, freed: &Resources) -> bool {
+        let suffices = |left: Option<f64>, freed: f64, need: f64| {
+            left.is_none_or(|left| need <= left + freed + RESOURCE_TOLERANCE)
         };
-        enough(self.cores_left, returning.cores, need.cores)
-            && enough(self.accelerators_left, returning.accelerators, need.accelerators)
+        suffices(self.cores_left, freed.cores, need.cores)
+            && suffices(self.accelerators_left, freed.accelerators, need.accelerators)
     }
 
-    /// Charges `taken` to the quota.
-    pub(crate) fn charge(&mut self, taken: &Resources) {
+    /// Charges `used` to the quota.
+    pub(crate) fn charge(&mut self, used: &Resources) {
         if let Some(left) = &mut self.cores_left {
-            *left -= taken.cores;
+            *left -= used.cores;
         }
         if let Some(left) = &mut self.accelerators_left {
-            *left -= taken.accelerators;
+            *left -= used.accelerators;
         }
     }
 }
 
-/// Everything that a plan depends on.
+/// Complete input of a plan.
 #[derive(Debug, Clone)]
 pub struct Problem {
-    /// The present, on the clock of all other times.
+    /// Current time, on the same clock as all other times.
     pub now: f64,
     /// All machine types.
     pub instance_types: Vec<InstanceType>,
     /// Number of zones.
     pub zones: usize,
-    /// All machines, also those that boot.
+    /// All machines, including those that are booting.
     pub machines: Vec<Machine>,
     /// All jobs with pending tasks.
     pub jobs: Vec<Job>,
     /// All teams.
     pub teams: Vec<TeamQuota>,
-    /// No reservation window reaches further than this, in seconds.
+    /// Maximum length of a reservation window, in seconds.
     pub max_window_s: f64,
-    /// How long a more urgent job waits rather than preempt running work, in seconds.
+    /// Time that a more urgent job waits for capacity instead of preempting running work, in seconds.
     pub preemption_wait_s: f64,
 }
--- a/crates/planner/src/quota.rs
+++ b/crates/planner/src/quota.rs
@@ -1,4 +1,4 @@
-//! Team limits: what a team may still start, and quota that is kept for an overdue job.
+//! Team limits: tasks that a team may still start, and quota that is reserved for overdue jobs.
 
 use crate::planner::Planner;
 use crate::problem::{Job, Shape};
@@ -11,25 +11,27 @@
         self.teams[job.team].admits(&need, &Resources::default())
     }
 
-    /// How many of the job's pending tasks its team may start now; a gang's only all together.
+    /// Returns the number of the job's pending tasks that its team may start now; for a gang all or
+    /// none.
     pub(crate) fn tasks_within_quota(&self, job: &Job) -> usize {
         let pending = job.pending_tasks.len();
         if job.shape == Shape::Gang {
             return if self.fits_team_quota(job, pending as u32) { pending } else { 0 };
         }
         let team = &self.teams[job.team];
-        let by_amount = |left: Option<f64>, need: f64| match left {
+        let tasks_within = |left: Option<f64>, need: f64| match left {
             Some(left) if need > 0.0 => ((left + RESOURCE_TOLERANCE) / need).max(0.0) as usize,
             _ => pending,
         };
         pending
-            .min(by_amount(team.cores_left, job.resources.cores))
-            .min(by_amount(team.accelerators_left, job.resources.accelerators))
+            .min(tasks_within(team.cores_left, job.resources.cores))
+            .min(tasks_within(team.accelerators_left, job.resources.accelerators))
     }
 
-    /// Keeps what is left of the team's limit for a job that does not fit it yet, if enough of the
-    /// team's work is expected to end in time. (Quota that came free under a full limit once went to
-    /// the team's small jobs, and its largest gang never began.) Returns whether quota is kept.
+    /// Reserves the team's remaining quota for a job that it does not admit yet, if enough of the
+    /// team's work is expected to end before the reservation expires. Without this, quota that came
+    /// free in a team at its limit always went to the team's small jobs and its largest gang never
+    /// started. Returns whether quota is reserved.
     pub(crate) fn reserve_team_quota(&mut self, job_index: usize) -> bool {
         let job = &self.problem.jobs[job_index];
         let tasks = if job.shape == Shape::Gang { job.pending_tasks.len() as u32 } else { 1 };
@@ -37,9 +39,9 @@
             return false;
         }
         let need = job.resources.scaled(f64::from(tasks));
-        let returning = self.team_resources_returning(job);
+        let freed = self.team_resources_freed_in_time(job);
         let team = &mut self.teams[job.team];
-        let suffices_in_time = team.admits(&need, &returning);
+        let suffices_in_time = team.admits(&need, &freed);
         if suffices_in_time {
             team.charge(&need);
             self.quota_reservations.push(job_index);
@@ -47,25 +49,26 @@
         suffices_in_time
     }
 
-    /// What the running work of the job's team gives back before the job's reservation expires.
-    fn team_resources_returning(&self, job: &Job) -> Resources {
-        let mut returning = Resources::default();
+    /// Returns the resources that running work of the job's team frees before the job's reservation
+    /// expires.
+    fn team_resources_freed_in_time(&self, job: &Job) -> Resources {
+        let mut freed = Resources::default();
         for task in self.timelines.iter().flat_map(|timeline| &timeline.running) {
             if task.team == job.team && !task.endless && task.ends_at <= job.reserves_until {
-                returning.add(&task.resources);
+                freed.add(&task.resources);
             }
         }
-        returning
+        freed
     }
 
-    /// Takes off the unmet demand what the teams' limits keep from running now: more machines would
-    /// be of no use to it. (A team at its limit of two machines once had sixty rented, again and
-    /// again.)
+    /// Removes the tasks from the unmet demand that cannot run now because of their teams' limits,
+    /// since more machines would not help them. Without this, sixty machines were rented again and
+    /// again for a team at its limit of two.
     pub(crate) fn drop_demand_over_quota(&mut self) {
         let teams_before = self.teams.clone();
         let mut unmet = std::mem::take(&mut self.plan.unmet);
         for demand in &mut unmet {
-            // Quota that is kept for a job comes free while its machines boot.
+            // Quota that is reserved for a job comes free while its machines boot.
             if self.quota_reservations.contains(&demand.job) {
                 continue;
             }
--- a/crates/planner/src/starvation.rs
+++ b/crates/planner/src/starvation.rs
@@ -1,26 +1,29 @@
-//! Starvation guard: a minimum share for every class and team.
+//! Starvation prevention: a minimum share of the fleet for every class and team.
 //!
-//! Cura serves by priority, and what is always outranked may get nothing for as long as a rush
-//! lasts. A group (a class or a team) that has waited long and holds almost nothing is *starving*:
-//! up to a small share of the fleet its oldest work goes before all other work, and what it runs
-//! is not preempted.
+//! Cura plans strictly by priority, so low-priority work may get no capacity for as long as a load
+//! peak lasts. A group (a class or a team) is *starving* if one of its jobs has waited for a long time
+//! while the group holds almost no capacity. The oldest work of a starving group is planned before
+//! all other work, up to a small share of the fleet, and its running tasks are not preempted.
 
-/// Rounding errors up to this number of tasks do not count when a share is divided into tasks.
+/// Tolerance for rounding errors when a share is divided into tasks, in tasks.
 const TASK_COUNT_TOLERANCE: f64 = 1e-9;
 
-/// How large the guaranteed share is, and after which wait it applies.
+/// Size of the guaranteed share, and the wait after which it applies.
 #[derive(Debug, Clone, Copy)]
 pub struct StarvationPolicy {
     /// Share of all machines that all starving groups get together, between 0 and 1.
     pub guaranteed_share: f64,
-    /// How long a job of the group has to have waited since it was submitted, in seconds.
+    /// Time since its submission after which a waiting job is overdue and its groups may be starving,
+    /// in seconds.
     pub max_wait_s: f64,
-    /// For how long capacity may be kept for an overdue job that cannot use it yet (its team's
-    /// quota, machines that are assembled for it), in seconds. Others wait beside it no longer.
+    /// Maximum time for which capacity (its team's quota, machines that are assembled for it) is
+    /// kept idle for an overdue job that cannot use it yet, in seconds. After that, other jobs may
+    /// use it.
     pub reservation_s: f64,
 }
 
-/// Until when capacity may be kept for an overdue job, on the clock of `submitted_at`.
+/// Returns the time until which capacity may be kept for an overdue job, on the clock of
+/// `submitted_at`.
 pub fn reservation_expiry(policy: &StarvationPolicy, submitted_at: f64) -> f64 {
     submitted_at + policy.max_wait_s + policy.reservation_s
 }
@@ -28,21 +31,21 @@
 /// Pending work of a job.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitingDemand {
-    /// Its class and its team, as indices of the shares that groups hold.
+    /// Its class and its team, as indices into the list of held shares.
     pub groups: [usize; 2],
-    /// When it was submitted.
+    /// Time of submission.
     pub submitted_at: f64,
     /// Number of its pending tasks.
     pub tasks: usize,
     /// Share of all machines that one task takes, between 0 and 1.
     pub share_per_task: f64,
-    /// All of its tasks start together or none does.
+    /// Whether its tasks can only start all together.
     pub indivisible: bool,
-    /// Some of its tasks run or have run.
+    /// Whether some of its tasks run or have run.
     pub has_started: bool,
 }
 
-/// Indices of the demands that `include` accepts, by rising time of submission.
+/// Returns the indices of the demands that `include` accepts, in ascending order of submission time.
 fn oldest_first(demands: &[WaitingDemand], include: impl Fn(&WaitingDemand) -> bool) -> Vec<usize> {
     let mut oldest_first: Vec<usize> = (0..demands.len()).collect();
     oldest_first.retain(|&index| include(&demands[index]));
@@ -51,7 +54,7 @@
     oldest_first
 }
 
-/// For each group whether it is starving, given the share of all machines that it holds.
+/// Returns for each group whether it is starving, given the share of all machines that it holds.
 pub fn starving_groups(
     now: f64,
     policy: &StarvationPolicy,
@@ -67,8 +70,8 @@
     starving
 }
 
-/// For each demand how many of its tasks go before all other work because its group is starving:
-/// the oldest first, until each group has its part of the guaranteed share.
+/// Returns for each demand the number of its tasks that are planned before all other work because its
+/// group is starving: oldest demand first, until each group has its part of the guaranteed share.
 pub fn guaranteed_tasks(
     policy: &StarvationPolicy,
     starving: &[bool],
@@ -89,7 +92,7 @@
     granted
 }
 
-/// How many of the demand's tasks fit into `share`; all or none if it is indivisible.
+/// Returns the number of the demand's tasks that fit into `share`; all or none if it is indivisible.
 fn tasks_within_share(demand: &WaitingDemand, share: f64) -> usize {
     let tasks = if demand.share_per_task > 0.0 {
         (share / demand.share_per_task + TASK_COUNT_TOLERANCE) as usize
@@ -102,12 +105,13 @@
     tasks.min(demand.tasks)
 }
 
-/// For each demand how many of its tasks go before all other work because nothing of it has ever
-/// started, however its class and team fare: of overdue arrays one task each, up to the guaranteed
-/// share; of overdue gangs only the oldest, whatever its size.
+/// Returns for each demand the number of its tasks that are planned before all other work because
+/// none of them has ever started, whether or not its class or team is starving: one task of each
+/// overdue array, up to the guaranteed share, and all tasks of the oldest overdue gang, whatever its
+/// size.
 ///
-/// (A gang of a third of the machines never began beside small work of its own class: each machine
-/// that came free was taken before the last one did.)
+/// Without this rule a gang that needed a third of the machines never started while its class also
+/// had small jobs: they took each machine that came free before the gang had enough of them.
 pub fn overdue_tasks(now: f64, policy: &StarvationPolicy, demands: &[WaitingDemand]) -> Vec<usize> {
     let is_overdue =
         |demand: &WaitingDemand| !demand.has_started && now - demand.submitted_at > policy.max_wait_s;
--- a/crates/planner/src/tasks.rs
+++ b/crates/planner/src/tasks.rs
@@ -1,4 +1,4 @@
-//! Reservations of arrays and services: their tasks are placed one by one.
+//! Reservations for arrays and services, whose tasks are placed one by one.
 
 use crate::placement::PlacementOption;
 use crate::plan::{Reservation, Start};
@@ -9,29 +9,29 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The options of a job's next task, the best one on top.
+/// Placement options of a job's next task, the best one on top.
 type OptionHeap = BinaryHeap<Reverse<PlacementOption>>;
 
-/// An array or service whose tasks are being placed.
+/// State of placing the tasks of an array or a service.
 struct TaskSearch<'p> {
     job_index: usize,
     job: &'p Job,
     zone_load: ZoneLoad,
-    /// The zone to which the job is bound.
+    /// Zone to which the job is bound.
     zone: Option<usize>,
-    /// The tasks are alike and placing one changes the options on its machine only, so machines are
-    /// looked at once, not once for every task.
+    /// Remaining placement options. All tasks are alike and placing one changes only the options on
+    /// its machine, so each machine is examined once for the job instead of once for each task.
     options: OptionHeap,
-    /// Preemption is possible and has not been tried yet.
+    /// Whether preemption is possible and has not been tried yet.
     may_preempt: bool,
-    /// Tasks that start later than this preempt less urgent work.
-    patient_until: f64,
-    /// From the first task's start to the last one's end.
+    /// Latest start for which a task waits; to start sooner, it preempts less urgent work.
+    latest_acceptable_start: f64,
+    /// Reservation from the first task's start to the last task's end.
     reservation: Option<Reservation>,
 }
 
 impl TaskSearch<'_> {
-    /// The best option that the job's zones admit.
+    /// Removes and returns the best option that satisfies the job's zone constraints.
     fn next_option(&mut self, problem: &Problem) -> Option<PlacementOption> {
         while let Some(Reverse(option)) = self.options.pop() {
             let zone = problem.machines[option.machine].zone;
@@ -42,7 +42,7 @@
         None
     }
 
-    /// Widens the job's reservation by a task that runs from `starts_at` to `ends_at`.
+    /// Extends the job's reservation to include a task that runs from `starts_at` to `ends_at`.
     fn extend_reservation(&mut self, instance_type: usize, starts_at: f64, ends_at: f64) {
         let reservation = self.reservation.get_or_insert(Reservation {
             job: self.job_index,
@@ -57,8 +57,8 @@
 }
 
 impl<'a> Planner<'a> {
-    /// Reserves capacity for the tasks of an array or a service. Its first `started` pending tasks
-    /// have just been started.
+    /// Reserves capacity for the tasks of an array or a service, except for its first `started`
+    /// pending tasks, which this plan already starts.
     pub(crate) fn reserve_tasks(&mut self, job_index: usize, started: usize) -> Option<Reservation> {
         let job = &self.problem.jobs[job_index];
         if !self.fits_team_quota(job, 1) {
@@ -70,17 +70,18 @@
             if !self.fits_team_quota(job, 1) {
                 break;
             }
-            let found = search.next_option(self.problem);
-            let is_patient = found.is_some_and(|option| option.starts_at <= search.patient_until);
-            if search.may_preempt && !is_patient {
-                let placed = self.try_preemption(&mut search, found, pending.len());
+            let candidate = search.next_option(self.problem);
+            let starts_soon_enough =
+                candidate.is_some_and(|option| option.starts_at <= search.latest_acceptable_start);
+            if search.may_preempt && !starts_soon_enough {
+                let placed = self.try_preemption(&mut search, candidate, pending.len());
                 pending = &pending[placed..];
                 continue;
             }
             if search.reservation.is_none() {
-                self.record_misfit_outside_windows(job, found);
+                self.record_unplaceable_outside_windows(job, candidate);
             }
-            let Some(option) = found.filter(|option| self.may_take(job, option)) else { break };
+            let Some(option) = candidate.filter(|option| self.may_use(job, option)) else { break };
             self.place_task(&mut search, task, option);
             pending = later;
         }
@@ -98,16 +99,16 @@
             zone_load.add(problem.machines[start.machine].zone, 1);
         }
         let zone = if job.one_zone { zone_load.first_used().or_else(|| self.best_zone(job)) } else { None };
-        // Preemption does not look at zones.
+        // Preemption for arrays ignores zone constraints, so it is not used for jobs that have them.
         let has_zone_rules = job.one_zone || job.max_per_zone.is_some();
         let may_preempt = !job.probing
             && !job.best_effort
             && !has_zone_rules
             && self.preemptible.iter().any(|task| may_preempt(job, task));
-        // What is not guaranteed waits as long as it would still be in time.
-        let mut patient_until = problem.now + problem.preemption_wait_s;
+        // Work that is not covered by a guarantee waits as long as it can still meet its deadline.
+        let mut latest_acceptable_start = problem.now + problem.preemption_wait_s;
         if !job.guaranteed {
-            patient_until = patient_until.max(job.deadline - job.run_s);
+            latest_acceptable_start = latest_acceptable_start.max(job.deadline - job.run_s);
         }
         TaskSearch {
             job_index,
@@ -116,7 +117,7 @@
             zone,
             options: self.option_heap(job, zone),
             may_preempt,
-            patient_until,
+            latest_acceptable_start,
             reservation: None,
         }
     }
@@ -125,16 +126,16 @@
         self.placement_options(job, None, zone).into_iter().map(Reverse).collect()
     }
 
-    /// Preempts less urgent work for up to `pending` tasks. Returns how many tasks are placed.
+    /// Preempts less urgent work for up to `pending` tasks. Returns the number of tasks placed.
     fn try_preemption(
         &mut self,
         search: &mut TaskSearch,
-        found: Option<PlacementOption>,
+        candidate: Option<PlacementOption>,
         pending: usize,
     ) -> usize {
         search.may_preempt = false;
         let Some(preempted) = self.preempt_for_tasks(search.job_index, pending) else {
-            search.options.extend(found.map(Reverse));
+            search.options.extend(candidate.map(Reverse));
             return 0;
         };
         search.reservation.get_or_insert(preempted.reservation);
@@ -142,22 +143,23 @@
         preempted.tasks
     }
 
-    /// Remembers the job as a misfit if not even its first task starts inside a window.
-    fn record_misfit_outside_windows(&mut self, job: &Job, found: Option<PlacementOption>) {
-        let soonest = found.map_or(f64::MAX, |option| option.starts_at);
-        if !self.window_is_reachable(job, soonest) {
-            self.record_misfit(job);
+    /// Records the job as unplaceable if its first task cannot start inside a window.
+    fn record_unplaceable_outside_windows(&mut self, job: &Job, candidate: Option<PlacementOption>) {
+        let earliest_start = candidate.map_or(f64::MAX, |option| option.starts_at);
+        if !self.window_is_reachable(job, earliest_start) {
+            self.record_unplaceable(job);
         }
     }
 
-    /// Whether the start lies inside the window; a probing job takes free capacity only.
-    fn may_take(&self, job: &Job, option: &PlacementOption) -> bool {
+    /// Whether the job may use the option: its start lies inside the window and, for a probing job,
+    /// is not delayed.
+    fn may_use(&self, job: &Job, option: &PlacementOption) -> bool {
         let instance_type = self.problem.machines[option.machine].instance_type;
         let delayed = option.starts_at > self.problem.now;
         self.is_inside_window(instance_type, option.starts_at) && !(job.probing && delayed)
     }
 
-    /// Starts or reserves a task.
+    /// Starts a task if the option starts now, else reserves capacity for it.
     fn place_task(&mut self, search: &mut TaskSearch, task: u32, option: PlacementOption) {
         let job = search.job;
         let machine = &self.problem.machines[option.machine];
@@ -179,8 +181,8 @@
         }
     }
 
-    /// The zone that can start most tasks of a job bound to one zone; `None` if no zone can start
-    /// any.
+    /// Returns the zone that can start the most tasks of a job bound to one zone; `None` if no zone
+    /// can start any.
     fn best_zone(&self, job: &Job) -> Option<usize> {
         let mut instances = vec![0u32; self.problem.zones];
         for &machine in &self.open_machines {
--- a/crates/planner/src/timeline.rs
+++ b/crates/planner/src/timeline.rs
@@ -1,9 +1,9 @@
-//! A machine's future while a plan is made.
+//! Future use of a machine while a plan is made.
 
 use crate::problem::{Machine, RunningTask};
 use crate::resources::Resources;
 
-/// Resources that a job has reserved from some time on.
+/// Resources that are reserved for a job from a given time on.
 struct FutureUse {
     starts_at: f64,
     resources: Resources,
@@ -13,18 +13,18 @@
 pub(crate) struct MachineTimeline {
     /// Resources that are free now.
     pub(crate) free: Resources,
-    /// Running tasks, the soonest end first.
+    /// Running tasks in ascending order of their end.
     pub(crate) running: Vec<RunningTask>,
-    /// Reservations of jobs that were planned before.
+    /// Reservations of jobs that this plan has already placed.
     reserved: Vec<FutureUse>,
-    /// What remains for good once all running work has ended or was preempted.
+    /// Resources that are not reserved, assuming that all running work has ended or was preempted.
     unreserved: Resources,
-    /// The latest start of a reservation.
+    /// Latest start of all reservations.
     last_reserved_start: f64,
 }
 
 impl MachineTimeline {
-    /// The machine as it is now.
+    /// Creates the timeline of a machine in its current state, without reservations.
     pub(crate) fn of(machine: &Machine) -> Self {
         let mut running = machine.running.clone();
         running.sort_by(|a, b| a.ends_at.total_cmp(&b.ends_at));
@@ -41,18 +41,19 @@
         }
     }
 
-    /// Whether some job has a reservation here.
+    /// Whether some job has a reservation on this machine.
     pub(crate) fn has_reservations(&self) -> bool {
         !self.reserved.is_empty()
     }
 
-    /// Whether nothing that needs `least` or more and runs `run_s` or longer fits here any more, now
-    /// or later.
-    pub(crate) fn is_full(&self, now: f64, least: &Resources, run_s: f64) -> bool {
-        !self.unreserved.fits(least) && (self.reserved.is_empty() || now + run_s > self.last_reserved_start)
+    /// Whether no task that needs at least `need` and runs for at least `run_s` fits on this machine,
+    /// now or later.
+    pub(crate) fn is_full(&self, now: f64, need: &Resources, run_s: f64) -> bool {
+        !self.unreserved.fits(need) && (self.reserved.is_empty() || now + run_s > self.last_reserved_start)
     }
 
-    /// Earliest time, at or after `not_before`, at which `need` fits for a run of `run_s` seconds.
+    /// Returns the earliest time, at or after `not_before`, at which `need` fits for a run of `run_s`
+    /// seconds.
     pub(crate) fn earliest_start(&self, not_before: f64, need: &Resources, run_s: f64) -> Option<f64> {
         let mut start = not_before;
         if self.is_full(start, need, run_s) {
@@ -73,13 +74,13 @@
         }
     }
 
-    /// What of `free` no reservation needs before `end`.
+    /// Returns the part of `free` that is not reserved at any time before `end`.
     fn without_reservations(&self, free: Resources, end: f64) -> Resources {
-        let mut left = free;
+        let mut remaining = free;
         for reservation in self.reserved.iter().filter(|reservation| end > reservation.starts_at) {
-            left.subtract(&reservation.resources);
+            remaining.subtract(&reservation.resources);
         }
-        left
+        remaining
     }
 
     /// Starts a task now.
@@ -89,17 +90,17 @@
         self.running.insert(position, task);
     }
 
-    /// Keeps `resources` free from `starts_at` on.
+    /// Reserves `resources` from `starts_at` on.
     pub(crate) fn reserve(&mut self, starts_at: f64, resources: Resources) {
         self.reserved.push(FutureUse { starts_at, resources });
         self.unreserved.subtract(&resources);
         self.last_reserved_start = self.last_reserved_start.max(starts_at);
     }
 
-    /// Preempts the running tasks at `positions`: they end at `ends_at`. Returns their ids.
+    /// Preempts the running tasks at `positions`, which then end at `ends_at`. Returns their ids.
     ///
-    /// The tasks are changed in place and sorted again afterwards. (They were once taken out and put
-    /// in front one by one, which moved the positions of the others: the wrong work was stopped.)
+    /// The tasks are changed in place and sorted afterwards. Moving them one by one would shift the
+    /// positions of the others, so that the wrong tasks would be preempted.
     pub(crate) fn preempt(&mut self, positions: &[usize], ends_at: f64) -> Vec<usize> {
         let mut task_ids = Vec::new();
         for &position in positions {
--- a/crates/planner/src/misfit.rs
+++ b/crates/planner/src/unplaceable.rs
@@ -1,18 +1,18 @@
-//! Jobs that found no capacity, remembered to spare similar jobs the search.
+//! Jobs that found no capacity, recorded so that the search is skipped for similar jobs.
 
 use crate::problem::{Job, Shape};
 use crate::resources::Resources;
 
-/// A job that found no capacity. Capacity only shrinks while a plan is made, so a job that asks
-/// for as much or more finds none either: under a backlog most jobs are skipped without a look at
-/// the machines.
-pub(crate) struct KnownMisfit {
+/// Requirements of a job that found no capacity. Capacity only shrinks while a plan is made, so a job
+/// that needs at least as much finds none either. Under a backlog most jobs are skipped this way
+/// without examining any machine.
+pub(crate) struct UnplaceableJob {
     shape: Shape,
     priority: u8,
     resources: Resources,
     tasks: usize,
-    /// Time that its run takes where the fetch is slowest, in seconds: a job whose run alone takes as
-    /// long is no easier to place.
+    /// Run time including the slowest image fetch, in seconds. A job whose run alone takes at least
+    /// this long is no easier to place.
     run_s: f64,
     instance_types: Vec<usize>,
     spot: bool,
@@ -21,10 +21,11 @@
     one_zone: bool,
 }
 
-impl KnownMisfit {
-    /// `run_s` is the time that the job's run takes where the fetch is slowest, in seconds.
+impl UnplaceableJob {
+    /// Records the requirements of `job`. `run_s` is its run time including the slowest image fetch,
+    /// in seconds.
     pub(crate) fn of(job: &Job, run_s: f64) -> Self {
-        KnownMisfit {
+        UnplaceableJob {
             shape: job.shape,
             priority: job.priority,
             resources: job.resources,
@@ -38,12 +39,12 @@
         }
     }
 
-    /// The same job, as a misfit for jobs of any priority and run time.
+    /// Records the requirements of `job` such that they cover jobs of any priority and run time.
     pub(crate) fn for_any_priority(job: &Job) -> Self {
-        KnownMisfit { priority: u8::MAX, ..KnownMisfit::of(job, 0.0) }
+        UnplaceableJob { priority: u8::MAX, ..UnplaceableJob::of(job, 0.0) }
     }
 
-    /// Whether `job` asks for as much or more, and so finds no capacity either.
+    /// Whether `job` needs at least as much as this one and therefore finds no capacity either.
     pub(crate) fn covers(&self, job: &Job) -> bool {
         let gang = job.shape == Shape::Gang;
         gang == (self.shape == Shape::Gang)
--- a/crates/planner/src/work_conservation.rs
+++ b/crates/planner/src/work_conservation.rs
@@ -1,20 +1,21 @@
-//! Work conservation: capacity that is free now must not stay idle beside a job for long.
+//! Work conservation: free capacity must not stay idle for long while a job that could use it waits.
 //!
-//! Free capacity may be kept from a job: a reservation of a more urgent job would overlap with it,
-//! the job failed on that machine, or the machine is kept ready for usual arrivals. The caller
-//! counts how long a job has been in [`crate::Plan::waiting_beside_capacity`] and, once that is too
-//! long, sets [`Job::waits_beside_capacity`], which gives it the capacity.
+//! A job may be denied free capacity because its run would overlap with the reservation of a more
+//! urgent job, because it failed on that machine, or because the machine is kept ready for usual
+//! arrivals. The caller measures how long a job has been in
+//! [`crate::Plan::waiting_beside_capacity`] and, once that is too long, sets
+//! [`Job::waits_beside_capacity`], which gives the job the capacity.
 
-use crate::misfit::KnownMisfit;
 use crate::placement::PlacementOption;
 use crate::plan::Start;
 use crate::planner::Planner;
 use crate::problem::{Job, Shape};
+use crate::unplaceable::UnplaceableJob;
 use crate::zones::{zone_choices, ZoneLoad};
 
 impl Planner<'_> {
-    /// Gives a job the capacity that is free now, whatever is reserved there. Returns how many of
-    /// its tasks start.
+    /// Starts tasks of a job on capacity that is free now, even if it is reserved for a later time.
+    /// Returns the number of tasks started.
     pub(crate) fn start_on_free_capacity(&mut self, job_index: usize) -> usize {
         let problem = self.problem;
         let job = &problem.jobs[job_index];
@@ -36,7 +37,7 @@
         chosen.len()
     }
 
-    /// Those of the `waiting` jobs that could start tasks on capacity that is free now.
+    /// Returns those of the `waiting` jobs that could start tasks on capacity that is free now.
     pub(crate) fn jobs_waiting_beside_capacity(&mut self, waiting: &[usize]) -> Vec<usize> {
         let problem = self.problem;
         let machines_with_room = self.machines_with_room();
@@ -44,25 +45,27 @@
             return Vec::new();
         }
         let mut beside_capacity = Vec::new();
-        // A job that found nothing speaks for all that ask for as much.
-        let mut misfits: Vec<KnownMisfit> = Vec::new();
+        // Jobs that found no free capacity; jobs that need at least as much are not searched for.
+        let mut unplaceable_jobs: Vec<UnplaceableJob> = Vec::new();
         for &job_index in waiting {
             let job = &problem.jobs[job_index];
             self.plan.steps += 1;
-            if self.tasks_within_quota(job) == 0 || misfits.iter().any(|misfit| misfit.covers(job)) {
+            if self.tasks_within_quota(job) == 0
+                || unplaceable_jobs.iter().any(|unplaceable| unplaceable.covers(job))
+            {
                 continue;
             }
             let bound_to_its_zone = job.one_zone && job.shape != Shape::Gang;
             if !self.free_machines_for(job, &machines_with_room, job.pending_tasks.len()).is_empty() {
                 beside_capacity.push(job_index);
             } else if job.max_per_zone.is_none() && !bound_to_its_zone {
-                misfits.push(KnownMisfit::for_any_priority(job));
+                unplaceable_jobs.push(UnplaceableJob::for_any_priority(job));
             }
         }
         beside_capacity
     }
 
-    /// Machines that are up and could run the smallest task now.
+    /// Returns the machines that are up and could run the smallest task now.
     fn machines_with_room(&self) -> Vec<usize> {
         let problem = self.problem;
         let smallest = &self.smallest_need.resources;
@@ -72,8 +75,8 @@
             .collect()
     }
 
-    /// Those of `machines` that can start the job's tasks now, one entry for each task: a gang's
-    /// all or none, of others as many as possible, up to `max_tasks`.
+    /// Selects machines from `machines` that can start tasks of the job now, one entry for each task:
+    /// for a gang all tasks or none, for other jobs as many as possible, up to `max_tasks`.
     fn free_machines_for(&mut self, job: &Job, machines: &[usize], max_tasks: usize) -> Vec<usize> {
         let load = ZoneLoad::of(job, self.problem.zones);
         let zones = match load.first_used() {
@@ -95,8 +98,8 @@
         best
     }
 
-    /// Options to start a task of the job now, the best first. Machines that it failed on count:
-    /// one more attempt there is better than none.
+    /// Returns the options to start a task of the job now, best first. Machines on which it failed are
+    /// included, because another attempt there is better than none.
     fn immediate_options(&self, job: &Job, machines: &[usize]) -> Vec<PlacementOption> {
         let now = self.problem.now;
         let mut options: Vec<PlacementOption> = machines
@@ -109,8 +112,8 @@
         options
     }
 
-    /// Fills the machines of the options in order, up to `max_tasks` tasks and the limit of each
-    /// zone.
+    /// Fills the machines of the options in order, up to `max_tasks` tasks and the job's limit for
+    /// each zone. Returns the machine of each task.
     fn pick_machines(
         &self,
         job: &Job,
--- a/crates/planner/src/zones.rs
+++ b/crates/planner/src/zones.rs
@@ -1,8 +1,8 @@
-//! Zones: which ones a job may choose, and how many of its tasks each may take.
+//! Zone constraints: the zones that a job may choose, and the number of its tasks in each zone.
 
 use crate::problem::Job;
 
-/// The zones to try one by one for a job; `None` stands for machines of any zone.
+/// Returns the zones to try one by one for a job; `None` stands for machines of any zone.
 pub(crate) fn zone_choices(job: &Job, zones: usize) -> Vec<Option<usize>> {
     if job.one_zone {
         (0..zones).map(Some).collect()
@@ -11,7 +11,7 @@
     }
 }
 
-/// How many tasks of a job each zone has, and how many it may have.
+/// Number of tasks of a job in each zone, and the maximum for a zone.
 #[derive(Clone)]
 pub(crate) struct ZoneLoad {
     tasks: Vec<u32>,
@@ -19,29 +19,29 @@
 }
 
 impl ZoneLoad {
-    /// The load by the tasks that are placed already.
+    /// Counts the tasks of the job that are already placed.
     pub(crate) fn of(job: &Job, zones: usize) -> Self {
         let mut tasks = job.placed_per_zone.clone();
         tasks.resize(zones, 0);
         ZoneLoad { tasks, max: job.max_per_zone }
     }
 
-    /// Whether the zone may take no more tasks.
+    /// Whether the zone has reached the maximum number of tasks.
     pub(crate) fn is_full(&self, zone: usize) -> bool {
         self.max.is_some_and(|max| self.tasks[zone] >= max)
     }
 
-    /// How many tasks the zone may still take.
+    /// Returns the number of tasks that may still be placed in the zone.
     pub(crate) fn remaining(&self, zone: usize) -> usize {
         self.max.map_or(usize::MAX, |max| max.saturating_sub(self.tasks[zone]) as usize)
     }
 
-    /// Counts tasks that are placed in the zone.
+    /// Adds tasks that are placed in the zone.
     pub(crate) fn add(&mut self, zone: usize, tasks: u32) {
         self.tasks[zone] += tasks;
     }
 
-    /// The first zone that has any of the tasks.
+    /// Returns the first zone that has any of the tasks.
     pub(crate) fn first_used(&self) -> Option<usize> {
         self.tasks.iter().position(|&tasks| tasks > 0)
     }
--- a/crates/planner/tests/common/mod.rs
+++ b/crates/planner/tests/common/mod.rs
@@ -1,8 +1,9 @@
-//! Builders of small problems.
+//! Builders for small planning problems.
 
 use anisecroft_planner::*;
 
-/// Type 0: 4 accelerators at 4.0 (1.0 each); type 1: 2 accelerators at 6.0 (3.0 each).
+/// Returns two machine types. Type 0 has 4 accelerators at a price of 4.0 (1.0 each), type 1 has 2 at
+/// 6.0 (3.0 each).
 pub fn types() -> Vec<InstanceType> {
     let instance_type = |accelerators: f64, price: f64| InstanceType {
         size: Resources::new(100.0, accelerators, 100.0),
@@ -13,7 +14,7 @@
     vec![instance_type(4.0, 4.0), instance_type(2.0, 6.0)]
 }
 
-/// A task of team 0 that must not be preempted.
+/// Returns a running task of team 0 that must not be preempted.
 pub fn running(ends_at: f64, resources: Resources) -> RunningTask {
     RunningTask {
         ends_at,
@@ -26,7 +27,7 @@
     }
 }
 
-/// An empty on-demand machine that holds image 1.
+/// Returns an empty on-demand machine that holds image 1.
 pub fn machine(instance_type: usize, zone: usize) -> Machine {
     Machine {
         instance_type,
@@ -40,7 +41,7 @@
     }
 }
 
-/// A job of team 0 that may use both types and holds image 1 everywhere.
+/// Returns a job of team 0 that may use both types and runs image 1.
 pub fn job(shape: Shape, tasks: u32, accelerators: f64, run_s: f64, deadline: f64) -> Job {
     Job {
         priority: 1,
@@ -73,7 +74,7 @@
     }
 }
 
-/// Two zones, one team without limits, at time 0.
+/// Returns a problem at time 0 with two zones and one team without limits.
 pub fn problem(machines: Vec<Machine>, jobs: Vec<Job>) -> Problem {
     Problem {
         now: 0.0,
--- a/crates/planner/tests/starvation.rs
+++ b/crates/planner/tests/starvation.rs
@@ -1,4 +1,4 @@
-//! The starvation guard, as pure functions.
+//! Properties of starvation prevention.
 
 use anisecroft_planner::starvation::{
     guaranteed_tasks, overdue_tasks, starving_groups, StarvationPolicy, WaitingDemand,
@@ -8,7 +8,7 @@
 const POLICY: StarvationPolicy =
     StarvationPolicy { guaranteed_share: 0.1, max_wait_s: 60.0, reservation_s: 40.0 };
 
-/// When the functions are asked; demands are submitted between 0 and this.
+/// Current time of the tests; demands are submitted between 0 and this time.
 const NOW: f64 = 200.0;
 
 fn demand() -> impl Strategy<Value = WaitingDemand> {
@@ -25,10 +25,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// No more than the guaranteed share is granted, nothing to groups that hold theirs or have not
-    /// waited, and a gang in whole or not at all.
+    /// No more than the guaranteed share is granted. Groups that hold their share or have not waited
+    /// get nothing, and a gang gets all or none of its tasks.
     #[test]
-    fn grants_keep_to_the_guaranteed_share(
+    fn grants_stay_within_the_guaranteed_share(
         demands in prop::collection::vec(demand(), 0..30),
         held_shares in prop::collection::vec(0.0..0.2f64, 6..7),
     ) {
@@ -48,10 +48,10 @@
         }
     }
 
-    /// Of overdue arrays one task each starts, within the guaranteed share, and of overdue gangs the
-    /// oldest one alone; nothing else.
+    /// One task of each overdue array is granted, within the guaranteed share, and the whole of the
+    /// oldest overdue gang; nothing else.
     #[test]
-    fn overdue_work_starts(demands in prop::collection::vec(demand(), 0..30)) {
+    fn overdue_grants_are_one_task_per_array_and_the_oldest_gang(demands in prop::collection::vec(demand(), 0..30)) {
         let granted = overdue_tasks(NOW, &POLICY, &demands);
         let is_overdue = |demand: &WaitingDemand| !demand.has_started && has_waited_long(demand);
         let mut arrays_share = 0.0;
--- a/crates/planner/tests/work_conservation.rs
+++ b/crates/planner/tests/work_conservation.rs
@@ -1,11 +1,12 @@
-//! Capacity that is free now, and what may keep a job from it.
+//! Use of capacity that is free now, and the conditions that may keep a job from using it.
 
 mod common;
 
 use anisecroft_planner::*;
 use common::*;
 
-/// A machine with one of four accelerators free; a task that ends at `ends_at` holds the others.
+/// Returns a machine with one of four accelerators free; a task that ends at `ends_at` uses the
+/// others.
 fn partly_used_machine(ends_at: f64, endless: bool) -> Machine {
     let held = Resources::new(1.0, 3.0, 1.0);
     let mut machine = machine(0, 0);
@@ -14,10 +15,10 @@
     machine
 }
 
-/// A job that needs a whole machine has a reservation in 60 s. A task that takes longer waits beside
-/// the free accelerator, until it has done so for too long.
+/// A job that needs the whole machine has a reservation in 60 s. Tasks that take longer do not get the
+/// free accelerator until their job has waited too long.
 #[test]
-fn a_reservation_does_not_keep_capacity_idle_for_ever() {
+fn a_reservation_does_not_keep_capacity_idle_forever() {
     let whole_machine = Job { priority: 2, ..job(Shape::Array, 1, 4.0, 50.0, 500.0) };
     let long_job = job(Shape::Array, 2, 1.0, 300.0, 1e6);
     let plan_with =
@@ -36,15 +37,15 @@
     let without_room = plan_with(vec![partly_used_machine(60.0, false)], gang.clone());
     assert_eq!((without_room.starts.len(), without_room.waiting_beside_capacity.len()), (0, 0));
 
-    // It may use several machine types then.
+    // On free capacity, a gang may use several machine types.
     let gang = Job { pending_tasks: (0..3).collect(), ..gang };
     let on_two_types = plan_with(vec![partly_used_machine(60.0, false), machine(1, 1)], gang);
     assert_eq!(on_two_types.starts.len(), 3);
 }
 
-/// A machine that a job failed on is not used, until the job has waited beside it for too long.
+/// A machine on which a job failed is not used again until the job has waited too long for capacity.
 #[test]
-fn an_excluded_machine_is_tried_again_in_the_end() {
+fn an_excluded_machine_is_used_again_after_a_long_wait() {
     let excluding = Job { excluded_machines: vec![0], ..job(Shape::Array, 2, 1.0, 300.0, 1e6) };
     let waiting = plan(&problem(vec![machine(0, 0)], vec![excluding.clone()]));
     assert_eq!(waiting.waiting_beside_capacity, [0]);
@@ -52,15 +53,15 @@
     assert_eq!(plan(&problem(vec![machine(0, 0)], vec![overdue])).starts.len(), 2);
 }
 
-/// Zone constraints hold for jobs that take free capacity too.
+/// Zone constraints also apply to jobs that take free capacity.
 #[test]
 fn free_capacity_is_used_within_the_zone_constraints() {
     let overdue_job =
         |tasks: u32| Job { waits_beside_capacity: true, ..job(Shape::Array, tasks, 2.0, 50.0, 500.0) };
     let machines = || vec![machine(0, 0), machine(0, 1), machine(0, 1)];
     let zones_used = |job: Job| {
-        let made = plan(&problem(machines(), vec![job]));
-        made.starts.iter().map(|start| machines()[start.machine].zone).collect::<Vec<_>>()
+        let result = plan(&problem(machines(), vec![job]));
+        result.starts.iter().map(|start| machines()[start.machine].zone).collect::<Vec<_>>()
     };
     let in_one_zone = Job { one_zone: true, ..overdue_job(6) };
     assert_eq!(zones_used(Job { placed_per_zone: vec![1, 0], ..in_one_zone.clone() }), [0, 0]);
@@ -70,9 +71,9 @@
     assert_eq!(zones_used(Job { zone: Some(0), ..overdue_job(6) }), [0, 0]);
 }
 
-/// Nothing is reserved behind a service: a job that waits for its machine needs another one.
+/// No reservation waits for the end of a service: a job that needs its machine needs another one.
 #[test]
-fn nothing_is_reserved_behind_a_service() {
+fn no_reservation_waits_for_the_end_of_a_service() {
     let whole_machine = job(Shape::Array, 1, 4.0, 50.0, 1e9);
     let late_tasks =
         |machine: Machine| plan(&problem(vec![machine], vec![whole_machine.clone()])).unmet[0].late_tasks;
@@ -80,25 +81,27 @@
     assert_eq!(late_tasks(partly_used_machine(3600.0, true)), 1);
 }
 
-/// The team's limit admits two more tasks: no machine is missing for the others.
+/// The team's limit admits only two more tasks beyond the one that starts, so only these count as
+/// unmet demand.
 #[test]
-fn work_beyond_a_team_limit_is_no_unmet_demand() {
+fn work_beyond_a_team_limit_is_not_unmet_demand() {
     let array = job(Shape::Array, 9, 4.0, 50.0, 10.0);
     let mut problem = problem(vec![machine(0, 0)], vec![array.clone(), array.clone()]);
     problem.teams[0].accelerators_left = Some(12.0);
-    let made = plan(&problem);
-    let unmet_tasks: u32 = made.unmet.iter().map(|demand| demand.tasks).sum();
-    assert_eq!((made.starts.len(), unmet_tasks), (1, 2));
+    let result = plan(&problem);
+    let unmet_tasks: u32 = result.unmet.iter().map(|demand| demand.tasks).sum();
+    assert_eq!((result.starts.len(), unmet_tasks), (1, 2));
     let gang = Job { shape: Shape::Gang, pending_tasks: (0..4).collect(), ..array };
     problem.jobs = vec![gang];
     assert_eq!(plan(&problem).unmet, []);
 }
 
-/// A job that may use spot machines only and finds none is no misfit for other jobs.
+/// A job that may use only spot machines and finds none does not cause the search to be skipped for
+/// other jobs.
 #[test]
-fn a_spot_only_misfit_does_not_cover_other_jobs() {
+fn an_unplaceable_spot_only_job_does_not_cover_other_jobs() {
     let spot_allowed = Job { spot: true, best_effort: true, ..job(Shape::Array, 1, 1.0, 50.0, 1e9) };
     let spot_only = Job { spot_only: true, ..spot_allowed.clone() };
-    let made = plan(&problem(vec![machine(0, 0)], vec![spot_only, spot_allowed]));
-    assert_eq!(made.starts, [Start { job: 1, task: 0, machine: 0 }]);
+    let result = plan(&problem(vec![machine(0, 0)], vec![spot_only, spot_allowed]));
+    assert_eq!(result.starts, [Start { job: 1, task: 0, machine: 0 }]);
 }
