--- a/crates/settings/build.rs
+++ b/crates/settings/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the operators' settings to a descriptor; `protox` needs no protoc.
+//! Compiles `operator.proto` to a file descriptor set with `protox`, which needs no `protoc`.
 
 use std::path::PathBuf;
 
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,19 +1,19 @@
-//! Why settings are refused, in one line each.
+//! Errors in settings files; each is reported in a single line.
 
 use std::fmt;
 use std::path::Path;
 
-/// A place in a settings file, counted from 1.
+/// Position in a settings file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Position {
-    /// Line.
+    /// Line, counted from 1.
     pub line: usize,
-    /// Column in bytes, where it is known.
+    /// Column in bytes, counted from 1, if it is known.
     pub column: Option<usize>,
 }
 
 impl Position {
-    /// Line and column of a byte offset.
+    /// Returns the line and column of a byte offset.
     pub(crate) fn of_offset(text: &str, offset: usize) -> Self {
         let before = &text[..offset.min(text.len())];
         let line = before.matches('\n').count() + 1;
@@ -32,7 +32,7 @@
     }
 }
 
-/// A settings file that cannot be used. The text is a single line.
+/// Reason why a settings file cannot be used. Its text is a single line.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -40,32 +40,32 @@
     Read {
         /// Path of the file.
         path: String,
-        /// What the operating system says.
+        /// Error reported by the operating system.
         #[source]
         source: std::io::Error,
     },
-    /// The file is not of its format, or a field is missing or has the wrong type.
+    /// The file does not have the expected format, or a field is missing or has the wrong type.
     #[error("{}{cause}", prefix(*position))]
     Syntax {
-        /// Where, if it is known.
+        /// Position of the error, if it is known.
         position: Option<Position>,
-        /// What the parser says.
+        /// Error reported by the parser.
         cause: String,
     },
-    /// A field has a value that is out of range or contradicts another one.
+    /// The value of a field is out of range or contradicts another field.
     #[error("{}{field}: {problem}", prefix(*position))]
     Field {
-        /// Where, if it is known.
+        /// Position of the field, if it is known.
         position: Option<Position>,
-        /// Name of the field as it is in the file, with its sections.
+        /// Name of the field in the file, with its sections.
         field: String,
-        /// What is wrong with its value.
+        /// Problem with the value.
         problem: String,
     },
 }
 
 impl SettingsError {
-    /// A syntax error, its cause brought into one line.
+    /// Creates a syntax error, with the cause reduced to a single line.
     pub(crate) fn syntax(position: Option<Position>, cause: &dyn fmt::Display) -> Self {
         SettingsError::Syntax { position, cause: cause.to_string().replace('\n', " ") }
     }
@@ -75,7 +75,7 @@
     position.map_or_else(String::new, |position| format!("{position}: "))
 }
 
-/// The text of a settings file.
+/// Reads the text of a settings file.
 pub(crate) fn read_file(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path)
         .map_err(|source| SettingsError::Read { path: path.display().to_string(), source })
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings of a node: the file that the platform hands over, checked field by field, the
-//! operators' own settings, and the intervals that the program derives from both.
+//! Settings of a node: the settings file provided by the platform, which is validated field by field,
+//! the operator settings, and the intervals derived from the platform's settings.
 //!
-//! Fields have the names of the code; serde's attributes map them to the names in the file.
+//! Serde attributes map the names of the fields in the code to the names in the file.
 
 mod error;
 mod limits;
--- a/crates/settings/src/operator.rs
+++ b/crates/settings/src/operator.rs
@@ -1,4 +1,4 @@
-//! Operators' own settings, in protobuf text format (`proto/operator.proto`).
+//! Operator settings, in protobuf text format (`proto/operator.proto`).
 
 use crate::error::{read_file, Position, SettingsError};
 use miette::Diagnostic;
@@ -7,25 +7,26 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// The compiled `operator.proto`.
+/// File descriptor set compiled from `operator.proto`.
 const DESCRIPTOR: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/operator.bin"));
 
 /// Full name of the message in `operator.proto`.
 const MESSAGE_NAME: &str = "anisecroft.operator.v1.Operator";
 
-/// Operators' own settings; each has a default.
+/// Operator settings; each has a default.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Operator {
-    /// Machines kept ready beyond what is used, as a multiple of what usually arrives while one
-    /// boots. 0 to 10.
+    /// Machines kept ready in addition to those in use, as a multiple of the demand that usually
+    /// arrives during the boot of a machine. 0 to 10.
     pub reserve: f64,
-    /// An idle machine beyond the desired capacity is kept for this part of its boot time. 0 to 100.
+    /// Time for which an idle machine beyond the desired capacity is kept, as a multiple of its boot
+    /// time. 0 to 100.
     pub idle_hold: f64,
-    /// A boot that takes this many times the usual is considered stuck. 1.5 to 100.
+    /// Multiple of the usual boot time after which a boot is considered stuck. 1.5 to 100.
     pub boot_stuck: f64,
     /// Whether urgent jobs may preempt less urgent work.
     pub preempt: bool,
-    /// Seconds between two rounds of planning when nothing happens, 0.1 to 60; `None` stands for a
+    /// Seconds between two planning rounds when nothing happens, 0.1 to 60; `None` stands for a
     /// third of the heartbeat interval.
     pub tick_s: Option<f64>,
 }
@@ -37,18 +38,19 @@
 }
 
 impl Operator {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// If the file cannot be read, or for the reasons of [`Operator::parse`].
+    /// If the file cannot be read, or for the reasons listed at [`Operator::parse`].
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         Self::parse(&read_file(path)?)
     }
 
-    /// Parses and checks the text of a file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
-    /// If it is not in text format, names an unknown field, or a value is out of range.
+    /// If the text is not in protobuf text format or contains an unknown field, or if a value is out
+    /// of range.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let message = DynamicMessage::parse_text_format(message_descriptor()?, text)
             .map_err(|error| syntax_error(text, &error))?;
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform hands over (TOML). Unknown fields are ignored.
+//! Settings file provided by the platform (TOML). Unknown fields are ignored.
 
 use crate::error::{read_file, Position, SettingsError};
 use crate::limits::{CloudLimits, Resources, StateLimits};
@@ -7,7 +7,7 @@
 use std::net::SocketAddrV4;
 use std::path::Path;
 
-/// The whole file.
+/// Contents of the settings file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Settings {
     /// Name of this node.
@@ -16,23 +16,23 @@
     /// Zone of this node.
     #[serde(rename = "location")]
     pub zone: String,
-    /// Where clients and workers connect.
+    /// Address to which clients and workers connect.
     #[serde(rename = "front")]
     pub client_addr: SocketAddrV4,
-    /// Where the other controllers connect.
+    /// Address to which the other controllers connect.
     #[serde(rename = "back")]
     pub peer_addr: SocketAddrV4,
-    /// The other controllers.
+    /// Other controllers.
     #[serde(rename = "seeds", default)]
     pub peers: Vec<Peer>,
     /// Services that the node depends on.
     #[serde(rename = "external")]
     pub services: Services,
-    /// What is the same for all nodes.
+    /// Settings that are the same for all nodes.
     pub params: Params,
 }
 
-/// Another controller.
+/// Name and address of another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
     /// Its name.
@@ -41,17 +41,17 @@
     /// Its zone; empty if it is not known.
     #[serde(rename = "location", default)]
     pub zone: String,
-    /// Where it listens for controllers.
+    /// Address on which it listens for other controllers.
     #[serde(rename = "peer_addr")]
     pub addr: SocketAddrV4,
 }
 
-/// Services that the node depends on.
+/// Addresses of the services that the node depends on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Services {
-    /// The cloud's API.
+    /// Address of the cloud's API.
     pub cloud: SocketAddrV4,
-    /// The key-value store.
+    /// Address of the key-value store.
     #[serde(rename = "state")]
     pub store: SocketAddrV4,
 }
@@ -65,7 +65,7 @@
     /// Names of all zones.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// How far the clocks of two parties may differ, in milliseconds.
+    /// Maximum difference between the clocks of two parties, in milliseconds.
     #[serde(rename = "clock_error_ms", default)]
     pub clock_error_ms: f64,
     /// Teams and their quotas.
@@ -75,18 +75,19 @@
     #[serde(default)]
     #[serde(rename = "objectives")]
     pub slos: Vec<Slo>,
-    /// The workers' intervals.
+    /// Intervals of the workers.
     pub workers: Workers,
     /// Limits of the key-value store.
     #[serde(rename = "state")]
     pub store: StateLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
-    /// What the node itself may use.
+    /// Resources that the node itself may use.
     pub resources: Resources,
 }
 
-/// A team's guaranteed quota and its limit; 0 stands for none of either.
+/// Guaranteed quota and limit of a team. A quota of 0 guarantees nothing; a limit of 0 stands for no
+/// limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
     /// Its name.
@@ -105,24 +106,25 @@
     pub accelerators_max: f64,
 }
 
-/// A service-level objective.
+/// Service-level objective.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Slo {
-    /// What it is about: `wait` (until a job starts), `finished` (until a job is done), `deadline` (jobs
-    /// with a deadline) or `guarantee` (wait of what a guaranteed quota covers).
+    /// Quantity that it limits: `wait` (time until a job starts), `finished` (time until a job is
+    /// done), `deadline` (jobs with a deadline) or `guarantee` (wait of work that a guaranteed quota
+    /// covers).
     pub kind: String,
-    /// The class of jobs that it applies to; `None` for all.
+    /// Class of jobs that it applies to; `None` for all.
     #[serde(default)]
     pub class: Option<String>,
-    /// The duration that should not be exceeded, in seconds.
+    /// Duration that should not be exceeded, in seconds.
     #[serde(default)]
     #[serde(rename = "within_s")]
     pub threshold_s: Option<f64>,
-    /// The share of cases that should meet it, between 0 and 1.
+    /// Share of cases that should meet the objective, between 0 and 1.
     #[serde(default)]
     #[serde(rename = "share")]
     pub target_share: Option<f64>,
-    /// Up to this multiple of its deadline a job still counts.
+    /// Multiple of its deadline up to which a job counts as meeting the objective.
     #[serde(default)]
     #[serde(rename = "times")]
     pub deadline_factor: Option<f64>,
@@ -131,36 +133,36 @@
 /// Intervals of the workers, in seconds.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Workers {
-    /// Between two heartbeats.
+    /// Interval between two heartbeats.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// A worker without a response for this long stops all tasks.
+    /// Time without a response after which a worker stops all its tasks.
     pub lease_s: f64,
-    /// How long a task of a gang waits for the others before it gives up.
+    /// Time for which a task of a gang waits for the others before it gives up.
     pub gang_wait_s: f64,
-    /// How long a running task of a gang goes on without another one.
+    /// Time for which a running task of a gang continues after another one was lost.
     pub gang_peer_s: f64,
-    /// Within this time after a cancellation nothing of the job runs any more.
+    /// Time after a cancellation within which all tasks of the job have to end.
     pub cancel_s: f64,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
-    /// If the file cannot be read, or for the reasons of [`Settings::parse`].
+    /// If the file cannot be read, or for the reasons listed at [`Settings::parse`].
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         Self::parse(&read_file(path)?)
     }
 
-    /// Parses and checks the text of a file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
-    /// If it is not TOML, a field is missing or of the wrong type, or a value is out of range.
+    /// If the text is not TOML, a field is missing or has the wrong type, or a value is out of range.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Settings = toml::from_str(text).map_err(|error| {
-            // The error's own text spans several lines, because it shows the place. A refused start
-            // has to be one line, so only the line number and the cause are kept.
+            // The text of a TOML error spans several lines, because it quotes the input. The error has
+            // to be a single line, so only the line number and the cause are kept.
             let line = error.span().map(|span| text[..span.start.min(text.len())].lines().count().max(1));
             let position = line.map(|line| Position { line, column: None });
             SettingsError::syntax(position, &error.message())
--- a/crates/settings/src/validation.rs
+++ b/crates/settings/src/validation.rs
@@ -1,22 +1,22 @@
-//! Ranges of the platform's settings, and what one setting demands of another.
+//! Validation of the platform's settings: ranges of single settings and conditions between settings.
 
 use crate::error::SettingsError;
 use crate::platform::{Params, Peer, Settings, Slo, Team};
 use crate::timing::{Timing, CLOCK_DRIFT_FACTOR, GRACE_SHARE, MAX_EXPIRY_DELAY_S};
 
-/// Upper bound of all plain numbers.
+/// Upper bound of rates, durations, sizes and shares.
 const MAX_NUMBER: f64 = 1e7;
 
-/// Smallest limit of mutations in a transaction that is accepted.
+/// Smallest accepted value of the limit of mutations in a transaction.
 const MIN_TRANSACTION_OPS: usize = 2;
 
-/// Smallest number of sockets that is accepted.
+/// Smallest accepted number of sockets.
 const MIN_CONNECTIONS: usize = 16;
 
-type Check = Result<(), SettingsError>;
+type CheckResult = Result<(), SettingsError>;
 
-/// Checks all settings; the first problem is reported.
-pub(crate) fn check(settings: &Settings) -> Check {
+/// Checks all settings and reports the first problem.
+pub(crate) fn check(settings: &Settings) -> CheckResult {
     let params = &settings.params;
     require(!settings.node.is_empty(), "label", "empty")?;
     check_peers(&settings.node, &settings.peers)?;
@@ -30,8 +30,8 @@
     check_slos(&params.slos)
 }
 
-fn require(holds: bool, field: &str, problem: &str) -> Check {
-    if holds {
+fn require(condition: bool, field: &str, problem: &str) -> CheckResult {
+    if condition {
         return Ok(());
     }
     Err(SettingsError::Field { position: None, field: field.to_string(), problem: problem.to_string() })
@@ -45,21 +45,21 @@
     is_positive(number) && number <= MAX_NUMBER
 }
 
-fn is_amount(number: f64) -> bool {
+fn is_non_negative(number: f64) -> bool {
     number.is_finite() && number >= 0.0
 }
 
-fn check_peers(own_node: &str, peers: &[Peer]) -> Check {
+fn check_peers(own_node: &str, peers: &[Peer]) -> CheckResult {
     for (index, peer) in peers.iter().enumerate() {
-        let is_another = !peer.node.is_empty() && peer.node != own_node;
-        require(is_another, "seeds.label", "empty or this node's own")?;
+        let names_other_node = !peer.node.is_empty() && peer.node != own_node;
+        require(names_other_node, "seeds.label", "empty or this node's own")?;
         let is_repeated = peers[..index].iter().any(|earlier| earlier.node == peer.node);
         require(!is_repeated, "seeds.label", "named twice")?;
     }
     Ok(())
 }
 
-fn check_numbers(params: &Params) -> Check {
+fn check_numbers(params: &Params) -> CheckResult {
     for (field, number) in [
         ("params.workers.report_s", params.workers.heartbeat_interval_s),
         ("params.workers.lease_s", params.workers.lease_s),
@@ -84,7 +84,7 @@
     Ok(())
 }
 
-fn check_worker_intervals(settings: &Settings) -> Check {
+fn check_worker_intervals(settings: &Settings) -> CheckResult {
     let workers = &settings.params.workers;
     let cancel_exceeds_lease = workers.cancel_s > workers.lease_s;
     require(cancel_exceeds_lease, "params.workers.cancel_s", "must exceed lease_s")?;
@@ -93,9 +93,9 @@
     check_cancellation_time(settings)
 }
 
-/// Whether the workers of a leader that is cut off lose their leases in time for a cancellation,
-/// and whether a leader that is not cut off responds all the time (`docs/safety.md`).
-fn check_cancellation_time(settings: &Settings) -> Check {
+/// Checks that the workers of a partitioned leader lose their leases in time for a cancellation, and
+/// that a leader that is not partitioned responds without interruption (`docs/safety.md`).
+fn check_cancellation_time(settings: &Settings) -> CheckResult {
     let workers = &settings.params.workers;
     let timing = Timing::from(settings);
     let grace_and_lease_s = (timing.response_grace_s + workers.lease_s) * CLOCK_DRIFT_FACTOR;
@@ -104,10 +104,10 @@
     if cancellation_slack_s >= 0.0 && renewal_slack_s >= 0.0 {
         return Ok(());
     }
-    let for_renewals_s = (2.0 * timing.renewal_interval_s + timing.store_timeout_s) / GRACE_SHARE;
+    let needed_for_renewals_s = (2.0 * timing.renewal_interval_s + timing.store_timeout_s) / GRACE_SHARE;
     let lost_to_clocks_s = workers.lease_s * (CLOCK_DRIFT_FACTOR - 1.0) + MAX_EXPIRY_DELAY_S;
-    let for_cancellations_s = (lost_to_clocks_s / (1.0 - GRACE_SHARE * CLOCK_DRIFT_FACTOR)).ceil();
-    let needed_s = for_renewals_s.max(for_cancellations_s);
+    let needed_for_cancellations_s = (lost_to_clocks_s / (1.0 - GRACE_SHARE * CLOCK_DRIFT_FACTOR)).ceil();
+    let needed_s = needed_for_renewals_s.max(needed_for_cancellations_s);
     let actual_s = workers.cancel_s - workers.lease_s;
     let problem = format!(
         "leaves {actual_s:.1} s beyond lease_s, at least {needed_s:.1} are needed: \
@@ -116,20 +116,20 @@
     require(false, "params.workers.cancel_s", &problem)
 }
 
-fn check_store_limits(params: &Params) -> Check {
+fn check_store_limits(params: &Params) -> CheckResult {
     let store = &params.store;
-    let has_room = store.txn_ops >= MIN_TRANSACTION_OPS;
-    require(has_room, "params.state.txn_ops", "must be at least 2")?;
+    let is_large_enough = store.txn_ops >= MIN_TRANSACTION_OPS;
+    require(is_large_enough, "params.state.txn_ops", "must be at least 2")?;
     let Some(next) = &store.next else { return Ok(()) };
     for (name, limit) in [("rps", next.rps), ("write_rps", next.write_rps), ("value_kb", next.value_kb)] {
         let field = format!("params.state.next.{name}");
         require(limit.is_none_or(is_positive_and_bounded), &field, "must be a positive number")?;
     }
-    let has_room = next.txn_ops.is_none_or(|txn_ops| txn_ops >= MIN_TRANSACTION_OPS);
-    require(has_room, "params.state.next.txn_ops", "must be at least 2")
+    let is_large_enough = next.txn_ops.is_none_or(|txn_ops| txn_ops >= MIN_TRANSACTION_OPS);
+    require(is_large_enough, "params.state.next.txn_ops", "must be at least 2")
 }
 
-fn check_teams(teams: &[Team]) -> Check {
+fn check_teams(teams: &[Team]) -> CheckResult {
     for (index, team) in teams.iter().enumerate() {
         let field = format!("params.teams.{}", team.name);
         require(!team.name.is_empty(), "params.teams.name", "empty")?;
@@ -141,13 +141,13 @@
     Ok(())
 }
 
-/// A limit of 0 stands for none.
-fn check_quota(field: &str, guaranteed: f64, limit: f64) -> Check {
-    require(is_amount(guaranteed) && is_amount(limit), field, "amounts must not be negative")?;
+/// Checks a guaranteed quota against the limit, where a limit of 0 stands for no limit.
+fn check_quota(field: &str, guaranteed: f64, limit: f64) -> CheckResult {
+    require(is_non_negative(guaranteed) && is_non_negative(limit), field, "amounts must not be negative")?;
     require(limit <= 0.0 || guaranteed <= limit, field, "guarantee above the limit")
 }
 
-fn check_slos(slos: &[Slo]) -> Check {
+fn check_slos(slos: &[Slo]) -> CheckResult {
     for slo in slos {
         let is_share = slo.target_share.is_none_or(|share| (0.0..=1.0).contains(&share));
         require(is_share, "params.objectives.share", "must lie between 0 and 1")?;
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,19 +1,21 @@
-//! A wrong settings file stops the start with one line that names the field.
+//! Parsing and validation of settings. An invalid settings file is reported in one line that names the
+//! field.
 
 use anisecroft_settings::{Settings, Timing};
 
-const GOOD: &str = include_str!("../../../docs/example.toml");
+const VALID_SETTINGS: &str = include_str!("../../../docs/example.toml");
 
 #[test]
 fn the_documented_example_is_accepted_and_unknown_fields_are_ignored() {
-    let settings = Settings::parse(GOOD).unwrap();
+    let settings = Settings::parse(VALID_SETTINGS).unwrap();
     assert_eq!((settings.params.nodes, settings.peers.len()), (3, 2));
-    let with_unknown_fields = GOOD.replace("[params.state]", "[params.new]\nx = 1\n[params.state]\nnew = 2");
+    let with_unknown_fields =
+        VALID_SETTINGS.replace("[params.state]", "[params.new]\nx = 1\n[params.state]\nnew = 2");
     assert!(Settings::parse(&with_unknown_fields).is_ok());
 }
 
 #[test]
-fn each_wrong_value_is_named_in_one_line() {
+fn each_invalid_value_is_reported_in_one_line_with_its_field() {
     for (from, to, field) in [
         ("report_s = 3.0", "report_s = 0.0", "report_s"),
         ("lease_s = 19.0", "lease_s = -1.0", "lease_s"),
@@ -29,17 +31,17 @@
         ("txn_ops = 48", "txn_ops = 48\n[params.state.next]\ntxn_ops = 1", "params.state.next.txn_ops"),
         ("txn_ops = 48", "txn_ops = 48\n[params.state.next]\nrps = \"many\"", "line"),
     ] {
-        assert!(GOOD.contains(from), "{from}");
-        let error = Settings::parse(&GOOD.replace(from, to)).expect_err(field).to_string();
+        assert!(VALID_SETTINGS.contains(from), "{from}");
+        let error = Settings::parse(&VALID_SETTINGS.replace(from, to)).expect_err(field).to_string();
         assert!(error.contains(field) && !error.contains('\n'), "{field}: {error}");
     }
 }
 
-/// Writes fit the present limits and those that may hold at any moment.
+/// Writes have to fit both the current limits and the future ones, which may apply at any moment.
 #[test]
-fn sizes_fit_the_present_and_the_coming_limits() {
+fn effective_limits_fit_the_current_and_the_future_limits() {
     let limits = |next: &str| {
-        let text = GOOD.replace("txn_ops = 48", &format!("txn_ops = 48\n{next}"));
+        let text = VALID_SETTINGS.replace("txn_ops = 48", &format!("txn_ops = 48\n{next}"));
         let store = Settings::parse(&text).unwrap().params.store;
         (store.effective_value_kb(), store.effective_transaction_ops(), store.effective_write_rps())
     };
@@ -53,31 +55,32 @@
 
 #[test]
 fn tasks_of_a_partitioned_leader_end_in_time_for_a_cancellation() {
-    let settings = Settings::parse(GOOD).unwrap();
+    let settings = Settings::parse(VALID_SETTINGS).unwrap();
     let timing = Timing::from(&settings);
     let workers = &settings.params.workers;
-    // From the last confirmed renewal: the grace, a response on its way, the lease.
+    // Measured from the last confirmed renewal: the grace, a response in transit and the lease.
     assert!(timing.response_grace_s + workers.lease_s * 1.001 < workers.cancel_s);
     assert!(timing.leader_lease_s < workers.lease_s / 2.0);
     assert!(timing.response_grace_s > timing.leader_lease_s);
 }
 
-/// With too little time beyond the lease a leader would not respond between two renewals, or tasks
-/// would end too late for a cancellation. The error has the figures, and what it asks for is enough.
+/// If `cancel_s` exceeds the lease by too little, a leader does not respond without interruption or
+/// tasks end too late for a cancellation. The error contains the actual and the required time, and a
+/// margin just above the required time is accepted.
 #[test]
 fn a_cancellation_needs_time_beyond_the_lease() {
-    let with = |cancel_s: f64| {
-        let text = GOOD.replace("cancel_s = 39.0", &format!("cancel_s = {cancel_s:?}"));
+    let parse_with = |cancel_s: f64| {
+        let text = VALID_SETTINGS.replace("cancel_s = 39.0", &format!("cancel_s = {cancel_s:?}"));
         Settings::parse(&text).map(|_| ()).map_err(|error| error.to_string())
     };
-    let error = with(21.0).unwrap_err();
+    let error = parse_with(21.0).unwrap_err();
     let needed = "at least 4.5 are needed: raise it, or lower lease_s";
     assert_eq!(error, format!("params.workers.cancel_s: leaves 2.0 s beyond lease_s, {needed}"));
-    assert!(with(19.0 + 4.6).is_ok());
+    assert!(parse_with(19.0 + 4.6).is_ok());
 }
 
 #[test]
-fn operators_settings_have_defaults_ranges_and_positions() {
+fn operator_settings_have_defaults_and_ranges_and_errors_have_positions() {
     use anisecroft_settings::Operator;
     assert_eq!(Operator::parse("").unwrap(), Operator::default());
     let operator = Operator::parse("# comment\nreserve: 2\npreempt: false tick_s: 1.5").unwrap();
