--- a/crates/protocol/build.rs
+++ b/crates/protocol/build.rs
@@ -1,4 +1,4 @@
-//! Generates the controllers' own protocol; `protox` needs no protoc.
+//! Generates the code of the protocol between controllers; `protox` needs no `protoc`.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/peer.proto");
--- a/crates/protocol/src/cloud.rs
+++ b/crates/protocol/src/cloud.rs
@@ -1,11 +1,11 @@
-//! The cloud's API: machine types, and renting, listing and deleting machines.
+//! Messages of the cloud's API, which offers machine types and rents, lists and deletes machines.
 
 use serde::{Deserialize, Serialize};
 
-/// A machine type on offer.
+/// Machine type offered by the cloud.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the type.
     #[serde(rename = "sku")]
     pub name: String,
     /// Processor cores.
@@ -29,23 +29,23 @@
     /// Usual boot time in seconds.
     #[serde(rename = "bootS", default)]
     pub boot_s: f64,
-    /// Zones that offer it.
+    /// Zones in which the type is offered.
     #[serde(rename = "yards")]
     pub zones: Vec<String>,
 }
 
-/// All machine types.
+/// Response with all machine types.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// The types.
+    /// Machine types offered by the cloud.
     #[serde(rename = "breeds")]
     pub types: Vec<MachineType>,
 }
 
-/// A request for machines.
+/// Request to rent machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RentRequest {
-    /// Idempotency key: a repeated request with the same key rents nothing more.
+    /// Idempotency key: a repeated request with the same key rents no further machines.
     #[serde(rename = "booking")]
     pub request: String,
     /// Name of the machine type.
@@ -54,7 +54,7 @@
     /// Zone of the machines.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether spot machines are asked for.
+    /// Whether spot machines are requested.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// Number of machines, 1 to [`MAX_RENTED`].
@@ -62,40 +62,40 @@
     pub count: u32,
 }
 
-/// Maximum number of machines in a request.
+/// Maximum number of machines in a request to rent machines.
 pub const MAX_RENTED: u32 = 50;
 
-/// Maximum number of machines in a deletion.
+/// Maximum number of machines in a request to delete machines.
 pub const MAX_DELETED: usize = 100;
 
 /// Maximum number of machines on a page of the list.
 pub const MAX_LISTED: usize = 500;
 
-/// Ids of machines: rented, or to be deleted.
+/// Ids of the machines that were rented, or that a request deletes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Machines {
-    /// The ids.
+    /// Ids of the machines.
     #[serde(rename = "stalls")]
     pub machines: Vec<String>,
 }
 
-/// State of a machine as the cloud sees it.
+/// State of a machine as reported by the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// It is not up yet.
+    /// The machine is not up yet.
     #[serde(rename = "starting")]
     Booting,
-    /// It is up.
+    /// The machine is up.
     Running,
-    /// It did not boot or has failed.
+    /// The machine did not boot or has failed.
     Failed,
 }
 
-/// A machine on the cloud's list.
+/// Entry of the cloud's list of machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Its id.
+    /// Id of the machine.
     pub id: String,
     /// Address of its worker, if it is known.
     #[serde(rename = "endpoint", default, skip_serializing_if = "Option::is_none")]
@@ -103,13 +103,13 @@
     /// Name of its machine type.
     #[serde(rename = "breed")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether it is a spot machine.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// Its state.
+    /// State of the machine.
     #[serde(rename = "status")]
     pub state: MachineState,
     /// Seconds since it was rented.
@@ -117,10 +117,10 @@
     pub age_s: f64,
 }
 
-/// A page of the cloud's list.
+/// Page of the cloud's list of machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// The machines on this page.
+    /// Machines on this page.
     #[serde(rename = "stalls")]
     pub machines: Vec<ListedMachine>,
     /// Whether another page follows.
--- a/crates/protocol/src/codec.rs
+++ b/crates/protocol/src/codec.rs
@@ -1,32 +1,32 @@
-//! MessagePack bodies: a map with text keys, and nothing after it.
+//! Encoding of message bodies: a single MessagePack map with text keys.
 
 use serde::{de::DeserializeOwned, Serialize};
 
-/// A body that is not what its path asks for.
+/// Reason why a body cannot be decoded.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum DecodeError {
     /// The body does not begin with a map.
     #[error("not a MessagePack map")]
     NotAMap,
-    /// A field is missing, has the wrong type or is out of range; the text says which.
+    /// A field is missing, has the wrong type or is out of range; the text names the field.
     #[error("{0}")]
     Field(String),
-    /// The body goes on after the map.
+    /// The body continues after the map.
     #[error("bytes after the map")]
     Trailing,
 }
 
-/// Encodes `value` as a MessagePack map keyed by text.
+/// Encodes `value` as a MessagePack map with text keys.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // Serializing into memory fails only for types that refuse to be serialized; none of the wire
-    // types does.
+    // Serialization into memory fails only for types whose serializer returns an error, which no wire
+    // type does.
     rmp_serde::to_vec_named(value).unwrap_or_default()
 }
 
-/// Decodes one map.
+/// Decodes a body that consists of one map.
 ///
 /// # Errors
-/// If the body is not a map of the expected fields, or goes on after it.
+/// If the body is not a map of the expected fields, or continues after it.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DecodeError> {
     match decode_prefix(body)? {
         (value, []) => Ok(value),
@@ -34,13 +34,14 @@
     }
 }
 
-/// Decodes the map that `body` begins with, and returns what follows it. A sequence is refused
-/// although serde would accept it for a struct: the protocol has only maps.
+/// Decodes the map at the beginning of `body`. Returns the value and the bytes after the map. A
+/// sequence is rejected although serde would accept it for a struct, because the protocol has only
+/// maps.
 ///
 /// # Errors
 /// If the body does not begin with a map of the expected fields.
 pub fn decode_prefix<T: DeserializeOwned>(body: &[u8]) -> Result<(T, &[u8]), DecodeError> {
-    // Markers of a map: of up to 15 entries, with a 16-bit and with a 32-bit size.
+    // Markers of maps with up to 15 entries, with a 16-bit size and with a 32-bit size.
     let Some(0x80..=0x8f | 0xde | 0xdf) = body.first() else { return Err(DecodeError::NotAMap) };
     let mut rest = body;
     let mut deserializer = rmp_serde::Deserializer::new(&mut rest);
--- a/crates/protocol/src/forwarding.rs
+++ b/crates/protocol/src/forwarding.rs
@@ -1,4 +1,5 @@
-//! Conversions of heartbeats and commands between the workers' format and the controllers' own.
+//! Conversions of heartbeats and commands between the workers' format and the format between
+//! controllers.
 
 use crate::peer::{
     Cause, ForwardedHeartbeat, HeartbeatContent, MachineCommands, Op, Phase, Task, TaskCommand,
@@ -17,7 +18,7 @@
     }
 }
 
-/// The state that a phase stands for; `None` for a phase that this version does not know.
+/// Converts a phase to a task state; `None` for a phase that this version does not know.
 fn task_state(phase: Phase) -> Option<TaskState> {
     match phase {
         Phase::Unknown => None,
@@ -44,8 +45,7 @@
     }
 }
 
-/// The exit cause that a cause stands for; `None` for no cause or one that this version does not
-/// know.
+/// Converts a cause to an exit cause; `None` for no cause or one that this version does not know.
 fn exit_cause(cause: Cause) -> Option<ExitCause> {
     match cause {
         Cause::None => None,
@@ -73,7 +73,7 @@
 }
 
 impl Task {
-    /// The status in the workers' format; `None` for a phase that this version does not know.
+    /// Converts the task to the workers' format; `None` for a phase that this version does not know.
     fn into_status(self) -> Option<TaskStatus> {
         let state = task_state(self.phase())?;
         let exit_cause = exit_cause(self.cause());
@@ -102,8 +102,8 @@
 }
 
 impl ForwardedHeartbeat {
-    /// The heartbeat that an entry with content forwards. `None` without content, or if a later
-    /// version has added the phase of one of its tasks.
+    /// Converts an entry with content to the workers' format. `None` without content, or if the phase
+    /// of one of its tasks is unknown because a later version added it.
     pub fn into_heartbeat(self) -> Option<Heartbeat> {
         let content = self.content?;
         let tasks = content.tasks.into_iter().map(Task::into_status);
@@ -139,7 +139,7 @@
 }
 
 impl TaskCommand {
-    /// The command in the workers' format; `None` for one that this version does not know.
+    /// Converts the command to the workers' format; `None` for one that this version does not know.
     fn into_command(self) -> Option<Command> {
         let kind = match self.op() {
             Op::Unknown => return None,
@@ -152,8 +152,8 @@
 }
 
 impl MachineCommands {
-    /// The response to the worker. Commands that this version does not know are left out; the leader
-    /// repeats what is still due.
+    /// Converts the commands to the response to the worker. Commands that this version does not know
+    /// are omitted; the leader repeats commands that were not carried out.
     pub fn into_response(self, fencing_token: u64) -> HeartbeatResponse {
         let commands = self.orders.into_iter().filter_map(TaskCommand::into_command).collect();
         HeartbeatResponse { fencing_token, commands }
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -1,17 +1,17 @@
-//! The clients' API: submissions, status queries and cancellations.
+//! Messages of the clients' API: submissions, status queries and cancellations.
 
 use crate::DecodeError;
 use serde::de::IntoDeserializer;
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::BTreeSet;
 
-/// How the tasks of a job belong together.
+/// Relation between the tasks of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Shape {
     /// Independent tasks, each of which runs to completion.
     #[serde(rename = "array")]
     Array,
-    /// All tasks run at the same time or none does.
+    /// Tasks that run at the same time or not at all.
     #[serde(rename = "group")]
     Gang,
     /// Replicas that run until the job is cancelled.
@@ -19,7 +19,7 @@
     Service,
 }
 
-/// Priority of a job, in rising order.
+/// Priority of a job, in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
     /// Work that nobody waits for.
@@ -36,34 +36,35 @@
     Production,
 }
 
-/// A submission. A job keeps it unchanged for life.
+/// Specification of a job, as submitted. It never changes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Its id, chosen by the client (see [`valid_id`]); a submission with a known id is a repetition.
+    /// Id of the job, chosen by the client (see [`valid_id`]). A submission with a known id is a
+    /// repetition.
     pub id: String,
-    /// Class of jobs that it belongs to; objectives are set by class.
+    /// Class that the job belongs to; objectives are set by class.
     #[serde(rename = "lane")]
     pub class: String,
-    /// The team whose quota it uses.
+    /// Team whose quota the job uses.
     #[serde(rename = "crew")]
     pub team: String,
-    /// How its tasks belong together.
-    #[serde(deserialize_with = "deserialize_word")]
+    /// Relation between the tasks.
+    #[serde(deserialize_with = "deserialize_enum_by_name")]
     pub shape: Shape,
-    /// Its priority.
-    #[serde(rename = "urgency", deserialize_with = "deserialize_word")]
+    /// Priority of the job.
+    #[serde(rename = "urgency", deserialize_with = "deserialize_enum_by_name")]
     pub priority: Priority,
     /// Number of tasks, 1 to [`MAX_TASKS`].
     #[serde(rename = "legs")]
     pub tasks: u32,
-    /// Cores for each task.
+    /// Cores that each task needs.
     pub cores: f64,
-    /// Accelerators for each task.
+    /// Accelerators that each task needs.
     pub accelerators: f64,
-    /// Memory for each task, in GB.
+    /// Memory that each task needs, in GB.
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
-    /// Name of the image that its tasks run.
+    /// Name of the image that the tasks run.
     #[serde(rename = "kit")]
     pub image: String,
     /// Size of the image in GB.
@@ -75,40 +76,42 @@
     /// The only allowed zone; `None` allows all.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks have to run in the same zone.
+    /// Whether all tasks have to run in the same zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
-    /// Tasks have to be spread over the zones.
+    /// Whether the tasks have to be spread over the zones.
     pub spread: bool,
-    /// Spot machines are allowed.
+    /// Whether spot machines are allowed.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// Estimated run time of a task, in seconds.
     #[serde(rename = "etaS")]
     pub estimated_run_s: f64,
-    /// Interval between two checkpoints of a task, in seconds; 0 for none.
+    /// Interval between two checkpoints of a task, in seconds; 0 if it takes none.
     #[serde(rename = "waypointS")]
     pub checkpoint_interval_s: f64,
     /// Time that a task takes to save its progress when it is stopped, in seconds.
     #[serde(rename = "stashS")]
     pub save_s: f64,
-    /// When it has to be complete, in seconds after its submission; `None` for no deadline.
+    /// Deadline of the job, in seconds after its submission; `None` for no deadline.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Ids of jobs that have to be done before any task of this one starts, each named once. Nodes
-    /// of versions without dependencies neither send nor keep this field.
+    /// Distinct ids of the jobs that have to be done before any task of this one starts. Versions
+    /// without support for dependencies neither send nor store this field.
     #[serde(default, deserialize_with = "deserialize_distinct", skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "awaits")]
     pub dependencies: Vec<String>,
 }
 
-/// Reads one of the words that stand for `T`. (By itself serde accepts a variant's number as well:
-/// jobs with the shape 0 were once accepted.)
-fn deserialize_word<'de, D: Deserializer<'de>, T: Deserialize<'de>>(deserializer: D) -> Result<T, D::Error> {
+/// Deserializes a variant of `T` from its name only. By default serde also accepts the number of a
+/// variant, so that a job with the shape 0 would be accepted.
+fn deserialize_enum_by_name<'de, D: Deserializer<'de>, T: Deserialize<'de>>(
+    deserializer: D,
+) -> Result<T, D::Error> {
     T::deserialize(String::deserialize(deserializer)?.into_deserializer())
 }
 
-/// Reads a list of names, or null for none. Repeated names count once.
+/// Deserializes a list of names without duplicates; null stands for an empty list.
 fn deserialize_distinct<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<String>, D::Error> {
     let names = Option::<Vec<String>>::deserialize(deserializer)?.unwrap_or_default();
     let mut seen = BTreeSet::new();
@@ -121,16 +124,16 @@
 /// Maximum length of a class, team, image, machine type or zone, in bytes.
 const MAX_NAME_BYTES: usize = 120;
 
-/// Maximum number of machine types that a job may name.
+/// Maximum number of machine types that a job may list.
 const MAX_MACHINE_TYPES: usize = 64;
 
 /// Maximum number of digits in a job's id.
 const MAX_ID_DIGITS: usize = 20;
 
-/// Amounts and durations have to be smaller than this.
+/// Exclusive upper bound of amounts and durations.
 const AMOUNT_LIMIT: f64 = 1e9;
 
-/// Whether `id` has the only form of job ids: `req-` and 1 to 20 digits.
+/// Whether `id` is a valid job id: `req-` followed by 1 to 20 digits.
 pub fn valid_id(id: &str) -> bool {
     let Some(digits) = id.strip_prefix("req-") else { return false };
     (1..=MAX_ID_DIGITS).contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit())
@@ -144,7 +147,7 @@
     amount.is_finite() && (0.0..AMOUNT_LIMIT).contains(&amount)
 }
 
-/// An error that names `field`, as it is called on the wire, unless `is_valid`.
+/// Returns an error with `field`, the name of the field on the wire, unless `is_valid`.
 fn require(is_valid: bool, field: &str) -> Result<(), DecodeError> {
     if is_valid {
         Ok(())
@@ -154,7 +157,7 @@
 }
 
 impl JobSpec {
-    /// Checks what types cannot: ranges, finite amounts, forms of names.
+    /// Validates what the types do not: ranges, finite amounts and the format of names.
     ///
     /// # Errors
     /// [`DecodeError::Field`] with the name of the first invalid field.
@@ -193,17 +196,17 @@
     }
 }
 
-/// Status of a job as clients see it.
+/// Status of a job as reported to clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobStatus {
-    /// It waits for machines.
+    /// The job waits for machines.
     Pending,
     /// Some of its tasks run.
     Running,
     /// All tasks are done.
     Done,
-    /// It was cancelled.
+    /// The job was cancelled.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
@@ -220,7 +223,7 @@
 pub struct JobView {
     /// Id of the job.
     pub id: String,
-    /// Its status.
+    /// Status of the job.
     pub status: JobStatus,
     /// Number of its tasks that are done, if it is known.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -233,18 +236,18 @@
 /// Body of a healthy node's response to `GET /up`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Health {
-    /// Workers that the node serves.
+    /// Number of workers that the node serves.
     pub workers: u32,
-    /// Workers that it could serve.
+    /// Number of workers that the node could serve.
     #[serde(rename = "room")]
     pub capacity: u32,
-    /// Workers that all nodes that respond to heartbeats could serve together.
+    /// Number of workers that all nodes that respond to heartbeats could serve together.
     pub ceiling: u32,
 }
 
-/// Body of every refusal.
+/// Body of every error response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ErrorResponse {
-    /// What is wrong.
+    /// Description of the error.
     pub error: String,
 }
--- a/crates/protocol/src/state.rs
+++ b/crates/protocol/src/state.rs
@@ -1,24 +1,24 @@
-//! The key-value store's API: keys, compare-and-swap transactions, leases and watches. `V` is the
-//! type of the values.
+//! Messages of the key-value store's API: keys, compare-and-swap transactions, leases and watches.
+//! `V` is the type of the values.
 
 use serde::{Deserialize, Serialize};
 
-/// A key and its value.
+/// Key with its value and version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Item<V> {
-    /// The key.
+    /// Name of the key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Its value.
+    /// Value of the key.
     #[serde(rename = "v")]
     pub value: V,
-    /// The key's version: it changes with every put.
+    /// Version of the key, which changes with every put.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
 impl<V> Item<V> {
-    /// The item with its value converted.
+    /// Returns the item with its value converted.
     pub fn map<W>(self, convert: impl FnOnce(V) -> W) -> Item<W> {
         Item { key: self.key, value: convert(self.value), version: self.version }
     }
@@ -27,102 +27,102 @@
 /// Response to a read of a key that does not exist.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Missing {
-    /// The store's revision at the time of the read.
+    /// Revision of the store at the time of the read.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
 
-/// A page of the items in a range of keys.
+/// Page of the items in a range of keys.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Page<V> {
-    /// The items, by rising key.
+    /// Items in ascending order of their keys.
     #[serde(rename = "rows")]
     pub items: Vec<Item<V>>,
     /// Whether another page follows.
     #[serde(rename = "hasNext", default)]
     pub more: bool,
-    /// The store's revision at the time of the read.
+    /// Revision of the store at the time of the read.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
 
 impl<V> Page<V> {
-    /// The page with its values converted.
+    /// Returns the page with its values converted.
     pub fn map<W>(self, convert: impl Fn(V) -> W) -> Page<W> {
         let items = self.items.into_iter().map(|item| item.map(&convert)).collect();
         Page { items, more: self.more, revision: self.revision }
     }
 }
 
-/// A condition of a transaction: the key has this version.
+/// Condition of a transaction: the key has the given version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Compare {
-    /// The key.
+    /// Name of the key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Its expected version; 0 if it must not exist.
+    /// Expected version of the key; 0 if it must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// A change of one key.
+/// Change of one key in a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Mutation<V> {
     /// Creates or replaces a value.
     Put {
-        /// The key.
+        /// Name of the key.
         #[serde(rename = "write")]
         key: String,
-        /// Its new value.
+        /// New value of the key.
         #[serde(rename = "v")]
         value: V,
-        /// The lease with which the key expires; `None` if it stays.
+        /// Lease with which the key expires; `None` if it does not expire.
         #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
     /// Deletes a key.
     Delete {
-        /// The key.
+        /// Name of the key.
         #[serde(rename = "delete")]
         key: String,
     },
 }
 
-/// A compare-and-swap transaction: all mutations are made if all conditions hold, else none.
+/// Compare-and-swap transaction: all mutations are applied if all conditions hold, else none.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Transaction<V> {
-    /// The conditions.
+    /// Conditions that have to hold.
     #[serde(rename = "when")]
     pub compares: Vec<Compare>,
-    /// The mutations.
+    /// Mutations to apply.
     #[serde(rename = "writes")]
     pub mutations: Vec<Mutation<V>>,
 }
 
-/// Largest transaction, in bytes of its encoded form.
+/// Maximum size of an encoded transaction, in bytes.
 pub const MAX_TRANSACTION_BYTES: usize = 64 * 1024;
 
 /// Response to a transaction that was committed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Committed {
-    /// The store's revision after it; the new version of the keys that it put.
+    /// Revision of the store after the transaction. It is the new version of the keys that were put.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
 
-/// Response to a transaction of which some condition does not hold.
+/// Response to a transaction that was not committed because a condition does not hold.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CasConflict {
     /// Keys whose versions differ from the expected ones.
     #[serde(default)]
     pub failed: Vec<String>,
-    /// The store's revision at that time.
+    /// Revision of the store at that time.
     #[serde(rename = "ledger", default)]
     pub revision: u64,
 }
 
-/// A request for a lease.
+/// Request for a lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GrantLease {
     /// Time to live without renewal, in milliseconds.
@@ -130,53 +130,53 @@
     pub ttl_ms: u64,
 }
 
-/// A lease.
+/// Lease that the store has granted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Its id.
+    /// Id of the lease.
     #[serde(rename = "permit")]
     pub lease: u64,
 }
 
-/// A change of one key that a watch delivers.
+/// Change of one key, delivered by a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Event<V> {
     /// A value was created or replaced.
     Put {
-        /// The key.
+        /// Name of the key.
         #[serde(rename = "write")]
         key: String,
-        /// Its new value.
+        /// New value of the key.
         #[serde(rename = "v")]
         value: V,
-        /// Its new version.
+        /// New version of the key.
         #[serde(rename = "stamp")]
         version: u64,
     },
     /// A key was deleted or has expired.
     Delete {
-        /// The key.
+        /// Name of the key.
         #[serde(rename = "delete")]
         key: String,
-        /// The revision at which that happened.
+        /// Revision at which the key was deleted or expired.
         #[serde(rename = "stamp")]
         version: u64,
     },
 }
 
-/// Changes that a watch delivers together.
+/// Changes that a watch delivers in one response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Events<V> {
-    /// The revision up to which all changes have been delivered.
+    /// Revision up to which all changes have been delivered.
     #[serde(rename = "ledger")]
     pub revision: u64,
-    /// The changes in the order of their revisions.
+    /// Changes in the order of their revisions.
     pub events: Vec<Event<V>>,
 }
 
 impl<V> Events<V> {
-    /// The events with their values converted.
+    /// Returns the events with their values converted.
     pub fn map<W>(self, convert: impl Fn(V) -> W) -> Events<W> {
         let convert_event = |event| match event {
             Event::Put { key, value, version } => Event::Put { key, value: convert(value), version },
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,4 +1,4 @@
-//! The workers' API: heartbeats, and the commands in responses to them.
+//! Messages of the workers' API: heartbeats and commands to workers.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,81 +6,81 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Its image is being fetched.
+    /// The worker is fetching the task's image.
     Fetching,
-    /// It waits for the other tasks of its gang.
+    /// The task waits for the other tasks of its gang.
     Waiting,
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It was stopped and saves its progress.
+    /// The task was stopped and saves its progress.
     #[serde(rename = "flushing")]
     Saving,
-    /// It has ended; heartbeats name it until a command says to forget it.
+    /// The task has ended. Heartbeats include it until a command tells the worker to forget it.
     #[serde(rename = "ended")]
     Exited,
 }
 
-/// Why a task has ended.
+/// Reason for which a task has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitCause {
-    /// It is complete.
+    /// The task is complete.
     Done,
-    /// It was stopped by a command or because the worker's lease expired.
+    /// The task was stopped by a command or because the worker's lease expired.
     Stopped,
-    /// Another task of its gang was lost.
+    /// Another task of the gang was lost.
     Peers,
-    /// It gave up waiting for the other tasks of its gang.
+    /// The task gave up waiting for the other tasks of its gang.
     Alone,
-    /// It failed.
+    /// The task failed.
     Error,
-    /// The machine's resources did not suffice.
+    /// The machine did not have enough resources.
     NoRoom,
-    /// Something that it needs is in use on the machine.
+    /// A resource that the task needs is in use on the machine.
     #[serde(rename = "in_use")]
     Busy,
-    /// The worker could not find out what to run.
+    /// The worker could not find out what the task runs.
     Unknown,
 }
 
-/// A task's name on the wire: `job/number`.
+/// Returns the name of a task on the wire: `job/number`.
 pub fn task_name(job: &str, number: u32) -> String {
     format!("{job}/{number}")
 }
 
-/// Splits a task's name into the job's id and the task's number.
+/// Splits the name of a task into the job's id and the task's number.
 pub fn split_task(name: &str) -> Option<(&str, u32)> {
     let (job, number) = name.rsplit_once('/')?;
     Some((job, number.parse().ok()?))
 }
 
-/// A task in a heartbeat.
+/// Status of a task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// Its name (see [`task_name`]).
+    /// Name of the task (see [`task_name`]).
     #[serde(rename = "leg")]
     pub task: String,
-    /// Its attempt; an attempt that is started again later has a larger number.
+    /// Number of the attempt; later attempts have larger numbers.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Its state.
+    /// State of the task.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it has ended, if it has.
+    /// Reason for which the task has ended, if it has.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub exit_cause: Option<ExitCause>,
-    /// Whether its progress was saved, if it has ended.
+    /// Whether the progress of the task was saved, if it has ended.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub checkpointed: Option<bool>,
 }
 
-/// What a worker sends at every heartbeat interval and whenever a task's state changes.
+/// Message that a worker sends once per heartbeat interval and whenever the state of a task changes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// Id of the machine.
     #[serde(rename = "stall")]
     pub machine: String,
-    /// Where the worker takes direct commands.
+    /// Address at which the worker accepts direct commands.
     #[serde(rename = "endpoint")]
     pub addr: String,
     /// Name of the machine's type.
@@ -92,14 +92,14 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// Epoch of the agent: it rises when the worker restarts and when its lease expires, which ends
-    /// all of its tasks.
+    /// Epoch of the agent. It increases when the worker restarts and when its lease expires, which
+    /// ends all of its tasks.
     #[serde(rename = "shift")]
     pub epoch: u64,
-    /// Number of the heartbeat in its epoch; it rises.
+    /// Sequence number of the heartbeat in its epoch.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// The highest fencing token that the worker has seen.
+    /// Highest fencing token that the worker has seen.
     #[serde(rename = "baton", default)]
     pub fencing_token: u64,
     /// Seconds until the cloud reclaims the machine, if it has announced that.
@@ -110,33 +110,33 @@
     pub tasks: Vec<TaskStatus>,
 }
 
-/// What a command asks of a worker.
+/// Kind of a command to a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CommandKind {
-    /// Start the task.
+    /// Starts the task.
     #[serde(rename = "launch")]
     Start,
-    /// Stop the task.
+    /// Stops the task.
     Stop,
-    /// Leave the task, which has ended, out of further heartbeats.
+    /// Removes an ended task from further heartbeats.
     #[serde(rename = "clear")]
     Forget,
 }
 
-/// A command to a worker.
+/// Command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Command {
-    /// What is asked.
+    /// Kind of the command.
     #[serde(rename = "verb")]
     pub kind: CommandKind,
     /// Name of the task.
     #[serde(rename = "leg")]
     pub task: String,
-    /// The attempt that is meant.
+    /// Attempt to which the command applies.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Seconds that a task has to save its progress before it is killed; only for a stop.
+    /// Time that the task has to save its progress before it is killed, in seconds; only for a stop.
     #[serde(rename = "leewayS", default, skip_serializing_if = "Option::is_none")]
     pub grace_s: Option<f64>,
 }
@@ -144,7 +144,7 @@
 /// Response to a heartbeat; it renews the worker's lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Fencing token of the leader; workers ignore lower ones than they have seen.
+    /// Fencing token of the leader. Workers ignore responses with a lower token than they have seen.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
     /// Commands to the worker.
@@ -152,10 +152,10 @@
     pub commands: Vec<Command>,
 }
 
-/// Body of status 421: heartbeats go to another node.
+/// Body of a response with status 421: the worker has to send its heartbeats to another node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Address of that node; `None` if the worker is to choose one.
+    /// Address of that node; `None` if the worker should choose one itself.
     #[serde(rename = "dispatcher", default, skip_serializing_if = "Option::is_none")]
     pub addr: Option<String>,
 }
@@ -166,7 +166,7 @@
     /// Fencing token of the leader.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// The agent's epoch that is meant.
+    /// Epoch of the agent to which the commands apply.
     #[serde(rename = "shift")]
     pub epoch: u64,
     /// Commands to the worker.
--- a/crates/protocol/tests/formats.rs
+++ b/crates/protocol/tests/formats.rs
@@ -1,4 +1,5 @@
-//! Formats against generated inputs and the examples of the protocol.
+//! Round trips of wire formats with generated inputs, names on the wire and rejection of invalid
+//! bodies.
 
 use anisecroft_protocol::job::*;
 use anisecroft_protocol::worker::*;
@@ -44,38 +45,38 @@
     #![proptest_config(config())]
 
     #[test]
-    fn specs_survive_the_wire(tasks in 1u32..=MAX_TASKS, cores in 0.0f64..1e6, deadline_s in proptest::option::of(0.0f64..1e6), id in "req-[0-9]{1,20}") {
+    fn specs_round_trip(tasks in 1u32..=MAX_TASKS, cores in 0.0f64..1e6, deadline_s in proptest::option::of(0.0f64..1e6), id in "req-[0-9]{1,20}") {
         let submitted = JobSpec { id, tasks, cores, deadline_s, ..spec() };
         prop_assert!(submitted.check().is_ok());
         prop_assert_eq!(decode::<JobSpec>(&encode(&submitted)).unwrap(), submitted);
     }
 
     #[test]
-    fn dependencies_are_distinct_ids_or_malformed(ids in proptest::collection::vec("req-[0-9]{1,3}", 0..40)) {
-        let given = JobSpec { dependencies: ids.clone(), ..spec() };
-        let read = decode::<JobSpec>(&encode(&given)).unwrap();
-        prop_assert!(read.check().is_ok());
+    fn dependencies_are_deduplicated_and_must_be_job_ids(ids in proptest::collection::vec("req-[0-9]{1,3}", 0..40)) {
+        let submitted = JobSpec { dependencies: ids.clone(), ..spec() };
+        let decoded = decode::<JobSpec>(&encode(&submitted)).unwrap();
+        prop_assert!(decoded.check().is_ok());
         let distinct: std::collections::BTreeSet<_> = ids.iter().collect();
-        prop_assert_eq!(read.dependencies.len(), distinct.len());
-        let bad = JobSpec { dependencies: ids.into_iter().chain(["job-1".into()]).collect(), ..spec() };
-        prop_assert!(bad.check().is_err());
+        prop_assert_eq!(decoded.dependencies.len(), distinct.len());
+        let invalid = JobSpec { dependencies: ids.into_iter().chain(["job-1".into()]).collect(), ..spec() };
+        prop_assert!(invalid.check().is_err());
     }
 
     #[test]
-    fn no_bytes_panic_a_decoder(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode::<JobSpec>(&bytes);
         let _ = decode::<Heartbeat>(&bytes);
     }
 
     #[test]
-    fn a_truncated_body_is_malformed(missing in 1usize..100) {
+    fn a_truncated_body_is_rejected(missing in 1usize..100) {
         let body = encode(&spec());
         let missing = missing.min(body.len() - 1);
         prop_assert!(decode::<JobSpec>(&body[..body.len() - missing]).is_err());
     }
 
     #[test]
-    fn heartbeats_survive_the_wire(epoch in 1u64.., sequence in any::<u64>(), fencing_token in any::<u64>(), number in 0u32..MAX_TASKS) {
+    fn heartbeats_round_trip(epoch in 1u64.., sequence in any::<u64>(), fencing_token in any::<u64>(), number in 0u32..MAX_TASKS) {
         let heartbeat = Heartbeat {
             machine: "vm-000231".into(), addr: "10.1.0.232:9000".into(), machine_type: "g8".into(), zone: "a".into(),
             spot: true, epoch, sequence, fencing_token, notice_s: None,
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn names_on_the_wire_are_the_protocols() {
+fn encoded_names_are_those_of_the_protocol() {
     let body = encode(&HeartbeatResponse {
         fencing_token: 41,
         commands: vec![Command {
@@ -117,18 +118,18 @@
     ] {
         assert!(text.contains(word), "{word}");
     }
-    assert!(!text.contains("yard"), "null is omitted");
+    assert!(!text.contains("yard"), "an absent value is omitted");
 }
 
 #[test]
-fn what_is_not_a_job_is_refused() {
-    // Sequences would be taken for structs by serde; the protocol has only maps.
+fn invalid_submissions_are_rejected() {
+    // Serde would accept a sequence for a struct, but the protocol has only maps.
     assert_eq!(decode::<JobSpec>(&[0x93, 1, 2, 3]).unwrap_err(), DecodeError::NotAMap);
     assert_eq!(decode::<JobSpec>(b"").unwrap_err(), DecodeError::NotAMap);
     let mut trailing = encode(&spec());
     trailing.push(0xc0);
     assert_eq!(decode::<JobSpec>(&trailing).unwrap_err(), DecodeError::Trailing);
-    for bad in [
+    for invalid in [
         JobSpec { tasks: 0, ..spec() },
         JobSpec { tasks: MAX_TASKS + 1, ..spec() },
         JobSpec { cores: f64::NAN, ..spec() },
@@ -139,6 +140,6 @@
         JobSpec { id: "req-1/2".into(), ..spec() },
         JobSpec { team: String::new(), ..spec() },
     ] {
-        assert!(bad.check().is_err(), "{bad:?}");
+        assert!(invalid.check().is_err(), "{invalid:?}");
     }
 }
