--- a/crates/planner/src/feasibility.rs
+++ b/crates/planner/src/feasibility.rs
@@ -209,8 +209,8 @@
         &self.capacities[index].1
     }
 
-    /// Groups the machines of a view by the resources that they offer to it. Most machines are alike,
-    /// so a job is compared with a few groups instead of every machine.
+    /// Groups the machines of a view by the resources that they offer to it. Most machines are
+    /// identical, so a job is compared with a few groups instead of every machine.
     fn machine_groups(&self, view: &CapacityView) -> Vec<MachineGroup> {
         let mut groups: Vec<MachineGroup> = Vec::new();
         for machine in self.usable_machines.iter().filter(|machine| view.includes(machine)) {
--- a/crates/planner/src/gang.rs
+++ b/crates/planner/src/gang.rs
@@ -136,7 +136,8 @@
         // Machines are assembled in the same zone until the gang can start there or in another zone
         // that has enough free machines. When the zone changed between plans, other jobs took the
         // machines assembled so far.
-        let leaves_assembly_zone = delayed && job.assembly_zone.is_some_and(|known| zone != Some(known));
+        let leaves_assembly_zone =
+            delayed && job.assembly_zone.is_some_and(|assembly_zone| zone != Some(assembly_zone));
         let late = ends_at > job.deadline;
         let rank = GangRank {
             leaves_assembly_zone,
--- a/crates/planner/src/placement.rs
+++ b/crates/planner/src/placement.rs
@@ -122,8 +122,10 @@
         let machines = &self.problem.machines;
         self.open_machines
             .iter()
-            .filter(|&&machine| instance_type.is_none_or(|only| machines[machine].instance_type == only))
-            .filter(|&&machine| zone.is_none_or(|only| machines[machine].zone == only))
+            .filter(|&&machine| {
+                instance_type.is_none_or(|required| machines[machine].instance_type == required)
+            })
+            .filter(|&&machine| zone.is_none_or(|required| machines[machine].zone == required))
             .filter_map(|&machine| self.placement_option(job, machine))
             .collect()
     }
--- a/crates/planner/src/planner.rs
+++ b/crates/planner/src/planner.rs
@@ -134,7 +134,7 @@
 
     /// Records a job that found no capacity, if that allows conclusions about other jobs.
     pub(crate) fn record_unplaceable(&mut self, job: &Job) {
-        // An array bound to one zone is searched for only in the zone where its tasks already run.
+        // For an array bound to one zone, only the zone where its tasks already run was searched.
         let bound_to_its_zone = job.one_zone && job.shape != Shape::Gang;
         // Other jobs may use the machines that this job has to avoid.
         let searched_everywhere =
--- a/crates/planner/src/preemption.rs
+++ b/crates/planner/src/preemption.rs
@@ -240,8 +240,9 @@
             let mut picked = Vec::new();
             for option in options {
                 let option_zone = self.problem.machines[option.machine].zone;
-                let admitted = zone.is_none_or(|only| only == option_zone) && !load.is_full(option_zone);
-                if picked.len() < tasks && admitted {
+                let is_admitted =
+                    zone.is_none_or(|required| required == option_zone) && !load.is_full(option_zone);
+                if picked.len() < tasks && is_admitted {
                     load.add(option_zone, 1);
                     cost += option.cost_per_task;
                     picked.push(option);
--- a/crates/planner/src/problem.rs
+++ b/crates/planner/src/problem.rs
@@ -107,7 +107,7 @@
     pub image_gb: f64,
     /// Allowed machine types, as indices of [`Problem::instance_types`].
     pub instance_types: Vec<usize>,
-    /// The only allowed zone, if there is one.
+    /// Zone in which it has to run; `None` allows all.
     pub zone: Option<usize>,
     /// Whether all tasks have to run in the same zone.
     pub one_zone: bool,
@@ -139,8 +139,8 @@
     /// Whether it is planned before all others because its class or team is starving (see
     /// [`crate::starvation`]).
     pub starvation_relief: bool,
-    /// Time until which its team's quota and assembled machines are kept for it while they do not
-    /// suffice yet (see [`crate::starvation::reservation_expiry`]).
+    /// Time until which its team's quota and assembled machines are reserved for it even if they do
+    /// not suffice yet (see [`crate::starvation::reservation_expiry`]).
     pub reserves_until: f64,
     /// Zone in which the last plan assembled machines for it.
     pub assembly_zone: Option<usize>,
--- a/crates/planner/src/starvation.rs
+++ b/crates/planner/src/starvation.rs
@@ -31,7 +31,7 @@
 /// Pending work of a job.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitingDemand {
-    /// Its class and its team, as indices into the list of held shares.
+    /// Class and team of the job, as indices into the list of held shares.
     pub groups: [usize; 2],
     /// Time of submission.
     pub submitted_at: f64,
--- a/crates/planner/src/tasks.rs
+++ b/crates/planner/src/tasks.rs
@@ -19,12 +19,14 @@
     zone_load: ZoneLoad,
     /// Zone to which the job is bound.
     zone: Option<usize>,
-    /// Remaining placement options. All tasks are alike and placing one changes only the options on
-    /// its machine, so each machine is examined once for the job instead of once for each task.
+    /// Remaining placement options. All tasks have the same requirements, and placing one changes only
+    /// the options on its machine, so each machine is examined once for the job instead of once for
+    /// each task.
     options: OptionHeap,
     /// Whether preemption is possible and has not been tried yet.
     may_preempt: bool,
-    /// Latest start for which a task waits; to start sooner, it preempts less urgent work.
+    /// Latest start that is acceptable without preemption. A task that would start later preempts less
+    /// urgent work.
     latest_acceptable_start: f64,
     /// Reservation from the first task's start to the last task's end.
     reservation: Option<Reservation>,
@@ -35,7 +37,7 @@
     fn next_option(&mut self, problem: &Problem) -> Option<PlacementOption> {
         while let Some(Reverse(option)) = self.options.pop() {
             let zone = problem.machines[option.machine].zone;
-            if self.zone.is_none_or(|only| only == zone) && !self.zone_load.is_full(zone) {
+            if self.zone.is_none_or(|required| required == zone) && !self.zone_load.is_full(zone) {
                 return Some(option);
             }
         }
@@ -66,7 +68,7 @@
         }
         let mut search = self.task_search(job_index, started);
         let mut pending = &job.pending_tasks[started..];
-        while let Some((&task, later)) = pending.split_first() {
+        while let Some((&task, remaining)) = pending.split_first() {
             if !self.fits_team_quota(job, 1) {
                 break;
             }
@@ -83,7 +85,7 @@
             }
             let Some(option) = candidate.filter(|option| self.may_use(job, option)) else { break };
             self.place_task(&mut search, task, option);
-            pending = later;
+            pending = remaining;
         }
         if search.reservation.is_some() {
             self.drop_full_machines();
--- a/crates/planner/src/timeline.rs
+++ b/crates/planner/src/timeline.rs
@@ -4,7 +4,7 @@
 use crate::resources::Resources;
 
 /// Resources that are reserved for a job from a given time on.
-struct FutureUse {
+struct FutureReservation {
     starts_at: f64,
     resources: Resources,
 }
@@ -16,7 +16,7 @@
     /// Running tasks in ascending order of their end.
     pub(crate) running: Vec<RunningTask>,
     /// Reservations of jobs that this plan has already placed.
-    reserved: Vec<FutureUse>,
+    reserved: Vec<FutureReservation>,
     /// Resources that are not reserved, assuming that all running work has ended or was preempted.
     unreserved: Resources,
     /// Latest start of all reservations.
@@ -92,7 +92,7 @@
 
     /// Reserves `resources` from `starts_at` on.
     pub(crate) fn reserve(&mut self, starts_at: f64, resources: Resources) {
-        self.reserved.push(FutureUse { starts_at, resources });
+        self.reserved.push(FutureReservation { starts_at, resources });
         self.unreserved.subtract(&resources);
         self.last_reserved_start = self.last_reserved_start.max(starts_at);
     }
--- a/crates/planner/src/work_conservation.rs
+++ b/crates/planner/src/work_conservation.rs
@@ -45,7 +45,7 @@
             return Vec::new();
         }
         let mut beside_capacity = Vec::new();
-        // Jobs that found no free capacity; jobs that need at least as much are not searched for.
+        // Jobs that found no free capacity; jobs that need at least as much are skipped.
         let mut unplaceable_jobs: Vec<UnplaceableJob> = Vec::new();
         for &job_index in waiting {
             let job = &problem.jobs[job_index];
@@ -125,7 +125,7 @@
         let mut picked = Vec::new();
         for option in options {
             let option_zone = self.problem.machines[option.machine].zone;
-            if zone.is_some_and(|only| only != option_zone) {
+            if zone.is_some_and(|required| required != option_zone) {
                 continue;
             }
             let instances = self.timelines[option.machine].free.instances_that_fit(&job.resources) as usize;
--- a/crates/protocol/src/job.rs
+++ b/crates/protocol/src/job.rs
@@ -73,7 +73,7 @@
     /// Names of the allowed machine types; `None` allows all.
     #[serde(rename = "breeds", default, skip_serializing_if = "Option::is_none")]
     pub machine_types: Option<Vec<String>>,
-    /// The only allowed zone; `None` allows all.
+    /// Zone in which the job has to run; `None` allows all.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// Whether all tasks have to run in the same zone.
--- a/crates/settings/src/platform.rs
+++ b/crates/settings/src/platform.rs
@@ -32,16 +32,16 @@
     pub params: Params,
 }
 
-/// Name and address of another controller.
+/// Name, zone and address of another controller.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the controller's node.
     #[serde(rename = "label")]
     pub node: String,
-    /// Its zone; empty if it is not known.
+    /// Zone of the node; empty if it is not known.
     #[serde(rename = "location", default)]
     pub zone: String,
-    /// Address on which it listens for other controllers.
+    /// Address on which the node listens for other controllers.
     #[serde(rename = "peer_addr")]
     pub addr: SocketAddrV4,
 }
@@ -90,7 +90,7 @@
 /// limit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
     /// Guaranteed cores.
     #[serde(rename = "cpus", default)]
