--- a/crates/controller/src/client_api/submissions.rs
+++ b/crates/controller/src/client_api/submissions.rs
@@ -76,7 +76,7 @@
 
 /// Returns the job id in the body of an invalid submission, if the body has a valid one.
 fn submitted_id(body: &[u8]) -> Option<String> {
-    let (body, _) = protocol::first_map::<JobIdOnly>(body).ok()?;
+    let (body, _) = protocol::decode_prefix::<JobIdOnly>(body).ok()?;
     body.id.filter(|id| valid_id(id))
 }
 
