--- a/crates/controller/src/agents/failure_detection.rs
+++ b/crates/controller/src/agents/failure_detection.rs
@@ -111,7 +111,8 @@
             return;
         }
         let machines = leader.cluster.machines.values().filter(|machine| machine.phase == MachinePhase::Up);
-        let heard = machines.map(|machine| (machine.zone.as_str(), machine.is_heard(now, &timing)));
+        let heard =
+            machines.map(|machine| (machine.zone.as_str(), machine.has_recent_heartbeats(now, &timing)));
         if leader.fleet.zones.update(now, heard) {
             let dark: Vec<&str> = leader.fleet.zones.unreachable().collect();
             warn!(?dark, "unreachable zones changed");
@@ -275,7 +276,7 @@
             }
             warn!(machine = %id, lease_over, "machine declared dead");
             machine.phase = MachinePhase::Terminating;
-            machine.given_up = true;
+            machine.declared_dead = true;
             self.planning.needed = true;
             if lease_over {
                 expired.push(id.clone());
--- a/crates/controller/src/agents/task_exits.rs
+++ b/crates/controller/src/agents/task_exits.rs
@@ -81,7 +81,8 @@
         if !is_complete || job.gang_aborting || job.is_final() {
             return false;
         }
-        let is_usable = |machine: &Machine| machine.accepts_work() && machine.is_heard(now, &timing);
+        let is_usable =
+            |machine: &Machine| machine.accepts_work() && machine.has_recent_heartbeats(now, &timing);
         let is_assembling = |placement: &Placement| {
             placement.stopping.is_none()
                 && placement.running_since.is_none()
--- a/crates/controller/src/autoscaling/scale_out.rs
+++ b/crates/controller/src/autoscaling/scale_out.rs
@@ -114,7 +114,7 @@
     for machine in machines.values().filter(|machine| machine.phase == MachinePhase::Up) {
         let count = zones.entry(&machine.zone).or_default();
         count.up += 1;
-        count.heard += usize::from(machine.is_heard(now, timing));
+        count.heard += usize::from(machine.has_recent_heartbeats(now, timing));
     }
     let unheard = zones.into_iter().filter(|(_, count)| count.heard * 3 < count.up);
     unheard.map(|(zone, _)| zone.to_string()).collect()
--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -86,7 +86,7 @@
         /// The dependency's id.
         id: String,
         /// Whether the archive is read, where the records of terminal jobs are.
-        over: bool,
+        from_archive: bool,
     },
     /// Write of the image locations.
     ImagesWrite {
--- a/crates/controller/src/inspection.rs
+++ b/crates/controller/src/inspection.rs
@@ -27,7 +27,9 @@
 
     /// Ids of the machines that accept work and whose workers are heard.
     pub fn usable_machines(&self) -> impl Iterator<Item = &str> {
-        let usable = |machine: &&Machine| machine.accepts_work() && machine.is_heard(self.now, &self.timing);
+        let usable = |machine: &&Machine| {
+            machine.accepts_work() && machine.has_recent_heartbeats(self.now, &self.timing)
+        };
         self.machines().filter(usable).map(|machine| machine.id.as_str())
     }
 
@@ -39,7 +41,7 @@
     /// Ids of the machines that this leader has declared dead and that may still run, whether or
     /// not its lease still entitles it to act upon that.
     pub fn machines_given_up(&self) -> impl Iterator<Item = &str> {
-        self.machines().filter(|machine| machine.given_up).map(|machine| machine.id.as_str())
+        self.machines().filter(|machine| machine.declared_dead).map(|machine| machine.id.as_str())
     }
 
     /// Number of placements that this leader knows of.
--- a/crates/controller/src/leader/record_watch.rs
+++ b/crates/controller/src/leader/record_watch.rs
@@ -154,7 +154,7 @@
         } else {
             // Dependencies are accepted only once all nodes support them.
             self.formats.confirm();
-            self.enter_graph(id);
+            self.add_job_to_dependency_graph(id);
         }
     }
 
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -256,7 +256,7 @@
 
     /// What an earlier leader knew of the machines' images.
     fn recover_cached_images(&mut self, key: &str, record: ImagesRecord, version: u64, now: Time) {
-        self.cluster.learn_cached_images(&record, now);
+        self.cluster.load_cached_images(&record, now);
         if let Some(Ok(part)) = key.strip_prefix(IMAGES_PREFIX).map(str::parse) {
             self.archive.read_images(part, record, version);
         }
--- a/crates/controller/src/model/cluster.rs
+++ b/crates/controller/src/model/cluster.rs
@@ -99,7 +99,7 @@
     }
 
     /// Adds what an earlier leader stored of the machines' images.
-    pub fn learn_cached_images(&mut self, record: &ImagesRecord, now: Time) {
+    pub fn load_cached_images(&mut self, record: &ImagesRecord, now: Time) {
         let images: Vec<(u32, f64)> =
             record.images.iter().map(|(name, gb)| (self.image_id(name), *gb)).collect();
         for (machine, indices) in &record.machines {
--- a/crates/controller/src/model/job.rs
+++ b/crates/controller/src/model/job.rs
@@ -150,7 +150,7 @@
     }
 
     /// Whether it has ended and no task of it is left on any machine.
-    pub fn is_over(&self) -> bool {
+    pub fn has_fully_ended(&self) -> bool {
         self.placements.is_empty() && (self.is_complete() || self.is_final())
     }
 
--- a/crates/controller/src/model/machine.rs
+++ b/crates/controller/src/model/machine.rs
@@ -75,7 +75,7 @@
     /// Since when this leader has taken it for up.
     pub up_since: Time,
     /// It was silent for too long and is to be scaled in.
-    pub given_up: bool,
+    pub declared_dead: bool,
     /// The cloud's list has shown it.
     pub listed: bool,
     /// When the cloud reclaims it, if that was announced.
@@ -122,7 +122,7 @@
             unconfirmed_since: None,
             reachability: InboundReachability::default(),
             up_since: now,
-            given_up: false,
+            declared_dead: false,
             listed: false,
             spot_reclaim_at: None,
             tasks: Vec::new(),
@@ -196,7 +196,7 @@
     }
 
     /// Whether heartbeats have come and none was missed since.
-    pub fn is_heard(&self, now: Time, timing: &Timing) -> bool {
+    pub fn has_recent_heartbeats(&self, now: Time, timing: &Timing) -> bool {
         self.last_heard_at.is_some() && !self.missed_heartbeats(now, timing)
     }
 
--- a/crates/controller/src/model/page_layout.rs
+++ b/crates/controller/src/model/page_layout.rs
@@ -76,13 +76,13 @@
     }
 
     /// From now on its values have to fit the coming limits, as it is or divided anew.
-    pub fn shrink(&mut self) {
+    pub fn restrict_to_next_limits(&mut self) {
         self.max_value_bytes = self.next_value_bytes;
     }
 
     /// Its values are written as they are, though they do not fit the coming limits: nodes that read
     /// no other layout may have to read them.
-    pub fn grow(&mut self, current_value_bytes: usize) {
+    pub fn allow_current_limits(&mut self, current_value_bytes: usize) {
         self.max_value_bytes = self.max_value_bytes.max(current_value_bytes);
     }
 
--- a/crates/controller/src/scheduling/apply_plan.rs
+++ b/crates/controller/src/scheduling/apply_plan.rs
@@ -117,9 +117,9 @@
         let waiting: BTreeSet<&str> =
             plan.waiting_beside_capacity.iter().map(|&job| input.job_ids[job].as_str()).collect();
         planning.waiting_beside_capacity.update(now, &waiting);
-        if planning.starving_groups != input.starving_groups {
-            info!(starving = ?input.starving_groups, "starving classes and teams changed");
-            planning.starving_groups = std::mem::take(&mut input.starving_groups);
+        if planning.starved_groups != input.starved_groups {
+            info!(starving = ?input.starved_groups, "starving classes and teams changed");
+            planning.starved_groups = std::mem::take(&mut input.starved_groups);
         }
         for (id, priority) in input.inherited_priorities.drain() {
             if let Some(job) = leader.cluster.jobs.get_mut(&id) {
--- a/crates/controller/src/scheduling/effective_priority.rs
+++ b/crates/controller/src/scheduling/effective_priority.rs
@@ -19,7 +19,7 @@
 /// How urgent a job is, given the jobs that depend on it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct EffectivePriority {
-    /// As of `band`, 0 to 3.
+    /// As of `priority_level`, 0 to 3.
     pub priority: u8,
     /// When it should be done, or `NEVER`.
     pub deadline: f64,
@@ -40,7 +40,7 @@
 }
 
 /// The planner's number of a job's priority, 0 to 3.
-pub(crate) fn band(spec: &JobSpec) -> u8 {
+pub(crate) fn priority_level(spec: &JobSpec) -> u8 {
     match spec.priority {
         Priority::Low => 0,
         Priority::Normal => 1,
@@ -95,7 +95,7 @@
 
 impl LeaderState {
     /// Job `id` is done: what was asked of it will be asked of its class.
-    pub(crate) fn learn_inherited_priority(&mut self, id: &str) {
+    pub(crate) fn record_inherited_priority(&mut self, id: &str) {
         let Some(job) = self.cluster.jobs.get(id) else { return };
         let known = self.planning.classes.get(&job.spec.class);
         // Most classes have nothing to do with dependencies.
@@ -182,7 +182,7 @@
         let due =
             |factor: f64| spec.deadline_s.map_or(NEVER, |deadline_s| job.submitted_at + deadline_s * factor);
         OwnPriority {
-            priority: band(spec),
+            priority: priority_level(spec),
             deadline: due(1.0),
             latest_useful_end: due(self.max_deadline_factor(&spec.class)),
             expected_duration_s: self.expected_duration_s(job, run_time_ratio(leader, spec)),
@@ -197,7 +197,7 @@
     ) -> EffectivePriority {
         let spec = &job.spec;
         let mut effective = EffectivePriority {
-            priority: band(spec),
+            priority: priority_level(spec),
             deadline: self.deadline(job, 1.0),
             latest_useful_end: self.deadline(job, self.max_deadline_factor(&spec.class)),
             has_dependents: false,
--- a/crates/controller/src/scheduling/job_dependencies.rs
+++ b/crates/controller/src/scheduling/job_dependencies.rs
@@ -86,7 +86,7 @@
     }
 
     /// Adds a new live job to the graph.
-    pub(crate) fn enter_graph(&mut self, id: &str) {
+    pub(crate) fn add_job_to_dependency_graph(&mut self, id: &str) {
         let Role::Leader(leader) = &mut self.role else { return };
         let effects = add_to_graph(leader, &self.terminal_states, id);
         self.apply_graph_effects(effects);
@@ -124,7 +124,7 @@
 
     /// The record of job `id` is not among those of live jobs any more, and how it ended is not
     /// known.
-    pub(crate) fn on_archived_unseen(&mut self, id: &str) {
+    pub(crate) fn on_archived_with_unknown_outcome(&mut self, id: &str) {
         if let Role::Leader(leader) = &mut self.role {
             leader.dependencies.graph.mark_unknown(id);
         }
@@ -173,17 +173,17 @@
         let token = leader.fencing_token;
         for id in leader.dependencies.take_due_reads(now) {
             let request = StoreRequest::Get(job_key(&id));
-            self.call_store(CallContext::DependencyRead { token, id, over: false }, request);
+            self.call_store(CallContext::DependencyRead { token, id, from_archive: false }, request);
         }
     }
 
-    /// Takes the record of dependency `id`. `over`: it was looked for among the jobs that have
+    /// Takes the record of dependency `id`. `from_archive`: it was looked for among the jobs that have
     /// ended.
-    pub(crate) fn on_dependency_read(&mut self, token: u64, id: &str, over: bool, reply: StoreReply) {
+    pub(crate) fn on_dependency_read(&mut self, token: u64, id: &str, from_archive: bool, reply: StoreReply) {
         let retry_at = self.now + self.timing.renewal_interval_s * RETRY_INTERVAL_PART;
         let Some(leader) = self.leader_state(token) else { return };
-        if let (StoreReply::Missing(_), false) = (&reply, over) {
-            let context = CallContext::DependencyRead { token, id: id.to_string(), over: true };
+        if let (StoreReply::Missing(_), false) = (&reply, from_archive) {
+            let context = CallContext::DependencyRead { token, id: id.to_string(), from_archive: true };
             self.call_store(context, StoreRequest::Get(over_key(id)));
             return;
         }
--- a/crates/controller/src/scheduling/planner_input.rs
+++ b/crates/controller/src/scheduling/planner_input.rs
@@ -9,7 +9,7 @@
 use crate::scheduling::pending_jobs::{open_jobs, PendingJobs};
 use crate::scheduling::pricing::{machine_resources, update_price_ratio};
 use crate::scheduling::running_tasks::{PlacedTask, RunningTasks};
-use crate::scheduling::starvation::{StarvationGuard, StarvingGroups};
+use crate::scheduling::starvation::{StarvationGuard, StarvedGroups};
 use crate::scheduling::teams::{guaranteed_jobs, TeamQuotas};
 use crate::{Controller, Time};
 use dependencies::InheritedPriority;
@@ -187,7 +187,7 @@
     /// Tasks by the number of their owner in a preemption candidate.
     pub preemptible_tasks: Vec<PlacedTask>,
     /// Classes and teams that are starving.
-    pub starving_groups: StarvingGroups,
+    pub starved_groups: StarvedGroups,
     /// What dependent jobs ask of those before them, by id.
     pub inherited_priorities: HashMap<String, InheritedPriority>,
     /// What is paid, as a multiple of what the work would cost where it is cheapest.
@@ -216,15 +216,15 @@
         pending.add_all(open_jobs, &mut guard);
         let steps = running.steps + pending.search_steps();
         let (mut job_ids, mut jobs) = pending.into_jobs();
-        let starving_groups = guard.apply(context.now, &mut job_ids, &mut jobs);
+        let starved_groups = guard.apply(context.now, &mut job_ids, &mut jobs);
         let preemptible_tasks = running.preemptible_tasks;
-        protect_starving(&context, &starving_groups, &preemptible_tasks, &mut machines);
+        protect_starving(&context, &starved_groups, &preemptible_tasks, &mut machines);
         PlannerInput {
             problem: context.problem(machines.machines, jobs, quotas.teams),
             machine_names: machines.names,
             job_ids,
             preemptible_tasks,
-            starving_groups,
+            starved_groups,
             price_ratio: context.price_ratio(),
             peak_demanded_machines,
             steps,
@@ -236,7 +236,7 @@
 /// Tasks of starving classes and teams are not preempted.
 fn protect_starving(
     context: &PlanningContext,
-    starving: &StarvingGroups,
+    starving: &StarvedGroups,
     tasks: &[PlacedTask],
     machines: &mut PlannerMachines,
 ) {
--- a/crates/controller/src/scheduling/planning_state.rs
+++ b/crates/controller/src/scheduling/planning_state.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Time;
 use crate::scheduling::class_stats::ClassStats;
-use crate::scheduling::starvation::{GangReservation, StarvingGroups};
+use crate::scheduling::starvation::{GangReservation, StarvedGroups};
 use crate::scheduling::work_conservation::WaitingBesideCapacity;
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
     /// The largest number of machines that work with a deadline or objective has had at a time.
     pub peak_demanded_machines: usize,
     /// Classes and teams that were starving at the last plan.
-    pub starving_groups: StarvingGroups,
+    pub starved_groups: StarvedGroups,
     /// The overdue gang for which machines are reserved.
     pub gang_reservation: GangReservation,
     /// Jobs that wait beside free capacity, since when.
@@ -36,7 +36,7 @@
             planned_at: now - 1.0,
             next_plan_at: now,
             peak_demanded_machines: 0,
-            starving_groups: StarvingGroups::default(),
+            starved_groups: StarvedGroups::default(),
             gang_reservation: GangReservation::default(),
             waiting_beside_capacity: WaitingBesideCapacity::default(),
             price_paid: 1.0,
--- a/crates/controller/src/scheduling/starvation.rs
+++ b/crates/controller/src/scheduling/starvation.rs
@@ -3,7 +3,7 @@
 
 use crate::scheduling::pricing::resources_per_task;
 use planner::starvation::{
-    guaranteed_tasks, overdue_tasks, reservation_expiry, starving_groups, StarvationPolicy, WaitingDemand,
+    guaranteed_tasks, overdue_tasks, reservation_expiry, starved_groups, StarvationPolicy, WaitingDemand,
 };
 use planner::{Job, Resources, RunningTask, Shape};
 use protocol::job::JobSpec;
@@ -115,8 +115,8 @@
 
     /// Lets overdue jobs, and jobs of starving groups, go first in the plan. If only some of a job's
     /// tasks do, they become a job of their own, under the same id.
-    pub fn apply(&mut self, now: f64, ids: &mut Vec<String>, jobs: &mut Vec<Job>) -> StarvingGroups {
-        let starving = starving_groups(now, &self.policy, &self.held_shares, &self.demands);
+    pub fn apply(&mut self, now: f64, ids: &mut Vec<String>, jobs: &mut Vec<Job>) -> StarvedGroups {
+        let starving = starved_groups(now, &self.policy, &self.held_shares, &self.demands);
         let mut relieved_tasks = overdue_tasks(now, &self.policy, &self.demands);
         self.reserve_for_overdue(&relieved_tasks, jobs);
         if starving.contains(&true) {
@@ -131,7 +131,7 @@
             }
         }
         let groups = self.group_indices.iter().filter(|(_, &index)| starving[index]);
-        StarvingGroups { groups: groups.map(|(group, _)| group.clone()).collect() }
+        StarvedGroups { groups: groups.map(|(group, _)| group.clone()).collect() }
     }
 
     /// Overdue jobs may keep machines to themselves for a while.
@@ -179,11 +179,11 @@
 
 /// Classes and teams that are starving.
 #[derive(Debug, Default, PartialEq)]
-pub struct StarvingGroups {
+pub struct StarvedGroups {
     groups: Vec<StarvationGroup>,
 }
 
-impl StarvingGroups {
+impl StarvedGroups {
     fn contains(&self, spec: &JobSpec) -> bool {
         self.groups.iter().any(|group| group.contains(spec))
     }
--- a/crates/controller/src/storage/write_queue.rs
+++ b/crates/controller/src/storage/write_queue.rs
@@ -10,7 +10,7 @@
 use crate::leader::state::{LeaderState, Role};
 use crate::model::job::{Job, JobWrite};
 use crate::model::records::Value;
-use crate::scheduling::effective_priority::band;
+use crate::scheduling::effective_priority::priority_level;
 use crate::{CallContext, Controller, StoreRequest, Time};
 use due_jobs::due_jobs;
 use protocol::job::JobStatus;
@@ -216,18 +216,17 @@
         if budget.available_at(conditions.now) < conditions.reserve() {
             return;
         }
-        let oversized = self
-            .cluster
-            .jobs
-            .values_mut()
-            .filter(|job| job.page_layout.exceeds_next_limit() && job.is_stored() && !job.is_over());
+        let oversized =
+            self.cluster.jobs.values_mut().filter(|job| {
+                job.page_layout.exceeds_next_limit() && job.is_stored() && !job.has_fully_ended()
+            });
         let by_urgency = |a: &&mut Job, b: &&mut Job| {
-            let by_band = band(&a.spec).cmp(&band(&b.spec));
+            let by_band = priority_level(&a.spec).cmp(&priority_level(&b.spec));
             by_band.then(b.ready_at.total_cmp(&a.ready_at))
         };
         if let Some(job) = oversized.max_by(by_urgency) {
             job.mark_main_dirty();
-            job.page_layout.shrink();
+            job.page_layout.restrict_to_next_limits();
         }
     }
 }
--- a/crates/controller/src/storage/write_queue/due_jobs.rs
+++ b/crates/controller/src/storage/write_queue/due_jobs.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Time;
 use crate::model::job::Job;
-use crate::scheduling::effective_priority::band;
+use crate::scheduling::effective_priority::priority_level;
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
@@ -39,7 +39,7 @@
 
 fn due_job(id: &str, job: &Job, dirty_since: Time, now: Time, lazy_delay_s: Time) -> Option<DueJob> {
     if needs_urgent_write(job) {
-        let rank = u8::MAX - band(&job.spec);
+        let rank = u8::MAX - priority_level(&job.spec);
         return Some(DueJob { id: id.to_string(), is_lazy: false, rank, since: job.ready_at });
     }
     if now >= dirty_since + lazy_delay_s {
--- a/crates/controller/src/storage/write_queue/outcome.rs
+++ b/crates/controller/src/storage/write_queue/outcome.rs
@@ -74,7 +74,7 @@
     fn on_transaction_applied(&mut self, token: u64, entries: Vec<TransactionEntry>, revision: u64) {
         if let Some(leader) = self.leader_state(token) {
             for entry in entries.iter().filter(|entry| entry.final_status == Some(JobStatus::Done)) {
-                leader.learn_inherited_priority(&entry.job_id);
+                leader.record_inherited_priority(&entry.job_id);
             }
         }
         for entry in entries.iter().filter(|entry| entry.archives) {
--- a/crates/controller/src/storage/write_queue/read_back.rs
+++ b/crates/controller/src/storage/write_queue/read_back.rs
@@ -81,7 +81,7 @@
         if let Some(id) = key.strip_prefix(JOB_PREFIX) {
             leader.archive.archived.record(id, revision);
             if leader.cluster.jobs.remove(id).is_some() {
-                self.on_archived_unseen(id);
+                self.on_archived_with_unknown_outcome(id);
             }
         } else if let Some(id) = key.strip_prefix(MARK_PREFIX) {
             if let Some(job) = leader.cluster.jobs.get_mut(id) {
--- a/crates/controller/src/storage/write_queue/transaction.rs
+++ b/crates/controller/src/storage/write_queue/transaction.rs
@@ -118,14 +118,14 @@
     /// Divides the job's tasks anew if a value would not fit the coming limits; or, while some node
     /// may not read that, allows for larger values.
     fn fit_pages(&self, job: &mut Job) {
-        if job.is_over() || job.page_layout.is_changing() || !job.needs_repagination() {
+        if job.has_fully_ended() || job.page_layout.is_changing() || !job.needs_repagination() {
             return;
         }
         if self.conditions.may_repaginate {
             debug!(job = %job.spec.id, per_page = job.page_layout.per_page, "job repaginated");
             job.repaginate();
         } else {
-            job.page_layout.grow(self.conditions.current_value_bytes);
+            job.page_layout.allow_current_limits(self.conditions.current_value_bytes);
         }
     }
 
@@ -134,7 +134,7 @@
     /// live job depends on.
     fn can_archive(&self, job: &Job, max_mutations: usize) -> bool {
         self.conditions.may_archive
-            && job.is_over()
+            && job.has_fully_ended()
             && !self.graph.has_dependents(&job.spec.id)
             && job.keys_beside_record().len() + ARCHIVE_MOVE_MUTATIONS <= max_mutations
     }
