--- a/crates/controller/src/scheduling.rs
+++ b/crates/controller/src/scheduling.rs
@@ -1,8 +1,8 @@
-//! Scheduling: which task starts on which machine, and which is preempted.
+//! Scheduling: decides which tasks start on which machines and which tasks are preempted.
 //!
-//! `planning` runs the planner when it is due. `planner_input` turns the cluster's state into the
-//! planner's problem, `apply_plan` carries the plan out. The other modules each hold one rule:
-//! priorities, dependencies, quotas, starvation, best-effort work, prices.
+//! `planning` runs the planner when a plan is due. `planner_input` converts the cluster state into
+//! the planner's problem, and `apply_plan` applies the plan. Each of the other modules implements
+//! one concern: priorities, dependencies, quotas, starvation, best-effort work, prices.
 
 mod apply_plan;
 mod best_effort;
--- a/crates/controller/src/scheduling/apply_plan.rs
+++ b/crates/controller/src/scheduling/apply_plan.rs
@@ -1,5 +1,4 @@
-//! Carries a plan out: records what it found, places the tasks that start, and stops those that
-//! are preempted.
+//! Applies a plan: records its results, places the tasks that start, and stops the preempted tasks.
 
 use crate::leader::state::{LeaderState, Role};
 use crate::model::job::Job;
@@ -13,28 +12,29 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use tracing::{debug, info};
 
-/// A checkpoint may take that many times its usual time when a task is preempted.
+/// Grace period of a preempted task that saves a checkpoint, as a multiple of its usual save time.
 const CHECKPOINT_TIME_MARGIN: f64 = 1.25;
 
 /// A page of a job's stored record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct StoredPage {
-    /// The planner's number of the job.
+    /// Index of the job in the planner's input.
     job: usize,
     page: usize,
 }
 
-/// Places a plan's tasks one by one.
+/// Places the tasks that a plan starts.
 #[derive(Default)]
 struct StartedTasks {
-    /// The attempt that each gang's tasks start as, by the planner's number of the job.
+    /// Attempt number of the tasks of each gang, by job index.
     gang_attempts: BTreeMap<usize, u64>,
-    /// Bytes of placements on each page that gets some.
+    /// Bytes of the placements on each page that gets new ones.
     page_bytes: HashMap<StoredPage, usize>,
 }
 
 impl StartedTasks {
-    /// Places a task, unless it may not start yet or its placement does not fit its page.
+    /// Places a task unless its job still waits for dependencies or its placement does not fit its
+    /// page.
     fn start(
         &mut self,
         leader: &mut LeaderState,
@@ -45,8 +45,8 @@
     ) {
         let id = &input.job_ids[start.job];
         let machine_name = &input.machine_names[start.machine];
-        // Nowhere else are placements made: there is none before the jobs that this one depends on
-        // are stored as done.
+        // Placements are created only here, so no task of a job is placed before the jobs that it
+        // depends on are stored as done.
         if respect_dependencies && leader.dependencies.graph.is_waiting(id) {
             return;
         }
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The next attempt, which is the same for all tasks of a gang.
+    /// Returns the next attempt number, which is the same for all tasks of a gang.
     fn attempt(&mut self, job: &Job, start: &Start) -> u64 {
         let next = job.attempt + 1;
         match job.spec.shape {
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Whether the placement fits the page that it is stored on; if so, it is counted there. Gangs
-    /// are not divided.
+    /// Reserves space for the placement on the page that stores it. Returns whether the placement may
+    /// be created; placements of gangs always may, because a gang must not be placed partially.
     fn reserve_page_bytes(&mut self, job: &Job, start: &Start, attempt: u64, machine: &str) -> bool {
         let page = job.page_of(start.task);
         let bytes = self
@@ -91,7 +91,7 @@
     }
 }
 
-/// How long a task that is preempted may take to save its progress.
+/// Returns the time that a preempted task of the job gets to save its progress.
 fn preemption_grace_s(job: &Job) -> Time {
     if job.spec.checkpoint_interval_s > 0.0 {
         job.spec.save_s * CHECKPOINT_TIME_MARGIN
@@ -101,7 +101,7 @@
 }
 
 impl Controller {
-    /// Records what the plan found. The next plan is made in `next_plan_in_s` at the earliest.
+    /// Records the results of the plan. The next plan is made after `next_plan_in_s` at the earliest.
     pub(super) fn record_plan(&mut self, input: &mut PlannerInput, plan: &Plan, next_plan_in_s: Time) {
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else { return };
@@ -109,8 +109,8 @@
         planning.needed = false;
         planning.planned_at = now;
         planning.next_plan_at = now + next_plan_in_s;
-        planning.peak_demanded_machines = input.peak_demanded_machines;
-        planning.price_paid = input.price_ratio;
+        planning.peak_non_best_effort_machines = input.peak_non_best_effort_machines;
+        planning.price_ratio = input.price_ratio;
         planning.gang_reservation = GangReservation(
             plan.gang_assembly.map(|(job, zone)| AssemblingGang { job: input.job_ids[job].clone(), zone }),
         );
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Stops the preempted tasks. `preemptions`: positions in `tasks`.
+    /// Stops the preempted tasks; `preemptions` are indices of `tasks`.
     pub(super) fn apply_preemptions(&mut self, preemptions: &[usize], tasks: &[PlacedTask]) {
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else { return };
--- a/crates/controller/src/scheduling/class_stats.rs
+++ b/crates/controller/src/scheduling/class_stats.rs
@@ -1,4 +1,4 @@
-//! What is learned of a job class: run times, arrivals, and where its jobs usually run.
+//! Statistics of a job class: run times, arrivals, and the machines that its jobs usually need.
 
 use crate::autoscaling::fleet::MachinePool;
 use crate::leader::state::Role;
@@ -9,50 +9,50 @@
 use protocol::job::JobSpec;
 use std::collections::VecDeque;
 
-/// Arrivals that the rate of a class is taken from.
+/// Number of arrivals from which the arrival rate of a class is computed.
 const MAX_ARRIVALS: usize = 8;
 
-/// Samples after which a new run time counts no less.
+/// Number of run_samples after which the weight of a new run time stays constant.
 const MAX_RUN_SAMPLES: u32 = 20;
 
-/// The range of ratios of run times to estimates that count.
+/// Range to which ratios of run times to estimates are clamped.
 const RUN_TIME_RATIOS: std::ops::RangeInclusive<f64> = 0.1..=10.0;
 
-/// The time over which the arrival rate is a mean is at least that long.
+/// Minimum length of the period over which the arrival rate is averaged.
 const MIN_ARRIVAL_WINDOW_S: f64 = 60.0;
 
-/// Tasks of one job that count as demand.
+/// Maximum number of tasks of one job that count as demand.
 const MAX_DEMAND_TASKS: u32 = 1000;
 
-/// What was learned of a class.
+/// Statistics of a job class.
 #[derive(Debug, Clone, Default)]
 pub struct ClassStats {
-    /// Mean logarithm of the ratio of run times to the estimates.
-    log_ratio: f64,
-    /// Runs so far.
-    samples: u32,
-    /// What dependent jobs asked of its jobs.
+    /// Mean logarithm of the ratio of run times to estimates.
+    mean_log_ratio: f64,
+    /// Number of runs recorded.
+    run_samples: u32,
+    /// Priorities and deadlines that its jobs inherited from dependent jobs.
     pub inherited_demand: InheritedDemand,
-    /// Times of the last arrivals, in seconds.
+    /// Times of the most recent arrivals, in seconds.
     arrivals: VecDeque<f64>,
-    /// The machines that one of its jobs usually takes.
+    /// Machines that one of its jobs usually needs.
     pub typical_demand: Option<TypicalDemand>,
 }
 
-/// The machines that a job of a class takes where it runs cheapest.
+/// Machines that a job of a class usually needs in the pool where it runs cheapest.
 #[derive(Debug, Clone)]
 pub struct TypicalDemand {
-    /// The cheapest pool for the last job.
+    /// Cheapest pool of the most recent job.
     pub pool: MachinePool,
-    /// Machines that a job takes, running mean.
+    /// Running mean of the number of machines per job.
     pub machines: f64,
-    /// Square of the machines that a job takes, running mean.
+    /// Running mean of the squared number of machines per job.
     pub mean_square: f64,
     /// Boot time in that pool, in seconds.
     pub boot_s: f64,
 }
 
-/// The machines that one job takes where it runs cheapest.
+/// Machines that one job needs in the pool where it runs cheapest.
 pub(super) struct JobDemand {
     pool: MachinePool,
     machines: f64,
@@ -81,13 +81,13 @@
 impl ClassStats {
     /// Records a run that took `ratio` times its estimate.
     pub fn record_run(&mut self, ratio: f64) {
-        self.samples += 1;
-        let weight = 1.0 / f64::from(self.samples.min(MAX_RUN_SAMPLES) + 2);
+        self.run_samples += 1;
+        let weight = 1.0 / f64::from(self.run_samples.min(MAX_RUN_SAMPLES) + 2);
         let ratio = ratio.clamp(*RUN_TIME_RATIOS.start(), *RUN_TIME_RATIOS.end());
-        self.log_ratio += (ratio.ln() - self.log_ratio) * weight;
+        self.mean_log_ratio += (ratio.ln() - self.mean_log_ratio) * weight;
     }
 
-    /// Records a job that arrived at `at`; `demand`: if it fits on any machine.
+    /// Records the arrival of a job at `at`. `demand` is None if the job fits on no machine.
     pub(super) fn record_arrival(&mut self, at: f64, demand: Option<JobDemand>) {
         self.arrivals.push_back(at);
         if self.arrivals.len() > MAX_ARRIVALS {
@@ -97,8 +97,8 @@
         self.typical_demand.get_or_insert_with(|| TypicalDemand::new(&demand)).record(demand);
     }
 
-    /// Jobs per second, lately. A silence well beyond the usual interval lowers it, so that no
-    /// reserve outlives the demand.
+    /// Returns the recent arrival rate in jobs per second. The rate falls when no job has arrived for
+    /// much longer than the usual interval, so that reserves disappear once demand has ended.
     pub fn arrival_rate(&self, now: f64) -> f64 {
         let (Some(first), Some(last)) = (self.arrivals.front(), self.arrivals.back()) else { return 0.0 };
         let arrivals = self.arrivals.len() as f64;
@@ -106,13 +106,14 @@
         mean.min(1.5 / (now - last).max(1e-3))
     }
 
-    /// Expected run time as a multiple of the estimate.
+    /// Returns the expected run time as a multiple of the estimate.
     pub fn run_time_ratio(&self) -> f64 {
-        self.log_ratio.exp()
+        self.mean_log_ratio.exp()
     }
 }
 
-/// The machines that a job takes in the pool where it runs cheapest, if it fits in any.
+/// Returns the machines that a job needs in the pool where it runs cheapest, or None if it fits in
+/// no pool.
 fn cheapest_demand(types: &[MachineType], spec: &JobSpec) -> Option<JobDemand> {
     let resources = resources_per_task(spec);
     let mut cheapest: Option<(f64, JobDemand)> = None;
@@ -136,7 +137,8 @@
 }
 
 impl Controller {
-    /// Records that a job arrived at `at`, for its class's reserve. Best-effort jobs get none.
+    /// Records the arrival of a job at `at` for the reserve of its class. Best-effort jobs are not
+    /// recorded, because no reserve is kept for them.
     pub(crate) fn record_arrival(&mut self, spec: &JobSpec, at: f64) {
         if self.is_best_effort(spec) {
             return;
--- a/crates/controller/src/scheduling/effective_priority.rs
+++ b/crates/controller/src/scheduling/effective_priority.rs
@@ -1,5 +1,5 @@
-//! How urgent a job is, by itself and for those that depend on it. The users of a dependency chain
-//! set the deadline, and the priority that they care about, on its last job only.
+//! Effective priorities: the priority and deadline of a job, raised by those of the jobs that depend
+//! on it. Users set the deadline and priority of a dependency chain only on its last job.
 
 use crate::leader::state::{LeaderState, Role};
 use crate::model::job::Job;
@@ -10,27 +10,27 @@
 use settings::Slo;
 use std::collections::HashMap;
 
-/// No deadline.
+/// Time that stands for "no deadline".
 pub(crate) const NEVER: f64 = f64::MAX / 4.0;
 
-/// Deadlines from then on are none.
+/// Time from which on a deadline counts as none.
 const MAX_DEADLINE: f64 = NEVER / 2.0;
 
-/// How urgent a job is, given the jobs that depend on it.
+/// Priority and deadline of a job, raised by the jobs that depend on it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct EffectivePriority {
-    /// As of `priority_level`, 0 to 3.
+    /// Priority level, 0 to 3 (see `priority_level`).
     pub priority: u8,
-    /// When it should be done, or `NEVER`.
+    /// Time by which the job should be done, or `NEVER`.
     pub deadline: f64,
-    /// When it is of no use any more, or `NEVER`.
+    /// Latest end at which the job is still useful, or `NEVER`.
     pub latest_useful_end: f64,
-    /// Others depend on it, or usually depend on jobs of its class.
+    /// Whether other jobs depend on it, or usually depend on jobs of its class.
     pub has_dependents: bool,
 }
 
 impl EffectivePriority {
-    /// Raises it to what is asked of the job.
+    /// Raises the priority and deadline to those that dependents require.
     fn raise(&mut self, priority: u8, deadline: f64, latest_useful_end: f64) {
         self.priority = self.priority.max(priority);
         self.deadline = self.deadline.min(deadline);
@@ -39,7 +39,7 @@
     }
 }
 
-/// The planner's number of a job's priority, 0 to 3.
+/// Returns the numeric level of a job's priority, 0 to 3; larger is more urgent.
 pub(crate) fn priority_level(spec: &JobSpec) -> u8 {
     match spec.priority {
         Priority::Low => 0,
@@ -49,57 +49,62 @@
     }
 }
 
-/// What dependent jobs asked of a class's jobs lately: the last jobs of some dependency chains are
+/// Statistics of the priorities and deadlines that jobs of a class inherited recently. They predict
+/// the demand of dependents that are not submitted yet: the last jobs of some dependency chains are
 /// submitted only when the others are done.
 #[derive(Debug, Clone, Default)]
 pub struct InheritedDemand {
-    /// Part of the class's jobs that others depended on.
+    /// Fraction of the class's jobs that had dependents.
     dependent_share: f64,
-    /// The priority of the last such job's dependents.
+    /// Priority that the last such job inherited.
     priority: u8,
-    /// Mean time from when such a job could start to when it had to be done, in seconds.
-    within_s: f64,
+    /// Mean time from the moment such a job could start to its inherited deadline, in seconds.
+    mean_time_to_deadline_s: f64,
 }
 
-/// What dependent jobs will probably ask of a job.
+/// Priority and deadline that a job will probably inherit.
 struct ExpectedDemand {
     priority: u8,
     deadline: f64,
 }
 
-/// Weight of a job in what is learned of its class.
-const LEARNING_WEIGHT: f64 = 0.125;
+/// Weight of a job in the moving averages of its class.
+const SMOOTHING_FACTOR: f64 = 0.125;
 
 impl InheritedDemand {
     /// Records a finished job of the class that could start at `ready_at`.
     fn record(&mut self, ready_at: f64, inherited: Option<&InheritedPriority>) {
         let is_first = self.dependent_share == 0.0;
-        let weight = if is_first { 1.0 } else { LEARNING_WEIGHT };
+        let weight = if is_first { 1.0 } else { SMOOTHING_FACTOR };
         let had_dependents = f64::from(u8::from(inherited.is_some()));
         self.dependent_share += (had_dependents - self.dependent_share) * weight;
         if let Some(inherited) = inherited.filter(|inherited| inherited.deadline < MAX_DEADLINE) {
             self.priority = inherited.priority;
-            let within_s = (inherited.deadline - ready_at).max(0.0);
-            let weight = if self.within_s == 0.0 { 1.0 } else { LEARNING_WEIGHT };
-            self.within_s += (within_s - self.within_s) * weight;
+            let time_to_deadline_s = (inherited.deadline - ready_at).max(0.0);
+            let weight = if self.mean_time_to_deadline_s == 0.0 { 1.0 } else { SMOOTHING_FACTOR };
+            self.mean_time_to_deadline_s += (time_to_deadline_s - self.mean_time_to_deadline_s) * weight;
         }
     }
 
-    /// What will probably be asked of a job that could start at `ready_at`.
-    fn expect(&self, ready_at: f64) -> Option<ExpectedDemand> {
-        let usually_has_dependents = self.dependent_share > 0.5 && self.within_s > 0.0;
-        let expected = ExpectedDemand { priority: self.priority, deadline: ready_at + self.within_s };
+    /// Returns the demand that a job that could start at `ready_at` will probably inherit, or None if
+    /// jobs of the class usually have no dependents with a deadline.
+    fn expected_for(&self, ready_at: f64) -> Option<ExpectedDemand> {
+        let usually_has_dependents = self.dependent_share > 0.5 && self.mean_time_to_deadline_s > 0.0;
+        let expected =
+            ExpectedDemand { priority: self.priority, deadline: ready_at + self.mean_time_to_deadline_s };
         usually_has_dependents.then_some(expected)
     }
 }
 
 impl LeaderState {
-    /// Job `id` is done: what was asked of it will be asked of its class.
+    /// Records the priority that job `id` had inherited when it was done in the statistics of its
+    /// class.
     pub(crate) fn record_inherited_priority(&mut self, id: &str) {
         let Some(job) = self.cluster.jobs.get(id) else { return };
-        let known = self.planning.classes.get(&job.spec.class);
-        // Most classes have nothing to do with dependencies.
-        let never_had_dependents = known.is_none_or(|stats| stats.inherited_demand.dependent_share == 0.0);
+        let class_stats = self.planning.classes.get(&job.spec.class);
+        // Most classes never take part in dependencies.
+        let never_had_dependents =
+            class_stats.is_none_or(|stats| stats.inherited_demand.dependent_share == 0.0);
         if job.inherited_priority.is_none() && never_had_dependents {
             return;
         }
@@ -113,30 +118,31 @@
 }
 
 impl Controller {
-    /// Up to how many times its deadline a job of a class is still of use.
+    /// Returns the largest multiple of its deadline at which a job of the class is still useful.
     fn max_deadline_factor(&self, class: &str) -> f64 {
         let slos = self.settings.params.slos.iter();
         let deadlines = slos.filter(|slo| slo.kind == "deadline" && is_of_class(slo, class));
         deadlines.filter_map(|slo| slo.deadline_factor).fold(1.0, f64::max)
     }
 
-    /// When its owner wants it done: by its deadline, else by the strictest objective of its class
-    /// for being finished, else `NEVER`, about.
+    /// Returns the time by which the owner expects the job to be done: its deadline, or else the time
+    /// set by the strictest "finished" objective of its class, or else a time of about `NEVER`.
     pub(crate) fn due_by(&self, job: &Job) -> f64 {
         let slos = self.settings.params.slos.iter();
         let finished = slos.filter(|slo| slo.kind == "finished" && is_of_class(slo, &job.spec.class));
-        let within_s = finished.filter_map(|slo| slo.threshold_s).fold(NEVER, f64::min);
-        job.spec.deadline_s.map_or(job.ready_at + within_s, |due_s| job.submitted_at + due_s)
+        let threshold_s = finished.filter_map(|slo| slo.threshold_s).fold(NEVER, f64::min);
+        job.spec.deadline_s.map_or(job.ready_at + threshold_s, |due_s| job.submitted_at + due_s)
     }
 
-    /// The first objective of that kind for a class, in seconds.
+    /// Returns the threshold of the class's first objective of that kind, in seconds.
     fn objective_s(&self, kind: &str, class: &str) -> Option<f64> {
         let mut slos = self.settings.params.slos.iter();
         slos.find(|slo| slo.kind == kind && is_of_class(slo, class)).and_then(|slo| slo.threshold_s)
     }
 
-    /// A job's deadline, times `factor`. Without one, its class's objectives stand in for it: it is
-    /// to be done by one, or started by the other and then run.
+    /// Returns the deadline of a job, with its length multiplied by `factor`. For a job without a
+    /// deadline, it follows from the objectives of its class: the "finished" objective, or the "wait"
+    /// objective plus the estimated run time, whichever is earlier.
     fn deadline(&self, job: &Job, factor: f64) -> f64 {
         let spec = &job.spec;
         if let Some(deadline_s) = spec.deadline_s {
@@ -151,15 +157,15 @@
         }
     }
 
-    /// Best-effort work: an array of low priority without a deadline or objective.
+    /// Whether a job is best-effort work: an array of low priority without a deadline or objective.
     pub(crate) fn is_best_effort(&self, spec: &JobSpec) -> bool {
         let has_no_deadline =
             spec.priority == Priority::Low && spec.deadline_s.is_none() && spec.shape == Shape::Array;
         has_no_deadline && !self.settings.params.slos.iter().any(|slo| is_of_class(slo, &spec.class))
     }
 
-    /// From the end of the jobs that it depends on to its own end, as expected: half a heartbeat
-    /// interval, the fetch of its image, and its run.
+    /// Returns the expected time from the end of a job's dependencies to its own end: half a heartbeat
+    /// interval, the fetch of its image, and its run time.
     fn expected_duration_s(&self, job: &Job, ratio: f64) -> f64 {
         let rates = self.machine_types.iter().flatten().map(|machine_type| machine_type.fetch_gb_per_s);
         let slowest_rate = rates.filter(|rate| *rate > 0.0).fold(f64::MAX, f64::min);
@@ -167,7 +173,7 @@
         expected_run_s(job, ratio) + fetch_s + self.settings.params.workers.heartbeat_interval_s / 2.0
     }
 
-    /// What dependent jobs ask of the jobs before them.
+    /// Returns the priorities that jobs inherit from their dependents, by job id.
     pub(crate) fn inherited_priorities(&self) -> HashMap<String, InheritedPriority> {
         let Role::Leader(leader) = &self.role else { return HashMap::new() };
         let own_priority = |id: &str| leader.cluster.jobs.get(id).map(|job| self.own_priority(leader, job));
@@ -175,8 +181,9 @@
         inherited.into_iter().map(|(id, priority)| (id.to_string(), priority)).collect()
     }
 
-    /// What a job asks of those before it. An objective for its start or end counts from when it
-    /// could start, and so asks nothing of them.
+    /// Returns the priority and deadline of a job that its dependencies inherit. Objectives for its
+    /// start or end do not affect them, because these are measured from the time when the job could
+    /// start.
     fn own_priority(&self, leader: &LeaderState, job: &Job) -> OwnPriority {
         let spec = &job.spec;
         let due =
@@ -189,7 +196,7 @@
         }
     }
 
-    /// How urgent a job is, given what its dependents ask of it.
+    /// Returns the effective priority of a job, given the priority inherited from its dependents.
     pub(crate) fn effective_priority(
         &self,
         job: &Job,
@@ -215,9 +222,9 @@
         effective
     }
 
-    /// What dependents usually ask of jobs of its class.
+    /// Returns the demand that jobs of its class usually inherit.
     fn expected_demand(&self, job: &Job) -> Option<ExpectedDemand> {
         let Role::Leader(leader) = &self.role else { return None };
-        leader.planning.classes.get(&job.spec.class)?.inherited_demand.expect(job.ready_at)
+        leader.planning.classes.get(&job.spec.class)?.inherited_demand.expected_for(job.ready_at)
     }
 }
--- a/crates/controller/src/scheduling/free_capacity.rs
+++ b/crates/controller/src/scheduling/free_capacity.rs
@@ -1,5 +1,5 @@
-//! Whether a machine that a job may use has room for one of its tasks now. The planner's limits on
-//! best-effort work must not make such a job wait beside it for long.
+//! Search for a machine that a job may use and that has room for one of its tasks now. The planner's
+//! limits on best-effort work must not keep a job waiting for long while there is such a machine.
 
 use crate::model::job::Job;
 use crate::scheduling::machines::PlannerMachines;
@@ -7,41 +7,41 @@
 use crate::scheduling::pricing::{allows_type, resources_per_task};
 use protocol::job::JobSpec;
 
-/// Sorts of jobs that one plan looks for room for in vain.
-const MAX_FRUITLESS_SEARCHES: usize = 16;
+/// Maximum number of unsuccessful searches in one plan.
+const MAX_FAILED_SEARCHES: usize = 16;
 
-/// Searches for room, and remembers for which jobs there is none.
+/// Search for room that remembers which jobs there is none for.
 #[derive(Debug, Default)]
 pub(super) struct FreeCapacitySearch<'a> {
     /// Jobs for which no machine has room.
-    fruitless: Vec<&'a JobSpec>,
-    /// Machines that were looked at.
+    unplaceable: Vec<&'a JobSpec>,
+    /// Number of machines examined.
     steps: u64,
 }
 
 impl<'a> FreeCapacitySearch<'a> {
-    /// Machines that were looked at, as steps of planning.
+    /// Returns the number of machines examined, which count as planning steps.
     pub fn steps(&self) -> u64 {
         self.steps
     }
 
-    /// Whether a machine has room for a task of the job. False without a search for jobs like one
-    /// that was searched for in vain, and after too many such searches.
+    /// Whether a machine has room for a task of the job. Returns false without a search if a search
+    /// for a job with the same needs has failed, or if too many searches have failed.
     pub fn has_room(&mut self, context: &PlanningContext, machines: &PlannerMachines, job: &'a Job) -> bool {
-        let known_fruitless = self.fruitless.iter().any(|spec| have_same_needs(spec, &job.spec));
-        if known_fruitless || self.fruitless.len() >= MAX_FRUITLESS_SEARCHES {
+        let known_unplaceable = self.unplaceable.iter().any(|spec| have_same_needs(spec, &job.spec));
+        if known_unplaceable || self.unplaceable.len() >= MAX_FAILED_SEARCHES {
             return false;
         }
         self.steps += machines.machines.len() as u64;
         let mut candidates = machines.machines.iter().zip(&machines.names);
-        let found = candidates.any(|(machine, name)| {
+        let has_room = candidates.any(|(machine, name)| {
             has_room_for(context, machine, &job.spec) && !job.failed_on.contains(name)
         });
         // Other jobs may use the machines that this one failed on.
-        if !found && job.failed_on.is_empty() {
-            self.fruitless.push(&job.spec);
+        if !has_room && job.failed_on.is_empty() {
+            self.unplaceable.push(&job.spec);
         }
-        found
+        has_room
     }
 }
 
--- a/crates/controller/src/scheduling/job_dependencies.rs
+++ b/crates/controller/src/scheduling/job_dependencies.rs
@@ -1,5 +1,5 @@
-//! Jobs that wait for others, at the leader: what the dependency graph is told, and what follows
-//! from its answers. `docs/dependencies.md` has the argument.
+//! Job dependencies at the leader: updates the dependency graph and applies its results.
+//! `docs/dependencies.md` explains why this is correct.
 
 use crate::leader::state::{LeaderState, Role};
 use crate::model::cluster::ClusterState;
@@ -12,25 +12,25 @@
 use std::collections::BTreeSet;
 use tracing::info;
 
-/// Records of dependencies that are read at a time.
+/// Maximum number of dependency records that are read at the same time.
 const MAX_READS_IN_FLIGHT: usize = 8;
 
-/// A record that is not there is read again after that part of the lease renewal interval.
-const RETRY_INTERVAL_PART: f64 = 0.25;
+/// Delay before a missing record is read again, as a fraction of the lease renewal interval.
+const RETRY_INTERVAL_FRACTION: f64 = 0.25;
 
-/// The graph of live jobs, and the dependencies whose records are being read.
+/// The dependency graph of live jobs, and the dependencies whose records are being read.
 #[derive(Default)]
 pub struct JobDependencies {
-    /// Which live job waits for which.
+    /// Dependencies of the live jobs.
     pub graph: DependencyGraph,
     /// Ids of the dependencies that are being read.
     reads_in_flight: BTreeSet<String>,
-    /// No read is sent before then.
+    /// Earliest time of the next read.
     retry_at: Time,
 }
 
 impl JobDependencies {
-    /// Takes the ids that are to be read now.
+    /// Returns the ids of dependencies to read now and marks them as in flight.
     fn take_due_reads(&mut self, now: Time) -> Vec<String> {
         let max_reads = MAX_READS_IN_FLIGHT.saturating_sub(self.reads_in_flight.len());
         if now < self.retry_at || max_reads == 0 {
@@ -43,7 +43,7 @@
     }
 }
 
-/// How a job has ended, if its status says so.
+/// Returns the outcome that a status stands for, or None if the status is not final.
 pub(crate) fn outcome_of(status: JobStatus) -> Option<JobOutcome> {
     match status {
         JobStatus::Done => Some(JobOutcome::Done),
@@ -52,8 +52,8 @@
     }
 }
 
-/// How job `id` has ended, as far as that is stored. A job that is done in memory only counts as
-/// live: its end may not be stored yet.
+/// Returns the stored outcome of job `id`, if it has one. A job that is done only in memory counts
+/// as live, because its end may not be stored yet.
 fn stored_outcome(
     cluster: &ClusterState,
     archive: &Archive,
@@ -69,7 +69,7 @@
     status.and_then(outcome_of)
 }
 
-/// Adds live job `id` to the graph, with what is stored of its dependencies.
+/// Adds live job `id` to the graph, with the stored outcomes of its dependencies.
 fn add_to_graph(leader: &mut LeaderState, terminal_states: &TerminalStateCache, id: &str) -> GraphEffects {
     let LeaderState { dependencies, cluster, archive, .. } = leader;
     let job = cluster.jobs.get(id).filter(|job| job.ready_wall_s.is_none() && !job.is_final());
@@ -80,7 +80,7 @@
 }
 
 impl Controller {
-    /// Whether every node is known to have this version.
+    /// Whether every node is known to support the current storage format.
     pub(crate) fn uses_current_format(&self) -> bool {
         self.store_limits.next_limits_in_force() || self.formats.common_format(&self.settings.peers) >= FORMAT
     }
@@ -92,7 +92,7 @@
         self.apply_graph_effects(effects);
     }
 
-    /// All records were read: builds the graph.
+    /// Builds the dependency graph once all records have been read.
     pub(crate) fn build_graph(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         let jobs = leader.cluster.jobs.iter();
@@ -106,7 +106,7 @@
         }
     }
 
-    /// It is stored that job `id` has ended.
+    /// Updates the graph after the outcome of job `id` was stored.
     pub(crate) fn record_outcome(&mut self, id: &str, status: JobStatus) {
         let Some(outcome) = outcome_of(status) else { return };
         let Role::Leader(leader) = &mut self.role else { return };
@@ -114,7 +114,7 @@
         self.apply_graph_effects(effects);
     }
 
-    /// It is stored that job `id` waits for no other any more.
+    /// Releases the dependencies of job `id` after the store recorded that it no longer waits.
     pub(crate) fn on_ready_stored(&mut self, id: &str) {
         let Role::Leader(leader) = &mut self.role else { return };
         for dependency in leader.dependencies.graph.on_ready_stored(id) {
@@ -122,8 +122,8 @@
         }
     }
 
-    /// The record of job `id` is not among those of live jobs any more, and how it ended is not
-    /// known.
+    /// Handles that the record of job `id` is no longer among those of live jobs while the job's
+    /// outcome is unknown.
     pub(crate) fn on_archived_with_unknown_outcome(&mut self, id: &str) {
         if let Role::Leader(leader) = &mut self.role {
             leader.dependencies.graph.mark_unknown(id);
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Job `id` may start: its dependencies are done.
+    /// Makes job `id` ready to start after its last dependency was done.
     fn on_job_ready(&mut self, id: &str) {
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else { return };
@@ -155,7 +155,7 @@
         self.record_arrival(&spec, now);
     }
 
-    /// Job `id` is cancelled, as a dependency of it was.
+    /// Cancels job `id` because one of its dependencies was cancelled.
     fn on_cancelled_with_dependency(&mut self, id: &str) {
         self.terminal_states.insert(id, JobStatus::Cancelled, 0);
         let Role::Leader(leader) = &mut self.role else { return };
@@ -165,8 +165,8 @@
         self.settle_terminal(id);
     }
 
-    /// Reads what is stored of dependencies of which nothing is known: those that had ended when
-    /// this leader was elected, or that another node has accepted just now.
+    /// Reads the records of dependencies with unknown state: they ended before this leader was
+    /// elected, or another node has just accepted them.
     pub(crate) fn tick_dependencies(&mut self) {
         let now = self.now;
         let Role::Leader(leader) = &mut self.role else { return };
@@ -177,10 +177,10 @@
         }
     }
 
-    /// Takes the record of dependency `id`. `from_archive`: it was looked for among the jobs that have
-    /// ended.
+    /// Handles the reply to a read of the record of dependency `id`. `from_archive` is whether the
+    /// record was read from those of ended jobs.
     pub(crate) fn on_dependency_read(&mut self, token: u64, id: &str, from_archive: bool, reply: StoreReply) {
-        let retry_at = self.now + self.timing.renewal_interval_s * RETRY_INTERVAL_PART;
+        let retry_at = self.now + self.timing.renewal_interval_s * RETRY_INTERVAL_FRACTION;
         let Some(leader) = self.leader_state(token) else { return };
         if let (StoreReply::Missing(_), false) = (&reply, from_archive) {
             let context = CallContext::DependencyRead { token, id: id.to_string(), from_archive: true };
@@ -197,13 +197,13 @@
                 leader.dependencies.graph.mark_known(id);
                 self.observe_record(&key, value, version);
             }
-            // No record at all: accepted jobs are never missing, so it is read again.
+            // Records of accepted jobs always exist, so a missing record is read again.
             _ => leader.dependencies.retry_at = retry_at,
         }
     }
 }
 
-/// Keeps the records of ended jobs that others depend on from being archived.
+/// Keeps records of ended jobs from being archived while other jobs depend on them.
 fn hold_dependencies(leader: &mut LeaderState) {
     let ended = leader.archive.waiting.keys();
     let needed = ended.filter(|id| leader.dependencies.graph.has_dependents(id));
--- a/crates/controller/src/scheduling/machines.rs
+++ b/crates/controller/src/scheduling/machines.rs
@@ -1,4 +1,4 @@
-//! The machines of the planner's input.
+//! The machines in the planner's input.
 
 use crate::autoscaling::fleet::MachinePool;
 use crate::model::machine::Machine;
@@ -8,24 +8,24 @@
 use protocol::worker::{split_task, TaskState, TaskStatus};
 use std::collections::{HashMap, HashSet};
 
-/// A boot is expected to take that many times the type's boot time.
+/// Expected duration of a boot, as a multiple of the machine type's boot time.
 const BOOT_TIME_MARGIN: f64 = 1.1;
 
-/// A machine that still boots is ready after that long at the earliest.
+/// Minimum expected time until a booting machine is ready.
 const MIN_BOOT_LEFT_S: Time = 2.0;
 
-/// Machines that can be planned for, each under a number.
+/// Machines that a plan can use, with their indices in the planner's input.
 pub(super) struct PlannerMachines<'a> {
-    /// Their names, by number.
+    /// Names by machine index.
     pub names: Vec<String>,
-    /// What the planner gets, by number.
+    /// Machines in the planner's input, by machine index.
     pub machines: Vec<planner::Machine>,
-    /// Their numbers, by name.
+    /// Machine indices by name.
     indices: HashMap<&'a str, usize>,
 }
 
 impl<'a> PlannerMachines<'a> {
-    /// The machines that can get work, without any tasks yet.
+    /// Collects the machines that can get work, without tasks.
     pub fn new(context: &PlanningContext<'a>) -> Self {
         let mut all = PlannerMachines { names: Vec::new(), machines: Vec::new(), indices: HashMap::new() };
         for machine in context.leader.cluster.machines.values() {
@@ -37,13 +37,13 @@
         all
     }
 
-    /// The number of a machine, if it can be planned for.
+    /// Returns the index of a machine, or None if plans cannot use it.
     pub fn index_of(&self, name: &str) -> Option<usize> {
         self.indices.get(name).copied()
     }
 
-    /// The machines that best-effort work leaves free for jobs that usually arrive: of each pool
-    /// the emptiest without such work, as many as its reserve.
+    /// Returns the machines that best-effort work leaves free for expected arrivals: in each pool the
+    /// emptiest machines without best-effort work, up to the pool's reserve.
     pub fn reserved_for_arrivals(
         &self,
         context: &PlanningContext,
@@ -76,17 +76,18 @@
     }
 }
 
-/// How empty a machine is: by its accelerators, then by its cores.
+/// Returns a score that ranks machines by free accelerators, then by free cores.
 fn free_score(machine: &planner::Machine) -> f64 {
     machine.free.accelerators + machine.free.cores / 1e3
 }
 
-/// A machine without tasks as the planner sees it; None if it can get no work.
+/// Converts a machine to the planner's form, without tasks. Returns None if it can get no work.
 fn planner_machine(context: &PlanningContext, machine: &Machine) -> Option<planner::Machine> {
     if !machine.accepts_work() {
         return None;
     }
-    let instance_type = context.types.iter().position(|t| t.name == machine.machine_type)?;
+    let instance_type =
+        context.types.iter().position(|machine_type| machine_type.name == machine.machine_type)?;
     let zone = context.zone_index(&machine.zone)?;
     if !is_reachable(context, machine) || runs_undecodable_work(context, machine) {
         return None;
@@ -111,14 +112,15 @@
     })
 }
 
-/// Whether it has missed no heartbeats and, if it still boots, is not in an unreachable zone.
+/// Whether the machine has missed no heartbeats and, if it is still booting, its zone is reachable.
 fn is_reachable(context: &PlanningContext, machine: &Machine) -> bool {
     let boots_in_unreachable_zone =
         machine.last_heard_at.is_none() && context.leader.fleet.zones.is_unreachable(&machine.zone);
     !machine.missed_heartbeats(context.now, &context.controller.timing) && !boots_in_unreachable_zone
 }
 
-/// Whether a task runs there whose job's record cannot be decoded: nobody knows what it takes.
+/// Whether the machine runs a task of a job whose record cannot be decoded. The resources that such
+/// a task uses are unknown.
 fn runs_undecodable_work(context: &PlanningContext, machine: &Machine) -> bool {
     let undecodable = &context.leader.undecodable;
     let is_undecodable = |task: &TaskStatus| {
--- a/crates/controller/src/scheduling/pending_jobs.rs
+++ b/crates/controller/src/scheduling/pending_jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs of the planner's input: those with tasks that wait for a machine, the most urgent first.
+//! The jobs in the planner's input: those with tasks that wait for a machine, most urgent first.
 
 use crate::model::job::Job;
 use crate::scheduling::best_effort::{cheap_types, max_tasks_per_machine, AllowedTypes, BestEffortLimit};
@@ -12,30 +12,30 @@
 use protocol::job::{JobSpec, Shape};
 use std::cmp::Reverse;
 
-/// Tasks of one job that a plan looks at. Gangs are looked at whole.
+/// Maximum number of tasks of one job that a plan considers. Gangs are always considered whole.
 const MAX_TASKS_PER_JOB: usize = 256;
 
-/// Jobs that a plan looks at.
+/// Maximum number of jobs that a plan considers.
 const MAX_JOBS_PER_PLAN: usize = 1000;
 
-/// The planner's number of a zone that does not exist.
+/// Zone index that stands for a zone that does not exist.
 const UNKNOWN_ZONE: usize = usize::MAX;
 
 /// A job with tasks that have no placement.
 pub(super) struct OpenJob<'a> {
-    /// Its id.
+    /// Id of the job.
     pub id: &'a String,
     /// The job.
     pub job: &'a Job,
-    /// The number of its team.
+    /// Index of its team.
     pub team: usize,
-    /// How urgent it is.
+    /// Its effective priority.
     pub priority: EffectivePriority,
 }
 
-/// The open ones of `jobs`. Those whose team is under its limit come first, and of these the most
-/// urgent, and then in the order of `jobs`. (When a plan looked at the oldest alone, urgent new
-/// jobs were left out in a flood.)
+/// Returns the open jobs among `jobs`. Jobs whose team is below its limit come first; within that,
+/// jobs are sorted by falling priority, and ties keep the order of `jobs`. Plans that considered
+/// only the oldest jobs missed urgent new ones when very many jobs were open.
 pub(super) fn open_jobs<'a>(
     context: &PlanningContext<'a>,
     quotas: &TeamQuotas,
@@ -52,24 +52,24 @@
     open
 }
 
-/// How the open tasks of one job are to be planned.
+/// Parameters for planning the open tasks of one job.
 struct JobPlan {
     guaranteed: bool,
     best_effort: bool,
-    /// One task is placed to see whether the job works, or in spite of the limits on best-effort
-    /// work.
+    /// Whether only one task is placed: to test whether a suspected job works, or for overdue
+    /// best-effort work regardless of its limits.
     probing: bool,
     tasks: Vec<u32>,
     types: AllowedTypes,
     placed_per_zone: Vec<u32>,
 }
 
-/// Builds the planner's jobs one by one.
+/// Builder of the planner's jobs.
 pub(super) struct PendingJobs<'a, 'c> {
     context: &'c PlanningContext<'a>,
     machines: &'c PlannerMachines<'a>,
     guaranteed: &'c JobIds<'a>,
-    /// Machines that best-effort work leaves free.
+    /// Machines that best-effort work must leave free.
     reserved_machines: Vec<usize>,
     best_effort_limit: BestEffortLimit,
     free_capacity: FreeCapacitySearch<'a>,
@@ -78,7 +78,7 @@
 }
 
 impl<'a, 'c> PendingJobs<'a, 'c> {
-    /// No jobs yet. `reserved_machines`: those that best-effort work leaves free.
+    /// Creates a builder without jobs. Best-effort work leaves `reserved_machines` free.
     pub fn new(
         context: &'c PlanningContext<'a>,
         machines: &'c PlannerMachines<'a>,
@@ -98,17 +98,17 @@
         }
     }
 
-    /// What building the jobs took beyond a fixed amount for each, in the planner's steps.
+    /// Returns the cost of searching for free capacity, in planner steps.
     pub fn search_steps(&self) -> u64 {
         self.free_capacity.steps()
     }
 
-    /// The ids and the jobs, by the planner's numbers.
+    /// Returns the job ids and the jobs, both in the order of the planner's job indices.
     pub fn into_jobs(self) -> (Vec<String>, Vec<planner::Job>) {
         (self.ids, self.jobs)
     }
 
-    /// Adds as many of `open_jobs` as one plan looks at, and their demand to `guard`.
+    /// Adds the first `MAX_JOBS_PER_PLAN` open jobs, and adds their demand to `guard`.
     pub fn add_all(&mut self, open_jobs: Vec<OpenJob<'a>>, guard: &mut StarvationGuard) {
         for open in open_jobs.into_iter().take(MAX_JOBS_PER_PLAN) {
             let Some(plan) = self.plan_job(&open) else { continue };
@@ -122,14 +122,14 @@
         }
     }
 
-    /// How to plan a job; None: not now.
+    /// Returns the planning parameters of a job, or None if it is not planned now.
     fn plan_job(&mut self, open: &OpenJob<'a>) -> Option<JobPlan> {
         let context = self.context;
         let job = open.job;
         let guaranteed = self.guaranteed.contains(open.id.as_str());
-        let may_wait = context.classify(job, open.priority, guaranteed).best_effort;
-        let overdue = may_wait && self.is_overdue_beside_capacity(job);
-        let best_effort = may_wait && !overdue;
+        let classified_best_effort = context.classify(job, open.priority, guaranteed).best_effort;
+        let overdue = classified_best_effort && self.is_overdue_beside_capacity(job);
+        let best_effort = classified_best_effort && !overdue;
         let probing = job.is_suspected() || overdue;
         let mut tasks = tasks_to_plan(job, probing)?;
         let mut types = allowed_types(context, &job.spec);
@@ -145,8 +145,8 @@
         Some(JobPlan { guaranteed, best_effort, probing, tasks, types, placed_per_zone })
     }
 
-    /// Whether a best-effort job has waited for long although a machine has room for it: it gets
-    /// one task there whatever the limits are.
+    /// Whether a best-effort job has waited too long while a machine has room for one of its tasks.
+    /// Such a job may place one task regardless of the limits on best-effort work.
     fn is_overdue_beside_capacity(&mut self, job: &'a Job) -> bool {
         let controller = self.context.controller;
         let max_wait_s = controller.timing.max_idle_capacity_wait_s / 2.0;
@@ -200,8 +200,8 @@
             && waiting.has_waited(id, self.context.now, max_wait_s)
     }
 
-    /// Machines that the job may not use: those that it failed on, unless it may be at fault itself,
-    /// and for best-effort work the reserved ones.
+    /// Returns the machines that the job may not use: those that it failed on, unless the job itself
+    /// is suspected to be faulty, and the reserved machines if it is best-effort work.
     fn excluded_machines(&self, job: &Job, best_effort: bool) -> Vec<usize> {
         let suspected = job.is_suspected();
         let failed_on = job.failed_on.iter().filter(|_| !suspected);
@@ -211,12 +211,12 @@
     }
 }
 
-/// Whether some of the job has, or had, a placement.
+/// Whether any task of the job has, or has had, a placement.
 fn has_started(job: &Job) -> bool {
     !job.placements.is_empty() || job.first_start.is_some() || job.done_count > 0
 }
 
-/// The tasks of a job that a plan looks at. None: its probe has not ended yet.
+/// Returns the tasks of a job that a plan considers, or None if its probe is still running.
 fn tasks_to_plan(job: &Job, probing: bool) -> Option<Vec<u32>> {
     match job.spec.shape {
         // A gang is placed as a whole or not at all.
@@ -226,15 +226,15 @@
     }
 }
 
-/// Machine types that the specification allows.
+/// Returns the machine types that the specification allows.
 fn allowed_types(context: &PlanningContext, spec: &JobSpec) -> AllowedTypes {
     let types = context.types.iter().enumerate();
     let allowed = types.filter(|(_, machine_type)| allows_type(spec, machine_type));
     AllowedTypes { instance_types: allowed.map(|(index, _)| index).collect(), spot_only: false }
 }
 
-/// How many tasks of the job each zone has, if that matters for it. None: one of its machines is
-/// not known, so its zones are not either.
+/// Returns the number of the job's tasks in each zone; all 0 if zones do not matter for the job.
+/// Returns None if the machine or zone of a placement is unknown.
 fn placed_per_zone(context: &PlanningContext, job: &Job) -> Option<Vec<u32>> {
     let mut tasks = vec![0; context.zones.len()];
     if !job.spec.one_zone && !job.spec.spread {
--- a/crates/controller/src/scheduling/planner_input.rs
+++ b/crates/controller/src/scheduling/planner_input.rs
@@ -1,4 +1,4 @@
-//! The planner's input: the cluster's state as the planner's problem, built step by step.
+//! The planner's input: the cluster state, converted into the planner's problem.
 
 use crate::autoscaling::zonal_demand::zones_of;
 use crate::leader::state::LeaderState;
@@ -19,48 +19,48 @@
 use protocol::job::{JobSpec, Shape};
 use std::collections::{HashMap, HashSet};
 
-/// Part of the fleet that starving classes and teams get together. It is less than what urgent
-/// work loses to the fetches of its images.
+/// Fraction of the fleet that all starved classes and teams get together. It is smaller than the
+/// fraction that urgent work loses to fetching its images.
 const STARVATION_SHARE: f64 = 0.05;
 
-/// No reservation reaches further than that many worker leases.
+/// Maximum length of a reservation, in worker leases.
 const MAX_WINDOW_LEASES: f64 = 10.0;
 
-/// Expected run time of a service's task, which has no end of its own.
+/// Expected run time of a task of a service, which does not end by itself.
 const SERVICE_RUN_S: f64 = 3600.0;
 
-/// Tasks are expected to run for that part of their run time yet, at least.
-const MIN_REMAINING_PART: f64 = 0.1;
+/// Minimum expected remaining run time of a task, as a fraction of its full run time.
+const MIN_REMAINING_FRACTION: f64 = 0.1;
 
-/// What all steps of building the input read.
+/// Data that all steps of building the input read.
 pub(super) struct PlanningContext<'a> {
-    /// The time.
+    /// Current time.
     pub now: Time,
     /// The controller, for its settings.
     pub controller: &'a Controller,
-    /// What the leader knows.
+    /// State of the leader.
     pub leader: &'a LeaderState,
-    /// The machine types; their position is the planner's number of a type.
+    /// Machine types, in the order of the planner's type indices.
     pub types: &'a [MachineType],
-    /// The zones; their position is the planner's number of a zone.
+    /// Zones, in the order of the planner's zone indices.
     pub zones: Vec<String>,
-    /// What dependent jobs ask of those before them, by id.
+    /// Priorities that jobs inherit from their dependents, by job id.
     pub inherited_priorities: HashMap<String, InheritedPriority>,
 }
 
-/// A job as far as its treatment depends on more than its specification.
+/// Scheduling properties of a job that do not follow from its specification alone.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct JobClassification {
-    /// How urgent it is, given the jobs that depend on it.
+    /// Priority and deadline, raised by the jobs that depend on it.
     pub priority: EffectivePriority,
     /// Whether its team's guarantee covers it.
     pub guaranteed: bool,
-    /// Whether it runs on machines that nothing else needs only.
+    /// Whether it is best-effort work, which runs only on machines that no other work needs.
     pub best_effort: bool,
 }
 
 impl<'a> PlanningContext<'a> {
-    /// What `controller`, as `leader`, plans from.
+    /// Creates the context for a plan of `controller`, whose leader state is `leader`.
     pub fn new(controller: &'a Controller, leader: &'a LeaderState, types: &'a [MachineType]) -> Self {
         PlanningContext {
             now: controller.now,
@@ -72,29 +72,29 @@
         }
     }
 
-    /// The planner's number of a zone.
+    /// Returns the index of a zone.
     pub fn zone_index(&self, zone: &str) -> Option<usize> {
         self.zones.iter().position(|name| name == zone)
     }
 
-    /// How urgent a job is, given the jobs that depend on it.
+    /// Returns the priority of a job, raised by the jobs that depend on it.
     pub fn effective_priority(&self, id: &str, job: &Job) -> EffectivePriority {
         self.controller.effective_priority(job, self.inherited_priorities.get(id))
     }
 
-    /// How a job is to be treated.
+    /// Returns the classification of a job.
     pub fn classify(&self, job: &Job, priority: EffectivePriority, guaranteed: bool) -> JobClassification {
         let best_effort =
             self.controller.is_best_effort(&job.spec) && !guaranteed && !priority.has_dependents;
         JobClassification { priority, guaranteed, best_effort }
     }
 
-    /// How long a task of the job is expected to run, in seconds.
+    /// Returns the expected run time of a task of the job, in seconds.
     pub fn expected_run_s(&self, job: &Job) -> f64 {
         expected_run_s(job, run_time_ratio(self.leader, &job.spec))
     }
 
-    /// Unfinished jobs that do not wait for others, the oldest first.
+    /// Returns the unfinished jobs that do not wait for dependencies, oldest first.
     fn ready_jobs(&self) -> Vec<(&'a String, &'a Job)> {
         let leader = self.leader;
         let graph = &leader.dependencies.graph;
@@ -124,7 +124,8 @@
             max_wait_s: timing.starvation_wait_s,
             reservation_s: timing.gang_reservation_s,
         };
-        let sizes = machines.machines.iter().map(|m| machine_resources(&self.types[m.instance_type]));
+        let sizes =
+            machines.machines.iter().map(|machine| machine_resources(&self.types[machine.instance_type]));
         StarvationGuard::new(policy, sizes)
     }
 
@@ -151,7 +152,7 @@
         update_price_ratio(self.leader, self.types, self.now, lease_s)
     }
 
-    /// More urgent work waits that long rather than having tasks preempted.
+    /// Returns the time that more urgent work waits for free machines before tasks are preempted.
     fn preemption_wait_s(&self) -> Time {
         if self.controller.operator.preempt {
             self.controller.settings.params.workers.heartbeat_interval_s
@@ -161,45 +162,45 @@
     }
 }
 
-/// Expected run time of the job's class, as a multiple of the estimate.
+/// Returns the expected run time of jobs of the class, as a multiple of their estimates.
 pub(super) fn run_time_ratio(leader: &LeaderState, spec: &JobSpec) -> f64 {
     leader.planning.classes.get(&spec.class).map_or(1.0, ClassStats::run_time_ratio)
 }
 
-/// How long a task of the job is expected to run, in seconds, if tasks of its class take `ratio`
-/// times their estimate.
+/// Returns the expected run time of a task of the job, in seconds, if tasks of its class take
+/// `ratio` times their estimate.
 pub(super) fn expected_run_s(job: &Job, ratio: f64) -> f64 {
     let full_s = match job.spec.shape {
         Shape::Service => SERVICE_RUN_S,
         Shape::Array | Shape::Gang => job.spec.estimated_run_s * ratio,
     };
-    (full_s - job.progress_s).max(full_s * MIN_REMAINING_PART).max(1.0)
+    (full_s - job.progress_s).max(full_s * MIN_REMAINING_FRACTION).max(1.0)
 }
 
-/// The planner's problem, with what its numbers stand for.
+/// The planner's problem, and the names that its indices stand for.
 pub(super) struct PlannerInput {
-    /// What the planner gets.
+    /// Input of the planner.
     pub problem: Problem,
-    /// Names of the problem's machines.
+    /// Names of the machines, by machine index.
     pub machine_names: Vec<String>,
-    /// Ids of the problem's jobs. One that is planned in two parts stands here twice.
+    /// Ids of the jobs, by job index. A job that is planned in two parts appears twice.
     pub job_ids: Vec<String>,
-    /// Tasks by the number of their owner in a preemption candidate.
+    /// Tasks that may be preempted, indexed by `PreemptionCandidate::owner`.
     pub preemptible_tasks: Vec<PlacedTask>,
-    /// Classes and teams that are starving.
+    /// Classes and teams that are starved.
     pub starved_groups: StarvedGroups,
-    /// What dependent jobs ask of those before them, by id.
+    /// Priorities that jobs inherit from their dependents, by job id.
     pub inherited_priorities: HashMap<String, InheritedPriority>,
-    /// What is paid, as a multiple of what the work would cost where it is cheapest.
+    /// Price of all machines divided by the lowest possible price of the running tasks.
     pub price_ratio: f64,
-    /// The largest number of machines that work other than best-effort work has had at a time.
-    pub peak_demanded_machines: usize,
-    /// What building the input took, in the planner's steps.
+    /// Peak number of machines used at the same time by work other than best-effort work.
+    pub peak_non_best_effort_machines: usize,
+    /// Cost of building the input, in planner steps.
     pub steps: u64,
 }
 
 impl PlannerInput {
-    /// Builds the input from the state of the cluster.
+    /// Builds the input from the cluster state.
     pub fn build(context: PlanningContext) -> Self {
         let mut machines = PlannerMachines::new(&context);
         let mut quotas = TeamQuotas::new(&context);
@@ -209,16 +210,17 @@
         let running = RunningTasks::add_to(&context, &guaranteed, &mut machines, &mut quotas, &mut guard);
         let reserved = machines.reserved_for_arrivals(&context, &running.best_effort_machines);
         let open_jobs = open_jobs(&context, &quotas, ready_jobs);
-        let peak_demanded_machines =
-            running.demanded_machines.len().max(context.leader.planning.peak_demanded_machines);
-        let best_effort_limit = running.best_effort_limit(&context, &open_jobs, peak_demanded_machines);
+        let peak_non_best_effort_machines =
+            running.non_best_effort_machines.len().max(context.leader.planning.peak_non_best_effort_machines);
+        let best_effort_limit =
+            running.best_effort_limit(&context, &open_jobs, peak_non_best_effort_machines);
         let mut pending = PendingJobs::new(&context, &machines, &guaranteed, reserved, best_effort_limit);
         pending.add_all(open_jobs, &mut guard);
         let steps = running.steps + pending.search_steps();
         let (mut job_ids, mut jobs) = pending.into_jobs();
         let starved_groups = guard.apply(context.now, &mut job_ids, &mut jobs);
         let preemptible_tasks = running.preemptible_tasks;
-        protect_starving(&context, &starved_groups, &preemptible_tasks, &mut machines);
+        protect_starved_groups(&context, &starved_groups, &preemptible_tasks, &mut machines);
         PlannerInput {
             problem: context.problem(machines.machines, jobs, quotas.teams),
             machine_names: machines.names,
@@ -226,23 +228,24 @@
             preemptible_tasks,
             starved_groups,
             price_ratio: context.price_ratio(),
-            peak_demanded_machines,
+            peak_non_best_effort_machines,
             steps,
             inherited_priorities: context.inherited_priorities,
         }
     }
 }
 
-/// Tasks of starving classes and teams are not preempted.
-fn protect_starving(
+/// Protects running tasks of starved classes and teams from preemption.
+fn protect_starved_groups(
     context: &PlanningContext,
-    starving: &StarvedGroups,
+    starved: &StarvedGroups,
     tasks: &[PlacedTask],
     machines: &mut PlannerMachines,
 ) {
     let spec = |owner: usize| context.leader.cluster.jobs.get(&tasks[owner].job).map(|job| &job.spec);
-    starving.protect_from_preemption(machines.machines.iter_mut().flat_map(|m| &mut m.running), spec);
+    starved
+        .protect_from_preemption(machines.machines.iter_mut().flat_map(|machine| &mut machine.running), spec);
 }
 
-/// Ids of jobs, as a set without order.
+/// Unordered set of job ids.
 pub(super) type JobIds<'a> = HashSet<&'a str>;
--- a/crates/controller/src/scheduling/planning.rs
+++ b/crates/controller/src/scheduling/planning.rs
@@ -1,19 +1,19 @@
-//! Runs the planner when a plan is due: builds its input, plans, and carries the plan out.
+//! Planning: builds the planner's input when a plan is due, runs the planner and applies the plan.
 
 use crate::leader::state::Role;
 use crate::scheduling::planner_input::{PlannerInput, PlanningContext};
 use crate::Controller;
 
-/// Steps of planning that one core may be asked for in a second. A step takes about a twelfth of
-/// a microsecond (measured), so planning stays within a sixth of the controller's share. (At a
-/// fifth of this figure, plans came every half second only when many jobs waited.)
+/// Planning steps per second and core of the controller's CPU share. A step takes about 1/12
+/// microsecond, so planning uses at most a sixth of the share. With a fifth of this value, plans
+/// were half a second apart when many jobs waited.
 const MAX_STEPS_PER_CORE_SECOND: f64 = 2_000_000.0;
 
-/// Plans are at least that part of the planning interval apart.
-const MIN_INTERVAL_PART: f64 = 1.0 / 50.0;
+/// Minimum time between plans, as a fraction of the planning interval.
+const MIN_INTERVAL_FRACTION: f64 = 1.0 / 50.0;
 
 impl Controller {
-    /// Plans and carries the plan out, if a plan is due.
+    /// Makes a plan and applies it, if one is due.
     pub(crate) fn tick_planning(&mut self) {
         if !self.is_plan_due() {
             return;
@@ -27,7 +27,8 @@
         self.set_desired_capacity(&input.problem, &plan);
     }
 
-    /// Whether this node may plan, and something has changed or the planning interval is over.
+    /// Whether this node may make a plan and either something has changed or the planning interval
+    /// has passed.
     fn is_plan_due(&self) -> bool {
         let now = self.now;
         let Role::Leader(leader) = &self.role else { return false };
@@ -42,12 +43,12 @@
         Some(PlannerInput::build(PlanningContext::new(self, leader, types)))
     }
 
-    /// How long to wait after a plan of so many steps, so that planning keeps to its share of the
-    /// processor.
+    /// Returns the pause after a plan that took `steps` steps, so that planning stays within its CPU
+    /// share.
     fn planning_pause_s(&self, steps: u64) -> f64 {
         let interval_s = self.timing.planning_interval_s;
         let cores = self.settings.params.resources.cpu_share;
         let pause_s = steps as f64 / (MAX_STEPS_PER_CORE_SECOND * cores);
-        pause_s.clamp(interval_s * MIN_INTERVAL_PART, interval_s)
+        pause_s.clamp(interval_s * MIN_INTERVAL_FRACTION, interval_s)
     }
 }
--- a/crates/controller/src/scheduling/running_tasks.rs
+++ b/crates/controller/src/scheduling/running_tasks.rs
@@ -1,5 +1,5 @@
-//! The placed tasks of the planner's input: what they take of machines and quotas, when they are
-//! expected to end, and which of them may be preempted.
+//! The placed tasks in the planner's input: the machine resources and quotas that they use, their
+//! expected ends, and whether they may be preempted.
 
 use crate::model::job::{Job, Placement};
 use crate::scheduling::best_effort::BestEffortLimit;
@@ -14,50 +14,51 @@
 use protocol::job::Shape;
 use std::collections::HashSet;
 
-/// From sending a kill until the machine can take another task, about.
+/// Approximate time from sending a kill until the machine can take another task.
 const STOP_S: Time = 1.5;
 
-/// From placing a task until it runs, about.
+/// Approximate time from placing a task until it runs.
 const START_S: Time = 10.0;
 
-/// A task is expected to run for that part of its run time yet, at least.
-const MIN_REMAINING_PART: f64 = 0.1;
+/// Minimum expected remaining run time of a task, as a fraction of its expected run time.
+const MIN_REMAINING_FRACTION: f64 = 0.1;
 
-/// A task is expected to run for that long yet, at least.
+/// Minimum expected time until a task ends.
 const MIN_REMAINING_S: Time = 0.5;
 
-/// What building the input takes, in the planner's steps. (Without these, plans of a large fleet
-/// with little waiting work took all of the processor's share.)
+/// Cost of building the input, in planner steps. When it was not counted, planning for a large
+/// fleet with little pending work used the whole CPU share.
 const STEPS_PER_MACHINE: u64 = 8;
 const STEPS_PER_PLACEMENT: u64 = 3;
 const STEPS_PER_JOB: u64 = 1;
 
-/// The team of jobs whose team is not in the settings.
+/// Team index of jobs whose team is not in the settings.
 const UNKNOWN_TEAM: usize = usize::MAX;
 
 /// A task that has a placement.
 #[derive(Debug, Clone)]
 pub(super) struct PlacedTask {
-    /// Its job's id.
+    /// Id of its job.
     pub job: String,
-    /// Its number in the job.
+    /// Index of the task within the job.
     pub task: u32,
 }
 
-/// What a pass over all placed tasks finds.
+/// Summary of all placed tasks.
 pub(super) struct RunningTasks<'a> {
-    /// Tasks by the number of their owner in a preemption candidate.
+    /// Tasks that may be preempted, indexed by `PreemptionCandidate::owner`.
     pub preemptible_tasks: Vec<PlacedTask>,
-    /// Machines with work other than best-effort work.
-    pub demanded_machines: HashSet<&'a str>,
-    /// Machines with best-effort work.
+    /// Machines that run work other than best-effort work.
+    pub non_best_effort_machines: HashSet<&'a str>,
+    /// Machines that run best-effort work.
     pub best_effort_machines: HashSet<&'a str>,
-    /// What the pass took, in the planner's steps.
+    /// Cost of collecting the tasks, in planner steps.
     pub steps: u64,
 }
 
 impl<'a> RunningTasks<'a> {
-    /// Adds all placed tasks to their machines, and counts them against quotas and shares.
+    /// Adds all placed tasks to their machines and counts them against the team quotas and the
+    /// shares of the starvation guard.
     pub fn add_to(
         context: &PlanningContext<'a>,
         guaranteed: &JobIds,
@@ -67,7 +68,7 @@
     ) -> Self {
         let mut running = RunningTasks {
             preemptible_tasks: Vec::new(),
-            demanded_machines: HashSet::new(),
+            non_best_effort_machines: HashSet::new(),
             best_effort_machines: HashSet::new(),
             steps: STEPS_PER_MACHINE * machines.machines.len() as u64,
         };
@@ -75,16 +76,16 @@
             guard.add_usage(&job.spec, job.placements.len());
             running.steps += STEPS_PER_PLACEMENT * job.placements.len() as u64 + STEPS_PER_JOB;
             let priority = context.effective_priority(id, job);
-            let planned = PlacedJob {
+            let placed = PlacedJob {
                 id,
                 job,
                 resources: resources_per_task(&job.spec),
                 team: quotas.index_of(&job.spec.team),
                 run_s: context.expected_run_s(job),
                 classification: context.classify(job, priority, guaranteed.contains(id.as_str())),
-                may_be_preempted: !is_late_starter(context, job),
+                may_be_preempted: !is_recent_overdue_start(context, job),
             };
-            running.add_job(context.now, &planned, machines, quotas);
+            running.add_job(context.now, &placed, machines, quotas);
         }
         running
     }
@@ -100,7 +101,7 @@
             let occupied = if placed.classification.best_effort {
                 &mut self.best_effort_machines
             } else {
-                &mut self.demanded_machines
+                &mut self.non_best_effort_machines
             };
             occupied.insert(&placement.machine);
             quotas.subtract(placed.team, &placed.resources);
@@ -130,34 +131,35 @@
         Some(preemption_cost(now, placed.job, placement, owner))
     }
 
-    /// How many machines best-effort work may take, besides those that it has: half as many as
-    /// other work has had, or any number without other work.
+    /// Returns the number of machines that best-effort work may take in addition to those that it
+    /// uses now: together at most the peak number of machines that other work has used, or any
+    /// number if there is no other work.
     pub fn best_effort_limit(
         &self,
         context: &PlanningContext,
         open_jobs: &[OpenJob],
-        peak_demanded_machines: usize,
+        peak_non_best_effort_machines: usize,
     ) -> BestEffortLimit {
-        let is_alone = self.demanded_machines.is_empty()
+        let no_other_work = self.non_best_effort_machines.is_empty()
             && open_jobs.iter().all(|open| {
                 context.controller.is_best_effort(&open.job.spec) && !open.priority.has_dependents
             });
-        if is_alone {
+        if no_other_work {
             BestEffortLimit::unlimited()
         } else {
-            let machines_left = peak_demanded_machines.saturating_sub(self.best_effort_machines.len());
+            let machines_left = peak_non_best_effort_machines.saturating_sub(self.best_effort_machines.len());
             BestEffortLimit::new(machines_left)
         }
     }
 }
 
-/// A job with what its placed tasks have in common.
+/// A job and the properties that its placed tasks share.
 struct PlacedJob<'a> {
     id: &'a String,
     job: &'a Job,
     resources: Resources,
     team: Option<usize>,
-    /// Expected run time of one of its tasks.
+    /// Expected run time of one task, in seconds.
     run_s: Time,
     classification: JobClassification,
     may_be_preempted: bool,
@@ -184,14 +186,14 @@
     fn expected_end(&self, now: Time, placement: &Placement) -> Time {
         match (placement.stopping, placement.running_since) {
             (Some((since, grace_s)), _) => since + grace_s + STOP_S,
-            (None, Some(since)) => (since + self.run_s).max(now + self.run_s * MIN_REMAINING_PART),
+            (None, Some(since)) => (since + self.run_s).max(now + self.run_s * MIN_REMAINING_FRACTION),
             (None, None) => placement.placed_at + self.run_s + START_S,
         }
     }
 }
 
-/// Whether a task may be stopped for more urgent work. A gang of several tasks is left alone: its
-/// graceful eviction costs all of its machines.
+/// Whether a task may be preempted for more urgent work. Gangs of several tasks are not preempted,
+/// because evicting one task of a gang gracefully stops all of its tasks.
 fn is_preemptible(job: &Job, placement: &Placement) -> bool {
     placement.observed_state.is_some()
         && placement.stopping.is_none()
@@ -199,7 +201,7 @@
         && (job.spec.shape != Shape::Gang || job.spec.tasks == 1)
 }
 
-/// What preempting a task would lose, and how long it would take.
+/// Returns the work that preempting a task would lose and the time that it would take.
 fn preemption_cost(now: Time, job: &Job, placement: &Placement, owner: usize) -> PreemptionCandidate {
     if job.spec.checkpoint_interval_s > 0.0 {
         let save_s = job.spec.save_s;
@@ -209,10 +211,10 @@
     PreemptionCandidate { owner, lost_work_s, stop_s: STOP_S }
 }
 
-/// Whether a job that went first because it was overdue has only just started: until it has run
-/// for a worker lease it is not preempted. (The one task that an array got after minutes was once
-/// preempted again and again before it had its image.)
-fn is_late_starter(context: &PlanningContext, job: &Job) -> bool {
+/// Whether an overdue job has only just started: no task is done, and none has been running for
+/// longer than a worker lease. Such a job is not preempted. Otherwise the only task that an array
+/// got after minutes of waiting was preempted again and again before it had its image.
+fn is_recent_overdue_start(context: &PlanningContext, job: &Job) -> bool {
     let now = context.now;
     let lease_s = context.controller.settings.params.workers.lease_s;
     let is_first_placement = job.spec.shape == Shape::Gang || job.placements.len() == 1;
--- a/crates/controller/src/scheduling/starvation.rs
+++ b/crates/controller/src/scheduling/starvation.rs
@@ -1,5 +1,5 @@
 //! Starvation protection in one plan: classes and teams that have waited long and hold almost no
-//! machines go first (see `planner::starvation`).
+//! machines are placed first (see `planner::starvation`).
 
 use crate::scheduling::pricing::resources_per_task;
 use planner::starvation::{
@@ -37,22 +37,22 @@
     }
 }
 
-/// What each class and team holds and waits for.
+/// Resources that each class and team holds, and the demand that waits.
 pub struct StarvationGuard {
     policy: StarvationPolicy,
-    /// Resources of all machines together.
+    /// Total resources of all machines.
     total: Resources,
-    /// The number of each class and team.
+    /// Index of each class and team.
     group_indices: BTreeMap<StarvationGroup, usize>,
-    /// The part of all machines that each group holds, by its number.
+    /// Fraction of all machines that each group holds, by group index.
     held_shares: Vec<f64>,
     demands: Vec<WaitingDemand>,
-    /// The planner's number of the job that each demand is of.
+    /// Index in the planner's input of the job of each demand.
     job_indices: Vec<usize>,
 }
 
 impl StarvationGuard {
-    /// Nothing is held or waited for yet. `sizes`: of all machines.
+    /// Creates a guard without usage or demand. `sizes` are the sizes of all machines.
     pub fn new(policy: StarvationPolicy, sizes: impl Iterator<Item = Resources>) -> Self {
         let mut total = Resources::new(0.0, 0.0, 0.0);
         for size in sizes {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The numbers of a job's class and team.
+    /// Returns the indices of a job's class and team.
     fn group_indices(&mut self, spec: &JobSpec) -> [usize; 2] {
         let groups = [StarvationGroup::Class(spec.class.clone()), StarvationGroup::Team(spec.team.clone())];
         groups.map(|group| {
@@ -79,7 +79,7 @@
         })
     }
 
-    /// The part of all machines that one task takes.
+    /// Returns the fraction of all machines that one task takes.
     fn share_per_task(&self, spec: &JobSpec) -> f64 {
         let task = resources_per_task(spec);
         let share = |part: f64, total: f64| if total > 0.0 { part / total } else { 0.0 };
@@ -88,7 +88,7 @@
             .max(share(task.memory_gb, self.total.memory_gb))
     }
 
-    /// Counts `tasks` placed tasks of such a job as held.
+    /// Adds `tasks` placed tasks of a job to the shares that its class and team hold.
     pub fn add_usage(&mut self, spec: &JobSpec, tasks: usize) {
         let share = self.share_per_task(spec) * tasks as f64;
         for group in self.group_indices(spec) {
@@ -96,10 +96,10 @@
         }
     }
 
-    /// Adds the waiting tasks of a job. `index`: the planner's number of it.
+    /// Adds the waiting tasks of a job, whose index in the planner's input is `index`.
     pub fn add_demand(&mut self, index: usize, spec: &JobSpec, job: &Job, has_started: bool) {
-        // A job that is bound to zones is not divided either: each part would choose its own. (Two
-        // parts of an array once ran in two zones.)
+        // A job with zone constraints is not divided either: each part would choose its own zone, and
+        // the parts of an array that must run in one zone ran in two.
         let indivisible = job.shape == Shape::Gang || job.one_zone || job.max_per_zone.is_some();
         let demand = WaitingDemand {
             groups: self.group_indices(spec),
@@ -113,28 +113,28 @@
         self.job_indices.push(index);
     }
 
-    /// Lets overdue jobs, and jobs of starving groups, go first in the plan. If only some of a job's
-    /// tasks do, they become a job of their own, under the same id.
+    /// Gives precedence in the plan to overdue jobs and to jobs of starved groups. If that applies to
+    /// only some tasks of a job, these become a separate job with the same id.
     pub fn apply(&mut self, now: f64, ids: &mut Vec<String>, jobs: &mut Vec<Job>) -> StarvedGroups {
-        let starving = starved_groups(now, &self.policy, &self.held_shares, &self.demands);
-        let mut relieved_tasks = overdue_tasks(now, &self.policy, &self.demands);
-        self.reserve_for_overdue(&relieved_tasks, jobs);
-        if starving.contains(&true) {
-            let granted = guaranteed_tasks(&self.policy, &starving, &self.held_shares, &self.demands);
-            for (tasks, granted) in relieved_tasks.iter_mut().zip(granted) {
+        let starved = starved_groups(now, &self.policy, &self.held_shares, &self.demands);
+        let mut prioritized_tasks = overdue_tasks(now, &self.policy, &self.demands);
+        self.reserve_for_overdue(&prioritized_tasks, jobs);
+        if starved.contains(&true) {
+            let granted = guaranteed_tasks(&self.policy, &starved, &self.held_shares, &self.demands);
+            for (tasks, granted) in prioritized_tasks.iter_mut().zip(granted) {
                 *tasks = (*tasks).max(granted);
             }
         }
-        for (&index, tasks) in self.job_indices.iter().zip(relieved_tasks) {
+        for (&index, tasks) in self.job_indices.iter().zip(prioritized_tasks) {
             if tasks > 0 {
-                relieve(index, tasks, ids, jobs);
+                prioritize_tasks(index, tasks, ids, jobs);
             }
         }
-        let groups = self.group_indices.iter().filter(|(_, &index)| starving[index]);
+        let groups = self.group_indices.iter().filter(|(_, &index)| starved[index]);
         StarvedGroups { groups: groups.map(|(group, _)| group.clone()).collect() }
     }
 
-    /// Overdue jobs may keep machines to themselves for a while.
+    /// Allows overdue jobs to reserve machines for a limited time.
     fn reserve_for_overdue(&self, overdue_tasks: &[usize], jobs: &mut [Job]) {
         let demands = self.demands.iter().zip(&self.job_indices).zip(overdue_tasks);
         for ((demand, &index), _) in demands.filter(|(_, tasks)| **tasks > 0) {
@@ -143,26 +143,27 @@
     }
 }
 
-/// Lets the first `tasks` pending tasks of a job go first.
-fn relieve(index: usize, tasks: usize, ids: &mut Vec<String>, jobs: &mut Vec<Job>) {
-    let rest = jobs[index].pending_tasks.split_off(tasks);
-    if rest.is_empty() {
+/// Gives precedence to the first `tasks` pending tasks of a job.
+fn prioritize_tasks(index: usize, tasks: usize, ids: &mut Vec<String>, jobs: &mut Vec<Job>) {
+    let other_tasks = jobs[index].pending_tasks.split_off(tasks);
+    if other_tasks.is_empty() {
         jobs[index].starvation_relief = true;
         return;
     }
-    let relieved = std::mem::replace(&mut jobs[index].pending_tasks, rest);
-    let part = Job { pending_tasks: relieved, starvation_relief: true, ..jobs[index].clone() };
+    let prioritized_tasks = std::mem::replace(&mut jobs[index].pending_tasks, other_tasks);
+    let prioritized_job =
+        Job { pending_tasks: prioritized_tasks, starvation_relief: true, ..jobs[index].clone() };
     jobs[index].reserves_until = 0.0;
-    jobs.push(part);
+    jobs.push(prioritized_job);
     ids.push(ids[index].clone());
 }
 
 /// An overdue gang for which machines are reserved in one zone.
 #[derive(Debug, PartialEq)]
 pub struct AssemblingGang {
-    /// Its job's id.
+    /// Id of the gang's job.
     pub job: String,
-    /// The planner's number of the zone.
+    /// Index of the zone in the planner's input.
     pub zone: usize,
 }
 
@@ -171,13 +172,13 @@
 pub struct GangReservation(pub Option<AssemblingGang>);
 
 impl GangReservation {
-    /// The zone of job `id`, if it is that gang.
+    /// Returns the zone of the reservation if it is for job `id`.
     pub fn zone_of(&self, id: &str) -> Option<usize> {
         self.0.as_ref().filter(|gang| gang.job == id).map(|gang| gang.zone)
     }
 }
 
-/// Classes and teams that are starving.
+/// Classes and teams that are starved.
 #[derive(Debug, Default, PartialEq)]
 pub struct StarvedGroups {
     groups: Vec<StarvationGroup>,
@@ -188,7 +189,8 @@
         self.groups.iter().any(|group| group.contains(spec))
     }
 
-    /// Their running tasks are not preempted. `spec`: of the job of a task's owner number.
+    /// Protects the groups' running tasks from preemption. `spec` returns the specification of the
+    /// job to which a `PreemptionCandidate::owner` belongs.
     pub fn protect_from_preemption<'a>(
         &self,
         tasks: impl Iterator<Item = &'a mut RunningTask>,
--- a/crates/controller/src/scheduling/teams.rs
+++ b/crates/controller/src/scheduling/teams.rs
@@ -1,4 +1,4 @@
-//! Team quotas: what each team may still add under its limit, and which jobs its guarantee covers.
+//! Team quotas: the resources left under each team's limit, and the jobs that its guarantee covers.
 
 use crate::model::job::Job;
 use crate::scheduling::planner_input::{JobIds, PlanningContext};
@@ -6,21 +6,21 @@
 use protocol::job::JobSpec;
 use settings::Team;
 
-/// Tolerance when sums of cores or accelerators are compared with a quota.
+/// Tolerance for comparing sums of cores or accelerators with a quota.
 const QUOTA_TOLERANCE: f64 = 1e-6;
 
-/// What each team may still add under its limit.
+/// Resources left under the limit of each team.
 pub(super) struct TeamQuotas<'a> {
-    /// The teams as the settings have them, by number.
+    /// Teams in the settings, by team index.
     settings: &'a [Team],
-    /// What the planner gets, by number.
+    /// Teams in the planner's input, by team index.
     pub teams: Vec<planner::Team>,
     /// Whether usage counts against the limits.
     enforced: bool,
 }
 
 impl<'a> TeamQuotas<'a> {
-    /// The limits less what jobs with undecodable records take.
+    /// Creates the quotas: the limits minus the usage of jobs with undecodable records.
     pub fn new(context: &PlanningContext<'a>) -> Self {
         let settings: &[Team] = &context.controller.settings.params.teams;
         let limit = |quota: f64| (quota > 0.0).then_some(quota);
@@ -36,7 +36,7 @@
         quotas
     }
 
-    /// The number of a team.
+    /// Returns the index of a team.
     pub fn index_of(&self, name: &str) -> Option<usize> {
         team_index(self.settings, name)
     }
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whether the team may add a task of the job.
+    /// Whether one more task of the job fits under the team's limit.
     pub fn allows_task(&self, team: usize, spec: &JobSpec) -> bool {
         let fits = |left: Option<f64>, need: f64| left.is_none_or(|left| need <= left + QUOTA_TOLERANCE);
         let team = &self.teams[team];
@@ -65,7 +65,7 @@
     teams.iter().position(|team| team.name == name)
 }
 
-/// What a team's jobs need together.
+/// Total demand of a team's jobs.
 #[derive(Debug, Default, Clone, Copy)]
 struct TeamDemand {
     cores: f64,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Whether it is within the team's guarantee. A quota of 0 is none.
+    /// Whether the demand is within the team's guarantee. A quota of 0 means that there is none.
     fn is_guaranteed(&self, team: &Team) -> bool {
         (team.cores > 0.0 || team.accelerators > 0.0)
             && (team.cores == 0.0 || self.cores <= team.cores + QUOTA_TOLERANCE)
@@ -89,8 +89,9 @@
     }
 }
 
-/// Ids of the jobs that their teams' guarantees cover: a team's unfinished jobs, the oldest first.
-/// `jobs`: in that order, without those that wait for others, which need nothing of it yet.
+/// Returns the ids of the jobs covered by their teams' guarantees, which apply to the oldest jobs
+/// first. `jobs` are the unfinished jobs, oldest first, without those that wait for dependencies,
+/// because these do not use the guarantee yet.
 pub(super) fn guaranteed_jobs<'a>(
     context: &PlanningContext<'a>,
     jobs: &[(&'a String, &'a Job)],
