--- a/crates/controller/src/autoscaling.rs
+++ b/crates/controller/src/autoscaling.rs
@@ -1,8 +1,8 @@
-//! The size of the fleet: how many machines of each pool there should be, scale-out and
-//! scale-in, and the cloud's catalogue and machine list.
+//! Autoscaling: the desired capacity of each machine pool, scale-out and scale-in, and the cloud's
+//! machine type catalogue and machine list.
 //!
-//! `desired_capacity` decides after each plan how many machines a pool needs. `scale_out` and
-//! `scale_in` bring the fleet there, one call to the cloud at a time.
+//! `desired_capacity` computes the number of machines that each pool needs after each plan.
+//! `scale_out` and `scale_in` adjust the fleet accordingly, each with one cloud call at a time.
 
 mod arrival_forecast;
 mod desired_capacity;
--- a/crates/controller/src/autoscaling/desired_capacity.rs
+++ b/crates/controller/src/autoscaling/desired_capacity.rs
@@ -1,5 +1,5 @@
-//! How many machines each pool should have: those in use, those that waiting work needs, and a
-//! reserve for jobs that usually arrive. Decided anew after each plan.
+//! Desired capacity of each pool: the machines in use, those that waiting work needs, and a reserve
+//! for expected arrivals. Recomputed after each plan.
 
 use crate::autoscaling::arrival_forecast::ArrivalForecast;
 use crate::autoscaling::fleet::{CapacityTargets, MachinePool};
@@ -14,12 +14,12 @@
 use std::collections::BTreeMap;
 use tracing::info;
 
-/// What the decision is made from.
+/// Inputs for computing the capacity targets.
 struct CapacityInputs<'a> {
     now: Time,
     timing: &'a Timing,
     checks: &'a SafetyChecks,
-    /// The operator multiplies the reserve by this; 0 to 10.
+    /// Operator's multiplier of the reserve, 0 to 10.
     reserve_share: f64,
     leader: &'a LeaderState,
     types: &'a [MachineType],
@@ -28,7 +28,7 @@
 }
 
 impl CapacityInputs<'_> {
-    fn decide(&self) -> CapacityTargets {
+    fn capacity_targets(&self) -> CapacityTargets {
         let used = used_machines(self.leader);
         let free = free_machines(self.leader, &used);
         let zones = zones_of(self.types);
@@ -52,7 +52,7 @@
     }
 }
 
-/// The targets of all pools.
+/// Returns the capacity targets of all pools.
 fn targets(
     types: &[MachineType],
     demand: PoolDemand,
@@ -68,14 +68,14 @@
             let used = f64::from(pool_usage.used);
             let reserve = forecast.reserve(&pool).round();
             let desired = used + needed + reserve;
-            let generous = used + needed + forecast.burst(&pool);
-            let beyond_present = desired - f64::from(pool_usage.present);
-            let missing = beyond_present.max(needed - f64::from(pool_usage.arriving));
-            if missing > 0.0 {
-                targets.wanted.insert(pool.clone(), missing as u32);
+            let desired_with_burst = used + needed + forecast.burst(&pool);
+            let shortfall = desired - f64::from(pool_usage.present);
+            let machines_to_add = shortfall.max(needed - f64::from(pool_usage.arriving));
+            if machines_to_add > 0.0 {
+                targets.wanted.insert(pool.clone(), machines_to_add as u32);
             }
             targets.reserve.insert(pool.clone(), reserve as u32);
-            targets.generous.insert(pool.clone(), generous.ceil() as u32);
+            targets.desired_with_burst.insert(pool.clone(), desired_with_burst.ceil() as u32);
             targets.desired.insert(pool, desired as u32);
         }
     }
@@ -85,7 +85,7 @@
     targets
 }
 
-/// Adds machines that are wanted in certain zones to those that are wanted of their pools.
+/// Adds the machines wanted in specific zones to the totals of their pools.
 fn add_zonal_machines(wanted: &mut BTreeMap<MachinePool, u32>, demand: &PoolDemand) {
     let mut zonal: BTreeMap<&MachinePool, u32> = BTreeMap::new();
     for (location, machines) in &demand.wanted_in_zone {
@@ -99,7 +99,7 @@
 }
 
 impl Controller {
-    /// Decides how many machines each pool should have after `plan`.
+    /// Sets the capacity targets of all pools after `plan`.
     pub(crate) fn set_desired_capacity(&mut self, problem: &Problem, plan: &Plan) {
         let Role::Leader(leader) = &mut self.role else { return };
         let inputs = CapacityInputs {
@@ -112,7 +112,7 @@
             problem,
             plan,
         };
-        let targets = inputs.decide();
+        let targets = inputs.capacity_targets();
         if targets.wanted != leader.fleet.targets.wanted && !targets.wanted.is_empty() {
             info!(wanted = ?targets.wanted, waiting = plan.unmet.len(), "scale-out requested");
         }
--- a/crates/controller/src/autoscaling/fleet.rs
+++ b/crates/controller/src/autoscaling/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet as the leader keeps it: pools, capacity targets, calls to the cloud in flight, and
-//! the machines that are known to be gone.
+//! The leader's state of the fleet: machine pools, capacity targets, cloud calls in flight, and
+//! tombstones of deleted machines.
 
 use crate::autoscaling::machine_list::MachineListing;
 use crate::autoscaling::scale_out::{ExhaustedPools, PendingScaleOut};
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
-/// Machines that can be rented alike. Ordered by machine type, ordinary machines before spot ones.
+/// Machines of one type and purchase option. Ordered by machine type, ordinary before spot machines.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MachinePool {
     /// Name of the machine type in the cloud's catalogue.
@@ -19,7 +19,7 @@
 }
 
 impl MachinePool {
-    /// The pool of a machine type, spot or not.
+    /// Creates the pool of spot or ordinary machines of a type.
     pub fn new(machine_type: &str, spot: bool) -> Self {
         MachinePool { machine_type: machine_type.to_string(), spot }
     }
@@ -35,20 +35,20 @@
 /// A pool in one zone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZonalPool {
-    /// Machine type and whether spot.
+    /// The pool.
     pub pool: MachinePool,
     /// Name of the zone.
     pub zone: String,
 }
 
 impl ZonalPool {
-    /// `pool` in `zone`.
+    /// Creates the key for `pool` in `zone`.
     pub fn new(pool: &MachinePool, zone: &str) -> Self {
         ZonalPool { pool: pool.clone(), zone: zone.to_string() }
     }
 }
 
-/// A machine type in one zone, spot or not.
+/// A machine type in one zone, regardless of whether its machines are spot machines.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZonalMachineType {
     /// Name of the machine type in the cloud's catalogue.
@@ -58,31 +58,32 @@
 }
 
 impl ZonalMachineType {
-    /// `machine_type` in `zone`.
+    /// Creates the key for `machine_type` in `zone`.
     pub fn new(machine_type: &str, zone: &str) -> Self {
         ZonalMachineType { machine_type: machine_type.to_string(), zone: zone.to_string() }
     }
 }
 
-/// How many machines there should be, as decided after the last plan.
+/// Capacity targets, computed after the last plan.
 #[derive(Debug, Default)]
 pub struct CapacityTargets {
-    /// Machines to add to those that exist, by pool.
+    /// Machines to add, by pool.
     pub wanted: BTreeMap<MachinePool, u32>,
-    /// Machines to add in one zone, for work that has to run there.
+    /// Machines to add in a specific zone, for work that has to run there.
     pub wanted_in_zone: BTreeMap<ZonalPool, u32>,
     /// Machines that are kept for gangs whose other machines are still missing.
     pub assembling_gang_machines: BTreeMap<ZonalMachineType, u32>,
-    /// Machines that each pool keeps free for jobs that usually arrive.
+    /// Machines that each pool keeps free for expected arrivals.
     pub reserve: BTreeMap<MachinePool, u32>,
-    /// Machines that each pool should have. Idle ones beyond it are scaled in.
+    /// Desired number of machines of each pool. Idle machines beyond it are scaled in.
     pub desired: BTreeMap<MachinePool, u32>,
-    /// The same for pools of latency-sensitive work: enough for a burst of arrivals, too.
-    pub generous: BTreeMap<MachinePool, u32>,
+    /// Desired number of machines of pools with latency-sensitive work, which also covers a burst of
+    /// arrivals.
+    pub desired_with_burst: BTreeMap<MachinePool, u32>,
 }
 
-/// Machines that were deleted, the oldest first. The cloud's list shows them for a while, and
-/// delayed heartbeats may come from them at any time.
+/// Deleted machines, in order of deletion. The cloud's list still shows them for a while, and their
+/// delayed heartbeats may arrive at any time.
 #[derive(Debug, Default)]
 struct Tombstones {
     machines: BTreeSet<String>,
@@ -102,51 +103,52 @@
     }
 }
 
-/// What the leader keeps about the fleet, beside the machines themselves.
+/// The leader's state of the fleet, apart from the machines themselves.
 #[derive(Default)]
 pub struct Fleet {
-    /// The worker capacity when it was last logged.
+    /// Worker capacity that was logged last.
     pub logged_capacity: u32,
-    /// Which zones are unreachable. No machine is rented there.
+    /// Reachability of the zones. No machines are rented in unreachable zones.
     pub zones: ZoneReachability,
-    /// How many machines there should be.
+    /// Capacity targets of the pools.
     pub targets: CapacityTargets,
-    /// The cloud's machine list, read page by page.
+    /// Progress of reading the cloud's machine list page by page.
     pub(crate) listing: MachineListing,
-    /// Limits the calls to the cloud.
+    /// Rate limiter of the calls to the cloud.
     cloud_calls: Option<RateLimiter>,
-    /// Limits the leader's writes to the store.
+    /// Rate limiter of the leader's writes to the store.
     leader_writes: Option<RateLimiter>,
     /// Whether the machine types are being read from the cloud.
     pub(super) types_in_flight: bool,
-    /// When the machine types were last read from the cloud.
+    /// Time of the last read of the machine types from the cloud.
     pub(super) types_read_at: Option<Time>,
-    /// Number of scale-out requests so far: part of the next one's name.
+    /// Number of scale-out requests so far; makes the name of each request unique.
     pub(super) scale_out_count: u64,
-    /// The scale-out request whose outcome is not known yet.
+    /// Scale-out request whose outcome is not known yet.
     pub(super) pending_scale_out: Option<PendingScaleOut>,
-    /// The pool of the last scale-out request.
+    /// Pool of the last scale-out request.
     pub(super) last_scale_out_pool: Option<MachinePool>,
-    /// Pools whose last requests were refused for lack of capacity.
+    /// Zonal pools that recently lacked capacity.
     pub(super) exhausted_pools: ExhaustedPools,
-    /// Whether machines are being deleted.
+    /// Whether a call to delete machines is in flight.
     pub(super) delete_in_flight: bool,
-    /// No deletion is sent before then.
+    /// Earliest time of the next call to delete machines.
     pub(super) delete_at: Time,
-    /// When machines are next checked for scale-in.
+    /// Time of the next check for machines to scale in.
     pub(super) scale_in_check_at: Time,
     tombstones: Tombstones,
 }
 
 impl Fleet {
-    /// The limiter of the leader's writes to the store, at `rate` writes a second from now on.
+    /// Returns the rate limiter of the leader's writes to the store, after setting it to `rate` writes
+    /// per second.
     pub fn write_budget(&mut self, rate: f64) -> &mut RateLimiter {
         let budget = self.leader_writes.get_or_insert_with(|| RateLimiter::new(rate));
         budget.set_rate(rate);
         budget
     }
 
-    /// Remembers that `machine` was deleted. Names of machines are never used again.
+    /// Records that `machine` was deleted. Machine names are never reused.
     pub(super) fn add_tombstone(&mut self, machine: &str) {
         self.tombstones.add(machine);
     }
@@ -156,24 +158,24 @@
         self.tombstones.machines.contains(machine)
     }
 
-    /// Whether machines of `pool` may be requested in `zone`: it is reachable, and the pool was
-    /// not refused there a moment ago.
+    /// Whether machines of `pool` may be requested in `zone`: the zone is reachable, and the pool is
+    /// not in a pause after a lack of capacity there.
     pub(crate) fn is_zone_available(&self, now: Time, pool: &MachinePool, zone: &str) -> bool {
         !self.zones.is_unreachable(zone) && self.exhausted_pools.may_request(now, pool, zone)
     }
 }
 
-/// Deleted machines that are remembered.
+/// Maximum number of deleted machines that are remembered.
 const MAX_TOMBSTONES: usize = 20_000;
 
-/// The cloud charges every machine for at least that long.
+/// Minimum time for which the cloud charges a machine.
 pub(super) const MIN_CHARGE_S: f64 = 60.0;
 
-/// Part of the cloud's rate limit that the leader uses.
+/// Fraction of the cloud's rate limit that the leader uses.
 const CLOUD_RATE_SHARE: f64 = 0.9;
 
 impl Controller {
-    /// Takes one call from the budget of calls to the cloud, if one is left.
+    /// Takes one call from the budget of cloud calls. Returns false if none is left.
     pub(super) fn try_acquire_cloud_call(&mut self) -> bool {
         let now = self.now;
         let rate = self.settings.params.cloud.rps * CLOUD_RATE_SHARE;
@@ -181,7 +183,7 @@
         leader.fleet.cloud_calls.get_or_insert_with(|| RateLimiter::new(rate)).try_acquire(now, 1.0)
     }
 
-    /// Sends the calls to the cloud that are due.
+    /// Sends the cloud calls that are due.
     pub(crate) fn tick_fleet(&mut self) {
         self.tick_machine_types();
         self.tick_machine_list();
@@ -190,7 +192,7 @@
         self.tick_scale_out();
     }
 
-    /// Routes the cloud's reply to the part that made the call.
+    /// Routes a reply of the cloud to the handler of its call.
     pub(crate) fn on_cloud_reply(&mut self, context: CallContext, reply: CloudReply) {
         match context {
             CallContext::CloudTypes { token } => self.on_machine_types(token, reply),
@@ -201,8 +203,8 @@
         }
     }
 
-    /// Checks now and then which machines to scale in. The check looks at every machine and
-    /// placement, and no scale-in is urgent.
+    /// Checks periodically which machines to scale in. The check is not run on every tick because it
+    /// iterates over all machines and placements, and scale-in is never urgent.
     fn tick_scale_in_check(&mut self) {
         let Role::Leader(leader) = &mut self.role else { return };
         if self.now >= leader.fleet.scale_in_check_at {
--- a/crates/controller/src/autoscaling/machine_catalogue.rs
+++ b/crates/controller/src/autoscaling/machine_catalogue.rs
@@ -1,5 +1,5 @@
-//! The cloud's catalogue of machine types: read from the cloud, checked, and stored, so that a
-//! node can decide on submissions while the cloud does not answer.
+//! The cloud's catalogue of machine types: reads it from the cloud, validates it and stores it, so
+//! that nodes can decide on submissions while the cloud does not respond.
 
 use crate::leader::state::Role;
 use crate::model::records::*;
@@ -8,10 +8,10 @@
 use protocol::state::{Compare, Mutation, Transaction};
 use tracing::{info, warn};
 
-/// How long a catalogue that was read is good.
+/// Time between reads of the catalogue.
 const REFRESH_INTERVAL_S: Time = 60.0;
 
-/// How soon it is read again after a call that failed.
+/// Delay before the catalogue is read again after a failed call.
 const RETRY_INTERVAL_S: Time = 2.0;
 
 /// Whether the planner can work with `catalogue`.
@@ -20,7 +20,7 @@
 }
 
 fn is_valid_type(machine_type: &MachineType) -> bool {
-    let figures = [
+    let values = [
         machine_type.cores,
         machine_type.accelerators,
         machine_type.memory_gb,
@@ -30,7 +30,7 @@
         machine_type.fetch_gb_per_s,
         machine_type.cache_gb,
     ];
-    figures.into_iter().all(|figure| figure.is_finite() && figure >= 0.0) && !machine_type.zones.is_empty()
+    values.into_iter().all(|value| value.is_finite() && value >= 0.0) && !machine_type.zones.is_empty()
 }
 
 impl Controller {
@@ -49,7 +49,7 @@
         leader.fleet.types_read_at = Some(now);
     }
 
-    /// Takes over a valid catalogue; stores the first one.
+    /// Adopts the catalogue in the reply if it is valid, and stores it if it is the first one.
     pub(super) fn on_machine_types(&mut self, token: u64, reply: CloudReply) {
         let now = self.now;
         let Some(leader) = self.leader_state(token) else { return };
@@ -63,27 +63,28 @@
             return;
         }
         leader.planning.needed = true;
-        let first = self.machine_types.is_none();
+        let is_first = self.machine_types.is_none();
         self.machine_types = Some(catalogue.types.clone());
-        if first {
+        if is_first {
             info!(types = catalogue.types.len(), "machine types loaded");
             self.store_machine_types(token, catalogue.types);
         }
     }
 
-    /// Stores the catalogue in one value or, once every node can read that, in as many as it
-    /// takes. A catalogue that is too long for one transaction is not stored: a half of it would
-    /// make nodes refuse jobs that can run.
+    /// Stores the catalogue in one value or, if it is too large and every node can read the split
+    /// form, in several. A catalogue that does not fit in one transaction is not stored, because a
+    /// partial catalogue would make nodes reject jobs that can run.
     fn store_machine_types(&mut self, token: u64, types: Vec<MachineType>) {
         let max_bytes = self.store_limits.value_bytes();
         let put = |(key, value)| Mutation::Put { key, value, lease: None };
-        let whole = Value::Types(types.clone());
-        let mutations: Vec<Mutation<Value>> = if json_size(&whole) > max_bytes && self.uses_current_format() {
-            let delete_whole = Mutation::Delete { key: TYPES_KEY.to_string() };
-            catalogue(&types, max_bytes).into_iter().map(put).chain([delete_whole]).collect()
-        } else {
-            vec![put((TYPES_KEY.to_string(), whole))]
-        };
+        let single_value = Value::Types(types.clone());
+        let mutations: Vec<Mutation<Value>> =
+            if json_size(&single_value) > max_bytes && self.uses_current_format() {
+                let delete_single_value = Mutation::Delete { key: TYPES_KEY.to_string() };
+                catalogue(&types, max_bytes).into_iter().map(put).chain([delete_single_value]).collect()
+            } else {
+                vec![put((TYPES_KEY.to_string(), single_value))]
+            };
         if mutations.len() > self.store_limits.mutations() {
             return;
         }
--- a/crates/controller/src/autoscaling/machine_list.rs
+++ b/crates/controller/src/autoscaling/machine_list.rs
@@ -1,4 +1,4 @@
-//! The cloud's machine list: read page by page, then reconciled with the machines that the
+//! The cloud's machine list: reads it page by page and reconciles it with the machines that the
 //! leader knows.
 
 use crate::leader::state::{LeaderState, Role};
@@ -8,30 +8,30 @@
 use std::collections::BTreeSet;
 use tracing::info;
 
-/// Machines of a list that are looked at.
+/// Number of machines after which the rest of a list is not read.
 const MAX_LISTED_MACHINES: usize = 20_000;
 
-/// How far a list is read, and when its next page is due.
+/// Progress of reading the machine list.
 #[derive(Debug, Default)]
 pub(crate) struct MachineListing {
-    /// Whether a list has been read to its end since this leader was elected.
+    /// Whether a complete list has been read since this leader was elected.
     pub completed_once: bool,
     /// Whether a page is being read.
     in_flight: bool,
-    /// When the next list is begun.
+    /// Earliest start of the next list.
     next_list_at: Time,
-    /// When the first page of this list was asked for.
+    /// Time at which the first page of the current list was requested.
     started_at: Time,
-    /// The machines on the pages so far.
+    /// Machines on the pages read so far.
     machines: Vec<ListedMachine>,
-    /// The machine that the next page starts after; None: the next page is the first of a list.
+    /// Id of the machine after which the next page starts, or None if it is the first of a list.
     continue_after: Option<String>,
-    /// When the next page of a list that is begun is due.
+    /// Earliest time of the next page within a list.
     next_page_at: Time,
 }
 
 impl MachineListing {
-    /// Gives a list up that takes longer than `max_s`: its first pages are too old by then.
+    /// Restarts a list that takes longer than `max_s`, because its first pages are too old by then.
     fn abandon_slow_list(&mut self, now: Time, max_s: Time) {
         if !self.in_flight && now - self.started_at > max_s {
             self.continue_after = None;
@@ -43,9 +43,10 @@
         !self.in_flight && now >= due_at
     }
 
-    /// Begins the next page. Pages are `page_interval_s` apart, lists `list_interval_s`. The first
-    /// list is read without pauses, as nothing else is done before it is complete. (Later lists
-    /// were read so, too: with some thousand machines the cloud refused every list.)
+    /// Records the start of reading the next page. Pages are `page_interval_s` apart and lists
+    /// `list_interval_s`. The first list is read without pauses, because planning starts only after
+    /// it is complete. Later lists need the pauses: without them, the cloud refused every list of
+    /// several thousand machines.
     fn start_page(&mut self, now: Time, page_interval_s: Time, list_interval_s: Time) {
         self.in_flight = true;
         self.next_page_at = if self.completed_once { now + page_interval_s } else { now };
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Adds a page. True if it was the last one.
+    /// Adds a page. Returns whether it was the last one.
     fn add_page(&mut self, machines: Vec<ListedMachine>, more: bool) -> bool {
         let last = machines.last().map(|machine| machine.id.clone());
         self.machines.extend(machines);
@@ -67,7 +68,7 @@
 }
 
 impl Controller {
-    /// Asks for the next page of the list when it is due.
+    /// Requests the next page of the list when it is due.
     pub(super) fn tick_machine_list(&mut self) {
         let now = self.now;
         let max_list_s = self.settings.params.workers.lease_s;
@@ -77,7 +78,7 @@
         if !leader.fleet.listing.is_page_due(now) || !self.try_acquire_cloud_call() {
             return;
         }
-        // Every page is a call. Half of the calls are left for other purposes.
+        // Each page takes one call. Half of the calls are left for other purposes.
         let page_interval_s = 2.0 / self.settings.params.cloud.rps;
         let list_interval_s = self.settings.params.cloud.list_lag_s * 0.75;
         let Role::Leader(leader) = &mut self.role else { return };
@@ -86,13 +87,13 @@
         self.call_cloud(CallContext::CloudList { token }, CloudRequest::List { after });
     }
 
-    /// Adds a page to the list. After the last page the machines are reconciled with it.
+    /// Adds a page to the list. After the last page, reconciles the known machines with the list.
     pub(super) fn on_machine_list(&mut self, token: u64, reply: CloudReply) {
         let now = self.now;
         let list_lag_s = self.settings.params.cloud.list_lag_s;
         let Some(leader) = self.leader_state(token) else { return };
         leader.fleet.listing.in_flight = false;
-        // A page that failed is asked for again.
+        // A page that failed is requested again.
         let CloudReply::List(page) = reply else { return };
         if !leader.fleet.listing.add_page(page.machines, page.more) {
             return;
@@ -113,7 +114,7 @@
     }
 }
 
-/// Takes over what the list says of each machine that is not known to be deleted.
+/// Applies the list to all machines that are not known to be deleted, and adds unknown ones.
 fn register_listed_machines(leader: &mut LeaderState, list: &[ListedMachine], now: Time) {
     let first_list = !leader.fleet.listing.completed_once;
     for listed in list {
@@ -133,12 +134,12 @@
     }
 }
 
-/// Takes over what the list says of one machine. True if that is how its address became known.
+/// Applies a list entry to its machine. Returns whether the machine's address became known by this.
 fn apply_listing(machine: &mut Machine, listed: &ListedMachine, now: Time) -> bool {
     machine.listed = true;
     machine.unconfirmed_since = None;
-    // It may have sent heartbeats before it was listed, but is older than these. (After a
-    // failover no machine was old enough for scale-in for a minute.)
+    // The machine may have sent heartbeats before it was listed, but it is older than these. Without
+    // this, no machine was old enough for scale-in during the first minute after a failover.
     machine.known_since = machine.known_since.min(now - listed.age_s);
     if machine.machine_type.is_empty() {
         machine.machine_type.clone_from(&listed.machine_type);
@@ -156,8 +157,8 @@
     learned_address
 }
 
-/// Known machines that the list lacks although it is new enough to have them: they are gone, with
-/// everything on them. A list is up to twice `list_lag_s` old.
+/// Returns the known machines that no longer exist: they were listed before, but are missing from a
+/// list that is recent enough to contain them. The data of a list is up to twice `list_lag_s` old.
 fn missing_machines(leader: &LeaderState, list: &[ListedMachine], list_lag_s: Time) -> Vec<String> {
     let listed: BTreeSet<&str> = list.iter().map(|machine| machine.id.as_str()).collect();
     let max_list_age_s = 2.0 * list_lag_s + 2.0;
@@ -170,7 +171,7 @@
     leader.cluster.machines.values().filter(is_missing).map(|machine| machine.id.clone()).collect()
 }
 
-/// Machines that the cloud reports as failed get no work, and are deleted.
+/// Quarantines machines that the cloud reports as failed and marks them as terminating.
 fn scale_in_failed_machines(leader: &mut LeaderState, list: &[ListedMachine]) {
     for listed in list.iter().filter(|listed| listed.state == MachineState::Failed) {
         if leader.fleet.has_tombstone(&listed.id) {
--- a/crates/controller/src/autoscaling/pool_demand.rs
+++ b/crates/controller/src/autoscaling/pool_demand.rs
@@ -1,4 +1,4 @@
-//! From the tasks that a plan found no machine for to the machines that each pool lacks.
+//! Converts the tasks that a plan could not place into the machines that each pool needs.
 
 use crate::autoscaling::fleet::{Fleet, MachinePool, ZonalMachineType, ZonalPool};
 use crate::autoscaling::zonal_demand::{CapacityRequest, PoolOption, ZonalDemand};
@@ -7,35 +7,35 @@
 use protocol::cloud::MachineType;
 use std::collections::BTreeMap;
 
-/// The machines that unplaced tasks need.
+/// Machines that unplaced tasks need.
 #[derive(Debug, Default)]
 pub(super) struct PoolDemand {
-    /// Machines that are needed beyond those with work, by pool.
+    /// Machines needed in addition to those with work, by pool.
     pub needed: BTreeMap<MachinePool, f64>,
-    /// Machines to add in one zone.
+    /// Machines to add in a specific zone.
     pub wanted_in_zone: BTreeMap<ZonalPool, u32>,
-    /// Those of them, by pool, that are not in `needed`.
+    /// Machines in `wanted_in_zone` that are not counted in `needed`, by pool.
     pub additional: BTreeMap<MachinePool, u32>,
     /// Machines that are kept for gangs whose other machines are still missing.
     pub assembling: BTreeMap<ZonalMachineType, u32>,
 }
 
-/// Adds up what unplaced tasks need, job by job.
+/// Accumulator of the machines that unplaced tasks need.
 pub(super) struct DemandCollector<'a> {
     now: Time,
     problem: &'a Problem,
     types: &'a [MachineType],
     fleet: &'a Fleet,
-    /// Whether machines are requested in the zones that the work is bound to.
+    /// Whether machines are requested in the zones to which the work is bound.
     zonal_scale_out: bool,
     zonal: ZonalDemand<'a>,
-    /// Machines that each pool can be expected to provide yet.
+    /// Machines that each pool is expected to be still able to provide.
     obtainable: BTreeMap<MachinePool, f64>,
     needed: BTreeMap<MachinePool, f64>,
 }
 
 impl<'a> DemandCollector<'a> {
-    /// No demand yet.
+    /// Creates a collector without demand.
     pub fn new(
         now: Time,
         problem: &'a Problem,
@@ -59,18 +59,19 @@
     /// Adds the demand that `plan` could not meet.
     pub fn add_unmet(&mut self, plan: &Plan) {
         for unmet in &plan.unmet {
-            let assembles = plan.gang_assembly.is_some_and(|(job, _)| job == unmet.job);
-            let tasks = self.tasks_to_provide_for(unmet, assembles);
+            let is_assembling = plan.gang_assembly.is_some_and(|(job, _)| job == unmet.job);
+            let tasks = self.tasks_to_provide_for(unmet, is_assembling);
             if tasks > 0 {
                 self.add_job(&self.problem.jobs[unmet.job], f64::from(tasks));
             }
         }
     }
 
-    /// Tasks that will be in time where they are planned need no further machine, unless their
-    /// guarantee asks for a start now, or their gang is overdue and its machines are being gathered.
-    fn tasks_to_provide_for(&self, unmet: &UnmetDemand, assembles: bool) -> u32 {
-        if self.problem.jobs[unmet.job].guaranteed || assembles {
+    /// Returns the number of unmet tasks that need additional machines. Tasks that will be in time
+    /// where they are planned need none, unless their team's guarantee requires that they start now or
+    /// they belong to an overdue gang for which machines are being assembled.
+    fn tasks_to_provide_for(&self, unmet: &UnmetDemand, is_assembling: bool) -> u32 {
+        if self.problem.jobs[unmet.job].guaranteed || is_assembling {
             unmet.tasks
         } else {
             unmet.late_tasks
@@ -93,7 +94,7 @@
         self.add_cheapest(pools, tasks_left);
     }
 
-    /// Pools where `job` may run, the cheapest first.
+    /// Returns the pools in which `job` may run, cheapest first.
     fn pool_options(&mut self, job: &planner::Job) -> Vec<PoolOption> {
         let mut options = Vec::new();
         for &index in &job.instance_types {
@@ -124,7 +125,8 @@
         options
     }
 
-    /// Takes as many machines of each pool as it can be expected to provide, the cheapest first.
+    /// Distributes the remaining tasks to `pools` in order, up to the number of machines that each is
+    /// expected to provide.
     fn add_cheapest(&mut self, pools: Vec<PoolOption>, mut tasks_left: f64) {
         for PoolOption { pool, tasks_per_machine, .. } in pools {
             let Some(obtainable) = self.obtainable.get_mut(&pool) else { continue };
@@ -137,7 +139,7 @@
         }
     }
 
-    /// What all demand added so far needs.
+    /// Returns the machines that the collected demand needs.
     pub fn finish(self) -> PoolDemand {
         let requirements = self.zonal.into_requirements();
         let mut needed = self.needed;
--- a/crates/controller/src/autoscaling/pool_usage.rs
+++ b/crates/controller/src/autoscaling/pool_usage.rs
@@ -1,4 +1,4 @@
-//! What the machines of each pool do: how many there are, have work, or are about to take some.
+//! Usage of each pool: the numbers of machines that exist, have work, or will take work soon.
 
 use crate::autoscaling::fleet::MachinePool;
 use crate::autoscaling::zonal_demand::AvailableCapacity;
@@ -8,39 +8,40 @@
 use settings::Timing;
 use std::collections::{BTreeMap, HashSet};
 
-/// The machines of one pool.
+/// Numbers of machines of one pool.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct PoolUsage {
-    /// Machines that accept work in zones that are reachable.
+    /// Machines in reachable zones that accept work.
     pub present: u32,
-    /// Those of them that have work.
+    /// Machines among these that have work.
     pub used: u32,
-    /// Those without work that will take some soon: they boot, or are not heard again yet.
+    /// Machines among these without work that will take work soon: they are booting, or have missed
+    /// heartbeats and are expected to send them again.
     pub arriving: u32,
 }
 
-/// Names of the machines that have work.
+/// Returns the names of the machines that have work.
 pub(super) fn used_machines(leader: &LeaderState) -> HashSet<&str> {
     let placements = leader.cluster.jobs.values().flat_map(|job| job.placements.values());
     placements.map(|placement| placement.machine.as_str()).collect()
 }
 
-/// Machines that accept work, without those in zones that are unreachable.
+/// Returns the machines in reachable zones that accept work.
 fn reachable_machines(leader: &LeaderState) -> impl Iterator<Item = &Machine> {
     let zones = &leader.fleet.zones;
     let machines = leader.cluster.machines.values();
     machines.filter(|machine| machine.accepts_work() && !zones.is_unreachable(&machine.zone))
 }
 
-/// Machines without work.
+/// Numbers of machines without work.
 pub(super) struct FreeMachines<'a> {
-    /// All of them, booting ones included.
+    /// All such machines, including those that are booting.
     pub available: AvailableCapacity<'a>,
-    /// Those that are up.
+    /// Such machines that are up.
     pub idle: AvailableCapacity<'a>,
 }
 
-/// Machines without work, by type and zone.
+/// Counts the machines without work, by type, zone and whether they are spot machines.
 pub(super) fn free_machines<'a>(leader: &'a LeaderState, used: &HashSet<&str>) -> FreeMachines<'a> {
     let mut free =
         FreeMachines { available: AvailableCapacity::default(), idle: AvailableCapacity::default() };
@@ -52,15 +53,16 @@
     free
 }
 
-/// Tells which machines are about to take work.
+/// Criteria by which a machine without work counts as arriving.
 pub(super) struct ArrivalCriteria<'a> {
-    /// The time.
+    /// Current time.
     pub now: Time,
     /// Intervals derived from the settings.
     pub timing: &'a Timing,
-    /// Whether machines that are silent for a short time count as arriving.
+    /// Whether machines that have been silent for a short time count as arriving.
     pub retain_silent: bool,
-    /// The leader has begun to act just now, and has not heard all machines yet.
+    /// Whether the leader has only just become entitled to act, so that some machines may not have
+    /// sent heartbeats to it yet.
     pub resuming: bool,
 }
 
@@ -75,7 +77,7 @@
     }
 }
 
-/// The usage of each pool that has machines.
+/// Returns the usage of each pool that has machines.
 pub(super) fn pool_usage(
     leader: &LeaderState,
     used: &HashSet<&str>,
--- a/crates/controller/src/autoscaling/scale_in.rs
+++ b/crates/controller/src/autoscaling/scale_in.rs
@@ -1,5 +1,5 @@
-//! Scale-in: faulty machines, those that do not finish booting, and idle ones beyond the desired
-//! capacity are marked as terminating, and then deleted at the cloud.
+//! Scale-in: marks faulty machines, machines whose boot timed out, and idle machines beyond the
+//! desired capacity as terminating, and then deletes them in the cloud.
 
 use crate::autoscaling::fleet::{CapacityTargets, MachinePool, ZonalMachineType, MIN_CHARGE_S};
 use crate::leader::state::{LeaderState, Role};
@@ -10,55 +10,54 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use tracing::info;
 
-/// Boot time of a machine whose type is not known.
+/// Assumed boot time of machines of unknown type.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
-/// When a deletion that failed is tried again.
+/// Delay before a failed deletion is retried.
 const DELETE_RETRY_INTERVAL_S: Time = 1.0;
 
-/// Why a machine is scaled in whatever the desired capacity is.
+/// Reason to scale in a machine regardless of the desired capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
-    /// Its agent sent no heartbeat in several times the boot time.
+    /// Its agent has sent no heartbeat within a multiple of the boot time.
     BootTimedOut,
-    /// Its agent sends heartbeats, but receives no responses.
+    /// Its agent sends heartbeats but receives no responses.
     ReceivesNoResponses,
-    /// It is quarantined, and nothing is placed there any more.
+    /// It is quarantined, and no task is placed on it any more.
     Quarantined,
 }
 
-/// What scale-in decides by, beside the machine itself.
+/// Parameters of the scale-in decision, apart from the machine itself.
 struct ScaleInPolicy<'a> {
     now: Time,
     types: &'a [MachineType],
-    /// A boot may take that many times the usual boot time.
+    /// Maximum boot duration, as a multiple of the usual boot time.
     max_boot_factor: f64,
-    /// A machine may be idle for that many times the boot time.
+    /// Maximum idle time, as a multiple of the boot time.
     max_idle_factor: f64,
     lease_s: Time,
-    /// Machines not heard for that long are not taken for idle.
+    /// Time without a heartbeat after which a machine no longer counts as idle.
     max_silence_s: Time,
     elected_at: Time,
-    /// Whether a gang's idle machines are kept for a limited time only.
+    /// Whether idle machines are kept for a gang only for a limited time.
     gang_wait_is_limited: bool,
     unreachable_zone_retention_s: Time,
     zones: &'a ZoneReachability,
-    /// Pools whose work has to start within seconds.
+    /// Pools with work that has to start within seconds.
     latency_sensitive: BTreeSet<MachinePool>,
 }
 
-/// A machine that has been idle for long enough.
+/// A machine that has been idle long enough to be scaled in.
 struct IdleMachine<'a> {
     machine: &'a Machine,
-    /// Its pool serves latency-sensitive work, and another machine could not have booted in the
-    /// time that it has been idle.
+    /// Whether its pool serves latency-sensitive work and it has been idle for less than a boot time.
     latency_sensitive: bool,
 }
 
 impl ScaleInPolicy<'_> {
     fn boot_s(&self, machine: &Machine) -> f64 {
-        let machine_type = self.types.iter().find(|t| t.name == machine.machine_type);
-        machine_type.map_or(DEFAULT_BOOT_S, |t| t.boot_s)
+        let machine_type = self.types.iter().find(|machine_type| machine_type.name == machine.machine_type);
+        machine_type.map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s)
     }
 
     fn fault(&self, machine: &Machine, in_use: bool) -> Option<Fault> {
@@ -70,8 +69,9 @@
         }
     }
 
-    /// After a failover every worker has a lease to send a heartbeat. (An idle machine that had
-    /// been up for long was once taken for one that does not finish booting.)
+    /// Whether the machine has not finished booting in time. After a failover, every worker gets one
+    /// lease to send a heartbeat. Without that, a new leader that had not heard from a long-running
+    /// idle machine yet took it for one that does not finish booting.
     fn has_boot_timed_out(&self, machine: &Machine) -> bool {
         self.now - machine.known_since > self.boot_s(machine) * self.max_boot_factor
             && self.now - self.elected_at > self.lease_s
@@ -87,7 +87,7 @@
             && self.now - machine.known_since > MIN_CHARGE_S
     }
 
-    /// The idle ones of `machines`, the longest idle first.
+    /// Returns the idle machines among `machines`, longest idle first.
     fn idle_machines<'m>(&self, machines: &'m BTreeMap<String, Machine>) -> Vec<IdleMachine<'m>> {
         let idle = machines.values().filter(|machine| self.is_idle(machine));
         let mut idle: Vec<IdleMachine> = idle
@@ -100,21 +100,23 @@
         idle
     }
 
-    /// Where work has to start within seconds, a machine is worth keeping until another could
-    /// have booted in its place.
+    /// Whether the machine is kept for latency-sensitive work. Where work has to start within seconds,
+    /// a machine is worth keeping for as long as a replacement would take to boot.
     fn is_latency_sensitive(&self, machine: &Machine) -> bool {
         self.latency_sensitive.contains(&pool_of(machine))
             && self.now - machine.idle_since <= self.boot_s(machine)
     }
 
-    /// Whether the other machines of a gang could still come. (A gang that could never be
-    /// complete once kept the last machines of a pool from others for ever.)
+    /// Whether the machine may still be kept for a gang whose other machines are missing. The wait is
+    /// limited because a gang that could never be complete kept the last machines of a pool from other
+    /// jobs indefinitely.
     fn may_wait_for_gang(&self, machine: &Machine) -> bool {
         let max_wait_s = (self.boot_s(machine) * self.max_boot_factor).max(self.unreachable_zone_retention_s);
         !self.gang_wait_is_limited || self.now - machine.idle_since < max_wait_s
     }
 
-    /// The idle machines beyond the targets. `machine_counts`: machines that accept work, by pool.
+    /// Returns the ids of idle machines beyond the targets. `machine_counts` are the numbers of machines
+    /// that accept work, by pool.
     fn surplus_machines(
         &self,
         idle: &[IdleMachine],
@@ -131,7 +133,7 @@
                 continue;
             }
             let pool = pool_of(machine);
-            let desired = if *latency_sensitive { &targets.generous } else { &targets.desired };
+            let desired = if *latency_sensitive { &targets.desired_with_burst } else { &targets.desired };
             let desired = desired.get(&pool).copied().unwrap_or(0);
             let existing = machine_counts.entry(pool).or_insert(0);
             if *existing > desired {
@@ -147,8 +149,8 @@
     MachinePool::new(&machine.machine_type, machine.spot)
 }
 
-/// Machines that accept work, by pool.
-fn count_working_machines(machines: &BTreeMap<String, Machine>) -> BTreeMap<MachinePool, u32> {
+/// Counts the machines that accept work, by pool.
+fn count_schedulable_machines(machines: &BTreeMap<String, Machine>) -> BTreeMap<MachinePool, u32> {
     let mut counts = BTreeMap::new();
     for machine in machines.values().filter(|machine| machine.accepts_work()) {
         *counts.entry(pool_of(machine)).or_insert(0) += 1;
@@ -156,7 +158,7 @@
     counts
 }
 
-/// Pools where jobs of `classes` usually run.
+/// Returns the pools in which jobs of `classes` usually run.
 fn pools_of_classes(leader: &LeaderState, classes: &BTreeSet<String>) -> BTreeSet<MachinePool> {
     let stats = leader.planning.classes.iter().filter(|(name, _)| classes.contains(name.as_str()));
     let demands = stats.filter_map(|(_, stats)| stats.typical_demand.as_ref());
@@ -170,7 +172,7 @@
         Fault::ReceivesNoResponses => {
             info!(machine = %machine.id, "scaling in machine: receives no responses");
         }
-        // Its quarantine was logged.
+        // The quarantine itself was logged.
         Fault::Quarantined => {}
     }
     machine.phase = MachinePhase::Terminating;
@@ -184,8 +186,8 @@
 }
 
 impl Controller {
-    /// Classes whose work has to start at once: those with an objective for the wait, or all if a
-    /// team has a guarantee and an objective for it.
+    /// Returns the classes whose work has to start at once: those with a "wait" objective, or all
+    /// classes if there is a "guarantee" objective and a team with a guarantee.
     fn latency_sensitive_classes(&self) -> BTreeSet<String> {
         let params = &self.settings.params;
         let has_guarantee = params.slos.iter().any(|slo| slo.kind == "guarantee")
@@ -199,7 +201,7 @@
         wait_slos.filter_map(|slo| slo.class.clone()).collect()
     }
 
-    /// Marks the machines that are scaled in.
+    /// Marks the machines to scale in as terminating.
     pub(super) fn tick_scale_in(&mut self) {
         if !self.may_act() {
             return;
@@ -209,8 +211,8 @@
         let retain_silent = self.checks.retain_silent_machines;
         let classes = self.latency_sensitive_classes();
         let Role::Leader(leader) = &mut self.role else { return };
-        // Before then nobody could give a machine work. (After an outage idle machines were once
-        // scaled in just before the users came back.)
+        // Idle time counts only from when this leader could act, because no machine could get work
+        // before. Otherwise idle machines were scaled in after an outage, just before users returned.
         let acting_since = if retain_silent { leader.leadership.tenure.entitled_since() } else { 0.0 };
         let policy = ScaleInPolicy {
             now,
@@ -225,13 +227,14 @@
             zones: &leader.fleet.zones,
             latency_sensitive: pools_of_classes(leader, &classes),
         };
-        let machine_counts = count_working_machines(&leader.cluster.machines);
+        let machine_counts = count_schedulable_machines(&leader.cluster.machines);
         let placements = leader.cluster.jobs.values().flat_map(|job| job.placements.values());
         let in_use: HashSet<&str> = placements.map(|placement| placement.machine.as_str()).collect();
         for machine in leader.cluster.machines.values_mut() {
             let in_use = in_use.contains(machine.id.as_str());
-            // A machine that is not heard cannot get work either. (One of a zone that had come
-            // back was once scaled in at once, by a target of the time without the zone.)
+            // A machine that misses heartbeats cannot get work, so its idle time does not count.
+            // Otherwise machines of a zone that became reachable again were scaled in at once, by
+            // targets computed while the zone was unreachable.
             let busy = in_use || retain_silent && machine.missed_heartbeats(now, &timing);
             machine.idle_since = if busy { now } else { machine.idle_since.max(acting_since) };
             if let Some(fault) = policy.fault(machine, in_use) {
@@ -246,7 +249,7 @@
         }
     }
 
-    /// Deletes terminating machines at the cloud, as many as one call takes.
+    /// Deletes terminating machines in the cloud, as many as one call allows.
     pub(super) fn tick_deletions(&mut self) {
         let may_act = self.may_act();
         let Role::Leader(leader) = &self.role else { return };
@@ -265,7 +268,7 @@
         self.call_cloud(CallContext::Delete { token, machines: names.clone() }, CloudRequest::Delete(names));
     }
 
-    /// Forgets machines that the cloud has deleted.
+    /// Removes machines that the cloud has deleted, or schedules a retry if the call failed.
     pub(super) fn on_deleted(&mut self, token: u64, machines: &[String], reply: CloudReply) {
         let now = self.now;
         let Some(leader) = self.leader_state(token) else { return };
--- a/crates/controller/src/autoscaling/scale_out.rs
+++ b/crates/controller/src/autoscaling/scale_out.rs
@@ -1,5 +1,5 @@
-//! Scale-out: machines that are wanted are requested from the cloud, one request at a time. A
-//! request is repeated under its name until its outcome is known, so it is idempotent.
+//! Scale-out: requests the wanted machines from the cloud, one request at a time. A request is
+//! repeated under the same name until its outcome is known, so it is idempotent.
 
 use crate::autoscaling::fleet::{Fleet, MachinePool, ZonalPool, MIN_CHARGE_S};
 use crate::leader::state::{LeaderState, Role};
@@ -10,22 +10,22 @@
 use std::collections::BTreeMap;
 use tracing::{info, warn};
 
-/// Machines requested where there was no capacity a while ago.
+/// Maximum number of machines to request where capacity was lacking recently.
 const PROBE_MACHINES: u32 = 2;
 
-/// A pool's machines in a zone, as far as the cloud is not known to lack them.
+/// Assumed number of machines that a pool can provide in a zone without a known lack of capacity.
 const UNLIMITED_MACHINES: f64 = f64::MAX / 1e6;
 
-/// How long nothing is requested where fewer machines were given than requested.
+/// Pause between requests where the cloud provided fewer machines than requested.
 const PARTIAL_CAPACITY_PAUSE_S: Time = 10.0;
 
-/// How long nothing is requested after a refusal, times the refusals in a row.
+/// Pause after a refusal; multiplied by the number of consecutive refusals.
 const REFUSAL_PAUSE_S: Time = 5.0;
 
-/// Refusals in a row beyond which the pause grows no longer.
+/// Number of consecutive refusals beyond which the pause no longer grows.
 const MAX_COUNTED_REFUSALS: u32 = 4;
 
-/// When a request whose outcome is unknown is repeated.
+/// Delay before a request with unknown outcome is repeated.
 const RETRY_INTERVAL_S: Time = 1.0;
 
 /// A scale-out request whose outcome is not known yet.
@@ -36,31 +36,31 @@
     retry_at: Time,
 }
 
-/// The cloud's last refusal of a pool in a zone.
+/// Lack of capacity for a pool in a zone.
 #[derive(Debug)]
 struct Exhaustion {
-    /// Nothing is requested there until then.
+    /// End of the pause, before which nothing is requested there.
     until: Time,
-    /// Refusals in a row.
+    /// Number of consecutive refusals.
     refusals: u32,
 }
 
-/// Pools that the cloud had no capacity for when they were last requested, by zone.
+/// Zonal pools for which the cloud lacked capacity at the last request.
 #[derive(Debug, Default)]
 pub(super) struct ExhaustedPools(BTreeMap<ZonalPool, Exhaustion>);
 
 impl ExhaustedPools {
-    /// Whether machines of `pool` may be requested in `zone`.
+    /// Whether no pause prevents a request for machines of `pool` in `zone`.
     pub(super) fn may_request(&self, now: Time, pool: &MachinePool, zone: &str) -> bool {
         self.0.get(&ZonalPool::new(pool, zone)).is_none_or(|exhaustion| now >= exhaustion.until)
     }
 
-    fn was_exhausted_lately(&self, now: Time, pool: &MachinePool, zone: &str) -> bool {
+    fn was_recently_exhausted(&self, now: Time, pool: &MachinePool, zone: &str) -> bool {
         let exhaustion = self.0.get(&ZonalPool::new(pool, zone));
         exhaustion.is_some_and(|exhaustion| now - exhaustion.until < MIN_CHARGE_S)
     }
 
-    /// The cloud gave `complete` or not, but did not refuse.
+    /// Records that the cloud provided machines, all that were requested if `complete`.
     fn record_success(&mut self, now: Time, location: ZonalPool, complete: bool) {
         if complete {
             self.0.remove(&location);
@@ -77,21 +77,22 @@
 }
 
 impl Fleet {
-    /// How many machines of a pool can be had: none where they were refused just now, a few where
-    /// they were refused lately, else any number. (Once all work waited for a pool as soon as its
-    /// pause was over, got a machine or none, and dearer machines were requested far too late.)
+    /// Returns the number of machines that a pool is assumed to provide: per zone, none during a pause
+    /// after a lack of capacity, a few for a while after it, and otherwise any number. Without the
+    /// middle step, all work waited for a pool as soon as its pause was over, got at most one machine,
+    /// and more expensive machines were requested far too late.
     pub(super) fn available_machines(&self, now: Time, machine_type: &MachineType, spot: bool) -> f64 {
         let pool = MachinePool::new(&machine_type.name, spot);
         let available = machine_type.zones.iter().filter(|zone| self.is_zone_available(now, &pool, zone));
         available
-            .map(|zone| match self.exhausted_pools.was_exhausted_lately(now, &pool, zone) {
+            .map(|zone| match self.exhausted_pools.was_recently_exhausted(now, &pool, zone) {
                 true => f64::from(PROBE_MACHINES),
                 false => UNLIMITED_MACHINES,
             })
             .sum()
     }
 
-    /// Counts machines that were given off those that are wanted.
+    /// Subtracts machines that the cloud provided from the wanted ones.
     fn subtract_from_wanted(&mut self, location: &ZonalPool, machines: u32) {
         if let Some(wanted) = self.targets.wanted.get_mut(&location.pool) {
             *wanted = wanted.saturating_sub(machines);
@@ -102,47 +103,48 @@
     }
 }
 
-/// Zones of which a new leader has heard hardly any machine yet. Nothing is requested there until
-/// it can tell whether they are unreachable.
-fn unheard_zones(machines: &BTreeMap<String, Machine>, now: Time, timing: &Timing) -> Vec<String> {
+/// Returns the zones where less than a third of the machines that are up have sent heartbeats to a
+/// new leader. Nothing is requested there until the leader can tell whether they are unreachable.
+fn silent_zones(machines: &BTreeMap<String, Machine>, now: Time, timing: &Timing) -> Vec<String> {
     #[derive(Default)]
     struct ZoneCount {
         up: usize,
-        heard: usize,
+        with_recent_heartbeats: usize,
     }
     let mut zones: BTreeMap<&str, ZoneCount> = BTreeMap::new();
     for machine in machines.values().filter(|machine| machine.phase == MachinePhase::Up) {
         let count = zones.entry(&machine.zone).or_default();
         count.up += 1;
-        count.heard += usize::from(machine.has_recent_heartbeats(now, timing));
+        count.with_recent_heartbeats += usize::from(machine.has_recent_heartbeats(now, timing));
     }
-    let unheard = zones.into_iter().filter(|(_, count)| count.heard * 3 < count.up);
-    unheard.map(|(zone, _)| zone.to_string()).collect()
+    let silent = zones.into_iter().filter(|(_, count)| count.with_recent_heartbeats * 3 < count.up);
+    silent.map(|(zone, _)| zone.to_string()).collect()
 }
 
-/// Which machines to request next.
+/// The machines to request next.
 #[derive(Debug, PartialEq)]
 struct ScaleOutChoice {
     location: ZonalPool,
     machines: u32,
 }
 
-/// Chooses the pool and zone of the next request.
-struct ScaleOutChooser<'a> {
+/// Selection of the pool and zone of the next request.
+struct ScaleOutSelector<'a> {
     now: Time,
     types: &'a [MachineType],
     leader: &'a LeaderState,
-    /// Zones where nothing is requested yet.
-    unheard_zones: Vec<String>,
-    /// Machines that the controllers can serve beyond those that exist.
+    /// Zones where nothing is requested until more of their machines have sent heartbeats.
+    silent_zones: Vec<String>,
+    /// Number of machines that the controllers can serve in addition to the existing ones.
     capacity_left: u32,
 }
 
-impl ScaleOutChooser<'_> {
-    /// The first pool that machines are wanted of, but not the last request's if another one will
-    /// do. Ordinary machines come before spot ones, which less work may use. (Single ordinary
-    /// machines once delayed hundreds of spot machines by half a minute, as calls are few; the
-    /// largest request first once delayed those of gangs.)
+impl ScaleOutSelector<'_> {
+    /// Chooses the first pool with wanted machines, but prefers pools other than that of the last
+    /// request. Ordinary machines come before spot machines, because more work may use them. Pools
+    /// alternate because calls are rate limited: otherwise single ordinary machines delayed hundreds
+    /// of spot machines by half a minute. Choosing the largest request first delayed the machines of
+    /// gangs.
     fn choose(&self) -> Option<ScaleOutChoice> {
         let mut repeated = None;
         for (pool, &wanted) in &self.leader.fleet.targets.wanted {
@@ -156,7 +158,7 @@
     }
 
     fn choose_in_pool(&self, pool: &MachinePool, wanted: u32) -> Option<ScaleOutChoice> {
-        let machine_type = self.types.iter().find(|t| t.name == pool.machine_type)?;
+        let machine_type = self.types.iter().find(|machine_type| machine_type.name == pool.machine_type)?;
         let wanted = wanted.saturating_sub(self.wanted_in_closed_zones(pool));
         if wanted == 0 {
             return None;
@@ -165,11 +167,11 @@
         let emptiest = *zones.first()?;
         let mut zone = emptiest;
         let mut machines = wanted.div_ceil(zones.len() as u32).clamp(1, MAX_RENTED);
-        if let Some((bound_zone, bound)) = self.wanted_in_one_zone(pool, &zones) {
+        if let Some((bound_zone, bound_machines)) = self.wanted_in_one_zone(pool, &zones) {
             zone = bound_zone;
-            machines = bound.min(MAX_RENTED);
+            machines = bound_machines.min(MAX_RENTED);
         }
-        if self.leader.fleet.exhausted_pools.was_exhausted_lately(self.now, pool, zone) {
+        if self.leader.fleet.exhausted_pools.was_recently_exhausted(self.now, pool, zone) {
             machines = machines.min(PROBE_MACHINES);
         }
         let location = ZonalPool::new(pool, zone);
@@ -177,11 +179,11 @@
     }
 
     fn may_request_in(&self, pool: &MachinePool, zone: &String) -> bool {
-        self.leader.fleet.is_zone_available(self.now, pool, zone) && !self.unheard_zones.contains(zone)
+        self.leader.fleet.is_zone_available(self.now, pool, zone) && !self.silent_zones.contains(zone)
     }
 
-    /// Machines of `pool` that are wanted in zones where none can be requested: in other zones
-    /// they would be of no use.
+    /// Returns the number of machines of `pool` that are wanted in zones where none can be requested.
+    /// Machines in other zones could not replace them.
     fn wanted_in_closed_zones(&self, pool: &MachinePool) -> u32 {
         let wanted_in_zone = self.leader.fleet.targets.wanted_in_zone.iter();
         let closed = wanted_in_zone
@@ -189,7 +191,8 @@
         closed.map(|(_, machines)| machines).sum()
     }
 
-    /// Zones where machines of `pool` can be requested, that with the fewest of them first.
+    /// Returns the zones where machines of `pool` can be requested, sorted by the number of its machines
+    /// there.
     fn open_zones<'t>(&self, pool: &MachinePool, machine_type: &'t MachineType) -> Vec<&'t String> {
         let open = machine_type.zones.iter().filter(|zone| self.may_request_in(pool, zone));
         let mut zones: Vec<(usize, &String)> =
@@ -206,7 +209,7 @@
         matching.count()
     }
 
-    /// The first of `zones` for which machines of `pool` are wanted, and how many.
+    /// Returns the first of `zones` in which machines of `pool` are specifically wanted, and how many.
     fn wanted_in_one_zone<'z>(&self, pool: &MachinePool, zones: &[&'z String]) -> Option<(&'z String, u32)> {
         zones.iter().find_map(|&zone| {
             let wanted = *self.leader.fleet.targets.wanted_in_zone.get(&ZonalPool::new(pool, zone))?;
@@ -216,7 +219,7 @@
 }
 
 impl Controller {
-    /// Sends the pending scale-out request, or decides on the next one.
+    /// Sends the pending scale-out request, or chooses and sends the next one.
     pub(super) fn tick_scale_out(&mut self) {
         let now = self.now;
         let Role::Leader(leader) = &self.role else { return };
@@ -233,12 +236,12 @@
         }
     }
 
-    /// What to request next, if the leader may act and machines are wanted.
+    /// Chooses the next request, if the leader may act and machines are wanted.
     fn choose_scale_out(&mut self) -> Option<ScaleOutChoice> {
         let now = self.now;
         let may_act = self.may_act();
         let Role::Leader(leader) = &self.role else { return None };
-        // Without the list, machines that exist already would be requested again.
+        // Before the machine list is complete, machines that already exist would be requested again.
         if !may_act || !leader.fleet.listing.completed_once {
             return None;
         }
@@ -250,13 +253,13 @@
             return None;
         }
         let Role::Leader(leader) = &self.role else { return None };
-        let unheard_zones = if now - leader.leadership.elected_at < self.timing.worker_failover_s {
-            unheard_zones(&leader.cluster.machines, now, &self.timing)
+        let silent_zones = if now - leader.leadership.elected_at < self.timing.worker_failover_s {
+            silent_zones(&leader.cluster.machines, now, &self.timing)
         } else {
             Vec::new()
         };
         let types = self.machine_types.as_deref().unwrap_or_default();
-        ScaleOutChooser { now, types, leader, unheard_zones, capacity_left }.choose()
+        ScaleOutSelector { now, types, leader, silent_zones, capacity_left }.choose()
     }
 
     fn prepare_scale_out(&mut self, choice: ScaleOutChoice) {
@@ -285,7 +288,7 @@
         self.call_cloud(CallContext::ScaleOut { token }, CloudRequest::Rent(request));
     }
 
-    /// Takes the outcome of the pending request.
+    /// Handles the reply to the pending request.
     pub(super) fn on_scale_out(&mut self, token: u64, reply: CloudReply) {
         let now = self.now;
         let Some(leader) = self.leader_state(token) else { return };
@@ -308,7 +311,7 @@
     ZonalPool::new(&MachinePool::new(&request.machine_type, request.spot), &request.zone)
 }
 
-/// Adds the machines that the cloud gave to the cluster.
+/// Adds the machines that the cloud provided to the cluster.
 fn record_rented_machines(
     leader: &mut LeaderState,
     pending: &PendingScaleOut,
--- a/crates/controller/src/autoscaling/zonal_demand.rs
+++ b/crates/controller/src/autoscaling/zonal_demand.rs
@@ -1,6 +1,6 @@
-//! Demand that is bound to zones: machines for it are requested where it may run. (Machines for a
-//! job of one zone were once requested where the fewest were, scaled in idle, and requested there
-//! again, for ever.)
+//! Zonal demand: requests machines for work that is bound to zones in the zones where it may run.
+//! Without this, machines for a job bound to one zone were requested in the zone with the fewest
+//! machines, stayed idle, were scaled in and requested there again, without end.
 
 use crate::autoscaling::fleet::{Fleet, MachinePool, ZonalMachineType, ZonalPool};
 use crate::messages::Time;
@@ -8,10 +8,11 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// How many more machines a zone counts as having if the gang's machines were there before.
+/// Number of machines added to a zone's count if the gang's machines were being assembled there
+/// before.
 const ASSEMBLY_ZONE_BONUS: u32 = 2;
 
-/// Which machines are alike for `AvailableCapacity`.
+/// Attributes by which `AvailableCapacity` groups machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CapacityKey<'a> {
     machine_type: &'a str,
@@ -19,24 +20,25 @@
     spot: bool,
 }
 
-/// Machines without work, by type, zone and whether spot.
+/// Numbers of machines without work, by type, zone and whether they are spot machines.
 #[derive(Debug, Default)]
 pub struct AvailableCapacity<'a>(BTreeMap<CapacityKey<'a>, u32>);
 
 impl<'a> AvailableCapacity<'a> {
-    /// Adds `machines` machines.
+    /// Adds `machines` machines to their group.
     pub fn add(&mut self, machine_type: &'a str, zone: &'a str, spot: bool, machines: u32) {
         *self.0.entry(CapacityKey { machine_type, zone, spot }).or_insert(0) += machines;
     }
 
-    /// How many a job can have, given whether it may use spot machines. (Spot machines once counted
-    /// for gangs that may not use them, which then waited for ever.)
+    /// Returns the number of machines available to a job; spot machines count only if the job may use
+    /// them. Gangs for which unusable spot machines were counted waited forever.
     fn count(&self, machine_type: &str, zone: &str, spot: bool) -> u32 {
         let count = |spot| self.0.get(&CapacityKey { machine_type, zone, spot }).copied().unwrap_or(0);
         count(false) + if spot { count(true) } else { 0 }
     }
 
-    /// Takes up to `max_machines` of these, spot machines first. Returns how many.
+    /// Takes up to `max_machines` of the machines available to a job, spot machines first. Returns the
+    /// number taken.
     fn take(&mut self, machine_type: &'a str, zone: &'a str, spot: bool, max_machines: u32) -> u32 {
         let mut left = max_machines;
         for spot in [true, false].into_iter().filter(|is_spot| spot || !is_spot) {
@@ -49,7 +51,7 @@
     }
 }
 
-/// Zones of all machine types, in the order in which the planner numbers them.
+/// Returns the zones of all machine types, in the order of the planner's zone indices.
 pub fn zones_of(types: &[MachineType]) -> Vec<String> {
     let mut zones: Vec<String> = Vec::new();
     for zone in types.iter().flat_map(|machine_type| &machine_type.zones) {
@@ -63,11 +65,11 @@
 /// A pool that a job may run in.
 #[derive(Debug)]
 pub struct PoolOption {
-    /// Price of a machine divided by the tasks that fit on it.
+    /// Price of a machine divided by the number of tasks that fit on it.
     pub price_per_task: f64,
     /// The pool.
     pub pool: MachinePool,
-    /// Tasks that fit on one machine; at least 1.
+    /// Number of tasks that fit on one machine; at least 1.
     pub tasks_per_machine: f64,
 }
 
@@ -75,17 +77,17 @@
 pub struct CapacityRequest<'a> {
     /// The job in the planner's input.
     pub job: &'a planner::Job,
-    /// How many of its tasks need a further machine.
+    /// Number of its tasks that need additional machines.
     pub tasks: f64,
-    /// Where they may run, the cheapest pool first.
+    /// Pools in which they may run, cheapest first.
     pub pools: &'a [PoolOption],
 }
 
 /// A zone that a job may use.
 struct ZoneAllowance {
-    /// The planner's number of the zone.
+    /// Index of the zone in the planner's input.
     zone: usize,
-    /// How many of the job's tasks it may yet take.
+    /// Number of the job's tasks that it may still take.
     max_tasks: f64,
 }
 
@@ -95,7 +97,7 @@
     }
 }
 
-/// The machines that demand bound to zones needs.
+/// Machines that zonal demand needs.
 #[derive(Debug, Default)]
 pub struct ZonalRequirements {
     /// Machines to add, by pool and zone.
@@ -104,28 +106,29 @@
     pub assembling: BTreeMap<ZonalMachineType, u32>,
     /// Machines that are booting for this demand, by pool.
     pub booting: BTreeMap<MachinePool, f64>,
-    /// Machines to add, by pool. (Machines wanted in one zone are no reason to keep idle ones in
-    /// another.)
+    /// Machines to add, by pool. They are counted separately, because machines wanted in one zone are
+    /// no reason to keep idle machines in another.
     pub additional: BTreeMap<MachinePool, u32>,
 }
 
-/// Assigns free machines to demand that is bound to zones, and finds what is missing.
+/// Assignment of free machines to zonal demand, and the machines that it lacks.
 pub struct ZonalDemand<'a> {
     now: Time,
     types: &'a [MachineType],
     /// Names of the zones, in the planner's order.
     zones: &'a [String],
     fleet: &'a Fleet,
-    /// Machines without work that are not assigned yet, booting ones included.
+    /// Unassigned machines without work, including booting ones.
     available: AvailableCapacity<'a>,
-    /// Those of them that are up.
+    /// Unassigned machines without work that are up.
     idle: AvailableCapacity<'a>,
     requirements: ZonalRequirements,
 }
 
 impl<'a> ZonalDemand<'a> {
-    /// No demand yet. `available`: machines without work, booting ones included; `idle`: those of
-    /// them that are up; `zones`: as the planner numbers them.
+    /// Creates the state without demand. `zones` are in the order of the planner's zone indices,
+    /// `available` are the machines without work including booting ones, and `idle` are those of them
+    /// that are up.
     pub fn new(
         now: Time,
         types: &'a [MachineType],
@@ -137,7 +140,7 @@
         ZonalDemand { now, types, zones, fleet, available, idle, requirements: ZonalRequirements::default() }
     }
 
-    /// What all demand added so far needs.
+    /// Returns the machines that the added demand needs.
     pub fn into_requirements(self) -> ZonalRequirements {
         self.requirements
     }
@@ -146,7 +149,8 @@
         self.types.iter().find(|machine_type| machine_type.name == pool.machine_type)
     }
 
-    /// Zones that `job` is bound to; None: it may run in any, or has yet to choose its only one.
+    /// Returns the zones to which `job` is bound, or None if it may run in any zone or all of its tasks
+    /// must run in one zone that is not chosen yet.
     fn allowed_zones(&self, job: &planner::Job) -> Option<Vec<ZoneAllowance>> {
         if let Some(zone) = job.zone {
             return Some(vec![ZoneAllowance::unlimited(zone)]);
@@ -164,7 +168,7 @@
         Some(allowances.collect())
     }
 
-    /// Adds the demand of a job that is bound to zones. False if it is not bound.
+    /// Adds the demand of a job that is bound to zones. Returns false if the job is not bound.
     pub fn add_demand(&mut self, request: &CapacityRequest) -> bool {
         let Some(mut zones) = self.allowed_zones(request.job) else { return false };
         let mut tasks_left = request.tasks;
@@ -177,7 +181,7 @@
         true
     }
 
-    /// Assigns machines without work in the job's zones to it.
+    /// Assigns machines without work in the job's zones to the job.
     fn take_available(
         &mut self,
         job: &planner::Job,
@@ -191,7 +195,7 @@
         for allowance in zones {
             let Some(zone) = self.zones.get(allowance.zone) else { continue };
             let machines = (tasks_left.min(allowance.max_tasks) / tasks_per_machine).ceil() as u32;
-            // Idle machines may be those that it failed on.
+            // The idle machines may be those on which the job failed.
             let idle = self.idle.count(type_name, zone, job.spot);
             let excluded = if job.excluded_machines.is_empty() { 0 } else { idle };
             let usable = self.available.count(type_name, zone, job.spot).saturating_sub(excluded);
@@ -207,7 +211,7 @@
         }
     }
 
-    /// Adds machines that are missing in `option`'s pool: in the zone that may take most tasks first.
+    /// Requests the missing machines of `option`'s pool, first in the zones that may take most tasks.
     fn add_missing(&mut self, option: &PoolOption, zones: &mut [ZoneAllowance], tasks_left: &mut f64) {
         let PoolOption { pool, tasks_per_machine, .. } = option;
         let machine_type = self.machine_type(pool);
@@ -235,8 +239,8 @@
         *self.requirements.assembling.entry(location).or_insert(0) += machines;
     }
 
-    /// Keeps idle machines for a gang whose other machines are missing. (Where these were refused,
-    /// the idle ones were once scaled in and requested again in turn, for ever.)
+    /// Keeps idle machines for a gang whose other machines are missing. Otherwise, where the cloud
+    /// refused the missing ones, the idle machines were scaled in and requested again without end.
     pub fn keep_idle(&mut self, request: &CapacityRequest) {
         let mut tasks_left = request.tasks;
         for PoolOption { pool, tasks_per_machine, .. } in request.pools {
@@ -250,9 +254,10 @@
         }
     }
 
-    /// Gathers the machines of a gang that has yet to choose its only zone in one. (Requested in
-    /// all zones alike, those of a large gang were scaled in idle and requested again, for ever.)
-    /// Returns the tasks for which other machines have to come, or None without a pool or zone.
+    /// Assembles in one zone the machines of a gang that must run in a single zone but has not chosen
+    /// one yet. When machines were requested evenly in all zones, those of a large gang stayed idle,
+    /// were scaled in and were requested again without end. Returns the number of tasks for which
+    /// machines have yet to become idle, or None if there is no pool or zone.
     pub fn assemble_gang(&mut self, request: &CapacityRequest) -> Option<f64> {
         let spot = request.job.spot;
         let PoolOption { pool, tasks_per_machine, .. } = request.pools.first()?;
@@ -266,14 +271,15 @@
         let use_spot = spot && self.fleet.is_zone_available(self.now, &spot_pool, zone);
         let location = ZonalPool::new(&MachinePool::new(type_name, use_spot), zone);
         *self.requirements.wanted_in_zone.entry(location).or_insert(0) += machines - taken;
-        // Booting machines are counted with all that arrive. (Counted here as well, too few were
-        // requested.)
+        // Booting machines are counted among the arriving machines of the pool. When they were also
+        // counted here, too few machines were requested.
         let taken_idle = self.idle.take(type_name, zone, spot, machines);
         Some(f64::from(machines - taken_idle) * tasks_per_machine)
     }
 
-    /// The zone where a gang's machines gather: where the most are available, if all are or the
-    /// others can be requested.
+    /// Returns the zone in which to assemble a gang's machines. Zones where enough machines are
+    /// available or more can be requested are preferred, and among these the one with the most
+    /// available machines.
     fn assembly_zone(&self, machine_type: &'a MachineType, spot: bool, machines: u32) -> Option<&'a String> {
         let ordinary_pool = MachinePool::new(&machine_type.name, false);
         let spot_pool = MachinePool::new(&machine_type.name, true);
@@ -281,7 +287,7 @@
             let available = self.available.count(&machine_type.name, zone, spot);
             let can_request = spot && self.fleet.is_zone_available(self.now, &spot_pool, zone)
                 || self.fleet.is_zone_available(self.now, &ordinary_pool, zone);
-            // The gang must not change zones with each machine that arrives.
+            // The bonus keeps the gang from changing zones with each machine that arrives.
             let location = ZonalMachineType::new(&machine_type.name, zone);
             let chosen_before = self.fleet.targets.assembling_gang_machines.contains_key(&location);
             let bonus = if chosen_before { ASSEMBLY_ZONE_BONUS } else { 0 };
