--- a/crates/controller/src/model.rs
+++ b/crates/controller/src/model.rs
@@ -1,4 +1,4 @@
-//! The data of the controllers: jobs, machines, placements, and the records that they are stored as.
+//! Data model of the controllers: jobs, machines, placements, and the records that store them.
 
 pub(crate) mod cluster;
 pub(crate) mod job;
--- a/crates/controller/src/model/cluster.rs
+++ b/crates/controller/src/model/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster as the leader knows it: jobs, machines, and which tasks are placed on which machine.
+//! The leader's state of the cluster: jobs, machines, and the tasks placed on each machine.
 
 use crate::messages::Time;
 use crate::model::job::Job;
@@ -13,26 +13,26 @@
     pub jobs: BTreeMap<String, Job>,
     /// Machines by id.
     pub machines: BTreeMap<String, Machine>,
-    /// Tasks placed on each machine. An entry may be outdated; `tasks_on` removes such entries.
+    /// Tasks placed on each machine. Entries may be outdated; `tasks_on` removes such entries.
     placements_by_machine: HashMap<String, BTreeSet<(String, u32)>>,
-    /// The planner's numbers of images, by name.
+    /// Numbers by which the planner identifies images, by image name.
     image_ids: HashMap<String, u32>,
-    /// Images that machines fetched for earlier leaders' tasks, by machine: the image's number, when
-    /// its job was submitted, and its size in GB.
+    /// Images that machines fetched for tasks of earlier leaders, by machine: the number of the image,
+    /// an estimate of when it was last needed, and its size in GB.
     pub cached_images: HashMap<String, Vec<(u32, Time, f64)>>,
 }
 
-/// The images that a machine holds.
+/// Images that a machine holds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineImages {
-    /// The machine's id.
+    /// Id of the machine.
     pub id: String,
-    /// Names and sizes in GB, the latest first.
+    /// Names and sizes in GB, most recently needed first.
     pub images: Vec<(String, f64)>,
 }
 
 impl ClusterState {
-    /// The tasks that are placed on `machine`: job ids and task indices, in order.
+    /// Returns the tasks that are placed on `machine`, as sorted pairs of job id and task index.
     pub fn tasks_on(&mut self, machine: &str) -> Vec<(String, u32)> {
         let Some(tasks) = self.placements_by_machine.get_mut(machine) else { return Vec::new() };
         let jobs = &self.jobs;
@@ -74,8 +74,8 @@
         self.placements_by_machine.entry(machine.to_string()).or_default().insert((id.to_string(), task));
     }
 
-    /// The latest images of each machine that is up, at most `max_images` of each; machines in
-    /// order.
+    /// Returns the most recently needed images of each machine that is up, at most `max_images` per
+    /// machine, sorted by machine id.
     pub fn images_held(&self, max_images: usize) -> Vec<MachineImages> {
         let names = self.image_names();
         let up = self.machines.values().filter(|machine| machine.phase == MachinePhase::Up);
@@ -83,13 +83,13 @@
             let images = machine.latest_images(machine.known_since, max_images);
             MachineImages {
                 id: machine.id.clone(),
-                images: images.map(|(image, gb)| (names[image as usize].to_string(), gb)).collect(),
+                images: images.map(|(image, size_gb)| (names[image as usize].to_string(), size_gb)).collect(),
             }
         })
         .collect()
     }
 
-    /// Names of images by their numbers.
+    /// Returns the names of all images, by image number.
     fn image_names(&self) -> Vec<&str> {
         let mut names = vec![""; self.image_ids.len()];
         for (name, &image) in &self.image_ids {
@@ -98,21 +98,21 @@
         names
     }
 
-    /// Adds what an earlier leader stored of the machines' images.
+    /// Adds the machines' images that an earlier leader stored.
     pub fn load_cached_images(&mut self, record: &ImagesRecord, now: Time) {
         let images: Vec<(u32, f64)> =
-            record.images.iter().map(|(name, gb)| (self.image_id(name), *gb)).collect();
+            record.images.iter().map(|(name, size_gb)| (self.image_id(name), *size_gb)).collect();
         for (machine, indices) in &record.machines {
             let cached = self.cached_images.entry(machine.clone()).or_default();
-            for (age, index) in indices.iter().enumerate() {
-                if let Some((image, gb)) = images.get(*index as usize) {
-                    cached.push((*image, now - 1.0 - age as f64, *gb));
+            for (age_rank, index) in indices.iter().enumerate() {
+                if let Some((image, size_gb)) = images.get(*index as usize) {
+                    cached.push((*image, now - 1.0 - age_rank as f64, *size_gb));
                 }
             }
         }
     }
 
-    /// The planner's number of an image; a new image gets the next one.
+    /// Returns the number of an image; a new image gets the next free number.
     pub fn image_id(&mut self, name: &str) -> u32 {
         if let Some(&image) = self.image_ids.get(name) {
             return image;
--- a/crates/controller/src/model/job.rs
+++ b/crates/controller/src/model/job.rs
@@ -1,4 +1,4 @@
-//! A job as the leader holds it, kept in step with its stored record.
+//! The leader's state of a job, reconciled with its stored record.
 
 mod pages;
 mod persistence;
@@ -17,59 +17,60 @@
 use protocol::job::{JobSpec, JobStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A live job: its specification, the state of its tasks, and what of both is stored.
+/// A live job: its specification, the state of its tasks, and its persistence state.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// The whole specification, also where the stored record has only a stub of it.
+    /// Complete specification, even if the stored record contains only a stub of it.
     pub spec: JobSpec,
-    /// Time of day of the submission, in seconds.
+    /// Wall-clock time of the submission, in seconds.
     pub submitted_wall_s: f64,
-    /// The submission on this node's steady clock.
+    /// Time of the submission on this node's monotonic clock.
     pub submitted_at: Time,
-    /// When it could first start: its submission, or the end of the last of its dependencies.
+    /// Time at which it could first start: its submission, or the end of its last dependency.
     pub ready_at: Time,
-    /// Time of day when the last of its dependencies was done, in seconds, once that is known.
+    /// Wall-clock time at which its last dependency was done, in seconds, once that is known.
     pub ready_wall_s: Option<f64>,
-    /// Where its specification is stored, if not in its record.
+    /// Chunks in which the specification is stored, if it is not part of the record.
     pub spec_chunks: Option<SpecChunks>,
-    /// The priority that it had from its dependents when it was last planned.
+    /// Priority inherited from its dependents when it was last planned.
     pub inherited_priority: Option<dependencies::InheritedPriority>,
-    /// The status: final once it is stored so, or is about to be.
+    /// Status; final once the final status is stored or about to be stored.
     pub status: JobStatus,
     /// Whether each task is done.
     pub done_tasks: Vec<bool>,
     /// Number of tasks that are done.
     pub done_count: u32,
-    /// Highest attempt number given out.
+    /// Highest attempt number assigned so far.
     pub attempt: u64,
-    /// How its tasks are divided among stored values.
+    /// Division of its tasks among stored values.
     pub page_layout: PageLayout,
-    /// Placements by task. They count for quota and zones until proof that the task is gone.
+    /// Placements by task. They count towards quotas and zones until there is proof that the task is
+    /// not on the machine.
     pub placements: BTreeMap<u32, Placement>,
-    /// Version of its stored record; 0 if there is none yet.
+    /// Version of the stored record; 0 if there is none yet.
     pub version: u64,
-    /// The mark that its cancellation may have left beside its record.
+    /// Mark that a cancellation may have stored beside the record.
     pub cancellation_mark: CancellationMark,
-    /// What of it is not stored yet.
+    /// Stored and unsaved changes.
     pub persistence: PersistenceState,
-    /// The number of its image with this leader.
+    /// Number that this leader assigned to its image.
     pub image_id: u32,
-    /// Bytes in JSON, at most, that the specification takes in its record.
+    /// Upper bound of the JSON size of the specification in the record, in bytes.
     spec_size: usize,
-    /// No task is placed before then: its tasks failed.
+    /// Earliest time at which a task may be placed, after tasks of the job failed.
     pub not_before: Time,
-    /// Machines that its tasks failed on since one last succeeded, except those known to be
+    /// Machines on which its tasks failed since a task last succeeded, except machines known to be
     /// faulty.
     pub failed_on: BTreeSet<String>,
-    /// Rounds of probing since the job itself was suspected to be at fault.
+    /// Number of probing rounds since the job itself was suspected to be faulty.
     pub probes: u32,
-    /// A gang attempt of it is being stopped.
+    /// Whether an attempt of the gang is being stopped.
     pub gang_aborting: bool,
-    /// Run time that its last checkpoint saved, in seconds; for planning only.
+    /// Run time saved by its last checkpoint, in seconds. Used for planning only.
     pub progress_s: f64,
-    /// When a task of it first started.
+    /// Time at which a task of the job first started.
     pub first_start: Option<Time>,
-    /// Machines that its tasks ran on, and that so have its image.
+    /// Machines on which its tasks ran, which therefore have its image.
     pub machines_with_image: BTreeSet<String>,
 }
 
@@ -105,7 +106,7 @@
         }
     }
 
-    /// A job as its record, in that version, shows it.
+    /// Creates a job from version `version` of its record.
     pub fn from_record(record: &JobRecord, version: u64, submitted_at: Time, limits: &StoreLimits) -> Self {
         let spec_size = match record.spec_chunks {
             Some(_) => json_size(&stub(&record.spec)) + PARTS_BYTES,
@@ -127,7 +128,8 @@
         job
     }
 
-    /// The last of its dependencies is done, at `now` and time of day `wall_s`.
+    /// Marks the job as ready to start, because its last dependency was done at `now`, which is
+    /// wall-clock time `wall_s`.
     pub fn on_dependencies_done(&mut self, now: Time, wall_s: f64) {
         if self.ready_wall_s.is_none() {
             self.ready_at = now;
@@ -136,7 +138,7 @@
         }
     }
 
-    /// A dependency of it, direct or not, was cancelled.
+    /// Cancels the job, because a direct or indirect dependency was cancelled.
     pub fn cancel(&mut self) {
         if !self.is_final() {
             self.status = JobStatus::Cancelled;
@@ -144,17 +146,17 @@
         }
     }
 
-    /// Whether its status is final.
+    /// Whether the status is final.
     pub fn is_final(&self) -> bool {
         self.status.is_final()
     }
 
-    /// Whether it has ended and no task of it is left on any machine.
+    /// Whether the job has ended and none of its tasks is left on a machine.
     pub fn has_fully_ended(&self) -> bool {
         self.placements.is_empty() && (self.is_complete() || self.is_final())
     }
 
-    /// Records a change of `task`'s state that has to be stored.
+    /// Records a change of the state of `task` that has to be stored.
     pub fn mark_task_dirty(&mut self, task: u32) {
         self.persistence.mark_page_dirty(self.page_of(task));
     }
@@ -164,19 +166,19 @@
         self.persistence.mark_page_dirty(0);
     }
 
-    /// Whether all that is known of it is stored.
+    /// Whether all changes of the job are stored.
     pub fn is_stored(&self) -> bool {
         self.persistence.is_stored()
     }
 
-    /// Whether all that is known of `task` is stored, so that its agent may
-    /// forget an exited attempt. (Waiting for the whole job instead
-    /// kept the exited tasks of busy arrays in the heartbeats.)
+    /// Whether the last end or release of `task` is stored, so that its agent may forget an exited
+    /// attempt. Waiting until all changes of the job were stored kept the exited tasks of busy arrays
+    /// in the heartbeats.
     pub fn outcome_stored(&self, task: u32) -> bool {
         self.persistence.outcome_stored(task, self.page_of(task))
     }
 
-    /// Adds a placement of `task`, to be stored at once.
+    /// Adds a placement of `task`, which is to be stored without delay.
     pub fn add_placement(&mut self, task: u32, machine: &str, attempt: u64, now: Time) {
         self.attempt = self.attempt.max(attempt);
         self.mark_task_dirty(task);
@@ -185,8 +187,8 @@
         self.placements.insert(task, Placement::new(attempt, machine, created_at_mutation, now));
     }
 
-    /// Removes a placement. The caller has proof that the task is not on the
-    /// machine and will not start there.
+    /// Removes a placement. The caller must have proof that the task is not on the machine and will
+    /// not start there.
     pub fn release_placement(&mut self, task: u32) {
         if self.placements.remove(&task).is_some() {
             self.mark_task_dirty(task);
--- a/crates/controller/src/model/job/pages.rs
+++ b/crates/controller/src/model/job/pages.rs
@@ -1,4 +1,4 @@
-//! The pages of a job's tasks: reading them, their sizes, and dividing the tasks anew.
+//! Pages of a job's tasks: loading, sizes and repagination.
 
 use super::{Job, Placement};
 use crate::messages::Time;
@@ -9,14 +9,14 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-/// Bytes in JSON of a page's value beside its placements and completion bits.
+/// JSON size of a page's value without its placements and completion bits, in bytes.
 const PAGE_OVERHEAD_BYTES: usize = 60;
-/// Tasks whose completion bits take one byte.
+/// Number of tasks whose completion bits take one byte.
 const TASKS_PER_BYTE: usize = 4;
 
 impl Job {
-    /// Loads a page that an earlier leader stored. False if it is of another layout:
-    /// left over from before or after a change of the job's.
+    /// Loads a page that an earlier leader stored. Returns false if the page belongs to another layout:
+    /// an older one, or a newer one that never took effect.
     pub fn load_page(
         &mut self,
         page: usize,
@@ -28,7 +28,7 @@
         if !self.page_layout.accept_page(page, layout, version) {
             return false;
         }
-        self.merge_done(page, &record.done);
+        self.merge_done_bits(page, &record.done);
         for stored in &record.placements {
             let placement = Placement::inherited(stored.attempt, &stored.machine, now);
             self.placements.insert(stored.task, placement);
@@ -37,7 +37,7 @@
         true
     }
 
-    /// The page that `task` is on.
+    /// Returns the page that contains `task`.
     pub fn page_of(&self, task: u32) -> usize {
         self.page_layout.page_of(task)
     }
@@ -53,13 +53,13 @@
         self.placements.range(first..end.max(first)).map(|(&task, placement)| (task, placement))
     }
 
-    pub(super) fn merge_done(&mut self, page: usize, text: &str) {
+    pub(super) fn merge_done_bits(&mut self, page: usize, bits: &str) {
         let range = self.task_range(page);
-        merge_bits(&mut self.done_tasks[range], text);
+        merge_bits(&mut self.done_tasks[range], bits);
         self.done_count = self.done_tasks.iter().filter(|&&done| done).count() as u32;
     }
 
-    /// The page as it should be stored.
+    /// Returns the record of a page in its current state.
     pub fn page_record(&self, page: usize) -> PageRecord {
         let stored = |(task, placement): (u32, &Placement)| StoredPlacement {
             task,
@@ -72,35 +72,35 @@
         }
     }
 
-    /// Bytes of a page's value in JSON, at most; for the first page those of the main record
-    /// without the machines that have the job's image.
+    /// Returns an upper bound of the JSON size of a page's value, in bytes. For the first page, this is
+    /// the main record without the list of machines that have the job's image.
     pub fn page_bytes(&self, page: usize) -> usize {
-        let fixed = if page == 0 { self.spec_size + RECORD_BYTES } else { PAGE_OVERHEAD_BYTES };
-        self.placement_bytes(page) + self.task_range(page).len().div_ceil(TASKS_PER_BYTE) + fixed
+        let fixed_bytes = if page == 0 { self.spec_size + RECORD_BYTES } else { PAGE_OVERHEAD_BYTES };
+        self.placement_bytes(page) + self.task_range(page).len().div_ceil(TASKS_PER_BYTE) + fixed_bytes
     }
 
-    /// Bytes that a page's placements may take.
+    /// Returns the maximum number of bytes that a page's placements may take.
     pub fn placement_bytes_left(&self, page: usize) -> usize {
-        let fixed = self.page_bytes(page) - self.placement_bytes(page);
-        self.page_layout.max_value_bytes.saturating_sub(fixed)
+        let fixed_bytes = self.page_bytes(page) - self.placement_bytes(page);
+        self.page_layout.max_value_bytes.saturating_sub(fixed_bytes)
     }
 
-    /// Bytes that a page's placements take.
+    /// Returns the number of bytes that a page's placements take.
     pub fn placement_bytes(&self, page: usize) -> usize {
         self.placements_on_page(page)
             .map(|(task, placement)| StoredPlacement::size(task, placement.attempt, &placement.machine))
             .sum()
     }
 
-    /// Whether, as the tasks are divided now, some value does not fit the coming limits.
+    /// Whether a value exceeds the next limits with the current number of tasks per page.
     pub fn needs_repagination(&self) -> bool {
         let placed = self.placements.keys().map(|&task| self.page_of(task));
         let pages: BTreeSet<usize> = placed.chain(self.persistence.dirty_pages()).chain([0]).collect();
         pages.into_iter().any(|page| self.page_bytes(page) > self.page_layout.next_value_bytes())
     }
 
-    /// Divides the tasks anew, so that each value fits the coming limits. The stored record shows
-    /// the old layout until it is written itself, which is after all other pages.
+    /// Divides the tasks into smaller pages so that each value fits the next limits. The stored record
+    /// names the old layout until it is written itself, after all other pages.
     pub fn repaginate(&mut self) {
         self.shrink_pages();
         self.page_layout.begin_layout();
@@ -120,7 +120,7 @@
         }
     }
 
-    /// The first page, and those that have tasks that are done or placed.
+    /// Returns the first page and all pages with tasks that are done or placed.
     fn pages_in_use(&self) -> BTreeSet<usize> {
         let done = self.done_tasks.iter().enumerate().filter(|(_, &done)| done);
         let done_pages = done.map(|(task, _)| self.page_of(task as u32));
--- a/crates/controller/src/model/job/persistence.rs
+++ b/crates/controller/src/model/job/persistence.rs
@@ -1,64 +1,65 @@
-//! What of a job is stored, and what has yet to be.
+//! Persistence state of a job: its stored and its unsaved changes.
 //!
-//! Every change of a job counts as a mutation and makes a page dirty: page 0 is part of the main
-//! record, the others are values of their own. A write holds some pages as of some mutation.
+//! Each change of a job is a mutation and makes a page dirty. Page 0 is part of the main record; each
+//! of the others is a separate value. A write contains some of the pages as of a mutation count.
 
 use crate::messages::Time;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Pages of a job as a transaction stores them.
+/// Pages of a job in a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobWrite {
-    /// The job's mutation count as of which the pages are.
+    /// Mutation count of the job that the pages reflect.
     pub mutation_count: u64,
-    /// The pages; 0 stands for the main record.
+    /// Page numbers; 0 is the main record.
     pub pages: BTreeSet<usize>,
-    /// Whether they were all that had changed.
+    /// Whether the pages include everything that had changed.
     pub covers_all: bool,
 }
 
-/// Which changes of a job are stored.
+/// Stored and unsaved changes of a job.
 #[derive(Debug, Clone, Default)]
 pub struct PersistenceState {
     /// Number of changes so far.
     mutation_count: u64,
-    /// The mutation count up to which everything is stored.
+    /// Mutation count up to which all changes are stored.
     stored_mutation: u64,
-    /// Pages that have changed, with the count of the last change.
+    /// Dirty pages, with the mutation count of their last change.
     dirty_pages: BTreeMap<usize, u64>,
-    /// The mutation count that each stored page shows.
+    /// Mutation count that each stored page reflects.
     stored_page_mutations: BTreeMap<usize, u64>,
     /// Pages with placements that are not stored yet.
     pages_with_new_placements: BTreeSet<usize>,
-    /// The last page that was written: the next ones have their turn first.
+    /// Page that was written last; the pages after it are written next.
     round_robin_page: usize,
     /// Mutation count at which each task last lost its placement or ended.
     released_at_mutation: BTreeMap<u32, u64>,
-    /// The next write should not wait: it stores placements or completes the job.
+    /// Whether the next write should not be delayed, because it stores placements or completes the
+    /// job.
     urgent_write: bool,
-    /// Since when something is not stored.
+    /// Time since which there have been unsaved changes.
     pub dirty_since: Option<Time>,
-    /// Nothing is written before then: the store refused the record as invalid.
+    /// Earliest time of the next write, after the store rejected the record as invalid.
     pub write_suspended_until: Time,
 }
 
 impl PersistenceState {
-    /// Number of changes so far.
+    /// Returns the number of changes so far.
     pub fn mutation_count(&self) -> u64 {
         self.mutation_count
     }
 
-    /// Whether everything is stored.
+    /// Whether all changes are stored.
     pub fn is_stored(&self) -> bool {
         self.mutation_count == self.stored_mutation
     }
 
-    /// Whether the next write should not wait.
+    /// Whether the next write should not be delayed.
     pub fn is_urgent(&self) -> bool {
         self.urgent_write
     }
 
-    /// The next write should not wait.
+    /// Requests that the next write is not delayed.
     pub fn request_urgent_write(&mut self) {
         self.urgent_write = true;
     }
@@ -68,12 +69,12 @@
         self.dirty_pages.contains_key(&page)
     }
 
-    /// The pages that have changed since they were stored.
+    /// Returns the pages that have changed since they were stored.
     pub fn dirty_pages(&self) -> impl Iterator<Item = usize> + '_ {
         self.dirty_pages.keys().copied()
     }
 
-    /// Whether `pages` contain all that has changed.
+    /// Whether `pages` include all dirty pages.
     pub fn is_covered_by(&self, pages: &BTreeSet<usize>) -> bool {
         self.dirty_pages().all(|page| pages.contains(&page))
     }
@@ -101,15 +102,15 @@
         self.released_at_mutation.get(&task).is_none_or(|&count| count <= stored)
     }
 
-    /// The mutation count that `page` shows as stored, if this leader wrote it.
+    /// Returns the mutation count that the stored `page` reflects, if this leader wrote it.
     pub fn stored_page_mutation(&self, page: usize) -> Option<u64> {
         self.stored_page_mutations.get(&page).copied()
     }
 
-    /// Changed pages beyond the first, in the order in which they should be
-    /// stored: those with new placements, which launches wait for, and if `all` then the
-    /// rest in turn. (By number alone, ends on a huge array's first
-    /// pages kept the placements on its last ones waiting for minutes.)
+    /// Returns the dirty pages other than page 0, in the order in which they should be stored: first
+    /// those with new placements, because launches wait for them, then, if `all`, the others in round
+    /// robin order. When pages were written by number alone, task ends on the first pages of a huge
+    /// array delayed the placements on its last pages by minutes.
     pub fn pages_due(&self, all: bool) -> Vec<usize> {
         let is_due = |page: &usize| *page > 0 && self.is_page_dirty(*page);
         let mut due: Vec<usize> = self.pages_with_new_placements.iter().copied().filter(is_due).collect();
@@ -124,7 +125,7 @@
         due
     }
 
-    /// A new page layout has begun: nothing of it is stored, and `pages` have to be.
+    /// Resets the state for a new page layout, of which `pages` have to be stored.
     pub fn restart_with(&mut self, pages: &BTreeSet<usize>) {
         self.stored_page_mutations.clear();
         self.pages_with_new_placements.clear();
@@ -133,7 +134,7 @@
         self.dirty_pages = pages.iter().map(|&page| (page, self.mutation_count)).collect();
     }
 
-    /// `write` was applied.
+    /// Handles that the pages of `write` were stored.
     pub fn on_pages_stored(&mut self, write: &JobWrite) {
         self.round_robin_page = write.pages.last().copied().unwrap_or(0);
         for &page in &write.pages {
@@ -144,9 +145,9 @@
             .retain(|page, changed_at| !write.pages.contains(page) || *changed_at > write.mutation_count);
     }
 
-    /// `write`, which held the main record, was applied; `uncommitted_pages` are those with
-    /// placements that are not stored still, and `completion_pending` is whether all tasks are done
-    /// and the record does not say so yet.
+    /// Handles that `write`, which included the main record, was applied. `uncommitted_pages` are the
+    /// pages with placements that are still not stored, and `completion_pending` is whether all tasks
+    /// are done but the stored record does not say so yet.
     pub fn on_record_stored(
         &mut self,
         write: &JobWrite,
@@ -161,7 +162,7 @@
             self.stored_mutation = self.mutation_count;
         }
         self.urgent_write = !self.pages_with_new_placements.is_empty() || completion_pending;
-        // What is dirty on these pages still has only just changed.
+        // Pages of this write that are still dirty changed after it was prepared.
         if self.is_covered_by(&write.pages) {
             self.dirty_since = None;
         }
--- a/crates/controller/src/model/job/placement.rs
+++ b/crates/controller/src/model/job/placement.rs
@@ -1,39 +1,39 @@
-//! A task's placement on a machine.
+//! Placement of a task on a machine.
 
 use crate::messages::Time;
 use protocol::worker::TaskState;
 
-/// A task's placement on a machine. It counts for quota, zones and the check that no task runs
-/// twice, from its creation until proof that the task is not there.
+/// Placement of a task on a machine. From its creation until there is proof that the task is not on
+/// the machine, it counts towards quotas and zones, and prevents a second copy of the task.
 #[derive(Debug, Clone)]
 pub struct Placement {
-    /// The attempt number.
+    /// Attempt number.
     pub attempt: u64,
-    /// The machine's id.
+    /// Id of the machine.
     pub machine: String,
-    /// The job's mutation count when it was created: it is committed once a
-    /// write of that count or a later one is.
+    /// Mutation count of the job when the placement was created. The placement is committed once a
+    /// write with this or a later count is applied.
     pub created_at_mutation: u64,
-    /// Whether it is stored: only then may the task be launched.
+    /// Whether it is stored; the task may be launched only then.
     pub committed: bool,
-    /// Created by an earlier leader, whose launch may or may not be on its way.
+    /// Whether it was created by an earlier leader, whose launch may still be in flight.
     pub inherited: bool,
-    /// A launch was sent in a heartbeat response.
+    /// Whether a launch was sent in a heartbeat response.
     pub launch_sent: bool,
-    /// The task's state as the machine last reported it.
+    /// State of the task that the machine reported last.
     pub observed_state: Option<TaskState>,
-    /// When it was created, or read by this leader.
+    /// Time at which it was created, or read by this leader.
     pub placed_at: Time,
-    /// When the task was first seen running.
+    /// Time at which the task was first seen running.
     pub running_since: Option<Time>,
-    /// When the task was asked to stop, and its grace period in seconds.
+    /// Time at which the task was asked to stop, and its grace period in seconds.
     pub stopping: Option<(Time, f64)>,
-    /// The kill was sent to the machine directly.
+    /// Whether the kill was sent to the machine directly.
     pub kill_sent: bool,
 }
 
 impl Placement {
-    /// A placement that is not stored yet.
+    /// Creates a placement that is not stored yet.
     pub fn new(attempt: u64, machine: &str, created_at_mutation: u64, now: Time) -> Self {
         Placement {
             attempt,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A placement that an earlier leader stored.
+    /// Creates a placement that an earlier leader stored.
     pub fn inherited(attempt: u64, machine: &str, now: Time) -> Self {
         Placement {
             committed: true,
--- a/crates/controller/src/model/job/progress.rs
+++ b/crates/controller/src/model/job/progress.rs
@@ -1,9 +1,9 @@
-//! Which tasks of a job are done, pending or failing.
+//! Progress of a job: its done, pending and failing tasks.
 
 use super::Job;
 use protocol::job::{JobStatus, Shape};
 
-/// A job whose tasks failed on that many machines may be at fault itself.
+/// Number of machines with failures of a job's tasks from which the job itself is suspected.
 const MIN_FAILED_MACHINES_TO_SUSPECT: usize = 2;
 
 impl Job {
@@ -12,17 +12,18 @@
         self.done_count as usize == self.done_tasks.len()
     }
 
-    /// Whether the job itself is rather at fault than its machines: it failed on
-    /// several, and on more than it runs on.
+    /// Whether the job itself, rather than its machines, is suspected to be faulty: it is being probed,
+    /// or it failed on several machines and on more machines than it has running tasks.
     pub fn is_suspected(&self) -> bool {
         if self.probes > 0 {
             return true;
         }
-        self.failed_on.len() >= MIN_FAILED_MACHINES_TO_SUSPECT && self.running_tasks() < self.failed_on.len()
+        self.failed_on.len() >= MIN_FAILED_MACHINES_TO_SUSPECT
+            && self.running_task_count() < self.failed_on.len()
     }
 
-    /// Number of tasks that run.
-    pub(super) fn running_tasks(&self) -> usize {
+    /// Returns the number of running tasks.
+    pub(super) fn running_task_count(&self) -> usize {
         self.placements.values().filter(|placement| placement.running_since.is_some()).count()
     }
 
@@ -41,17 +42,17 @@
         }
     }
 
-    /// Whether `pending_tasks` is empty, mostly without making the list.
+    /// Whether `pending_tasks` is empty; in most cases without searching for such tasks.
     pub fn has_no_pending_tasks(&self) -> bool {
         if self.is_final() || self.has_placed_gang() {
             return true;
         }
-        let accounted = self.done_count as usize + self.placements.len() >= self.done_tasks.len();
-        accounted && self.pending_tasks(1).is_empty()
+        let all_done_or_placed = self.done_count as usize + self.placements.len() >= self.done_tasks.len();
+        all_done_or_placed && self.pending_tasks(1).is_empty()
     }
 
-    /// The first `max_tasks` tasks that are neither done nor placed; of a gang only when nothing of
-    /// its last attempt is left.
+    /// Returns the first `max_tasks` tasks that are neither done nor placed. A gang has none until all
+    /// placements of its last attempt are released.
     pub fn pending_tasks(&self, max_tasks: usize) -> Vec<u32> {
         if self.is_final() || self.has_placed_gang() {
             return Vec::new();
@@ -66,7 +67,7 @@
         self.spec.shape == Shape::Gang && !self.placements.is_empty()
     }
 
-    /// The status as users see it.
+    /// Returns the status that is shown to users.
     pub(super) fn reported_status(&self) -> JobStatus {
         if self.is_final() {
             self.status
--- a/crates/controller/src/model/job/record.rs
+++ b/crates/controller/src/model/job/record.rs
@@ -1,4 +1,4 @@
-//! Writing a job's main record, and bringing the job into step with what is stored.
+//! A job's main record: writes it and reconciles the job with what is stored.
 
 use super::{Job, JobWrite};
 use crate::model::records::{
@@ -8,27 +8,26 @@
 use protocol::state::Compare;
 use std::collections::BTreeSet;
 
-/// Bytes in JSON of a machine's name in a list, beside the name itself.
+/// JSON overhead of a machine name in a list, in bytes.
 const LIST_ITEM_OVERHEAD_BYTES: usize = 4;
 
-/// The mark that a cancellation leaves beside a job's record if that is too large to be written
-/// again.
+/// Mark that a cancellation stores beside a job's record if the record is too large to be rewritten.
 #[derive(Debug, Clone, Default)]
 pub struct CancellationMark {
-    /// Whether there may be one: the stored record may be, or may have been, too large.
+    /// Whether a mark may exist, because the stored record may be or may have been too large.
     pub possible: bool,
-    /// Its version, if it is known to exist.
+    /// Version of the mark, if it is known to exist.
     pub version: Option<u64>,
 }
 
 impl CancellationMark {
-    /// Its key, if it is known to exist.
+    /// Returns the key of the mark if it is known to exist.
     pub fn existing_key(&self, id: &str) -> Option<String> {
         self.version.map(|_| mark_key(id))
     }
 
-    /// The condition under which the record of job `id` may be replaced: that there is no mark but
-    /// the known one.
+    /// Returns the condition under which the record of job `id` may be replaced: no mark other than
+    /// the known one exists.
     pub fn compare(&self, id: &str) -> Option<Compare> {
         if !self.possible && self.version.is_none() {
             return None;
@@ -38,7 +37,7 @@
 }
 
 impl Job {
-    /// The job's keys beside its main record.
+    /// Returns the keys of the job apart from its main record.
     pub fn keys_beside_record(&self) -> Vec<String> {
         let id = &self.spec.id;
         let mut keys = self.page_layout.keys(id);
@@ -47,8 +46,8 @@
         keys
     }
 
-    /// A cancellation mark was found. A user has seen the cancellation, so it wins even over a
-    /// final status that this leader was about to store.
+    /// Cancels the job after a cancellation mark was found. Users may have seen the cancellation, so it
+    /// overrides even a final status that this leader was about to store.
     pub fn on_cancellation_mark(&mut self, version: u64) {
         self.cancellation_mark.version = Some(version);
         if self.status != JobStatus::Cancelled {
@@ -57,18 +56,18 @@
         }
     }
 
-    /// Whether its record as it is now may be too large to be written again.
+    /// Whether the current record may be too large to be rewritten under the next limits.
     pub(super) fn may_have_cancellation_mark(&self) -> bool {
         self.page_layout.exceeds_next_limit() || self.page_bytes(0) > self.page_layout.next_value_bytes()
     }
 
-    /// Its record, which is about to be written.
+    /// Returns the record for a write, and notes whether it may be too large to be rewritten.
     pub fn record_to_write(&mut self) -> JobRecord {
         self.cancellation_mark.possible |= self.may_have_cancellation_mark();
         self.record()
     }
 
-    /// The record as it should be stored. Its status is final only if the job's is.
+    /// Returns the record of the current state. Its status is final only if that of the job is.
     pub fn record(&self) -> JobRecord {
         JobRecord {
             spec: if self.spec_chunks.is_some() { stub(&self.spec) } else { self.spec.clone() },
@@ -76,7 +75,7 @@
             submitted_wall_s: self.submitted_wall_s,
             status: self.reported_status(),
             done: self.done_count,
-            running: self.running_tasks() as u32,
+            running: self.running_task_count() as u32,
             attempt: self.attempt,
             per_page: self.page_layout.per_page,
             first_page: self.page_record(0),
@@ -86,7 +85,7 @@
         }
     }
 
-    /// Names of machines that have the job's image, as far as the record has room for them.
+    /// Returns the names of machines that have the job's image, as many as fit in the record.
     fn machine_names_that_fit(&self) -> Vec<String> {
         let mut bytes_left = self.page_layout.next_value_bytes().saturating_sub(self.page_bytes(0));
         let mut names = Vec::new();
@@ -101,16 +100,16 @@
         names
     }
 
-    /// `write` was applied at that revision.
+    /// Handles that `write` was applied at `revision`.
     pub fn on_stored(&mut self, write: &JobWrite, revision: u64) {
         self.page_layout.record_stored(&write.pages, revision);
         self.persistence.on_pages_stored(write);
         if !write.pages.contains(&0) {
-            // Pages of a layout that does not count yet prove nothing.
+            // Pages of a layout that is not in force yet do not commit placements.
             return;
         }
-        // A reread may have shown a later version already (a cancellation on
-        // top of this write): versions never go back.
+        // Versions never decrease: a reread may already have returned a later version, such as a
+        // cancellation after this write.
         self.version = self.version.max(revision);
         self.cancellation_mark.version = None;
         let layout_activated = self.page_layout.activate();
@@ -119,13 +118,13 @@
         self.persistence.on_record_stored(write, uncommitted_pages, completion_pending);
     }
 
-    /// Marks the placements as committed that `write` stored. Returns the pages of those that are
-    /// not.
+    /// Marks the placements that `write` stored as committed. Returns the pages with placements that
+    /// are not committed yet.
     fn commit_placements(&mut self, write: &JobWrite, layout_activated: bool) -> BTreeSet<usize> {
         let mut uncommitted_pages = BTreeSet::new();
         for (task, placement) in &mut self.placements {
             let page = self.page_layout.page_of(*task);
-            // With a new layout all counts that was written of it before.
+            // When a new layout takes effect, all of its pages written before count as stored.
             let stored = layout_activated || write.pages.contains(&page);
             if stored && placement.created_at_mutation <= write.mutation_count {
                 placement.committed = true;
@@ -137,16 +136,16 @@
         uncommitted_pages
     }
 
-    /// Brings the job into step with its main record as read from the store:
-    /// a final status there wins, a placement that is stored is committed,
-    /// and whatever differs is written again.
+    /// Reconciles the job with its main record as read from the store: a stored final status
+    /// overrides that of the job, stored placements are committed, and the record is written again if
+    /// it differs.
     pub fn reconcile(&mut self, record: &JobRecord, version: u64) {
         if version <= self.version {
             return;
         }
         self.version = version;
-        // A stored final status wins even over one that this leader was about
-        // to store: a user may have seen it.
+        // Users may have seen a stored final status, so it overrides even one that this leader was
+        // about to store.
         if record.status.is_final() {
             self.status = record.status;
         }
@@ -162,9 +161,9 @@
         }
     }
 
-    /// The stored record names the new layout, so all counts that was written of it before. (Where
-    /// the reply to the write that named it was lost, placements on other pages were once never
-    /// launched.)
+    /// Commits the placements on pages that were written before the stored record named the new
+    /// layout. Otherwise, if the response to the write that named the layout was lost, placements on
+    /// other pages were never launched.
     fn commit_stored_pages(&mut self) {
         for (task, placement) in &mut self.placements {
             let stored = self.persistence.stored_page_mutation(self.page_layout.page_of(*task));
@@ -172,10 +171,10 @@
         }
     }
 
-    /// Brings the job into step with a page as read from the store.
+    /// Reconciles the job with a page as read from the store.
     pub fn reconcile_page(&mut self, page: usize, record: &PageRecord) {
         let done_before = self.done_count;
-        self.merge_done(page, &record.done);
+        self.merge_done_bits(page, &record.done);
         if !self.page_layout.is_changing() {
             self.commit_placements_in(page, &record.placements);
         }
@@ -189,9 +188,11 @@
             if placement.committed || self.page_layout.page_of(*task) != page {
                 continue;
             }
-            placement.committed = stored
-                .iter()
-                .any(|s| s.task == *task && s.attempt == placement.attempt && s.machine == placement.machine);
+            placement.committed = stored.iter().any(|stored| {
+                stored.task == *task
+                    && stored.attempt == placement.attempt
+                    && stored.machine == placement.machine
+            });
         }
     }
 }
--- a/crates/controller/src/model/machine.rs
+++ b/crates/controller/src/model/machine.rs
@@ -1,4 +1,4 @@
-//! A machine as the leader knows it.
+//! The leader's state of a machine.
 
 mod image_cache;
 
@@ -11,94 +11,94 @@
 use std::collections::BTreeSet;
 use tracing::warn;
 
-/// A heartbeat's place in the order of its agent's heartbeats: the agent epoch and, within that, the
-/// sequence number.
+/// Position of a heartbeat in the order of its agent's heartbeats: the agent epoch and the sequence
+/// number within the epoch.
 pub type HeartbeatPosition = (u64, u64);
 
-/// Where a machine is in its life.
+/// Lifecycle phase of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachinePhase {
-    /// Created, and no heartbeat has come yet.
+    /// Created; neither a heartbeat nor the cloud's list has shown it running yet.
     Booting,
     /// In service.
     Up,
-    /// To be deleted; takes no work.
+    /// Marked for deletion; accepts no work.
     Terminating,
 }
 
-/// A machine as the leader knows it, from heartbeats, the cloud's list and stored placements.
+/// State of a machine, known from heartbeats, the cloud's list and stored placements.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    /// The cloud's id; never used again.
+    /// Id assigned by the cloud; never reused.
     pub id: String,
-    /// The agent's address, for direct commands; empty before the first heartbeat.
+    /// Address of the agent for direct commands; empty while it is unknown.
     pub addr: String,
-    /// The name of its machine type.
+    /// Name of its machine type.
     pub machine_type: String,
-    /// The zone that it is in.
+    /// Name of its zone.
     pub zone: String,
-    /// Whether the cloud may reclaim it.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// Where it is in its life.
+    /// Lifecycle phase.
     pub phase: MachinePhase,
-    /// When it was created, or first known.
+    /// Time at which it was created, or became known.
     pub known_since: Time,
-    /// The position of the newest heartbeat, or answer to a direct command.
+    /// Position of the newest heartbeat, including replies to direct commands.
     pub newest_position: HeartbeatPosition,
-    /// The position of the newest heartbeat that the agent sent by itself. Only these renew its
-    /// lease, and the answer to a direct command may overtake one that was sent before it.
+    /// Position of the newest heartbeat that was not a reply to a direct command. Only such heartbeats
+    /// renew the lease, and a reply may overtake a heartbeat that was sent before it.
     newest_heartbeat_position: HeartbeatPosition,
-    /// The highest fencing token that its agent has seen.
+    /// Highest fencing token that its agent has seen.
     pub highest_token_seen: u64,
-    /// The position of the heartbeat that `tasks` is the content of.
+    /// Position of the heartbeat from which `tasks` was taken.
     pub content_position: HeartbeatPosition,
-    /// The fencing token that the agent had seen by then.
+    /// Fencing token that the agent had seen when it sent that heartbeat.
     pub content_token: u64,
-    /// The node that received its newest heartbeat, if not this one.
+    /// Node that received its newest heartbeat, if not this one.
     pub proxy: Option<ProxyId>,
-    /// When its newest heartbeat, except answers to direct commands, came to a node.
+    /// Time at which a node received its newest heartbeat, except replies to direct commands.
     pub last_heartbeat_at: Option<Time>,
-    /// When its heartbeat last showed exactly what is placed there, with nothing left to
-    /// send; None: something has changed since.
+    /// Time at which its heartbeat last matched the placements exactly, with nothing left to send to
+    /// it, or None if something has changed since.
     pub reconciled_at: Option<Time>,
-    /// Its heartbeats come to this node, and it was not redirected to a proxy.
+    /// Whether its heartbeats come to this node and it was not redirected to a proxy.
     pub reports_here: bool,
-    /// When its newest heartbeat came to this node or to a proxy.
+    /// Time at which this node or a proxy received its newest heartbeat.
     pub last_heard_at: Option<Time>,
-    /// No heartbeat that may have been answered came later than that.
+    /// Latest time at which a heartbeat arrived whose response may have been sent.
     pub last_possible_response_at: Time,
-    /// When its first heartbeat came, while nothing else shows that the machine exists: the
-    /// heartbeat may have been delayed for minutes, and the machine be gone.
+    /// Time of its first heartbeat, while nothing else shows that the machine exists. The heartbeat may
+    /// have been delayed for minutes, and the machine may no longer exist.
     pub unconfirmed_since: Option<Time>,
     /// Whether responses reach it.
     pub reachability: InboundReachability,
-    /// Since when this leader has taken it for up.
+    /// Time since which this leader has considered it up.
     pub up_since: Time,
-    /// It was silent for too long and is to be scaled in.
+    /// Whether it was declared dead after too long a silence; it is then scaled in.
     pub declared_dead: bool,
-    /// The cloud's list has shown it.
+    /// Whether it has appeared in the cloud's list.
     pub listed: bool,
-    /// When the cloud reclaims it, if that was announced.
+    /// Time at which the cloud reclaims it, if that was announced.
     pub spot_reclaim_at: Option<Time>,
-    /// Its tasks, by the heartbeat at `content_position`.
+    /// Its tasks, according to the heartbeat at `content_position`.
     pub tasks: Vec<TaskStatus>,
-    /// The images that its tasks needed.
+    /// Images that its tasks needed.
     images: ImageCache,
-    /// Since when it has had no work.
+    /// Time since which it has had no work.
     pub idle_since: Time,
-    /// Jobs that failed here since the last success, for no other known reason.
+    /// Jobs that failed here since the last success, except failures with another known cause.
     pub failed_jobs: BTreeSet<String>,
-    /// Its tasks fail: it takes no work and is to be scaled in.
+    /// Whether it is quarantined because its tasks fail; it accepts no work and is scaled in.
     pub quarantined: bool,
-    /// Since when several jobs have failed here: no work until it is clear whether the machine is at
-    /// fault.
+    /// Time since which it has been suspected because several jobs failed on it. It accepts no work
+    /// until it is clear whether the machine is at fault.
     pub suspected_since: Option<Time>,
-    /// Its run times as a multiple of what is expected.
+    /// Its run times, as a multiple of the expected ones.
     pub slowness: f64,
 }
 
 impl Machine {
-    /// A machine that was just created, or is known by name only.
+    /// Creates the state of a machine that was just created or has just become known.
     pub fn new(id: &str, machine_type: &str, zone: &str, spot: bool, now: Time) -> Self {
         Machine {
             id: id.to_string(),
@@ -135,11 +135,10 @@
         }
     }
 
-    /// A heartbeat came to a node at `received_at`: its response may have renewed the machine's
-    /// lease, unless it is an old copy. `check_order`: whether old copies are recognized by
-    /// their position.
-    /// (Heartbeats that the answer to a direct command had overtaken were once ignored, and tasks
-    /// were started elsewhere before the lease had expired.)
+    /// Records that a node received a heartbeat at `received_at`. Unless it is an old copy, its response
+    /// may have renewed the machine's lease. `check_order` is whether old copies are recognized by
+    /// their position. Only positions of heartbeats are compared: when heartbeats that the reply to a
+    /// direct command had overtaken were ignored, tasks started elsewhere before the lease expired.
     pub fn record_heartbeat(&mut self, position: HeartbeatPosition, received_at: Time, check_order: bool) {
         if check_order && position <= self.newest_heartbeat_position {
             return;
@@ -151,14 +150,14 @@
         }
     }
 
-    /// A heartbeat came to a node at `received_at`. (Answers to direct commands once counted too: a
-    /// machine that sent no heartbeats was given work as long as something was now and then
-    /// cancelled there.)
+    /// Records that a node received a heartbeat at `received_at`. Replies to direct commands must not
+    /// be recorded: when they were, a machine that sent no heartbeats was given work as long as tasks
+    /// were cancelled there from time to time.
     pub fn record_contact(&mut self, received_at: Time) {
-        self.last_heard_at = latest(self.last_heard_at, received_at);
+        self.last_heard_at = later_of(self.last_heard_at, received_at);
     }
 
-    /// Takes over the content of a newer heartbeat.
+    /// Applies the content of a newer heartbeat.
     pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, now: Time) {
         self.newest_position = (heartbeat.epoch, heartbeat.sequence);
         self.content_position = self.newest_position;
@@ -173,7 +172,7 @@
         self.tasks.clone_from(&heartbeat.tasks);
     }
 
-    /// The machine is up, by a heartbeat or by the cloud's list.
+    /// Marks a booting machine as up, after a heartbeat or according to the cloud's list.
     pub fn mark_up(&mut self, now: Time) {
         if self.phase == MachinePhase::Booting {
             self.phase = MachinePhase::Up;
@@ -182,7 +181,7 @@
         }
     }
 
-    /// Seconds since the last heartbeat, if the machine is up; otherwise 0.
+    /// Returns the seconds since the last heartbeat if the machine is up, otherwise 0.
     pub fn silence_s(&self, now: Time) -> Time {
         match self.phase {
             MachinePhase::Up => now - self.last_heard_at.unwrap_or(self.up_since),
@@ -190,29 +189,29 @@
         }
     }
 
-    /// Whether it is up but has missed heartbeats: no work is placed there.
+    /// Whether the machine is up but has missed heartbeats; no work is placed on it then.
     pub fn missed_heartbeats(&self, now: Time, timing: &Timing) -> bool {
         self.silence_s(now) > timing.failure_suspicion_s / 2.0
     }
 
-    /// Whether heartbeats have come and none was missed since.
+    /// Whether the machine has sent heartbeats and has not missed any recently.
     pub fn has_recent_heartbeats(&self, now: Time, timing: &Timing) -> bool {
         self.last_heard_at.is_some() && !self.missed_heartbeats(now, timing)
     }
 
-    /// A heartbeat that is no answer to a direct command came to a node at `received_at`.
+    /// Records that a node received a heartbeat that is not a reply to a direct command.
     pub fn record_unsolicited_heartbeat(&mut self, received_at: Time) {
         self.record_contact(received_at);
-        self.last_heartbeat_at = latest(self.last_heartbeat_at, received_at);
+        self.last_heartbeat_at = later_of(self.last_heartbeat_at, received_at);
     }
 
-    /// Whether a heartbeat with the same content need not be reconciled: nothing has changed
-    /// since that was done, less than `validity_s` ago.
+    /// Whether a heartbeat with the same content need not be reconciled, because this was done less
+    /// than `validity_s` ago and nothing has changed since.
     pub fn is_reconciled(&self, now: Time, validity_s: Time) -> bool {
         self.reconciled_at.is_some_and(|at| now - at < validity_s)
     }
 
-    /// A later heartbeat with the content of the last one that had any.
+    /// Returns a heartbeat with a later sequence number and the content of the last one that had any.
     pub fn repeated_heartbeat(&self, sequence: u64) -> Heartbeat {
         Heartbeat {
             machine: self.id.clone(),
@@ -228,23 +227,24 @@
         }
     }
 
-    /// A task that needs `image`, of that size in GB, was here at that time.
+    /// Records that a task on the machine needed `image`, of `size_gb` GB, at `needed_at`.
     pub fn record_image(&mut self, image: u32, needed_at: Time, size_gb: f64) {
         self.images.record(image, needed_at, size_gb);
     }
 
-    /// The images that it should still hold: the latest that fit its cache.
+    /// Returns the images that the machine is expected to hold: the most recently needed ones that fit
+    /// in its cache.
     pub fn cached_images(&self, cache_gb: f64) -> Vec<u32> {
-        self.images.held_in(cache_gb)
+        self.images.images_that_fit(cache_gb)
     }
 
-    /// At most `max_images` that were needed at `since` or later, with their sizes in GB; the latest
-    /// first.
+    /// Returns at most `max_images` images that were needed at `since` or later, with their sizes in
+    /// GB, most recently needed first.
     pub fn latest_images(&self, since: Time, max_images: usize) -> impl Iterator<Item = (u32, f64)> + '_ {
         self.images.latest(since, max_images)
     }
 
-    /// Its tasks fail: no more work for it, and it is scaled in.
+    /// Quarantines the machine because its tasks fail; it accepts no work and is scaled in.
     pub fn quarantine(&mut self) {
         if !self.quarantined {
             warn!(machine = %self.id, "machine quarantined: its tasks fail");
@@ -252,7 +252,7 @@
         self.quarantined = true;
     }
 
-    /// Whether tasks may be placed on it, as far as its own state shows.
+    /// Whether tasks may be placed on the machine according to its own state.
     pub fn accepts_work(&self) -> bool {
         let is_cordoned = self.quarantined
             || self.suspected_since.is_some()
@@ -262,6 +262,6 @@
     }
 }
 
-fn latest(known: Option<Time>, at: Time) -> Option<Time> {
+fn later_of(known: Option<Time>, at: Time) -> Option<Time> {
     Some(known.map_or(at, |known| known.max(at)))
 }
--- a/crates/controller/src/model/page_layout.rs
+++ b/crates/controller/src/model/page_layout.rs
@@ -1,16 +1,16 @@
-//! How a job's tasks are divided among stored values, and how that changes.
+//! Page layout: the division of a job's tasks among stored values, and changes of it.
 //!
-//! A job's record holds its first page of tasks and names the layout that counts. A new
-//! layout is written under keys of its own, in as many transactions as it takes, and counts
-//! from the one that writes the record. Until then, and if the leader fails meanwhile,
-//! the old one counts. So a job of any size can be divided anew a few values at a time.
+//! A job's record contains the first page of tasks and the number of the layout in force. A new
+//! layout is written under separate keys, in as many transactions as necessary, and takes effect with
+//! the transaction that writes the record. Until then, also if the leader fails meanwhile, the old
+//! layout stays in force. Thus a job of any size can be repaginated a few values at a time.
 
 use crate::model::records::{page_key, tasks_per_page, MIN_TASKS_PER_PAGE};
 use crate::storage::store_limits::StoreLimits;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
-/// A page of a layout other than the current one.
+/// Page of a layout other than the current one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ObsoletePage {
     layout: u32,
@@ -23,28 +23,28 @@
     }
 }
 
-/// How a job's tasks are divided among stored values.
+/// Division of a job's tasks among stored values.
 #[derive(Debug, Clone)]
 pub struct PageLayout {
-    /// The layout's number: the stored record names the one that counts.
+    /// Number of the layout; the stored record contains the number of the layout in force.
     pub number: u32,
     /// Tasks per page.
     pub per_page: u32,
-    /// Bytes that a value may take in JSON.
+    /// Maximum JSON size of a value, in bytes.
     pub max_value_bytes: usize,
-    /// Bytes that a value may take so that it fits the coming limits too.
+    /// Maximum JSON size of a value that also fits the next limits, in bytes.
     next_value_bytes: usize,
-    /// Versions of the pages beyond the first that are stored.
+    /// Versions of the stored pages, except the first.
     versions: BTreeMap<usize, u64>,
-    /// The stored record names an earlier layout still.
+    /// Whether the stored record still names an earlier layout.
     is_changing: bool,
     /// Pages of other layouts that are still stored.
     obsolete_pages: BTreeSet<ObsoletePage>,
 }
 
 impl PageLayout {
-    /// The layout that the record of a job with `tasks` tasks names. If an earlier version made it,
-    /// its values may fit only the current limits.
+    /// Creates the layout named by the stored record of a job with `tasks` tasks. If an earlier software
+    /// version created the layout, its values may fit only the current limits.
     pub fn stored(per_page: u32, number: u32, tasks: u32, spec_size: usize, limits: &StoreLimits) -> Self {
         let per_page = per_page.max(MIN_TASKS_PER_PAGE);
         let next_value_bytes = limits.value_bytes();
@@ -65,33 +65,33 @@
         }
     }
 
-    /// Whether its values may be larger than the coming limits allow.
+    /// Whether its values may exceed the next limits.
     pub fn exceeds_next_limit(&self) -> bool {
         self.max_value_bytes > self.next_value_bytes
     }
 
-    /// Bytes that a value may take under the coming limits.
+    /// Returns the maximum JSON size of a value under the next limits, in bytes.
     pub fn next_value_bytes(&self) -> usize {
         self.next_value_bytes
     }
 
-    /// From now on its values have to fit the coming limits, as it is or divided anew.
+    /// Requires from now on that values fit the next limits, if necessary by repagination.
     pub fn restrict_to_next_limits(&mut self) {
         self.max_value_bytes = self.next_value_bytes;
     }
 
-    /// Its values are written as they are, though they do not fit the coming limits: nodes that read
-    /// no other layout may have to read them.
+    /// Allows values up to `current_value_bytes` although they exceed the next limits, because some
+    /// nodes may be unable to read another layout.
     pub fn allow_current_limits(&mut self, current_value_bytes: usize) {
         self.max_value_bytes = self.max_value_bytes.max(current_value_bytes);
     }
 
-    /// The page that `task` is on.
+    /// Returns the page that contains `task`.
     pub fn page_of(&self, task: u32) -> usize {
         (task / self.per_page) as usize
     }
 
-    /// The tasks of a page, of `tasks` in all; empty for a page beyond the last.
+    /// Returns the tasks of a page in a job of `tasks` tasks; empty for a page beyond the last.
     pub fn range(&self, page: usize, tasks: usize) -> Range<usize> {
         let per_page = self.per_page as usize;
         let start = (page * per_page).min(tasks);
@@ -99,7 +99,7 @@
         start..end
     }
 
-    /// A page was read. False if it is of another layout.
+    /// Records that a page was read. Returns false if it belongs to another layout.
     pub fn accept_page(&mut self, page: usize, layout: u32, version: u64) -> bool {
         if layout != self.number {
             self.obsolete_pages.insert(ObsoletePage { layout, page });
@@ -111,7 +111,7 @@
         true
     }
 
-    /// Begins a new layout with the current `per_page`.
+    /// Starts a new layout with the current `per_page`.
     pub fn begin_layout(&mut self) {
         let layout = self.number;
         self.obsolete_pages.extend(self.versions.keys().map(|&page| ObsoletePage { layout, page }));
@@ -127,17 +127,17 @@
         self.is_changing
     }
 
-    /// The stored record names this layout. True if it did not before.
+    /// Records that the stored record names this layout. Returns whether it did not before.
     pub fn activate(&mut self) -> bool {
         std::mem::replace(&mut self.is_changing, false)
     }
 
-    /// The stored version of a page; 0 if it is not stored.
+    /// Returns the stored version of a page; 0 if the page is not stored.
     pub fn version(&self, page: usize) -> u64 {
         self.versions.get(&page).copied().unwrap_or(0)
     }
 
-    /// Pages were written or read at that revision. Versions never go back.
+    /// Records that pages were written or read at `revision`. Versions never decrease.
     pub fn record_stored(&mut self, pages: &BTreeSet<usize>, revision: u64) {
         for &page in pages.iter().filter(|&&page| page > 0) {
             let version = self.versions.entry(page).or_insert(0);
@@ -145,15 +145,15 @@
         }
     }
 
-    /// The keys of all pages that are stored, of any layout.
+    /// Returns the keys of all stored pages of any layout.
     pub fn keys(&self, id: &str) -> Vec<String> {
         let current = self.versions.keys().map(|&page| page_key(id, page, self.number));
         let obsolete = self.obsolete_pages.iter().map(|page| page.key(id));
         current.chain(obsolete).collect()
     }
 
-    /// Takes the keys of pages of other layouts, to be deleted; none while the new layout does not
-    /// count yet.
+    /// Takes the keys of pages of other layouts, which the caller deletes. Returns none while a new
+    /// layout is not in force yet.
     pub fn take_obsolete_keys(&mut self, id: &str) -> Vec<String> {
         if self.is_changing {
             return Vec::new();
