--- a/crates/controller/src/autoscaling/scale_out.rs
+++ b/crates/controller/src/autoscaling/scale_out.rs
@@ -191,8 +191,8 @@
         closed.map(|(_, machines)| machines).sum()
     }
 
-    /// Returns the zones where machines of `pool` can be requested, sorted by the number of its machines
-    /// there.
+    /// Returns the zones where machines of `pool` can be requested, those with the fewest machines of
+    /// the pool first.
     fn open_zones<'t>(&self, pool: &MachinePool, machine_type: &'t MachineType) -> Vec<&'t String> {
         let open = machine_type.zones.iter().filter(|zone| self.may_request_in(pool, zone));
         let mut zones: Vec<(usize, &String)> =
--- a/crates/controller/src/model/machine.rs
+++ b/crates/controller/src/model/machine.rs
@@ -88,7 +88,8 @@
     pub idle_since: Time,
     /// Jobs that failed here since the last success, except failures with another known cause.
     pub failed_jobs: BTreeSet<String>,
-    /// Whether it is quarantined because its tasks fail; it accepts no work and is scaled in.
+    /// Whether it is quarantined, because its tasks fail or the cloud reports it as failed; it accepts
+    /// no work and is scaled in.
     pub quarantined: bool,
     /// Time since which it has been suspected because several jobs failed on it. It accepts no work
     /// until it is clear whether the machine is at fault.
@@ -137,8 +138,8 @@
 
     /// Records that a node received a heartbeat at `received_at`. Unless it is an old copy, its response
     /// may have renewed the machine's lease. `check_order` is whether old copies are recognized by
-    /// their position. Only positions of heartbeats are compared: when heartbeats that the reply to a
-    /// direct command had overtaken were ignored, tasks started elsewhere before the lease expired.
+    /// their position. Replies to direct commands do not count for this order: when heartbeats that a
+    /// reply had overtaken were ignored, tasks were started elsewhere before the lease had expired.
     pub fn record_heartbeat(&mut self, position: HeartbeatPosition, received_at: Time, check_order: bool) {
         if check_order && position <= self.newest_heartbeat_position {
             return;
@@ -194,7 +195,7 @@
         self.silence_s(now) > timing.failure_suspicion_s / 2.0
     }
 
-    /// Whether the machine has sent heartbeats and has not missed any recently.
+    /// Whether the machine has sent heartbeats and has not missed any since the last one.
     pub fn has_recent_heartbeats(&self, now: Time, timing: &Timing) -> bool {
         self.last_heard_at.is_some() && !self.missed_heartbeats(now, timing)
     }
--- a/crates/controller/src/scheduling/effective_priority.rs
+++ b/crates/controller/src/scheduling/effective_priority.rs
@@ -11,19 +11,19 @@
 use std::collections::HashMap;
 
 /// Time that stands for "no deadline".
-pub(crate) const NEVER: f64 = f64::MAX / 4.0;
+pub(crate) const NO_DEADLINE: f64 = f64::MAX / 4.0;
 
 /// Time from which on a deadline counts as none.
-const MAX_DEADLINE: f64 = NEVER / 2.0;
+const MAX_DEADLINE: f64 = NO_DEADLINE / 2.0;
 
 /// Priority and deadline of a job, raised by the jobs that depend on it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct EffectivePriority {
     /// Priority level, 0 to 3 (see `priority_level`).
     pub priority: u8,
-    /// Time by which the job should be done, or `NEVER`.
+    /// Time by which the job should be done, or `NO_DEADLINE`.
     pub deadline: f64,
-    /// Latest end at which the job is still useful, or `NEVER`.
+    /// Latest end at which the job is still useful, or `NO_DEADLINE`.
     pub latest_useful_end: f64,
     /// Whether other jobs depend on it, or usually depend on jobs of its class.
     pub has_dependents: bool,
@@ -126,11 +126,11 @@
     }
 
     /// Returns the time by which the owner expects the job to be done: its deadline, or else the time
-    /// set by the strictest "finished" objective of its class, or else a time of about `NEVER`.
+    /// set by the strictest "finished" objective of its class, or else a time of about `NO_DEADLINE`.
     pub(crate) fn due_by(&self, job: &Job) -> f64 {
         let slos = self.settings.params.slos.iter();
         let finished = slos.filter(|slo| slo.kind == "finished" && is_of_class(slo, &job.spec.class));
-        let threshold_s = finished.filter_map(|slo| slo.threshold_s).fold(NEVER, f64::min);
+        let threshold_s = finished.filter_map(|slo| slo.threshold_s).fold(NO_DEADLINE, f64::min);
         job.spec.deadline_s.map_or(job.ready_at + threshold_s, |due_s| job.submitted_at + due_s)
     }
 
@@ -153,7 +153,7 @@
         match (done_s, started_s) {
             (Some(done_s), Some(started_s)) => job.ready_at + done_s.min(started_s),
             (Some(due_s), None) | (None, Some(due_s)) => job.ready_at + due_s,
-            (None, None) => NEVER,
+            (None, None) => NO_DEADLINE,
         }
     }
 
@@ -186,8 +186,9 @@
     /// start.
     fn own_priority(&self, leader: &LeaderState, job: &Job) -> OwnPriority {
         let spec = &job.spec;
-        let due =
-            |factor: f64| spec.deadline_s.map_or(NEVER, |deadline_s| job.submitted_at + deadline_s * factor);
+        let due = |factor: f64| {
+            spec.deadline_s.map_or(NO_DEADLINE, |deadline_s| job.submitted_at + deadline_s * factor)
+        };
         OwnPriority {
             priority: priority_level(spec),
             deadline: due(1.0),
--- a/crates/controller/src/scheduling/running_tasks.rs
+++ b/crates/controller/src/scheduling/running_tasks.rs
@@ -15,10 +15,10 @@
 use std::collections::HashSet;
 
 /// Approximate time from sending a kill until the machine can take another task.
-const STOP_S: Time = 1.5;
+const TASK_STOP_S: Time = 1.5;
 
 /// Approximate time from placing a task until it runs.
-const START_S: Time = 10.0;
+const TASK_START_S: Time = 10.0;
 
 /// Minimum expected remaining run time of a task, as a fraction of its expected run time.
 const MIN_REMAINING_FRACTION: f64 = 0.1;
@@ -185,9 +185,9 @@
 
     fn expected_end(&self, now: Time, placement: &Placement) -> Time {
         match (placement.stopping, placement.running_since) {
-            (Some((since, grace_s)), _) => since + grace_s + STOP_S,
+            (Some((since, grace_s)), _) => since + grace_s + TASK_STOP_S,
             (None, Some(since)) => (since + self.run_s).max(now + self.run_s * MIN_REMAINING_FRACTION),
-            (None, None) => placement.placed_at + self.run_s + START_S,
+            (None, None) => placement.placed_at + self.run_s + TASK_START_S,
         }
     }
 }
@@ -205,10 +205,10 @@
 fn preemption_cost(now: Time, job: &Job, placement: &Placement, owner: usize) -> PreemptionCandidate {
     if job.spec.checkpoint_interval_s > 0.0 {
         let save_s = job.spec.save_s;
-        return PreemptionCandidate { owner, lost_work_s: save_s, stop_s: save_s + STOP_S };
+        return PreemptionCandidate { owner, lost_work_s: save_s, stop_s: save_s + TASK_STOP_S };
     }
     let lost_work_s = placement.running_since.map_or(0.0, |since| now - since);
-    PreemptionCandidate { owner, lost_work_s, stop_s: STOP_S }
+    PreemptionCandidate { owner, lost_work_s, stop_s: TASK_STOP_S }
 }
 
 /// Whether an overdue job has only just started: no task is done, and none has been running for
