--- a/crates/controller/src/autoscaling/machine_list.rs
+++ b/crates/controller/src/autoscaling/machine_list.rs
@@ -45,7 +45,7 @@
 
     /// Records the start of reading the next page. Pages are `page_interval_s` apart and lists
     /// `list_interval_s`. The first list is read without pauses, because planning starts only after
-    /// it is complete. Later lists need the pauses: without them, the cloud refused every list of
+    /// it is complete. Later lists need the pauses: without them, the cloud refuses every list of
     /// several thousand machines.
     fn start_page(&mut self, now: Time, page_interval_s: Time, list_interval_s: Time) {
         self.in_flight = true;
@@ -139,7 +139,7 @@
     machine.listed = true;
     machine.unconfirmed_since = None;
     // The machine may have sent heartbeats before it was listed, but it is older than these. Without
-    // this, no machine was old enough for scale-in during the first minute after a failover.
+    // this, no machine would be old enough for scale-in during the first minute after a failover.
     machine.known_since = machine.known_since.min(now - listed.age_s);
     if machine.machine_type.is_empty() {
         machine.machine_type.clone_from(&listed.machine_type);
--- a/crates/controller/src/autoscaling/scale_in.rs
+++ b/crates/controller/src/autoscaling/scale_in.rs
@@ -70,8 +70,8 @@
     }
 
     /// Whether the machine has not finished booting in time. After a failover, every worker gets one
-    /// lease to send a heartbeat. Without that, a new leader that had not heard from a long-running
-    /// idle machine yet took it for one that does not finish booting.
+    /// lease to send a heartbeat. Otherwise, a new leader could take an idle machine that has been up
+    /// for a long time for one that does not finish booting.
     fn has_boot_timed_out(&self, machine: &Machine) -> bool {
         self.now - machine.known_since > self.boot_s(machine) * self.max_boot_factor
             && self.now - self.elected_at > self.lease_s
@@ -108,8 +108,8 @@
     }
 
     /// Whether the machine may still be kept for a gang whose other machines are missing. The wait is
-    /// limited because a gang that could never be complete kept the last machines of a pool from other
-    /// jobs indefinitely.
+    /// limited, because a gang that can never be complete would otherwise keep the last machines of a
+    /// pool from other jobs indefinitely.
     fn may_wait_for_gang(&self, machine: &Machine) -> bool {
         let max_wait_s = (self.boot_s(machine) * self.max_boot_factor).max(self.unreachable_zone_retention_s);
         !self.gang_wait_is_limited || self.now - machine.idle_since < max_wait_s
@@ -212,7 +212,7 @@
         let classes = self.latency_sensitive_classes();
         let Role::Leader(leader) = &mut self.role else { return };
         // Idle time counts only from when this leader could act, because no machine could get work
-        // before. Otherwise idle machines were scaled in after an outage, just before users returned.
+        // before. Otherwise, idle machines would be scaled in after an outage, just before users return.
         let acting_since = if retain_silent { leader.leadership.tenure.entitled_since() } else { 0.0 };
         let policy = ScaleInPolicy {
             now,
@@ -233,8 +233,8 @@
         for machine in leader.cluster.machines.values_mut() {
             let in_use = in_use.contains(machine.id.as_str());
             // A machine that misses heartbeats cannot get work, so its idle time does not count.
-            // Otherwise machines of a zone that became reachable again were scaled in at once, by
-            // targets computed while the zone was unreachable.
+            // Otherwise, machines of a zone that becomes reachable again would be scaled in at once,
+            // by targets computed while the zone was unreachable.
             let busy = in_use || retain_silent && machine.missed_heartbeats(now, &timing);
             machine.idle_since = if busy { now } else { machine.idle_since.max(acting_since) };
             if let Some(fault) = policy.fault(machine, in_use) {
--- a/crates/controller/src/autoscaling/scale_out.rs
+++ b/crates/controller/src/autoscaling/scale_out.rs
@@ -79,8 +79,8 @@
 impl Fleet {
     /// Returns the number of machines that a pool is assumed to provide: per zone, none during a pause
     /// after a lack of capacity, a few for a while after it, and otherwise any number. Without the
-    /// middle step, all work waited for a pool as soon as its pause was over, got at most one machine,
-    /// and more expensive machines were requested far too late.
+    /// middle step, all work would wait for a pool as soon as its pause is over and get at most one
+    /// machine, and more expensive machines would be requested far too late.
     pub(super) fn available_machines(&self, now: Time, machine_type: &MachineType, spot: bool) -> f64 {
         let pool = MachinePool::new(&machine_type.name, spot);
         let available = machine_type.zones.iter().filter(|zone| self.is_zone_available(now, &pool, zone));
@@ -142,9 +142,9 @@
 impl ScaleOutSelector<'_> {
     /// Chooses the first pool with wanted machines, but prefers pools other than that of the last
     /// request. Ordinary machines come before spot machines, because more work may use them. Pools
-    /// alternate because calls are rate limited: otherwise single ordinary machines delayed hundreds
-    /// of spot machines by half a minute. Choosing the largest request first delayed the machines of
-    /// gangs.
+    /// alternate because calls are rate limited: otherwise, requests for single ordinary machines delay
+    /// hundreds of spot machines by half a minute. Choosing the largest request first would delay the
+    /// machines of gangs.
     fn choose(&self) -> Option<ScaleOutChoice> {
         let mut repeated = None;
         for (pool, &wanted) in &self.leader.fleet.targets.wanted {
--- a/crates/controller/src/autoscaling/zonal_demand.rs
+++ b/crates/controller/src/autoscaling/zonal_demand.rs
@@ -1,6 +1,6 @@
 //! Zonal demand: requests machines for work that is bound to zones in the zones where it may run.
-//! Without this, machines for a job bound to one zone were requested in the zone with the fewest
-//! machines, stayed idle, were scaled in and requested there again, without end.
+//! Otherwise, machines for a job bound to one zone would be requested in the zone with the fewest
+//! machines, scaled in while idle, and requested there again, without end.
 
 use crate::autoscaling::fleet::{Fleet, MachinePool, ZonalMachineType, ZonalPool};
 use crate::messages::Time;
@@ -31,7 +31,7 @@
     }
 
     /// Returns the number of machines available to a job; spot machines count only if the job may use
-    /// them. Gangs for which unusable spot machines were counted waited forever.
+    /// them. Otherwise, a gang that may not use spot machines could wait for them forever.
     fn count(&self, machine_type: &str, zone: &str, spot: bool) -> u32 {
         let count = |spot| self.0.get(&CapacityKey { machine_type, zone, spot }).copied().unwrap_or(0);
         count(false) + if spot { count(true) } else { 0 }
@@ -240,7 +240,7 @@
     }
 
     /// Keeps idle machines for a gang whose other machines are missing. Otherwise, where the cloud
-    /// refused the missing ones, the idle machines were scaled in and requested again without end.
+    /// refuses the missing ones, the idle machines would be scaled in and requested again without end.
     pub fn keep_idle(&mut self, request: &CapacityRequest) {
         let mut tasks_left = request.tasks;
         for PoolOption { pool, tasks_per_machine, .. } in request.pools {
@@ -255,9 +255,9 @@
     }
 
     /// Assembles in one zone the machines of a gang that must run in a single zone but has not chosen
-    /// one yet. When machines were requested evenly in all zones, those of a large gang stayed idle,
-    /// were scaled in and were requested again without end. Returns the number of tasks for which
-    /// machines have yet to become idle, or None if there is no pool or zone.
+    /// one yet. If they were requested evenly in all zones, the machines of a large gang would be
+    /// scaled in while idle and requested again without end. Returns the number of tasks whose machines
+    /// are not idle yet, or None if there is no pool or zone.
     pub fn assemble_gang(&mut self, request: &CapacityRequest) -> Option<f64> {
         let spot = request.job.spot;
         let PoolOption { pool, tasks_per_machine, .. } = request.pools.first()?;
@@ -271,8 +271,8 @@
         let use_spot = spot && self.fleet.is_zone_available(self.now, &spot_pool, zone);
         let location = ZonalPool::new(&MachinePool::new(type_name, use_spot), zone);
         *self.requirements.wanted_in_zone.entry(location).or_insert(0) += machines - taken;
-        // Booting machines are counted among the arriving machines of the pool. When they were also
-        // counted here, too few machines were requested.
+        // Booting machines are counted among the arriving machines of the pool. If they were counted
+        // here as well, too few machines would be requested.
         let taken_idle = self.idle.take(type_name, zone, spot, machines);
         Some(f64::from(machines - taken_idle) * tasks_per_machine)
     }
--- a/crates/controller/src/model/job.rs
+++ b/crates/controller/src/model/job.rs
@@ -172,8 +172,8 @@
     }
 
     /// Whether the last end or release of `task` is stored, so that its agent may forget an exited
-    /// attempt. Waiting until all changes of the job were stored kept the exited tasks of busy arrays
-    /// in the heartbeats.
+    /// attempt. Waiting until all changes of the job are stored would keep the exited tasks of busy
+    /// arrays in the heartbeats.
     pub fn outcome_stored(&self, task: u32) -> bool {
         self.persistence.outcome_stored(task, self.page_of(task))
     }
--- a/crates/controller/src/model/job/persistence.rs
+++ b/crates/controller/src/model/job/persistence.rs
@@ -109,8 +109,8 @@
 
     /// Returns the dirty pages other than page 0, in the order in which they should be stored: first
     /// those with new placements, because launches wait for them, then, if `all`, the others in round
-    /// robin order. When pages were written by number alone, task ends on the first pages of a huge
-    /// array delayed the placements on its last pages by minutes.
+    /// robin order. If pages were written in the order of their numbers, task ends on the first pages of
+    /// a huge array would delay the placements on its last pages by minutes.
     pub fn pages_due(&self, all: bool) -> Vec<usize> {
         let is_due = |page: &usize| *page > 0 && self.is_page_dirty(*page);
         let mut due: Vec<usize> = self.pages_with_new_placements.iter().copied().filter(is_due).collect();
--- a/crates/controller/src/model/job/record.rs
+++ b/crates/controller/src/model/job/record.rs
@@ -162,8 +162,8 @@
     }
 
     /// Commits the placements on pages that were written before the stored record named the new
-    /// layout. Otherwise, if the response to the write that named the layout was lost, placements on
-    /// other pages were never launched.
+    /// layout. Otherwise, if the response to the write that named the layout is lost, placements on
+    /// other pages would never be launched.
     fn commit_stored_pages(&mut self) {
         for (task, placement) in &mut self.placements {
             let stored = self.persistence.stored_page_mutation(self.page_layout.page_of(*task));
--- a/crates/controller/src/model/machine.rs
+++ b/crates/controller/src/model/machine.rs
@@ -138,8 +138,8 @@
 
     /// Records that a node received a heartbeat at `received_at`. Unless it is an old copy, its response
     /// may have renewed the machine's lease. `check_order` is whether old copies are recognized by
-    /// their position. Replies to direct commands do not count for this order: when heartbeats that a
-    /// reply had overtaken were ignored, tasks were started elsewhere before the lease had expired.
+    /// their position. Replies to direct commands do not count for this order: if heartbeats that a
+    /// reply overtook were ignored, tasks could be started elsewhere before the lease has expired.
     pub fn record_heartbeat(&mut self, position: HeartbeatPosition, received_at: Time, check_order: bool) {
         if check_order && position <= self.newest_heartbeat_position {
             return;
@@ -152,8 +152,8 @@
     }
 
     /// Records that a node received a heartbeat at `received_at`. Replies to direct commands must not
-    /// be recorded: when they were, a machine that sent no heartbeats was given work as long as tasks
-    /// were cancelled there from time to time.
+    /// be recorded: otherwise, a machine that sends no heartbeats would be given work as long as tasks
+    /// are cancelled there from time to time.
     pub fn record_contact(&mut self, received_at: Time) {
         self.last_heard_at = later_of(self.last_heard_at, received_at);
     }
--- a/crates/controller/src/scheduling/pending_jobs.rs
+++ b/crates/controller/src/scheduling/pending_jobs.rs
@@ -34,8 +34,8 @@
 }
 
 /// Returns the open jobs among `jobs`. Jobs whose team is below its limit come first; within that,
-/// jobs are sorted by falling priority, and ties keep the order of `jobs`. Plans that considered
-/// only the oldest jobs missed urgent new ones when very many jobs were open.
+/// jobs are sorted by falling priority, and ties keep the order of `jobs`. A plan that considered
+/// only the oldest jobs would miss urgent new ones when very many jobs are open.
 pub(super) fn open_jobs<'a>(
     context: &PlanningContext<'a>,
     quotas: &TeamQuotas,
--- a/crates/controller/src/scheduling/running_tasks.rs
+++ b/crates/controller/src/scheduling/running_tasks.rs
@@ -26,8 +26,8 @@
 /// Minimum expected time until a task ends.
 const MIN_REMAINING_S: Time = 0.5;
 
-/// Cost of building the input, in planner steps. When it was not counted, planning for a large
-/// fleet with little pending work used the whole CPU share.
+/// Cost of building the input, in planner steps. If it were not counted, planning for a large fleet
+/// with little pending work would use the whole CPU share.
 const STEPS_PER_MACHINE: u64 = 8;
 const STEPS_PER_PLACEMENT: u64 = 3;
 const STEPS_PER_JOB: u64 = 1;
@@ -212,8 +212,8 @@
 }
 
 /// Whether an overdue job has only just started: no task is done, and none has been running for
-/// longer than a worker lease. Such a job is not preempted. Otherwise the only task that an array
-/// got after minutes of waiting was preempted again and again before it had its image.
+/// longer than a worker lease. Such a job is not preempted. Otherwise, the only task that an array
+/// gets after minutes of waiting could be preempted again and again before it has its image.
 fn is_recent_overdue_start(context: &PlanningContext, job: &Job) -> bool {
     let now = context.now;
     let lease_s = context.controller.settings.params.workers.lease_s;
--- a/crates/controller/src/scheduling/starvation.rs
+++ b/crates/controller/src/scheduling/starvation.rs
@@ -98,8 +98,8 @@
 
     /// Adds the waiting tasks of a job, whose index in the planner's input is `index`.
     pub fn add_demand(&mut self, index: usize, spec: &JobSpec, job: &Job, has_started: bool) {
-        // A job with zone constraints is not divided either: each part would choose its own zone, and
-        // the parts of an array that must run in one zone ran in two.
+        // A job with zone constraints is not divided either: each part would choose its own zone, so
+        // an array that must run in one zone could run in two.
         let indivisible = job.shape == Shape::Gang || job.one_zone || job.max_per_zone.is_some();
         let demand = WaitingDemand {
             groups: self.group_indices(spec),
