--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -86,7 +86,7 @@
         /// The dependency's id.
         id: String,
         /// Whether the archive is read, where the records of terminal jobs are.
-        from_archive: bool,
+        in_archive: bool,
     },
     /// Write of the image locations.
     ImagesWrite {
--- a/crates/controller/src/routing.rs
+++ b/crates/controller/src/routing.rs
@@ -79,8 +79,8 @@
             CallContext::FormatGateRead => self.on_format_gate_read(reply),
             CallContext::FormatRead { token } => self.on_format_read(token, reply),
             CallContext::FormatWrite { token, format } => self.on_format_write(token, format, reply),
-            CallContext::DependencyRead { token, id, from_archive } => {
-                self.on_dependency_read(token, &id, from_archive, reply);
+            CallContext::DependencyRead { token, id, in_archive } => {
+                self.on_dependency_read(token, &id, in_archive, reply);
             }
             CallContext::ImagesWrite { token } => self.on_images_write(token, reply),
             CallContext::ImagesRead { token, part } => self.on_images_read(token, part, reply),
--- a/crates/controller/src/scheduling/job_dependencies.rs
+++ b/crates/controller/src/scheduling/job_dependencies.rs
@@ -173,17 +173,17 @@
         let token = leader.fencing_token;
         for id in leader.dependencies.take_due_reads(now) {
             let request = StoreRequest::Get(job_key(&id));
-            self.call_store(CallContext::DependencyRead { token, id, from_archive: false }, request);
+            self.call_store(CallContext::DependencyRead { token, id, in_archive: false }, request);
         }
     }
 
-    /// Handles the reply to a read of the record of dependency `id`. `from_archive` is whether the
+    /// Handles the reply to a read of the record of dependency `id`. `in_archive` is whether the
     /// record was read from those of ended jobs.
-    pub(crate) fn on_dependency_read(&mut self, token: u64, id: &str, from_archive: bool, reply: StoreReply) {
+    pub(crate) fn on_dependency_read(&mut self, token: u64, id: &str, in_archive: bool, reply: StoreReply) {
         let retry_at = self.now + self.timing.renewal_interval_s * RETRY_INTERVAL_FRACTION;
         let Some(leader) = self.leader_state(token) else { return };
-        if let (StoreReply::Missing(_), false) = (&reply, from_archive) {
-            let context = CallContext::DependencyRead { token, id: id.to_string(), from_archive: true };
+        if let (StoreReply::Missing(_), false) = (&reply, in_archive) {
+            let context = CallContext::DependencyRead { token, id: id.to_string(), in_archive: true };
             self.call_store(context, StoreRequest::Get(over_key(id)));
             return;
         }
--- a/crates/controller/src/scheduling/planner_input.rs
+++ b/crates/controller/src/scheduling/planner_input.rs
@@ -185,7 +185,7 @@
     pub machine_names: Vec<String>,
     /// Ids of the jobs, by job index. A job that is planned in two parts appears twice.
     pub job_ids: Vec<String>,
-    /// Tasks that may be preempted, indexed by `PreemptionCandidate::owner`.
+    /// Tasks that may be preempted; preemption candidates refer to them by index.
     pub preemptible_tasks: Vec<PlacedTask>,
     /// Classes and teams that are starved.
     pub starved_groups: StarvedGroups,
--- a/crates/controller/src/scheduling/running_tasks.rs
+++ b/crates/controller/src/scheduling/running_tasks.rs
@@ -46,7 +46,7 @@
 
 /// Summary of all placed tasks.
 pub(super) struct RunningTasks<'a> {
-    /// Tasks that may be preempted, indexed by `PreemptionCandidate::owner`.
+    /// Tasks that may be preempted; preemption candidates refer to them by index.
     pub preemptible_tasks: Vec<PlacedTask>,
     /// Machines that run work other than best-effort work.
     pub non_best_effort_machines: HashSet<&'a str>,
--- a/crates/controller/src/scheduling/starvation.rs
+++ b/crates/controller/src/scheduling/starvation.rs
@@ -3,7 +3,7 @@
 
 use crate::scheduling::pricing::resources_per_task;
 use planner::starvation::{
-    guaranteed_tasks, overdue_tasks, reservation_expiry, starved_groups, StarvationPolicy, WaitingDemand,
+    guaranteed_tasks, overdue_tasks, reservation_expiry, starving_groups, StarvationPolicy, WaitingDemand,
 };
 use planner::{Job, Resources, RunningTask, Shape};
 use protocol::job::JobSpec;
@@ -116,7 +116,7 @@
     /// Gives precedence in the plan to overdue jobs and to jobs of starved groups. If that applies to
     /// only some tasks of a job, these become a separate job with the same id.
     pub fn apply(&mut self, now: f64, ids: &mut Vec<String>, jobs: &mut Vec<Job>) -> StarvedGroups {
-        let starved = starved_groups(now, &self.policy, &self.held_shares, &self.demands);
+        let starved = starving_groups(now, &self.policy, &self.held_shares, &self.demands);
         let mut prioritized_tasks = overdue_tasks(now, &self.policy, &self.demands);
         self.reserve_for_overdue(&prioritized_tasks, jobs);
         if starved.contains(&true) {
@@ -189,8 +189,8 @@
         self.groups.iter().any(|group| group.contains(spec))
     }
 
-    /// Protects the groups' running tasks from preemption. `spec` returns the specification of the
-    /// job to which a `PreemptionCandidate::owner` belongs.
+    /// Protects the groups' running tasks from preemption. `spec` returns the specification of the job
+    /// of a preemption candidate, given the index of its task.
     pub fn protect_from_preemption<'a>(
         &self,
         tasks: impl Iterator<Item = &'a mut RunningTask>,
--- a/crates/planner/src/starvation.rs
+++ b/crates/planner/src/starvation.rs
@@ -52,7 +52,7 @@
 }
 
 /// For each group whether it is starving, given the share of all machines that it holds.
-pub fn starved_groups(
+pub fn starving_groups(
     now: f64,
     policy: &StarvationPolicy,
     held_shares: &[f64],
--- a/crates/planner/tests/starvation.rs
+++ b/crates/planner/tests/starvation.rs
@@ -1,7 +1,7 @@
 //! The starvation guard, as pure functions.
 
 use anisecroft_planner::starvation::{
-    guaranteed_tasks, overdue_tasks, starved_groups, StarvationPolicy, WaitingDemand,
+    guaranteed_tasks, overdue_tasks, starving_groups, StarvationPolicy, WaitingDemand,
 };
 use proptest::prelude::*;
 
@@ -32,7 +32,7 @@
         demands in prop::collection::vec(demand(), 0..30),
         held_shares in prop::collection::vec(0.0..0.2f64, 6..7),
     ) {
-        let starving = starved_groups(NOW, &POLICY, &held_shares, &demands);
+        let starving = starving_groups(NOW, &POLICY, &held_shares, &demands);
         let granted = guaranteed_tasks(&POLICY, &starving, &held_shares, &demands);
         let granted_share: f64 =
             demands.iter().zip(&granted).map(|(demand, tasks)| demand.share_per_task * *tasks as f64).sum();
