--- a/crates/controller/src/agents/failure_detection.rs
+++ b/crates/controller/src/agents/failure_detection.rs
@@ -111,7 +111,8 @@
             return;
         }
         let machines = leader.cluster.machines.values().filter(|machine| machine.phase == MachinePhase::Up);
-        let heard_by_zone = machines.map(|machine| (machine.zone.as_str(), machine.is_heard(now, &timing)));
+        let heard_by_zone =
+            machines.map(|machine| (machine.zone.as_str(), machine.has_recent_heartbeats(now, &timing)));
         if leader.fleet.zones.update(now, heard_by_zone) {
             let unreachable: Vec<&str> = leader.fleet.zones.unreachable().collect();
             warn!(dark = ?unreachable, "unreachable zones changed");
@@ -279,7 +280,7 @@
             }
             warn!(machine = %id, lease_over = has_lease_expired, "machine declared dead");
             machine.phase = MachinePhase::Terminating;
-            machine.given_up = true;
+            machine.declared_dead = true;
             self.planning.needed = true;
             if has_lease_expired {
                 expired.push(id.clone());
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -259,7 +259,7 @@
 
     /// Restores an earlier leader's knowledge of the images cached on the machines.
     fn recover_cached_images(&mut self, key: &str, record: ImagesRecord, version: u64, now: Time) {
-        self.cluster.learn_cached_images(&record, now);
+        self.cluster.load_cached_images(&record, now);
         if let Some(Ok(part)) = key.strip_prefix(IMAGES_PREFIX).map(str::parse) {
             self.archive.record_stored_images(part, record, version);
         }
