--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -82,12 +82,12 @@
     }
 
     /// The number of machines rented so far, gone ones included.
-    pub fn rented(&self) -> u32 {
+    pub fn rented_count(&self) -> u32 {
         self.next_id - 1
     }
 
     /// The same in one zone.
-    pub fn rented_in(&self, zone: &str) -> usize {
+    pub fn rented_count_in(&self, zone: &str) -> usize {
         self.rented_by_zone.get(zone).copied().unwrap_or(0)
     }
 
--- a/crates/simulation/src/explore/play.rs
+++ b/crates/simulation/src/explore/play.rs
@@ -80,7 +80,7 @@
     let mut finished_at = f64::MAX;
     loop {
         sim.run(sim.now + 1.0);
-        if let Some(violation) = sim.ledger.violations.first() {
+        if let Some(violation) = sim.history.violations.first() {
             return Some(violation.into());
         }
         if sim.faults_injected() < faults && sim.now < script.until_s {
--- a/crates/simulation/src/rules.rs
+++ b/crates/simulation/src/rules.rs
@@ -58,7 +58,7 @@
 
 /// What the users of a run know, and what is true. Times are in simulated seconds.
 #[derive(Default)]
-pub struct Ledger {
+pub struct History {
     /// Jobs by id, submitted or not.
     pub specs: BTreeMap<String, JobSpec>,
     /// Jobs that were submitted.
@@ -86,7 +86,7 @@
     pub cancel_s: f64,
 }
 
-impl Ledger {
+impl History {
     /// Records that a rule was broken.
     pub fn violate(&mut self, rule: Rule, at: f64, what: String) {
         if self.violations.len() < MAX_VIOLATIONS {
--- a/crates/simulation/src/sim.rs
+++ b/crates/simulation/src/sim.rs
@@ -36,7 +36,7 @@
 pub use store_access::UnansweredWrite;
 
 use crate::cloud::Cloud;
-use crate::rules::{Ledger, Rule, Violation};
+use crate::rules::{History, Rule, Violation};
 use crate::state::{Limits, Store};
 use crate::worker::{Launch, TaskKey, TaskPhase, Worker};
 use controller::*;
@@ -57,7 +57,7 @@
     /// Seconds since the start.
     pub now: f64,
     /// What users were told, what really happened, and the rules that broke.
-    pub ledger: Ledger,
+    pub history: History,
     /// Counts and durations of the run so far.
     pub metrics: Metrics,
     /// Machines that a controller deleted, in order.
@@ -65,7 +65,7 @@
     /// Machines that a leader would still give work to, long after they were gone.
     pub usable_after_loss: BTreeSet<String>,
     /// Machines declared dead that held a renewed lease and did not hang.
-    pub declared_dead_alive: BTreeSet<String>,
+    pub wrongly_declared_dead: BTreeSet<String>,
     /// Machines that a controller took for faulty.
     pub quarantined: BTreeSet<String>,
     /// Transactions that were carried out while their sender got no answer.
@@ -155,11 +155,11 @@
             }
             self.now = at;
             self.handle(event);
-            if !self.ledger.violations.is_empty() {
+            if !self.history.violations.is_empty() {
                 break;
             }
         }
-        &self.ledger.violations
+        &self.history.violations
     }
 
     /// Has `event` happen at `at`, or now if that is over.
--- a/crates/simulation/src/sim/inspection.rs
+++ b/crates/simulation/src/sim/inspection.rs
@@ -21,18 +21,18 @@
     }
 
     /// The number of workers that accepted a response within the last `within_s` seconds.
-    pub fn workers_answered(&self, within_s: f64) -> usize {
+    pub fn recently_answered_workers(&self, within_s: f64) -> usize {
         self.responded_at.values().filter(|at| self.now - **at < within_s).count()
     }
 
     /// The number of machines rented so far, gone ones included.
-    pub fn rented(&self) -> u32 {
-        self.cloud.rented()
+    pub fn rented_count(&self) -> u32 {
+        self.cloud.rented_count()
     }
 
     /// The same in one zone.
-    pub fn rented_in(&self, zone: &str) -> usize {
-        self.cloud.rented_in(zone)
+    pub fn rented_count_in(&self, zone: &str) -> usize {
+        self.cloud.rented_count_in(zone)
     }
 
     /// The number of machines that there are.
@@ -51,7 +51,7 @@
         let mut used = BTreeMap::new();
         for (key, task) in self.workers.values().flat_map(|worker| &worker.tasks) {
             if task.on_machine() {
-                let spec = &self.ledger.specs[&key.job];
+                let spec = &self.history.specs[&key.job];
                 *used.entry(spec.team.clone()).or_insert(0.0) += spec.accelerators;
             }
         }
@@ -74,7 +74,7 @@
     }
 
     /// From now on the run is judged by these settings, whatever the controllers were given.
-    pub fn judge_by(&mut self, settings: Settings) {
+    pub fn check_against(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
@@ -84,25 +84,26 @@
     }
 
     /// From now on the cloud serves no more calls a second than the settings name.
-    pub fn limit_cloud(&mut self) {
+    pub fn limit_cloud_rate(&mut self) {
         self.cloud.limit_rate(self.settings.params.cloud.rps, self.now);
     }
 
     /// The number of calls that the cloud refused for that.
-    pub fn refused_by_cloud(&self) -> u64 {
+    pub fn refused_cloud_calls(&self) -> u64 {
         self.cloud.refused
     }
 
     /// Whether users were told of every submitted job that it is over.
     pub fn all_finished(&self) -> bool {
-        self.users.keys().all(|job| self.ledger.finished.contains_key(job))
+        self.users.keys().all(|job| self.history.finished.contains_key(job))
     }
 
     /// Accepted jobs that should be over by now and are not.
     pub fn unfinished(&self) -> Vec<String> {
-        let ends = |job: &String| self.ledger.specs[job].shape != Shape::Service;
-        let is_over = |job: &String| self.ledger.last_status.get(job).is_some_and(|status| status.is_final());
-        let accepted = self.ledger.accepted.iter();
+        let ends = |job: &String| self.history.specs[job].shape != Shape::Service;
+        let is_over =
+            |job: &String| self.history.last_status.get(job).is_some_and(|status| status.is_final());
+        let accepted = self.history.accepted.iter();
         accepted.filter(|job| ends(job) && !is_over(job)).cloned().collect()
     }
 }
--- a/crates/simulation/src/sim/invariants.rs
+++ b/crates/simulation/src/sim/invariants.rs
@@ -19,23 +19,23 @@
         let mut others = self.workers.iter().filter(|(id, _)| *id != machine);
         let elsewhere = others.find(|(_, worker)| runs(worker)).map(|(id, _)| id.clone());
         if let Some(other) = elsewhere {
-            self.ledger.violate(Rule::RanTwice, now, format!("{key:?} on {machine} and {other}"));
+            self.history.violate(Rule::RanTwice, now, format!("{key:?} on {machine} and {other}"));
         }
-        let dependencies = &self.ledger.specs[&key.job].dependencies;
-        let missing = dependencies.iter().find(|job| !self.ledger.is_done(job)).cloned();
+        let dependencies = &self.history.specs[&key.job].dependencies;
+        let missing = dependencies.iter().find(|job| !self.history.is_done(job)).cloned();
         if let Some(job) = missing {
-            self.ledger.violate(Rule::TooEarly, now, format!("{key:?} before {job}"));
+            self.history.violate(Rule::TooEarly, now, format!("{key:?} before {job}"));
         }
         if !self.may_run_on(machine, &key.job) {
             let zone = &self.workers[machine].machine.zone;
             let what = format!("{key:?} on {machine} in {zone}");
-            self.ledger.violate(Rule::WrongPlace, now, what);
+            self.history.violate(Rule::WrongPlace, now, what);
         }
     }
 
     /// Whether a job's task may run there: type, zone, kind, and the zones of its other tasks.
     fn may_run_on(&self, machine: &str, job: &str) -> bool {
-        let spec = &self.ledger.specs[job];
+        let spec = &self.history.specs[job];
         let listed = &self.workers[machine].machine;
         if !is_eligible(spec, listed) {
             return false;
@@ -69,25 +69,25 @@
         let mut overdue = Vec::new();
         for worker in self.workers.values() {
             for (key, _) in worker.tasks.iter().filter(|(_, task)| task.on_machine()) {
-                if self.ledger.cancelled_at.get(&key.job).is_some_and(|at| now - at > cancel_s) {
+                if self.history.cancelled_at.get(&key.job).is_some_and(|at| now - at > cancel_s) {
                     overdue.push(format!("{key:?} on {}", worker.machine.id));
                 }
             }
         }
         for what in overdue {
-            self.ledger.violate(Rule::RanCancelled, now, what);
+            self.history.violate(Rule::RanCancelled, now, what);
         }
     }
 
     fn check_unanswered(&mut self) {
         let now = self.now;
         let is_unanswered = |job: &&String| {
-            let answered_at = self.ledger.answered_at.get(*job).copied().unwrap_or(0.0);
+            let answered_at = self.history.answered_at.get(*job).copied().unwrap_or(0.0);
             now - answered_at.max(self.faults_end) > MAX_UNANSWERED_S
         };
-        let forgotten: Vec<String> = self.ledger.accepted.iter().filter(is_unanswered).cloned().collect();
+        let forgotten: Vec<String> = self.history.accepted.iter().filter(is_unanswered).cloned().collect();
         for job in forgotten {
-            self.ledger.violate(Rule::Forgotten, now, format!("{job} is not answered"));
+            self.history.violate(Rule::Forgotten, now, format!("{job} is not answered"));
         }
     }
 
@@ -97,7 +97,7 @@
             let in_use = used.get(&team.name).copied().unwrap_or(0.0);
             let limit = team.accelerators_max;
             if limit > 0.0 && in_use > limit + ACCELERATOR_TOLERANCE {
-                self.ledger.violate(Rule::Quota, self.now, format!("{} uses {in_use}", team.name));
+                self.history.violate(Rule::Quota, self.now, format!("{} uses {in_use}", team.name));
             }
         }
     }
--- a/crates/simulation/src/sim/queries.rs
+++ b/crates/simulation/src/sim/queries.rs
@@ -82,7 +82,7 @@
         if let Some(user) = self.users.get_mut(job) {
             user.cancel_at = Some(self.now + after_s);
         }
-        self.ledger.cancel_requested.insert(job.to_string());
+        self.history.cancel_requested.insert(job.to_string());
         self.query(job, node, after_s, Request::Cancel(job.to_string()));
     }
 
@@ -90,10 +90,10 @@
     /// may make it ask everywhere.
     pub(super) fn record_status(&mut self, job: &str, sent_at: f64, status: Option<JobStatus>) {
         let is_known =
-            |ledger: &Ledger| (ledger.accepted_at.contains_key(job), ledger.finished.contains_key(job));
-        let before = is_known(&self.ledger);
-        self.ledger.record_status(self.now, sent_at, job, status);
-        if is_known(&self.ledger) != before && self.now < self.queries.concurrent_until {
+            |history: &History| (history.accepted_at.contains_key(job), history.finished.contains_key(job));
+        let before = is_known(&self.history);
+        self.history.record_status(self.now, sent_at, job, status);
+        if is_known(&self.history) != before && self.now < self.queries.concurrent_until {
             let newly_accepted = before == (false, false);
             self.query_all_nodes(job, newly_accepted);
         }
@@ -104,7 +104,7 @@
             self.queries.counts.cancelled_at_acceptance += 1;
             self.cancel_job(job, 0.0);
         }
-        let spec = protocol::encode(&self.ledger.specs[job]);
+        let spec = protocol::encode(&self.history.specs[job]);
         for node in 0..self.nodes.len() {
             for _ in 0..2 {
                 let request = if self.rng.gen_bool(0.4) {
@@ -133,9 +133,9 @@
                 }
             }
             404 => self.record_status(&job, query.sent_at, None),
-            400 | 422 if self.ledger.accepted.contains(&job) => {
+            400 | 422 if self.history.accepted.contains(&job) => {
                 let what = format!("{job} got {}", response.status);
-                self.ledger.violate(Rule::Forgotten, self.now, what);
+                self.history.violate(Rule::Forgotten, self.now, what);
             }
             _ => {}
         }
@@ -143,7 +143,7 @@
 
     fn invalid_answered(&mut self, job: String, status: u16) {
         match status {
-            200 | 201 => self.ledger.violate(Rule::Unfit, self.now, job),
+            200 | 201 => self.history.violate(Rule::Unfit, self.now, job),
             400 | 422 => self.queries.counts.invalid_refused += 1,
             _ => {}
         }
@@ -190,8 +190,8 @@
         for (machine, worker) in &self.workers {
             for (key, task) in &worker.tasks {
                 let long = matches!(task.phase, TaskPhase::Running { until } if until > earliest);
-                let accepted = self.ledger.accepted.contains(&key.job);
-                if long && accepted && !self.ledger.cancel_requested.contains(&key.job) {
+                let accepted = self.history.accepted.contains(&key.job);
+                if long && accepted && !self.history.cancel_requested.contains(&key.job) {
                     running.push(RunningTask { job: key.job.clone(), machine: machine.clone() });
                 }
             }
@@ -201,9 +201,9 @@
 
     /// Users cancel every accepted job that is not known to be over.
     pub(super) fn cancel_all(&mut self) {
-        let statuses = &self.ledger.last_status;
+        let statuses = &self.history.last_status;
         let is_over = |job: &&String| statuses.get(*job).is_some_and(|status| status.is_final());
-        let open = self.ledger.accepted.iter().filter(|job| !is_over(job));
+        let open = self.history.accepted.iter().filter(|job| !is_over(job));
         for job in open.cloned().collect::<Vec<_>>() {
             self.cancel_job(&job, 0.0);
         }
@@ -211,8 +211,8 @@
 
     /// Users ask for every job that was submitted at every node, and repeat their submissions.
     pub(super) fn query_all_jobs(&mut self) {
-        for job in self.ledger.submitted.iter().cloned().collect::<Vec<_>>() {
-            let again = Request::Submit(protocol::encode(&self.ledger.specs[&job]));
+        for job in self.history.submitted.iter().cloned().collect::<Vec<_>>() {
+            let again = Request::Submit(protocol::encode(&self.history.specs[&job]));
             for node in 0..self.nodes.len() {
                 self.query(&job, node, 0.0, Request::QueryStatus(job.clone()));
                 self.query(&job, node, 0.0, again.clone());
@@ -226,8 +226,8 @@
             return;
         }
         let node = self.rng.gen_range(0..self.nodes.len());
-        let spec = self.ledger.specs[job].clone();
-        match self.ledger.last_status.get(job) {
+        let spec = self.history.specs[job].clone();
+        match self.history.last_status.get(job) {
             Some(JobStatus::Done) => self.query(job, node, 0.0, Request::Cancel(job.to_string())),
             Some(_) => self.query(job, node, 0.0, Request::Submit(protocol::encode(&spec))),
             None => {}
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -70,7 +70,7 @@
         for Submission { at, spec, cancel_at } in setup.jobs {
             let job = spec.id.clone();
             sim.users.insert(job.clone(), User::new(cancel_at));
-            sim.ledger.specs.insert(job.clone(), spec);
+            sim.history.specs.insert(job.clone(), spec);
             sim.schedule(at, Event::UserTurn(job));
         }
         for ScheduledFault { at, fault } in setup.faults {
@@ -91,11 +91,11 @@
         let no_write = |node| CallKey { node, incarnation: 0, call: 0 };
         Simulation {
             now: 0.0,
-            ledger: Ledger { cancel_s: params.workers.cancel_s, ..Ledger::default() },
+            history: History { cancel_s: params.workers.cancel_s, ..History::default() },
             metrics: Metrics::default(),
             deleted: Vec::new(),
             usable_after_loss: BTreeSet::new(),
-            declared_dead_alive: BTreeSet::new(),
+            wrongly_declared_dead: BTreeSet::new(),
             quarantined: BTreeSet::new(),
             unanswered_writes: Vec::new(),
             late_starts: Vec::new(),
--- a/crates/simulation/src/sim/tasks.rs
+++ b/crates/simulation/src/sim/tasks.rs
@@ -68,7 +68,7 @@
                     TaskPhase::Fetching { until } if now >= *until => {
                         progress.arrived.push(ArrivedTask { task: key.clone(), machine: machine.clone() });
                         let fails = worker.faulty || self.failing_jobs.contains(&key.job);
-                        if self.ledger.has_completed(key) {
+                        if self.history.has_completed(key) {
                             TaskPhase::Exited(ExitCause::Done)
                         } else if fails {
                             self.metrics.task_failures += 1;
@@ -104,7 +104,7 @@
         }
         self.metrics.task_starts += 1;
         self.check_start(&machine, &task);
-        if self.ledger.cancelled_at.contains_key(&task.job) {
+        if self.history.cancelled_at.contains_key(&task.job) {
             self.late_starts.push(LateStart { at: self.now, task, machine });
         }
     }
@@ -112,13 +112,13 @@
     /// A gang completes together, each task of another job by itself.
     fn task_finishes(&mut self, finished: &FinishedTask) {
         let job = &finished.task.job;
-        let spec = &self.ledger.specs[job];
+        let spec = &self.history.specs[job];
         let is_gang = spec.shape == Shape::Gang;
         let tasks = spec.tasks;
-        let completed = self.ledger.completed.entry(job.clone()).or_default();
+        let completed = self.history.completed.entry(job.clone()).or_default();
         if !is_gang {
             let is_new = completed.insert(finished.task.index);
-            if is_new && self.ledger.is_done(job) {
+            if is_new && self.history.is_done(job) {
                 self.cancel_at_completion(job);
             }
             return;
@@ -174,7 +174,7 @@
     fn attempt_changes(&mut self) -> AttemptChanges {
         let mut changes = AttemptChanges::default();
         for ((job, attempt), members) in attempt_members(&self.workers, self.now) {
-            let spec = &self.ledger.specs[job];
+            let spec = &self.history.specs[job];
             let is_gang = spec.shape == Shape::Gang;
             let drawn_s = spec.estimated_run_s * self.rng.gen_range(0.5..1.6);
             // A service never ends by itself.
--- a/crates/simulation/src/sim/users.rs
+++ b/crates/simulation/src/sim/users.rs
@@ -67,20 +67,20 @@
 
     /// The jobs of a pipeline are submitted one after another.
     fn dependencies_accepted(&self, job: &str) -> bool {
-        let accepted = &self.ledger.accepted;
-        let mut dependencies = self.ledger.specs[job].dependencies.iter();
+        let accepted = &self.history.accepted;
+        let mut dependencies = self.history.specs[job].dependencies.iter();
         accepted.contains(job) || dependencies.all(|dependency| accepted.contains(dependency))
     }
 
     /// What the user of a job asks for next.
     fn next_request(&mut self, job: &str) -> Request {
-        let spec = &self.ledger.specs[job];
+        let spec = &self.history.specs[job];
         let cancel_at = self.users.get(job).and_then(|user| user.cancel_at);
-        if !self.ledger.accepted.contains(job) {
-            self.ledger.submitted.insert(job.to_string());
+        if !self.history.accepted.contains(job) {
+            self.history.submitted.insert(job.to_string());
             Request::Submit(protocol::encode(spec))
         } else if cancel_at.is_some_and(|cancel_at| self.now >= cancel_at) {
-            self.ledger.cancel_requested.insert(job.to_string());
+            self.history.cancel_requested.insert(job.to_string());
             Request::Cancel(job.to_string())
         } else if self.rng.gen_bool(0.1) {
             // A repeated submission, which may come at any time.
@@ -108,7 +108,7 @@
             return self.query_answered(number, response);
         }
         if number == UNSUBMITTED && response.status == 200 {
-            self.ledger.violate(Rule::Invented, now, job.to_string());
+            self.history.violate(Rule::Invented, now, job.to_string());
         }
         let Some(user) = self.users.get_mut(job).filter(|user| user.waits_for(number)) else { return };
         user.waiting = false;
@@ -134,8 +134,8 @@
     }
 
     fn job_refused(&mut self, job: &str, status: u16) {
-        if self.ledger.accepted.contains(job) {
-            self.ledger.violate(Rule::Forgotten, self.now, format!("{job} got {status}"));
+        if self.history.accepted.contains(job) {
+            self.history.violate(Rule::Forgotten, self.now, format!("{job} got {status}"));
         } else if let Some(user) = self.users.get_mut(job) {
             user.refused = true;
         }
@@ -152,8 +152,8 @@
     /// judged.
     pub fn submit(&mut self, node: usize, spec: JobSpec) -> HttpResponse {
         let body = protocol::encode(&spec);
-        self.ledger.submitted.insert(spec.id.clone());
-        self.ledger.specs.insert(spec.id.clone(), spec);
+        self.history.submitted.insert(spec.id.clone());
+        self.history.specs.insert(spec.id.clone(), spec);
         self.request_and_wait(node, Request::Submit(body))
     }
 
--- a/crates/simulation/src/sim/work_conservation.rs
+++ b/crates/simulation/src/sim/work_conservation.rs
@@ -30,7 +30,7 @@
         for job in waiting {
             let since = *self.waiting_jobs.since.entry(job.clone()).or_insert(now);
             if now - since > MAX_WAIT_BESIDE_CAPACITY_S {
-                self.ledger.violate(Rule::LeftWaiting, now, format!("{job} since {since}"));
+                self.history.violate(Rule::LeftWaiting, now, format!("{job} since {since}"));
             }
         }
     }
@@ -41,24 +41,24 @@
         let active: BTreeSet<&String> =
             tasks.filter(|(_, task)| !task.has_exited()).map(|(key, _)| &key.job).collect();
         let waits = |job: &&String| {
-            !active.contains(job) && !self.never_runs(job) && self.has_capacity(&self.ledger.specs[*job])
+            !active.contains(job) && !self.never_runs(job) && self.has_capacity(&self.history.specs[*job])
         };
-        self.ledger.accepted.iter().filter(waits).cloned().collect()
+        self.history.accepted.iter().filter(waits).cloned().collect()
     }
 
     /// Whether nothing of a job will run any more: it is done, fails everywhere, or it or one that it
     /// depends on is being cancelled.
     fn never_runs(&self, job: &str) -> bool {
-        let mut lineage = self.ledger.with_dependencies(job).into_iter();
-        lineage.any(|job| self.ledger.cancel_requested.contains(job))
-            || self.ledger.is_done(job)
+        let mut lineage = self.history.with_dependencies(job).into_iter();
+        lineage.any(|job| self.history.cancel_requested.contains(job))
+            || self.history.is_done(job)
             || self.failing_jobs.contains(job)
     }
 
     /// Whether a job could begin now: its dependencies are done, its team is under its limit, and
     /// machines that fit have room.
     fn has_capacity(&self, spec: &JobSpec) -> bool {
-        if !spec.dependencies.iter().all(|job| self.ledger.is_done(job)) {
+        if !spec.dependencies.iter().all(|job| self.history.is_done(job)) {
             return false;
         }
         let at_once = if spec.shape == Shape::Array { 1 } else { spec.tasks };
@@ -94,7 +94,7 @@
         }
         let mut free = [machine_type.cores, machine_type.accelerators, machine_type.memory_gb];
         for (key, _) in worker.tasks.iter().filter(|(_, task)| !task.has_exited()) {
-            let taken = &self.ledger.specs[&key.job];
+            let taken = &self.history.specs[&key.job];
             free = [free[0] - taken.cores, free[1] - taken.accelerators, free[2] - taken.memory_gb];
         }
         let needed = [spec.cores, spec.accelerators, spec.memory_gb];
--- a/crates/simulation/src/sim/workers.rs
+++ b/crates/simulation/src/sim/workers.rs
@@ -164,7 +164,7 @@
 
     /// What launching a task of a job takes, if there is such a job.
     fn draw_launch(&mut self, job: &str) -> Option<Launch> {
-        let submitted = self.ledger.submitted.contains(job);
+        let submitted = self.history.submitted.contains(job);
         submitted.then(|| Launch { fetch_s: self.rng.gen_range(0.5..4.0) })
     }
 
--- a/crates/simulation/src/sim/world.rs
+++ b/crates/simulation/src/sim/world.rs
@@ -64,7 +64,7 @@
                 let fencing_token = controller.token().unwrap_or(0);
                 let verdict = DeathVerdict { node: n, fencing_token, machine: id.to_string() };
                 if self.judged.insert(verdict) && is_alive(id) {
-                    self.declared_dead_alive.insert(id.to_string());
+                    self.wrongly_declared_dead.insert(id.to_string());
                 }
             }
         }
--- a/crates/simulation/tests/cancellation.rs
+++ b/crates/simulation/tests/cancellation.rs
@@ -390,7 +390,7 @@
         let (mut steps, change) = (way(n, duration_s), at + after);
         let leader = sim.leader().unwrap_or(0);
         let back = if seed / WAYS as u64 % 2 == 0 { 0.2 } else { 9.0 };
-        let told = sim.ledger.cancelled_at.len();
+        let told = sim.history.cancelled_at.len();
         if after < 0.0 {
             sim.run(at - after);
         }
@@ -406,8 +406,8 @@
             steps.drain(..).for_each(|f| sim.inject(f));
         }
         sim.run(at + 20.0);
-        shown.told += sim.ledger.cancelled_at.len() - told;
-        assert_eq!(sim.ledger.violations, [], "{what}");
+        shown.told += sim.history.cancelled_at.len() - told;
+        assert_eq!(sim.history.violations, [], "{what}");
     }
     assert_eq!(sim.run(700.0), [], "{what}");
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "{what}");
--- a/crates/simulation/tests/combined_faults.rs
+++ b/crates/simulation/tests/combined_faults.rs
@@ -34,7 +34,7 @@
 
 /// The number of cancellations that users were told of since `at`.
 fn told_since(sim: &Simulation, at: f64) -> usize {
-    sim.ledger.cancelled_at.values().filter(|t| **t >= at).count()
+    sim.history.cancelled_at.values().filter(|t| **t >= at).count()
 }
 
 /// The store refuses the leader alone, other controllers confirm cancellations, a successor is
@@ -60,8 +60,8 @@
 fn successor_without_recovery_renews_no_lease() {
     for seed in 0..8 {
         let sim = unread_takeover(seed, SafetyChecks::default());
-        assert_eq!(sim.ledger.violations, [], "seed {seed}");
-        assert!(sim.ledger.cancelled_at.len() >= 15, "seed {seed}: {}", sim.ledger.cancelled_at.len());
+        assert_eq!(sim.history.violations, [], "seed {seed}");
+        assert!(sim.history.cancelled_at.len() >= 15, "seed {seed}: {}", sim.history.cancelled_at.len());
     }
 }
 
@@ -70,7 +70,7 @@
 #[test]
 fn without_response_grace_an_unrecovered_successor_keeps_cancelled_tasks() {
     let checks = SafetyChecks { response_grace: false, ..SafetyChecks::default() };
-    let broken = |seed| unread_takeover(seed, checks).ledger.violations;
+    let broken = |seed| unread_takeover(seed, checks).history.violations;
     assert!((0..8).any(|seed| broken(seed).iter().any(|b| b.rule == Rule::RanCancelled)));
 }
 
@@ -248,7 +248,7 @@
             sim.run(at + apart + 2.5);
             sim.inject(Fault::StoreOutage { duration_s: duration_s.max(45.0) });
         }
-        assert_eq!(sim.ledger.violations, [], "{what}");
+        assert_eq!(sim.history.violations, [], "{what}");
     }
     assert_eq!(sim.run(1000.0), [], "{what}");
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "{what}");
@@ -319,7 +319,7 @@
 #[test]
 fn tasks_cancelled_before_an_outage_end_in_time() {
     for seed in 0..6 {
-        assert_eq!(gap(seed, SafetyChecks::default()).ledger.violations, [], "seed {seed}");
+        assert_eq!(gap(seed, SafetyChecks::default()).history.violations, [], "seed {seed}");
     }
 }
 
@@ -327,7 +327,7 @@
 fn without_response_grace_tasks_cancelled_before_an_outage_stay() {
     let checks = SafetyChecks { response_grace: false, ..SafetyChecks::default() };
     assert!((0..6).any(|seed| gap(seed, checks)
-        .ledger
+        .history
         .violations
         .iter()
         .any(|b| b.rule == Rule::RanCancelled)));
--- a/crates/simulation/tests/common/mod.rs
+++ b/crates/simulation/tests/common/mod.rs
@@ -238,7 +238,7 @@
 /// Runs until `done` holds, for `max_s` seconds at most. Whether it does.
 pub fn run_until(sim: &mut Simulation, max_s: f64, done: impl Fn(&Simulation) -> bool) -> bool {
     let end = sim.now + max_s;
-    while sim.now < end && sim.ledger.violations.is_empty() {
+    while sim.now < end && sim.history.violations.is_empty() {
         if done(sim) {
             return true;
         }
--- a/crates/simulation/tests/digests.rs
+++ b/crates/simulation/tests/digests.rs
@@ -278,7 +278,7 @@
 /// A day's line. A day that breaks a rule is none to compare with.
 fn line(day: &Day) -> String {
     let sim = (day.play)();
-    assert_eq!(sim.ledger.violations, [], "{}", day.name);
+    assert_eq!(sim.history.violations, [], "{}", day.name);
     let digest = sim.digest().expect("it was taken");
     assert!(digest.messages > 1000, "{}: {} messages", day.name, digest.messages);
     format!("{} {} {:016x}", day.name, digest.messages, digest.value)
--- a/crates/simulation/tests/explorer.rs
+++ b/crates/simulation/tests/explorer.rs
@@ -111,7 +111,7 @@
                 sim.metrics.heartbeats,
                 sim.metrics.forward_bytes,
                 sim.store().revision,
-                sim.ledger.last_status,
+                sim.history.last_status,
             )
         };
         let quiet = run(None);
--- a/crates/simulation/tests/explorer_regressions.rs
+++ b/crates/simulation/tests/explorer_regressions.rs
@@ -22,10 +22,10 @@
             sim.metrics.task_starts > 0 && !sim.unfinished().is_empty(),
             "seed {seed}: it is not running"
         );
-        let rented = sim.rented();
+        let rented = sim.rented_count();
         (0..2).for_each(|machine| sim.inject(Fault::MachineLost { machine }));
         assert_eq!(sim.run(160.0), [], "seed {seed}");
-        assert!(sim.rented() > rented, "seed {seed}: nothing was rented for what is left");
+        assert!(sim.rented_count() > rented, "seed {seed}: nothing was rented for what is left");
         assert_eq!(sim.run(480.0), [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
--- a/crates/simulation/tests/failover.rs
+++ b/crates/simulation/tests/failover.rs
@@ -191,7 +191,7 @@
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "{what}");
     let mut shown =
         Shown { copies: sim.replayed_heartbeats(), late_starts: sim.late_starts.len(), ..Shown::default() };
-    for told in sim.ledger.cancelled_at.values() {
+    for told in sim.history.cancelled_at.values() {
         let second = told - (CHANGE - BEFORE);
         if (0.0..19.0).contains(&second) {
             shown.seconds[second as usize] += 1;
@@ -235,7 +235,7 @@
         if n == 4 && seed % 2 == 1 {
             sim.inject(Fault::StoreOutage { duration_s: 44.0 });
         }
-        assert_eq!(sim.ledger.violations, [], "{what}");
+        assert_eq!(sim.history.violations, [], "{what}");
     }
     assert_eq!(sim.run(600.0), [], "{what}");
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "{what}");
--- a/crates/simulation/tests/failure_detection.rs
+++ b/crates/simulation/tests/failure_detection.rs
@@ -68,13 +68,13 @@
         if crash {
             sim.inject(Fault::ControllerCrash { node: [0, 2][seed as usize % 2], duration_s: 3.0 });
         }
-        let rented = sim.rented_in(zone);
+        let rented = sim.rented_count_in(zone);
         assert_eq!(sim.run(150.0), [], "seed {seed}");
-        assert_eq!(sim.rented_in(zone), rented, "seed {seed}: rented in zone {zone}");
+        assert_eq!(sim.rented_count_in(zone), rented, "seed {seed}: rented in zone {zone}");
         assert_eq!(sim.run(260.0), [], "seed {seed}");
         assert_eq!(&sim.deleted[deleted..], [], "seed {seed}");
         assert!(sim.metrics.task_starts >= starts + 40, "seed {seed}: its work was placed anew");
-        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
+        assert!(sim.wrongly_declared_dead.is_empty(), "seed {seed}: {:?}", sim.wrongly_declared_dead);
         assert!(sim.unknown_workers().is_empty(), "seed {seed}: {:?}", sim.unknown_workers());
     }
 }
@@ -104,7 +104,7 @@
         let takeover = d.leader_lease_s + d.renewal_interval_s;
         assert_eq!(sim.run(100.0 + away + takeover + report_s * 1.25 + retry), [], "seed {seed}");
         assert!(sim.unknown_workers().is_empty(), "seed {seed}: {:?}", sim.unknown_workers());
-        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
+        assert!(sim.wrongly_declared_dead.is_empty(), "seed {seed}: {:?}", sim.wrongly_declared_dead);
     }
 }
 
@@ -138,7 +138,7 @@
             sim.inject(fault);
         }
         assert_eq!(sim.run(220.0), [], "seed {seed}");
-        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
+        assert!(sim.wrongly_declared_dead.is_empty(), "seed {seed}: {:?}", sim.wrongly_declared_dead);
         assert!(sim.unknown_workers().is_empty(), "seed {seed}: {:?}", sim.unknown_workers());
     }
 }
@@ -156,7 +156,7 @@
             sim.inject(Fault::ControllerCrash { node, duration_s: 4.0 });
         }
         assert_eq!(sim.run(260.0), [], "seed {seed}");
-        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
+        assert!(sim.wrongly_declared_dead.is_empty(), "seed {seed}: {:?}", sim.wrongly_declared_dead);
         assert!(sim.unknown_workers().is_empty(), "seed {seed}: {:?}", sim.unknown_workers());
         if seed % 2 == 0 {
             assert_eq!(sim.deleted, [], "seed {seed}");
@@ -187,7 +187,7 @@
         assert_eq!(sim.run(170.0), [], "seed {seed}");
         assert_ne!(sim.leader(), Some(leader), "seed {seed}");
         assert_eq!(sim.metrics.cloud_calls_by_replaced_leaders, 0, "seed {seed}");
-        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
+        assert!(sim.wrongly_declared_dead.is_empty(), "seed {seed}: {:?}", sim.wrongly_declared_dead);
         if !apart {
             // Views go out that often; one may be lost.
             assert!(
@@ -210,7 +210,7 @@
             sim.inject(Fault::NodePartition { node: 0, store: false, workers: true, duration_s: 40.0 });
         }
         assert_eq!(sim.run(220.0), [], "seed {seed}");
-        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
+        assert!(sim.wrongly_declared_dead.is_empty(), "seed {seed}: {:?}", sim.wrongly_declared_dead);
         assert!(sim.unknown_workers().is_empty(), "seed {seed}: {:?}", sim.unknown_workers());
     }
 }
@@ -245,7 +245,7 @@
         );
         assert_eq!(sim.leader(), leader, "seed {seed}");
         assert_eq!(sim.metrics.task_starts, starts, "seed {seed}: work was lost");
-        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
+        assert!(sim.wrongly_declared_dead.is_empty(), "seed {seed}: {:?}", sim.wrongly_declared_dead);
     }
 }
 
@@ -261,6 +261,6 @@
         }
         assert_ne!(sim.leader(), Some(first), "seed {seed}");
         assert_eq!(sim.run(200.0), [], "seed {seed}");
-        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
+        assert!(sim.wrongly_declared_dead.is_empty(), "seed {seed}: {:?}", sim.wrongly_declared_dead);
     }
 }
--- a/crates/simulation/tests/heartbeat_proxying.rs
+++ b/crates/simulation/tests/heartbeat_proxying.rs
@@ -238,7 +238,7 @@
         assert_eq!(sim.run(f64::from(end) * 5.0), []);
         assert!(sim.machine_count() <= 42, "{} machines for 42 workers' room", sim.machine_count());
     }
-    assert!(sim.rented() >= 40, "{}", sim.rented());
+    assert!(sim.rented_count() >= 40, "{}", sim.rented_count());
 }
 
 /// The only controller that is left takes workers up to its share of sockets; the rest is the
@@ -260,9 +260,9 @@
     // From when the leases of those that found no room are over.
     for end in [130.0, 140.0, 150.0, 159.0] {
         assert_eq!(sim.run(end), []);
-        let answered = sim.workers_answered(5.0);
+        let answered = sim.recently_answered_workers(5.0);
         assert!(answered <= most && answered * 2 > most, "{answered} answered at {end}, {most} at most");
     }
     assert_eq!(sim.run(200.0), []);
-    assert!(sim.workers_answered(5.0) > most, "{}", sim.workers_answered(5.0));
+    assert!(sim.recently_answered_workers(5.0) > most, "{}", sim.recently_answered_workers(5.0));
 }
--- a/crates/simulation/tests/lost_write_responses.rs
+++ b/crates/simulation/tests/lost_write_responses.rs
@@ -522,8 +522,8 @@
         setup.jobs.iter().map(|Submission { at, spec, .. }| (spec.id.clone(), *at)).collect();
     let mut sim = Simulation::new(Setup { nodes, ..setup });
     assert_eq!(sim.run(100.0), [], "seed {seed}");
-    assert_eq!(sim.ledger.accepted.len(), 300, "seed {seed}");
-    sim.ledger.accepted_at.iter().filter(|(id, told)| **told - at[*id] <= 1.0).count()
+    assert_eq!(sim.history.accepted.len(), 300, "seed {seed}");
+    sim.history.accepted_at.iter().filter(|(id, told)| **told - at[*id] <= 1.0).count()
 }
 
 /// With three transactions in ten without a response, users are told within a second nearly as
--- a/crates/simulation/tests/one_way_partitions.rs
+++ b/crates/simulation/tests/one_way_partitions.rs
@@ -80,7 +80,7 @@
         }
         assert_eq!(sim.run(140.0), [], "seed {seed}");
         assert!(sim.usable_after_loss.is_empty(), "seed {seed}: {:?}", sim.usable_after_loss);
-        assert!(sim.declared_dead_alive.is_empty(), "seed {seed}: {:?}", sim.declared_dead_alive);
+        assert!(sim.wrongly_declared_dead.is_empty(), "seed {seed}: {:?}", sim.wrongly_declared_dead);
     }
 }
 
--- a/crates/simulation/tests/rule_checks.rs
+++ b/crates/simulation/tests/rule_checks.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use anisecroft_simulation::rules::Ledger;
+use anisecroft_simulation::rules::History;
 use anisecroft_simulation::{Fault, Rule, ScheduledFault, Setup, Simulation, Submission};
 use common::*;
 use controller::SafetyChecks;
@@ -10,7 +10,7 @@
 
 /// The rules that break when users are told these statuses of one accepted job.
 fn told(answers: &[(f64, f64, JobStatus)]) -> Vec<Rule> {
-    let mut l = Ledger { cancel_s: 50.0, ..Ledger::default() };
+    let mut l = History { cancel_s: 50.0, ..History::default() };
     let spec = JobSpec { tasks: 1, ..long_array() };
     l.specs.insert("req-1".into(), spec);
     l.submitted.insert("req-1".into());
@@ -57,7 +57,7 @@
 fn user_heartbeat_and_write_faults_occur_and_break_no_rule() {
     let sims: Vec<Simulation> = (0..6).map(|seed| all_new(seed, SafetyChecks::default())).collect();
     for (seed, sim) in sims.iter().enumerate() {
-        assert_eq!(sim.ledger.violations, [], "seed {seed}");
+        assert_eq!(sim.history.violations, [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
     }
     let looks: Vec<_> = sims.iter().map(Simulation::query_counts).collect();
@@ -84,10 +84,10 @@
     let run = |judged: bool| {
         let mut sim = Simulation::new(Setup { jobs: s.jobs.clone(), ..seeded_day(3, vec![]) });
         if judged {
-            sim.judge_by(without.clone());
+            sim.check_against(without.clone());
         }
         sim.run(200.0);
-        sim.ledger.violations.iter().map(|b| b.rule).collect::<Vec<_>>()
+        sim.history.violations.iter().map(|b| b.rule).collect::<Vec<_>>()
     };
     assert_eq!(run(false), []);
     assert_eq!(run(true), [Rule::LeftWaiting]);
--- a/crates/simulation/tests/scale.rs
+++ b/crates/simulation/tests/scale.rs
@@ -44,13 +44,13 @@
     let first = faults[0].at;
     let last = faults[faults.len() - 1].at;
     let mut sim = Simulation::new(large(run_s, faults.to_vec()));
-    sim.limit_cloud();
+    sim.limit_cloud_rate();
     assert_eq!(sim.run(first), []);
-    assert_eq!((sim.rented(), sim.metrics.task_starts), (MACHINES, u64::from(MACHINES)), "at {first}");
+    assert_eq!((sim.rented_count(), sim.metrics.task_starts), (MACHINES, u64::from(MACHINES)), "at {first}");
     assert_eq!(sim.run(last + rest_s), []);
     assert!(sim.has_recovered());
     assert_eq!(sim.unknown_workers(), Vec::<&str>::new());
-    assert_eq!(sim.workers_answered(31.0), MACHINES as usize);
+    assert_eq!(sim.recently_answered_workers(31.0), MACHINES as usize);
     sim
 }
 
@@ -62,10 +62,10 @@
         sim.metrics.forwarded_heartbeats,
         sim.metrics.mutations,
         sim.metrics.max_leaderless_s,
-        sim.refused_by_cloud()
+        sim.refused_cloud_calls()
     );
-    assert_eq!((sim.rented(), sim.metrics.task_starts), (MACHINES, u64::from(MACHINES)));
-    assert!(sim.declared_dead_alive.is_empty(), "{} given up alive", sim.declared_dead_alive.len());
+    assert_eq!((sim.rented_count(), sim.metrics.task_starts), (MACHINES, u64::from(MACHINES)));
+    assert!(sim.wrongly_declared_dead.is_empty(), "{} given up alive", sim.wrongly_declared_dead.len());
     assert!(sim.usable_after_loss.is_empty(), "{} ghosts", sim.usable_after_loss.len());
 }
 
--- a/crates/simulation/tests/seeded_faults.rs
+++ b/crates/simulation/tests/seeded_faults.rs
@@ -13,7 +13,7 @@
     let mut sim = Simulation::new(seeded_day(1, vec![]));
     assert_eq!(sim.run(400.0), []);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
-    assert_eq!(sim.ledger.accepted.len(), 40);
+    assert_eq!(sim.history.accepted.len(), 40);
     assert!(sim.metrics.task_starts > 60, "{}", sim.metrics.task_starts);
 }
 
@@ -117,7 +117,7 @@
     let mut sim = Simulation::new(roomy(vec![Submission::new(1.0, gang)], 12));
     assert_eq!(sim.run(300.0), []);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
-    assert!(sim.rented() <= 7, "{} rented for five", sim.rented());
+    assert!(sim.rented_count() <= 7, "{} rented for five", sim.rented_count());
 }
 
 /// An image takes longer on some machines than a gang's tasks wait for each other; with some seeds
--- a/crates/simulation/tests/short_jobs.rs
+++ b/crates/simulation/tests/short_jobs.rs
@@ -11,11 +11,11 @@
 /// Nothing of the day is left: every job is over and archived, and no machine is left that nobody
 /// knows of or needs.
 fn nothing_stays_behind(sim: &Simulation, what: &str) {
-    assert_eq!(sim.ledger.violations, [], "{what}");
+    assert_eq!(sim.history.violations, [], "{what}");
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "{what}");
     let left = ["j/", "t/", "w/", "jx/"].map(|prefix| sim.store().count(prefix));
     assert_eq!(left, [0; 4], "{what}");
-    assert_eq!(sim.store().count("jo/"), sim.ledger.accepted.len(), "{what}");
+    assert_eq!(sim.store().count("jo/"), sim.history.accepted.len(), "{what}");
     assert_eq!(sim.unknown_workers(), Vec::<&str>::new(), "{what}");
     assert_eq!(sim.machine_count(), 0, "{what}");
 }
@@ -72,8 +72,8 @@
     sim.inject(lag(seed, 90.0));
     let (mut unawares, mut ends) = (0, 0);
     while ends < 4 && sim.now < 100.0 {
-        let before = sim.rented();
-        if !run_until(&mut sim, 20.0, |s| s.rented() > before) {
+        let before = sim.rented_count();
+        if !run_until(&mut sim, 20.0, |s| s.rented_count() > before) {
             // All that is needed is there: some of it goes.
             sim.inject(Fault::MachineLost { machine: ends });
             ends += 1;
@@ -82,7 +82,7 @@
         if let Some(node) = sim.leader() {
             let duration_s = if ends % 2 == 0 { 0.2 } else { 6.0 };
             sim.inject(Fault::ControllerCrash { node, duration_s });
-            unawares += sim.rented() - before;
+            unawares += sim.rented_count() - before;
             ends += 1;
         }
         sim.run(sim.now + 3.0);
@@ -124,7 +124,7 @@
     let rate = sim.metrics.mutations as f64 / 120.0;
     assert!(rate > 18.0, "seed {seed}: {rate} changes a second");
     assert!(sim.store().limited < 150, "seed {seed}: {} refused", sim.store().limited);
-    let done = sim.ledger.finished.len();
+    let done = sim.history.finished.len();
     assert!(done > 300, "seed {seed}: {done} over by then");
     sim.run(600.0);
     sim
@@ -135,7 +135,7 @@
     for seed in 0..8 {
         let sim = flood(seed);
         nothing_stays_behind(&sim, &format!("seed {seed}"));
-        let cancelled = sim.ledger.cancelled_at.len();
+        let cancelled = sim.history.cancelled_at.len();
         assert!(
             cancelled > 60 && sim.query_counts().cancelled_at_completion > 10,
             "seed {seed}: {cancelled}"
@@ -144,7 +144,7 @@
             "seed {seed} limited {} late {} over {} cancelled {} changes {}",
             sim.store().limited,
             sim.late_starts.len(),
-            sim.ledger.finished.len(),
+            sim.history.finished.len(),
             cancelled,
             sim.metrics.mutations
         );
--- a/crates/simulation/tests/starvation.rs
+++ b/crates/simulation/tests/starvation.rs
@@ -30,7 +30,7 @@
         let jobs = rush.chain([Submission::new(20.0, report)]).collect();
         let mut sim = day(seed, jobs, 20);
         assert_eq!(sim.run(260.0), [], "seed {seed}");
-        let done = |id: &str| sim.ledger.completed.get(id).map_or(0, std::collections::BTreeSet::len);
+        let done = |id: &str| sim.history.completed.get(id).map_or(0, std::collections::BTreeSet::len);
         assert_eq!(done("req-900"), 6, "seed {seed}");
         let rush: usize = (0..150).map(|n| done(&format!("req-{n}"))).sum();
         assert!(rush > 300, "seed {seed}: {rush} urgent tasks done");
--- a/crates/simulation/tests/work_conservation.rs
+++ b/crates/simulation/tests/work_conservation.rs
@@ -37,12 +37,12 @@
     let later = (2..4).map(|n| Submission::new(95.0, array(n, 2, 4.0, 60.0)));
     let mut sim = day(seed, checks, 60, [first].into_iter().chain(later).collect());
     sim.run(40.0);
-    let rented = sim.rented();
+    let rented = sim.rented_count();
     sim.inject(Fault::StoreOutage { duration_s: 75.0 });
     sim.run(114.0);
     assert!(sim.machine_count() >= 12, "seed {seed}: {} machines", sim.machine_count());
     assert_eq!(sim.run(121.0), [], "seed {seed}");
-    let all = sim.rented() - rented;
+    let all = sim.rented_count() - rented;
     sim.run(300.0);
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
     (all, sim.deleted.iter().filter(|deleted| deleted.at < 117.5).count())
@@ -71,13 +71,13 @@
     let later = (2..5).map(|n| Submission::new(51.2, array(n, 2, 4.0, 60.0)));
     let mut sim = day(seed, checks, 60, [first].into_iter().chain(later).collect());
     sim.run(45.0);
-    let (rented, Some(node)) = (sim.rented(), sim.leader()) else { return 0 };
+    let (rented, Some(node)) = (sim.rented_count(), sim.leader()) else { return 0 };
     sim.inject(Fault::PeerPartition { node, duration_s: 8.0 });
     sim.inject(Fault::NodePartition { node, store: false, workers: true, duration_s: 8.0 });
     assert_eq!(sim.run(53.3), [], "seed {seed}");
     assert_eq!(sim.leader(), Some(node), "seed {seed}: another leads");
-    assert!(sim.ledger.accepted.len() == 4 && sim.machine_count() >= 12, "seed {seed}");
-    sim.rented() - rented
+    assert!(sim.history.accepted.len() == 4 && sim.machine_count() >= 12, "seed {seed}");
+    sim.rented_count() - rented
 }
 
 /// A machine that fell silent a moment ago is probably there, and is waited for, for one heartbeat
@@ -101,7 +101,7 @@
     jobs.push(Submission::new(150.0, pair));
     let mut sim = day(seed, checks, 60, jobs);
     assert_eq!(sim.run(300.0), [], "seed {seed}");
-    let begun = |id: &String| sim.ledger.last_status.get(id) == Some(&JobStatus::Running);
+    let begun = |id: &String| sim.history.last_status.get(id) == Some(&JobStatus::Running);
     let services = ["req-101".to_string()].into_iter().filter(|id| !begun(id));
     sim.unfinished().into_iter().chain(services).collect()
 }
@@ -131,7 +131,7 @@
         let jobs = (10..60).map(|n| Submission::new(2.0 + n as f64 * 0.2, late(n))).collect();
         let mut sim = Simulation::new(Setup { jobs, capacity: 60, loss: 0.0, ..setup });
         assert_eq!(sim.run(200.0), [], "seed {seed}");
-        assert!(sim.rented() < 10, "seed {seed}: {} rented", sim.rented());
+        assert!(sim.rented_count() < 10, "seed {seed}: {} rented", sim.rented_count());
     }
 }
 
