--- a/crates/simulation/src/bin/explore.rs
+++ b/crates/simulation/src/bin/explore.rs
@@ -132,14 +132,14 @@
         let bar = progress_bar(script.name);
         let on_progress = |progress: Progress| match progress {
             Progress::Planned(runs) => bar.set_length(runs as u64),
-            Progress::Played => bar.inc(1),
+            Progress::RunFinished => bar.inc(1),
         };
         let script_began = Instant::now();
         let explored = explore(script, options, &on_progress);
         bar.finish_and_clear();
         print_script(script, &explored, script_began.elapsed().as_secs_f64());
         failed += explored.failed_runs.values().sum::<usize>();
-        points += explored.points;
+        points += explored.injection_points;
         runs += explored.runs;
     }
     let took_s = began.elapsed().as_secs_f64();
@@ -160,28 +160,29 @@
     bar
 }
 
-fn print_script(script: &Script, explored: &Explored, took_s: f64) {
+fn print_script(script: &Script, explored: &ScriptReport, took_s: f64) {
     println!(
         "{}: {} points of {} kinds in meaning, {} runs possible, {} thinned, {} played in {took_s:.0} s ({:.0} a second), {} not played",
         script.name,
-        explored.points,
-        explored.labels,
-        explored.possible,
-        explored.thinned,
+        explored.injection_points,
+        explored.distinct_labels,
+        explored.possible_runs,
+        explored.omitted_runs,
         explored.runs,
         explored.runs as f64 / took_s.max(1e-9),
-        explored.left
+        explored.skipped_runs
     );
-    let kinds: Vec<String> = explored.kinds.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
+    let kinds: Vec<String> =
+        explored.points_by_kind.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
     println!("  messages: {}", kinds.join(", "));
     println!(
         "  troubles that did not come about: {}; starts after a told cancellation: {}",
-        explored.missed, explored.late_starts
+        explored.runs_without_last_fault, explored.late_starts
     );
-    if explored.firsts_left > 0 {
+    if explored.skipped_first_faults > 0 {
         println!(
             "  first troubles whose second ones were not planned, since time was over: {}",
-            explored.firsts_left
+            explored.skipped_first_faults
         );
     }
     for (rule, runs) in &explored.failed_runs {
--- a/crates/simulation/src/explore.rs
+++ b/crates/simulation/src/explore.rs
@@ -9,7 +9,7 @@
 mod script;
 
 pub use error::InputError;
-pub use play::{faults_at, play, reduce, Outcome, RunFailure};
+pub use play::{applicable_faults, reduce, run_line, Outcome, RunFailure};
 pub use replay_line::{check_names, checks_without, find_check, find_fault_word, find_script, ReplayLine};
 pub use script::{Script, SCRIPTS};
 
@@ -66,27 +66,27 @@
 
 /// What came of one script.
 #[derive(Debug, Clone, Default)]
-pub struct Explored {
+pub struct ScriptReport {
     /// Messages and timers of the run without faults.
-    pub points: usize,
+    pub injection_points: usize,
     /// Runs that the plan had before it was thinned.
-    pub possible: usize,
+    pub possible_runs: usize,
     /// Runs that are not planned, since runs alike are.
-    pub thinned: usize,
+    pub omitted_runs: usize,
     /// Planned runs that were not played: time was over, or a failure ended the script.
-    pub left: usize,
+    pub skipped_runs: usize,
     /// First faults whose second ones were not planned: time was over.
-    pub firsts_left: usize,
+    pub skipped_first_faults: usize,
     /// Runs played.
     pub runs: usize,
     /// Runs whose last fault did not come about.
-    pub missed: usize,
+    pub runs_without_last_fault: usize,
     /// Tasks that began after users were told of a cancellation, over all runs.
     pub late_starts: usize,
     /// Points by kind of message.
-    pub kinds: BTreeMap<String, usize>,
+    pub points_by_kind: BTreeMap<String, usize>,
     /// Different messages, by kind, purpose and state of the record.
-    pub labels: usize,
+    pub distinct_labels: usize,
     /// Runs that broke a rule, by rule.
     pub failed_runs: BTreeMap<String, usize>,
     /// Some of them, reduced.
@@ -99,47 +99,47 @@
     /// So many runs are planned.
     Planned(usize),
     /// One more run has been played.
-    Played,
+    RunFinished,
 }
 
 /// Who is told of the progress, on any thread.
 type OnProgress<'a> = &'a (dyn Fn(Progress) + Sync);
 
 /// Explores one script.
-pub fn explore(script: &'static Script, options: &Options, on_progress: OnProgress<'_>) -> Explored {
+pub fn explore(script: &'static Script, options: &Options, on_progress: OnProgress<'_>) -> ScriptReport {
     let began = Instant::now();
     let is_over = || options.time_limit.is_some_and(|limit| began.elapsed() >= limit);
     let faultless =
         ReplayLine { script: script.name, plan: Vec::new(), seed: options.seed, without: options.without };
-    let messages = play(&faultless, true).messages;
-    let mut explored = Explored { points: messages.len(), ..Explored::default() };
+    let messages = run_line(&faultless, true).messages;
+    let mut explored = ScriptReport { injection_points: messages.len(), ..ScriptReport::default() };
     for message in &messages {
-        *explored.kinds.entry(message.kind.as_str().to_string()).or_default() += 1;
+        *explored.points_by_kind.entry(message.kind.as_str().to_string()).or_default() += 1;
     }
-    explored.labels = messages.iter().map(|message| &message.label).collect::<BTreeSet<_>>().len();
+    explored.distinct_labels = messages.iter().map(|message| &message.label).collect::<BTreeSet<_>>().len();
     let plan = if options.depth == 1 {
         let plan = plan::single_faults(faultless, &messages, options);
-        explored.possible = plan.len();
+        explored.possible_runs = plan.len();
         plan
     } else {
         let pairs = plan::fault_pairs(&faultless, &messages, options, &is_over);
-        explored.possible = pairs.possible;
-        explored.thinned = pairs.possible - pairs.runs.len();
-        explored.firsts_left = pairs.firsts_left;
+        explored.possible_runs = pairs.possible;
+        explored.omitted_runs = pairs.possible - pairs.runs.len();
+        explored.skipped_first_faults = pairs.skipped_first_faults;
         pairs.runs
     };
-    let kept = plan::thin(plan, options, &mut explored.thinned);
-    play_all(&kept, options, &is_over, on_progress, &mut explored);
+    let kept = plan::thin(plan, options, &mut explored.omitted_runs);
+    run_all(&kept, options, &is_over, on_progress, &mut explored);
     explored
 }
 
 /// Plays what is planned and sums up what came of it.
-fn play_all(
+fn run_all(
     plan: &[PlannedRun],
     options: &Options,
     is_over: &(dyn Fn() -> bool + Sync),
     on_progress: OnProgress<'_>,
-    explored: &mut Explored,
+    explored: &mut ScriptReport,
 ) {
     on_progress(Progress::Planned(plan.len()));
     let pool = plan::thread_pool(options);
@@ -148,24 +148,24 @@
         if is_over() || (options.stop_at_first && !explored.failed_runs.is_empty()) {
             break;
         }
-        let play_one = |run: &PlannedRun| {
-            let outcome = play(&run.line, false);
-            on_progress(Progress::Played);
+        let run_one = |run: &PlannedRun| {
+            let outcome = run_line(&run.line, false);
+            on_progress(Progress::RunFinished);
             outcome
         };
-        let outcomes: Vec<Outcome> = pool.install(|| batch.par_iter().map(play_one).collect());
+        let outcomes: Vec<Outcome> = pool.install(|| batch.par_iter().map(run_one).collect());
         for (run, outcome) in batch.iter().zip(outcomes) {
             explored.add(run, outcome);
         }
     }
-    explored.left = plan.len() - explored.runs;
+    explored.skipped_runs = plan.len() - explored.runs;
     explored.failures = pool.install(|| explored.failures.par_iter().map(reduced).collect());
 }
 
-impl Explored {
+impl ScriptReport {
     fn add(&mut self, run: &PlannedRun, outcome: Outcome) {
         self.runs += 1;
-        self.missed += usize::from(outcome.faults_injected < run.line.plan.len());
+        self.runs_without_last_fault += usize::from(outcome.faults_injected < run.line.plan.len());
         self.late_starts += outcome.late_starts;
         let Some(cause) = outcome.failure else { return };
         *self.failed_runs.entry(cause.rule.clone()).or_default() += 1;
@@ -180,7 +180,7 @@
 fn reduced(failure: &Failure) -> Failure {
     let line = reduce(&failure.line, &failure.cause.rule);
     let mut cause = failure.cause.clone();
-    if let Some(reduced) = play(&line, false).failure {
+    if let Some(reduced) = run_line(&line, false).failure {
         cause.at = reduced.at;
         cause.what = reduced.what;
     }
@@ -197,7 +197,7 @@
 
 /// Plays a line and describes its run.
 pub fn replay(line: &ReplayLine) -> Replay {
-    let outcome = play(line, true);
+    let outcome = run_line(line, true);
     let faults_of = |message: &RecordedMessage| -> Vec<MessageFault> {
         let planned = line.plan.iter().filter(|planned| planned.message == message.number);
         planned.map(|planned| planned.fault).collect()
@@ -214,7 +214,7 @@
     }
     lines.push(match &outcome.failure {
         Some(failure) => format!("{} at {:.3} s: {}", failure.rule, failure.at, failure.what),
-        None => format!("no rule broke until {:.1} s", outcome.ended_s),
+        None => format!("no rule broke until {:.1} s", outcome.ended_at),
     });
     Replay { outcome, lines }
 }
--- a/crates/simulation/src/explore/plan.rs
+++ b/crates/simulation/src/explore/plan.rs
@@ -1,6 +1,6 @@
 //! Which runs of a script are played, and in which order.
 
-use super::play::{faults_at, play};
+use super::play::{applicable_faults, run_line};
 use super::replay_line::{FaultWord, ReplayLine};
 use super::{script, Options};
 use crate::sim::{MessageFault, MessageKind, RecordedMessage};
@@ -23,7 +23,7 @@
     /// How many runs there would be with all messages and times after the same first faults.
     pub(super) possible: usize,
     /// First faults whose second ones were not planned: time was over.
-    pub(super) firsts_left: usize,
+    pub(super) skipped_first_faults: usize,
 }
 
 /// The run without faults, and those with one.
@@ -52,10 +52,10 @@
     let second_of = |first: &PlannedRun| (!is_over()).then(|| second_faults(first, options));
     let all: Vec<Option<SecondFaults>> =
         thread_pool(options).install(|| firsts.par_iter().map(second_of).collect());
-    let firsts_left = all.iter().filter(|second| second.is_none()).count();
+    let skipped_first_faults = all.iter().filter(|second| second.is_none()).count();
     let possible = all.iter().flatten().map(|second| second.possible).sum();
     let runs = all.into_iter().flatten().flat_map(|second| second.runs).collect();
-    FaultPairs { runs, possible, firsts_left }
+    FaultPairs { runs, possible, skipped_first_faults }
 }
 
 /// The runs with one first fault and a second one.
@@ -67,7 +67,7 @@
 fn second_faults(first: &PlannedRun, options: &Options) -> SecondFaults {
     let window_s = script::workers().lease_s;
     let number = first.line.plan[0].message;
-    let messages = play(&first.line, true).messages;
+    let messages = run_line(&first.line, true).messages;
     let struck_at =
         messages.iter().find(|message| message.number == number).map_or(0.0, |message| message.at);
     let is_later = |message: &&RecordedMessage| message.number > number && message.at <= struck_at + window_s;
@@ -99,7 +99,7 @@
 
 /// Kinds of fault that are played at such a message.
 fn wanted_faults(kind: &MessageKind, options: &Options) -> Vec<MessageFault> {
-    let mut faults = faults_at(kind);
+    let mut faults = applicable_faults(kind);
     faults.retain(|fault| options.only.is_empty() || options.only.contains(&word_of(*fault)));
     faults
 }
--- a/crates/simulation/src/explore/play.rs
+++ b/crates/simulation/src/explore/play.rs
@@ -42,24 +42,24 @@
     /// Tasks that began after users were told of their job's cancellation.
     pub late_starts: usize,
     /// When the run ended, in simulated seconds.
-    pub ended_s: f64,
+    pub ended_at: f64,
     /// The messages before the script's end, if they were recorded.
     pub messages: Vec<RecordedMessage>,
 }
 
 /// Plays a line to its end; `record`: with its messages.
-pub fn play(line: &ReplayLine, record: bool) -> Outcome {
-    let played = catch_unwind(AssertUnwindSafe(|| play_to_end(line, record)));
+pub fn run_line(line: &ReplayLine, record: bool) -> Outcome {
+    let played = catch_unwind(AssertUnwindSafe(|| run_script(line, record)));
     played.unwrap_or_else(|cause| {
         let text = cause.downcast_ref::<String>().cloned();
         let text = text.or_else(|| cause.downcast_ref::<&str>().map(std::string::ToString::to_string));
         let rule = "Panicked".to_string();
         let failure = Some(RunFailure { rule, at: 0.0, what: text.unwrap_or_default() });
-        Outcome { failure, faults_injected: 0, late_starts: 0, ended_s: 0.0, messages: Vec::new() }
+        Outcome { failure, faults_injected: 0, late_starts: 0, ended_at: 0.0, messages: Vec::new() }
     })
 }
 
-fn play_to_end(line: &ReplayLine, record: bool) -> Outcome {
+fn run_script(line: &ReplayLine, record: bool) -> Outcome {
     let script = script(line.script).expect("a line names a script that there is");
     let mut sim = Simulation::new(script.setup(line.seed, checks_without(line.without)));
     sim.intercept(line.plan.clone(), record);
@@ -70,7 +70,7 @@
         failure,
         faults_injected: sim.faults_injected(),
         late_starts: sim.late_starts.len(),
-        ended_s: sim.now,
+        ended_at: sim.now,
         messages,
     }
 }
@@ -112,7 +112,7 @@
 }
 
 /// Every kind of fault that can strike at such a message.
-pub fn faults_at(kind: &MessageKind) -> Vec<MessageFault> {
+pub fn applicable_faults(kind: &MessageKind) -> Vec<MessageFault> {
     use MessageFault::*;
     let mut faults = delivery_faults(kind);
     let cut: fn(f64) -> MessageFault =
@@ -184,7 +184,7 @@
 /// The same failure with fewer and shorter faults.
 pub fn reduce(line: &ReplayLine, rule: &str) -> ReplayLine {
     let mut best = line.clone();
-    let fails = |line: &ReplayLine| play(line, false).failure.is_some_and(|failure| failure.rule == rule);
+    let fails = |line: &ReplayLine| run_line(line, false).failure.is_some_and(|failure| failure.rule == rule);
     // What could not be left out may be once another one is.
     while let Some(fewer) = without_one(&best).find(fails) {
         best = fewer;
--- a/crates/simulation/src/sim.rs
+++ b/crates/simulation/src/sim.rs
@@ -176,7 +176,7 @@
             Event::ControllerRestart(node) => self.start_controller(node),
             Event::StoreRequestArrives(call, request) => self.serve_store_request(call, request),
             Event::UnansweredWriteArrives(call, request) => self.apply_unanswered_write(call, &request),
-            Event::StoreRecovers => self.store.refresh(self.now),
+            Event::StoreRecovers => self.store.renew_all_leases(self.now),
             Event::CloudRequestArrives(call, request) => self.serve_cloud_request(call, &request),
             Event::DirectCommandsArrive { call, address, body } => {
                 self.direct_commands_arrive(call, &address, &body);
--- a/crates/simulation/src/sim/fault_injection.rs
+++ b/crates/simulation/src/sim/fault_injection.rs
@@ -238,7 +238,7 @@
 
     fn reduce_store_limits(&mut self) {
         let store = &self.settings.params.store;
-        self.store.limit(Limits {
+        self.store.set_limits(Limits {
             value_bytes: (store.effective_value_kb() * 1024.0) as usize,
             txn_ops: store.effective_transaction_ops(),
             write_rps: store.effective_write_rps(),
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -136,7 +136,7 @@
 fn store_with_limits(settings: &Settings) -> Store {
     let params = &settings.params.store;
     let mut store = Store::default();
-    store.limit(Limits {
+    store.set_limits(Limits {
         value_bytes: (params.value_kb * 1024.0) as usize,
         txn_ops: params.txn_ops,
         write_rps: f64::MAX,
--- a/crates/simulation/src/state.rs
+++ b/crates/simulation/src/state.rs
@@ -71,9 +71,9 @@
     /// Rises with every transaction that changes something.
     pub revision: u64,
     /// Transactions refused for their size.
-    pub invalid: u64,
+    pub rejected_for_size: u64,
     /// Transactions refused for their rate.
-    pub limited: u64,
+    pub rejected_for_rate: u64,
     /// Sees every value that is written, with its key.
     pub inspect: Option<fn(&str, &Value)>,
     items: BTreeMap<String, StoredItem>,
@@ -88,13 +88,13 @@
 
 impl Store {
     /// A store that holds `items` from long ago.
-    pub fn holding(items: impl IntoIterator<Item = (String, Value)>) -> Self {
+    pub fn with_items(items: impl IntoIterator<Item = (String, Value)>) -> Self {
         let stored = |(key, value)| (key, StoredItem { value, version: 1, lease: None });
         Store { revision: 1, items: items.into_iter().map(stored).collect(), ..Store::default() }
     }
 
     /// Replaces what a key holds by something that nobody can decode.
-    pub fn damage(&mut self, key: &str) {
+    pub fn make_undecodable(&mut self, key: &str) {
         let mutation = Mutation::Put { key: key.to_string(), value: Value::Undecodable, lease: None };
         self.commit(&Transaction { compares: Vec::new(), mutations: vec![mutation] });
     }
@@ -105,7 +105,7 @@
     }
 
     /// Bytes of the largest value under `prefix`.
-    pub fn largest(&self, prefix: &str) -> usize {
+    pub fn largest_value_bytes(&self, prefix: &str) -> usize {
         let held = self.items.iter().filter(|(key, _)| key.starts_with(prefix));
         held.map(|(_, item)| json_size(&item.value)).max().unwrap_or(0)
     }
@@ -134,7 +134,7 @@
     }
 
     /// Other limits from now on. What is stored stays.
-    pub fn limit(&mut self, limits: Limits) {
+    pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
         self.budget.available = self.budget.available.min(limits.write_rps);
     }
@@ -151,7 +151,7 @@
     }
 
     /// After an outage every lease has its full time again.
-    pub fn refresh(&mut self, now: f64) {
+    pub fn renew_all_leases(&mut self, now: f64) {
         for lease in self.leases.values_mut() {
             lease.expires_at = now + lease.ttl_s;
         }
@@ -238,7 +238,7 @@
 
     fn limited_commit(&mut self, now: f64, transaction: &Transaction<Value>) -> StoreReply {
         if !self.fits_limits(transaction) {
-            self.invalid += 1;
+            self.rejected_for_size += 1;
             return StoreReply::Invalid;
         }
         let count = transaction.mutations.len() as f64;
@@ -246,7 +246,7 @@
         let refilled = self.budget.available + (now - self.budget.updated_at) * rate;
         self.budget = WriteBudget { available: refilled.min(rate), updated_at: now };
         if rate < f64::MAX && self.budget.available < count {
-            self.limited += 1;
+            self.rejected_for_rate += 1;
             return StoreReply::Limited;
         }
         self.budget.available -= count;
--- a/crates/simulation/tests/cancellation.rs
+++ b/crates/simulation/tests/cancellation.rs
@@ -273,7 +273,7 @@
         (page_key("req-1", 1, 0), Value::Undecodable),
         (FORMAT_KEY.to_string(), Value::Format(FORMAT)),
     ];
-    let mut driver = SingleController::leading(Store::holding(items), &["vm-1", "vm-2", "vm-3"], 100.0);
+    let mut driver = SingleController::leading(Store::with_items(items), &["vm-1", "vm-2", "vm-3"], 100.0);
     let mut workers = ["vm-1", "vm-2", "vm-3"].map(ManualWorker::new);
     for (worker, tasks) in workers.iter_mut().zip([0..4, 4..8, 0..0]) {
         let runs = |n| TaskStatus {
@@ -325,7 +325,7 @@
 #[test]
 fn undecodable_record_does_not_block_other_writes() {
     let (mut driver, mut worker) = busy(&[one("req-1"), one("req-2")]);
-    driver.store.damage(&job_key("req-1"));
+    driver.store.make_undecodable(&job_key("req-1"));
     // The leader has something to write of it.
     let first = &mut worker.report.tasks[0];
     (first.state, first.exit_cause) = (TaskState::Exited, Some(ExitCause::Stopped));
--- a/crates/simulation/tests/common/store_harness.rs
+++ b/crates/simulation/tests/common/store_harness.rs
@@ -70,7 +70,7 @@
     pub fn with(settings: Settings, items: impl IntoIterator<Item = (String, Value)>) -> Self {
         StoreHarness {
             controller: Controller::new(settings, Operator::default(), 1),
-            store: Store::holding(items),
+            store: Store::with_items(items),
             before_list: None,
             now: 0.0,
             fate: Box::new(|_| JobOutcome::Answered),
--- a/crates/simulation/tests/explorer.rs
+++ b/crates/simulation/tests/explorer.rs
@@ -31,9 +31,15 @@
         let e = explore(script, &options(SELECTED), &|_| {});
         let lines: Vec<String> = e.failures.iter().map(|f| format!("{}: {}", f.cause.rule, f.line)).collect();
         assert!(lines.is_empty(), "{lines:#?}");
-        assert!(e.points > 400 && e.runs > 10, "{}: {} points, {} runs", script.name, e.points, e.runs);
-        assert_eq!(e.possible, e.runs + e.thinned, "{}", script.name);
-        assert_eq!((e.left, e.missed), (0, 0), "{}", script.name);
+        assert!(
+            e.injection_points > 400 && e.runs > 10,
+            "{}: {} points, {} runs",
+            script.name,
+            e.injection_points,
+            e.runs
+        );
+        assert_eq!(e.possible_runs, e.runs + e.omitted_runs, "{}", script.name);
+        assert_eq!((e.skipped_runs, e.runs_without_last_fault), (0, 0), "{}", script.name);
     }
 }
 
@@ -50,12 +56,12 @@
     let without = line(&failure.line.to_string());
     assert!(rules.contains(&failure.cause.rule.as_str()), "{}: {without}", failure.cause.rule);
     assert_eq!(
-        play(&without, false).failure.map(|failure| failure.rule).as_ref(),
+        run_line(&without, false).failure.map(|failure| failure.rule).as_ref(),
         Some(&failure.cause.rule),
         "{without}"
     );
     let with = ReplayLine { without: None, ..without };
-    assert_eq!(play(&with, false).failure, None, "{with}");
+    assert_eq!(run_line(&with, false).failure, None, "{with}");
 }
 
 #[test]
@@ -89,10 +95,10 @@
 #[test]
 fn failures_are_reduced() {
     let large = line("await 30:late:2 40:ask 50:cancel seed:1 without:awaits");
-    let rule = play(&large, false).failure.expect("it breaks a rule").rule;
+    let rule = run_line(&large, false).failure.expect("it breaks a rule").rule;
     let small = reduce(&large, &rule);
     assert!(small.plan.is_empty(), "{small}");
-    assert_eq!(play(&small, false).failure.map(|failure| failure.rule), Some(rule), "{small}");
+    assert_eq!(run_line(&small, false).failure.map(|failure| failure.rule), Some(rule), "{small}");
 }
 
 /// Recording draws nothing at random: the run is the same with and without.
@@ -125,7 +131,7 @@
 #[test]
 fn every_message_fault_takes_effect() {
     let quiet = line("cancel");
-    let crossings = play(&quiet, true).messages;
+    let crossings = run_line(&quiet, true).messages;
     let borders: std::collections::BTreeSet<&MessageKind> = crossings.iter().map(|c| &c.kind).collect();
     assert_eq!(borders.len(), 14, "{borders:?}");
     for border in borders {
@@ -133,11 +139,11 @@
         // stop may be lost unnoticed, since the next heartbeat says the same.
         let alike: Vec<_> = crossings.iter().filter(|c| c.kind == *border).collect();
         let points = [2, 4, 1].map(|part| alike[(alike.len() / part).min(alike.len() - 1)].number);
-        for fault in faults_at(border) {
+        for fault in applicable_faults(border) {
             let mut changed = matches!(fault, MessageFault::JobsCancelled);
             for number in points {
                 let one = ReplayLine { plan: vec![PlannedFault { message: number, fault }], ..quiet.clone() };
-                let outcome = play(&one, true);
+                let outcome = run_line(&one, true);
                 assert_eq!((outcome.faults_injected, outcome.failure), (1, None), "{one}");
                 let before = crossings.iter().take_while(|c| c.number <= number);
                 assert!(before.eq(outcome.messages.iter().take_while(|c| c.number <= number)), "{one}");
@@ -157,8 +163,8 @@
     let o = Options { depth: 2, only: vec!["copied"], ..options(500) };
     let e = explore(find_script("await").expect("it is there"), &o, &|_| {});
     assert_eq!(e.failures, []);
-    assert!(e.possible > 100, "{}", e.possible);
-    assert!(e.runs > 0 && e.possible == e.runs + e.thinned + e.left, "{e:?}");
+    assert!(e.possible_runs > 100, "{}", e.possible_runs);
+    assert!(e.runs > 0 && e.possible_runs == e.runs + e.omitted_runs + e.skipped_runs, "{e:?}");
 }
 
 #[test]
--- a/crates/simulation/tests/leader_recovery.rs
+++ b/crates/simulation/tests/leader_recovery.rs
@@ -177,7 +177,7 @@
         (terminal_job_key(&format!("req-{}", 1_000 + n)), Value::Terminal(o))
     });
     let format = (FORMAT_KEY.to_string(), Value::Format(FORMAT));
-    let mut world = World::new(Store::holding(live().chain(finished).chain([format])));
+    let mut world = World::new(Store::with_items(live().chain(finished).chain([format])));
     world.take_over();
     (world.requests, world.bytes)
 }
@@ -217,7 +217,7 @@
         (job_key(&id), Value::Job(Box::new(record(&id, JobStatus::Done))))
     });
     let pages = (0..90).map(|n| (page_key("req-1007", n + 1, 0), Value::Page(PageRecord::default())));
-    let mut world = World::new(Store::holding(live().chain(old).chain(pages)));
+    let mut world = World::new(Store::with_items(live().chain(old).chain(pages)));
     world.take_over();
     let (before, at) = (world.changes, world.now);
     world.run(10.0);
@@ -257,7 +257,7 @@
 
 /// Requests of a recovery beyond the pages of its lists.
 fn reads_beyond_lists(waiting: usize, moved: usize) -> u64 {
-    let mut world = World::new(Store::holding(waiting_jobs(waiting, moved)));
+    let mut world = World::new(Store::with_items(waiting_jobs(waiting, moved)));
     world.take_over();
     world.run(1.0);
     assert_eq!(world.controller.waiting_job_count(), waiting);
@@ -301,9 +301,9 @@
 fn oversized_records_are_cancelled_and_split() {
     let format = (FORMAT_KEY.to_string(), Value::Format(FORMAT));
     let items = [wide("req-1"), wide("req-2"), format];
-    let mut world = World::new(Store::holding(items));
-    world.store.limit(Limits { value_bytes: 2048, txn_ops: 8, write_rps: f64::MAX });
-    assert!(world.store.largest(JOB_PREFIX) > 6000);
+    let mut world = World::new(Store::with_items(items));
+    world.store.set_limits(Limits { value_bytes: 2048, txn_ops: 8, write_rps: f64::MAX });
+    assert!(world.store.largest_value_bytes(JOB_PREFIX) > 6000);
     world.take_over();
     // Before the leader has had the time to divide it.
     world.feed(Input::Request(1, Request::Cancel("req-1".into())));
@@ -313,8 +313,8 @@
     world.run(1.0);
     assert!(String::from_utf8_lossy(&world.answers[&2].body).contains("withdrawn"));
     world.run(20.0);
-    assert!(world.store.largest("") <= 2048, "{}", world.store.largest(""));
-    assert_eq!((world.store.count(MARK_PREFIX), world.store.invalid), (0, 0));
+    assert!(world.store.largest_value_bytes("") <= 2048, "{}", world.store.largest_value_bytes(""));
+    assert_eq!((world.store.count(MARK_PREFIX), world.store.rejected_for_size), (0, 0));
     world.feed(Input::Request(3, Request::QueryStatus("req-2".into())));
     world.run(1.0);
     assert!(String::from_utf8_lossy(&world.answers[&3].body).contains("running"));
@@ -351,8 +351,8 @@
     });
     let main = (job_key("req-1"), Value::Job(Box::new(job)));
     let format = (FORMAT_KEY.to_string(), Value::Format(FORMAT));
-    let mut world = World::new(Store::holding([main, format].into_iter().chain(pages)));
-    world.store.limit(Limits { value_bytes: 2048, txn_ops: 8, write_rps: f64::MAX });
+    let mut world = World::new(Store::with_items([main, format].into_iter().chain(pages)));
+    world.store.set_limits(Limits { value_bytes: 2048, txn_ops: 8, write_rps: f64::MAX });
     let mut world = World::beside(world.store, 0.0);
     let places = world.controller.placement_count();
     assert!(places > 1500, "{places}");
@@ -362,10 +362,10 @@
         world = World::beside(std::mem::take(&mut world.store), world.now + 20.0);
         assert_eq!(world.controller.placement_count(), places);
     }
-    assert!(world.store.largest(JOB_PREFIX) <= 2048);
+    assert!(world.store.largest_value_bytes(JOB_PREFIX) <= 2048);
     world.run(240.0);
-    assert_eq!(world.store.invalid, 0);
-    assert!(world.store.largest("") <= 2048, "{}", world.store.largest(""));
+    assert_eq!(world.store.rejected_for_size, 0);
+    assert!(world.store.largest_value_bytes("") <= 2048, "{}", world.store.largest_value_bytes(""));
     // What is left of the old layouts is gone as well.
     let expected = (0..tasks.div_ceil(per_page)).map(page_of);
     let ended: usize = expected.map(|p| p.done.len() * 4).sum();
@@ -394,7 +394,7 @@
 #[test]
 fn cancellation_seen_during_a_refused_write_takes_effect() {
     let format = (FORMAT_KEY.to_string(), Value::Format(FORMAT));
-    let mut world = World::new(Store::holding([wide("req-2"), format]));
+    let mut world = World::new(Store::with_items([wide("req-2"), format]));
     // It is to be divided as soon as nothing presses.
     world.hold_writes = true;
     world.take_over();
@@ -438,7 +438,7 @@
 /// placed tasks. (It once did so after the renewal alone.)
 #[test]
 fn renewed_leader_lease_does_not_imply_current_knowledge() {
-    let mut world = World::beside(Store::holding(live()), 0.0);
+    let mut world = World::beside(Store::with_items(live()), 0.0);
     world.run(2.0);
     let status = |world: &mut World, seq: u64| {
         world.feed(report("vm-000001", seq, Vec::new()));
@@ -448,7 +448,7 @@
     assert_eq!(status(&mut world, 1), Some(200));
     world.down = true;
     world.run(30.0);
-    world.store.refresh(world.now);
+    world.store.renew_all_leases(world.now);
     (world.down, world.watches_down) = (false, true);
     world.run(1.0);
     assert_eq!(status(&mut world, 2), Some(503));
--- a/crates/simulation/tests/lost_write_responses.rs
+++ b/crates/simulation/tests/lost_write_responses.rs
@@ -317,9 +317,9 @@
     harness.run(0.5);
     assert_eq!(harness.store.count("j/"), 1);
     assert!(
-        harness.store.count("w/") > 1 && harness.store.largest("j/") <= 2048,
+        harness.store.count("w/") > 1 && harness.store.largest_value_bytes("j/") <= 2048,
         "{}",
-        harness.store.largest("j/")
+        harness.store.largest_value_bytes("j/")
     );
 }
 
--- a/crates/simulation/tests/short_jobs.rs
+++ b/crates/simulation/tests/short_jobs.rs
@@ -123,7 +123,7 @@
     sim.run(130.0);
     let rate = sim.metrics.mutations as f64 / 120.0;
     assert!(rate > 18.0, "seed {seed}: {rate} changes a second");
-    assert!(sim.store().limited < 150, "seed {seed}: {} refused", sim.store().limited);
+    assert!(sim.store().rejected_for_rate < 150, "seed {seed}: {} refused", sim.store().rejected_for_rate);
     let done = sim.history.finished.len();
     assert!(done > 300, "seed {seed}: {done} over by then");
     sim.run(600.0);
@@ -142,7 +142,7 @@
         );
         println!(
             "seed {seed} limited {} late {} over {} cancelled {} changes {}",
-            sim.store().limited,
+            sim.store().rejected_for_rate,
             sim.late_starts.len(),
             sim.history.finished.len(),
             cancelled,
--- a/crates/simulation/tests/store_limits.rs
+++ b/crates/simulation/tests/store_limits.rs
@@ -72,7 +72,7 @@
         let mut sim = Simulation::new(Setup { capacity: 20, loss, ..wide(seed, kb, part, faults.clone()) });
         assert_eq!(sim.run(600.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
-        assert!(sim.store().invalid < 20, "seed {seed}: {} refused", sim.store().invalid);
+        assert!(sim.store().rejected_for_size < 20, "seed {seed}: {} refused", sim.store().rejected_for_size);
     }
 }
 
@@ -110,7 +110,11 @@
         }));
         let mut sim = Simulation::new(Setup { capacity: 8, ..setup });
         assert_eq!(sim.run(25.0), [], "seed {seed}");
-        assert!(sim.store().largest("") <= 2048, "seed {seed}: {}", sim.store().largest(""));
+        assert!(
+            sim.store().largest_value_bytes("") <= 2048,
+            "seed {seed}: {}",
+            sim.store().largest_value_bytes("")
+        );
         assert_eq!(sim.run(500.0), [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
         assert_eq!(sim.store().count("j/"), 0, "seed {seed}");
