--- a/crates/simulation/src/bin/explore.rs
+++ b/crates/simulation/src/bin/explore.rs
@@ -124,7 +124,7 @@
 }
 
 fn explore_all(options: &Options) -> ExitCode {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut failed = 0;
     let mut points = 0;
     let mut runs = 0;
@@ -134,15 +134,15 @@
             Progress::Planned(runs) => bar.set_length(runs as u64),
             Progress::RunFinished => bar.inc(1),
         };
-        let script_began = Instant::now();
-        let explored = explore(script, options, &on_progress);
+        let script_started = Instant::now();
+        let report = explore(script, options, &on_progress);
         bar.finish_and_clear();
-        print_script(script, &explored, script_began.elapsed().as_secs_f64());
-        failed += explored.failed_runs.values().sum::<usize>();
-        points += explored.injection_points;
-        runs += explored.runs;
+        print_script(script, &report, script_started.elapsed().as_secs_f64());
+        failed += report.failed_runs.values().sum::<usize>();
+        points += report.injection_points;
+        runs += report.runs;
     }
-    let took_s = began.elapsed().as_secs_f64();
+    let took_s = started.elapsed().as_secs_f64();
     println!(
         "{points} points, {runs} runs in {took_s:.0} s, {:.0} a second; {failed} broke a rule",
         runs as f64 / took_s
@@ -160,39 +160,39 @@
     bar
 }
 
-fn print_script(script: &Script, explored: &ScriptReport, took_s: f64) {
+fn print_script(script: &Script, report: &ScriptReport, took_s: f64) {
     println!(
         "{}: {} points of {} kinds in meaning, {} runs possible, {} thinned, {} played in {took_s:.0} s ({:.0} a second), {} not played",
         script.name,
-        explored.injection_points,
-        explored.distinct_labels,
-        explored.possible_runs,
-        explored.omitted_runs,
-        explored.runs,
-        explored.runs as f64 / took_s.max(1e-9),
-        explored.skipped_runs
+        report.injection_points,
+        report.distinct_labels,
+        report.possible_runs,
+        report.omitted_runs,
+        report.runs,
+        report.runs as f64 / took_s.max(1e-9),
+        report.skipped_runs
     );
     let kinds: Vec<String> =
-        explored.points_by_kind.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
+        report.points_by_kind.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
     println!("  messages: {}", kinds.join(", "));
     println!(
         "  troubles that did not come about: {}; starts after a told cancellation: {}",
-        explored.runs_without_last_fault, explored.late_starts
+        report.runs_without_last_fault, report.late_starts
     );
-    if explored.skipped_first_faults > 0 {
+    if report.skipped_first_faults > 0 {
         println!(
             "  first troubles whose second ones were not planned, since time was over: {}",
-            explored.skipped_first_faults
+            report.skipped_first_faults
         );
     }
-    for (rule, runs) in &explored.failed_runs {
+    for (rule, runs) in &report.failed_runs {
         println!("  broken: {rule} in {runs} runs");
     }
-    for failure in &explored.failures {
+    for failure in &report.failures {
         let cause = &failure.cause;
         println!(
             "  run {}: {} at {:.1} s: {} (at: {})",
-            failure.after, cause.rule, cause.at, cause.what, failure.label
+            failure.run_number, cause.rule, cause.at, cause.details, failure.label
         );
         println!("    explore --replay {:?}", failure.line.to_string());
     }
--- a/crates/simulation/src/explore.rs
+++ b/crates/simulation/src/explore.rs
@@ -57,7 +57,7 @@
     /// The line that replays it.
     pub line: ReplayLine,
     /// How many runs it took, in the order of the plan.
-    pub after: usize,
+    pub run_number: usize,
     /// The rule that broke, when, and how.
     pub cause: RunFailure,
     /// The message that the last fault struck at.
@@ -81,7 +81,7 @@
     pub runs: usize,
     /// Runs whose last fault did not come about.
     pub runs_without_last_fault: usize,
-    /// Tasks that began after users were told of a cancellation, over all runs.
+    /// Tasks that started after users were told of a cancellation, over all runs.
     pub late_starts: usize,
     /// Points by kind of message.
     pub points_by_kind: BTreeMap<String, usize>,
@@ -107,45 +107,45 @@
 
 /// Explores one script.
 pub fn explore(script: &'static Script, options: &Options, on_progress: OnProgress<'_>) -> ScriptReport {
-    let began = Instant::now();
-    let is_over = || options.time_limit.is_some_and(|limit| began.elapsed() >= limit);
+    let started = Instant::now();
+    let time_is_up = || options.time_limit.is_some_and(|limit| started.elapsed() >= limit);
     let faultless =
         ReplayLine { script: script.name, plan: Vec::new(), seed: options.seed, without: options.without };
     let messages = run_line(&faultless, true).messages;
-    let mut explored = ScriptReport { injection_points: messages.len(), ..ScriptReport::default() };
+    let mut report = ScriptReport { injection_points: messages.len(), ..ScriptReport::default() };
     for message in &messages {
-        *explored.points_by_kind.entry(message.kind.as_str().to_string()).or_default() += 1;
+        *report.points_by_kind.entry(message.kind.as_str().to_string()).or_default() += 1;
     }
-    explored.distinct_labels = messages.iter().map(|message| &message.label).collect::<BTreeSet<_>>().len();
+    report.distinct_labels = messages.iter().map(|message| &message.label).collect::<BTreeSet<_>>().len();
     let plan = if options.depth == 1 {
         let plan = plan::single_faults(faultless, &messages, options);
-        explored.possible_runs = plan.len();
+        report.possible_runs = plan.len();
         plan
     } else {
-        let pairs = plan::fault_pairs(&faultless, &messages, options, &is_over);
-        explored.possible_runs = pairs.possible;
-        explored.omitted_runs = pairs.possible - pairs.runs.len();
-        explored.skipped_first_faults = pairs.skipped_first_faults;
+        let pairs = plan::fault_pairs(&faultless, &messages, options, &time_is_up);
+        report.possible_runs = pairs.possible_runs;
+        report.omitted_runs = pairs.possible_runs - pairs.runs.len();
+        report.skipped_first_faults = pairs.skipped_first_faults;
         pairs.runs
     };
-    let kept = plan::thin(plan, options, &mut explored.omitted_runs);
-    run_all(&kept, options, &is_over, on_progress, &mut explored);
-    explored
+    let selected = plan::select_runs(plan, options, &mut report.omitted_runs);
+    run_all(&selected, options, &time_is_up, on_progress, &mut report);
+    report
 }
 
 /// Plays what is planned and sums up what came of it.
 fn run_all(
     plan: &[PlannedRun],
     options: &Options,
-    is_over: &(dyn Fn() -> bool + Sync),
+    time_is_up: &(dyn Fn() -> bool + Sync),
     on_progress: OnProgress<'_>,
-    explored: &mut ScriptReport,
+    report: &mut ScriptReport,
 ) {
     on_progress(Progress::Planned(plan.len()));
     let pool = plan::thread_pool(options);
     let batch_runs = if options.stop_at_first { FIRST_FAILURE_BATCH_RUNS } else { BATCH_RUNS };
     for batch in plan.chunks(batch_runs * options.jobs) {
-        if is_over() || (options.stop_at_first && !explored.failed_runs.is_empty()) {
+        if time_is_up() || (options.stop_at_first && !report.failed_runs.is_empty()) {
             break;
         }
         let run_one = |run: &PlannedRun| {
@@ -155,11 +155,11 @@
         };
         let outcomes: Vec<Outcome> = pool.install(|| batch.par_iter().map(run_one).collect());
         for (run, outcome) in batch.iter().zip(outcomes) {
-            explored.add(run, outcome);
+            report.add(run, outcome);
         }
     }
-    explored.skipped_runs = plan.len() - explored.runs;
-    explored.failures = pool.install(|| explored.failures.par_iter().map(reduced).collect());
+    report.skipped_runs = plan.len() - report.runs;
+    report.failures = pool.install(|| report.failures.par_iter().map(reduced).collect());
 }
 
 impl ScriptReport {
@@ -172,7 +172,7 @@
         let shown = self.failures.iter().filter(|failure| failure.cause.rule == cause.rule).count();
         if shown < MAX_SHOWN_FAILURES {
             let (line, label) = (run.line.clone(), run.label.clone());
-            self.failures.push(Failure { line, after: self.runs, cause, label });
+            self.failures.push(Failure { line, run_number: self.runs, cause, label });
         }
     }
 }
@@ -182,7 +182,7 @@
     let mut cause = failure.cause.clone();
     if let Some(reduced) = run_line(&line, false).failure {
         cause.at = reduced.at;
-        cause.what = reduced.what;
+        cause.details = reduced.details;
     }
     Failure { line, cause, ..failure.clone() }
 }
@@ -213,7 +213,7 @@
         }
     }
     lines.push(match &outcome.failure {
-        Some(failure) => format!("{} at {:.3} s: {}", failure.rule, failure.at, failure.what),
+        Some(failure) => format!("{} at {:.3} s: {}", failure.rule, failure.at, failure.details),
         None => format!("no rule broke until {:.1} s", outcome.ended_at),
     });
     Replay { outcome, lines }
--- a/crates/simulation/src/explore/play.rs
+++ b/crates/simulation/src/explore/play.rs
@@ -22,13 +22,13 @@
     /// When, in simulated seconds.
     pub at: f64,
     /// What happened.
-    pub what: String,
+    pub details: String,
 }
 
 impl From<&Violation> for RunFailure {
     fn from(violation: &Violation) -> Self {
         let rule = format!("{:?}", violation.rule);
-        RunFailure { rule, at: violation.at, what: violation.what.clone() }
+        RunFailure { rule, at: violation.at, details: violation.details.clone() }
     }
 }
 
@@ -54,7 +54,7 @@
         let text = cause.downcast_ref::<String>().cloned();
         let text = text.or_else(|| cause.downcast_ref::<&str>().map(std::string::ToString::to_string));
         let rule = "Panicked".to_string();
-        let failure = Some(RunFailure { rule, at: 0.0, what: text.unwrap_or_default() });
+        let failure = Some(RunFailure { rule, at: 0.0, details: text.unwrap_or_default() });
         Outcome { failure, faults_injected: 0, late_starts: 0, ended_at: 0.0, messages: Vec::new() }
     })
 }
@@ -94,8 +94,8 @@
         }
         let deadline = sim.faults_end().max(script.until_s) + MAX_COMPLETION_S;
         if finished_at == f64::MAX && sim.now >= deadline {
-            let what = sim.unfinished().join(" ");
-            return Some(RunFailure { rule: "Unfinished".into(), at: sim.now, what });
+            let details = sim.unfinished().join(" ");
+            return Some(RunFailure { rule: "Unfinished".into(), at: sim.now, details });
         }
     }
 }
@@ -196,8 +196,8 @@
             line
         };
         let mut candidates = shorter(best.plan[n].fault).into_iter().map(with_shorter);
-        let found = candidates.find(fails);
-        if let Some(shorter) = found {
+        let candidate = candidates.find(fails);
+        if let Some(shorter) = candidate {
             best = shorter;
         }
     }
--- a/crates/simulation/src/rules.rs
+++ b/crates/simulation/src/rules.rs
@@ -44,7 +44,7 @@
     /// When, in simulated seconds.
     pub at: f64,
     /// What happened.
-    pub what: String,
+    pub details: String,
 }
 
 /// The end of a job as users were told of it first.
@@ -88,9 +88,9 @@
 
 impl History {
     /// Records that a rule was broken.
-    pub fn violate(&mut self, rule: Rule, at: f64, what: String) {
+    pub fn violate(&mut self, rule: Rule, at: f64, details: String) {
         if self.violations.len() < MAX_VIOLATIONS {
-            self.violations.push(Violation { rule, at, what });
+            self.violations.push(Violation { rule, at, details });
         }
     }
 
@@ -169,8 +169,8 @@
         let Some(finished) = self.finished.get(job).copied() else { return };
         let FinishedJob { at, status: old } = finished;
         if old != status && (status.is_final() || at <= sent_at) {
-            let what = format!("{job} from {old:?} at {at} to {status:?}, asked at {sent_at}");
-            self.violate(Rule::WentBack, now, what);
+            let details = format!("{job} from {old:?} at {at} to {status:?}, asked at {sent_at}");
+            self.violate(Rule::WentBack, now, details);
         }
     }
 }
--- a/crates/simulation/src/sim.rs
+++ b/crates/simulation/src/sim.rs
@@ -99,7 +99,7 @@
     /// When machines were lost or deleted.
     lost_at: BTreeMap<String, f64>,
     /// Machines declared dead that were judged already, by who declared them.
-    judged: BTreeSet<DeathVerdict>,
+    death_verdicts: BTreeSet<DeathVerdict>,
     /// Since when a replaced leader has taken itself for the leader.
     dual_leadership_since: Option<f64>,
     last_leader_at: f64,
@@ -184,7 +184,7 @@
             Event::ForwardRequestArrives { call, to, request } => {
                 if self.nodes[to].controller.is_some() {
                     let id = self.register_request(to, Requester::Node(call));
-                    self.feed(to, Input::ForwardRequest(id, request));
+                    self.deliver_input(to, Input::ForwardRequest(id, request));
                 }
             }
             Event::ExchangeViews => self.exchange_views(),
@@ -210,9 +210,9 @@
             }
             Event::UserRequestTimeout { job, number } => self.user_request_timeout(&job, number),
             Event::FaultBegins(fault) => self.begin_fault(fault),
-            Event::WorldTick => {
-                self.tick_world();
-                self.schedule(self.now + world::TICK_S, Event::WorldTick);
+            Event::PeriodicStep => {
+                self.run_periodic_step();
+                self.schedule(self.now + world::STEP_INTERVAL_S, Event::PeriodicStep);
             }
         }
     }
--- a/crates/simulation/src/sim/calls.rs
+++ b/crates/simulation/src/sim/calls.rs
@@ -16,7 +16,7 @@
 const MIN_WRITE_DELAY_S: f64 = 2.0;
 
 impl Simulation {
-    pub(super) fn carry_out(&mut self, node: usize, output: Output) {
+    pub(super) fn execute_output(&mut self, node: usize, output: Output) {
         match output {
             Output::Response(id, response) => self.respond(node, id, response),
             Output::Store(call, request) => self.call_store(self.call_key(node, call), request),
@@ -45,7 +45,7 @@
     /// Gives a controller the outcome of a call, unless it has one or its process has ended.
     pub(super) fn finish_call(&mut self, call: CallKey, outcome: Input) {
         if self.open_calls.remove(&call) && self.is_running(call.node, call.incarnation) {
-            self.feed(call.node, outcome);
+            self.deliver_input(call.node, outcome);
         }
     }
 
@@ -67,8 +67,8 @@
         match self.take_requester(node, id) {
             Some(Requester::Worker { machine, sequence }) => {
                 let cut_until = self.worker_link_cut_until(&machine, node);
-                let held_s = self.worker_response_delay();
-                if let Some(at) = self.arrival(cut_until).map(|at| at + held_s) {
+                let extra_delay_s = self.worker_response_delay();
+                if let Some(at) = self.arrival(cut_until).map(|at| at + extra_delay_s) {
                     let event = Event::HeartbeatResponseArrives { machine, sequence, node, response };
                     self.send(at, Some(node), event);
                 }
@@ -132,8 +132,8 @@
         self.metrics.direct_calls += 1;
         self.open_call(call, WORKER_TIMEOUT_S, Input::Worker(call.call, WorkerReply::Failed));
         let cut_until = self.address_link_cut_until(&address, node);
-        let held_s = self.worker_response_delay();
-        if let Some(at) = self.arrival(cut_until).map(|at| at + held_s) {
+        let extra_delay_s = self.worker_response_delay();
+        if let Some(at) = self.arrival(cut_until).map(|at| at + extra_delay_s) {
             self.send(at, Some(node), Event::DirectCommandsArrive { call, address, body });
         }
     }
--- a/crates/simulation/src/sim/event.rs
+++ b/crates/simulation/src/sim/event.rs
@@ -83,7 +83,7 @@
         number: u64,
     },
     FaultBegins(Fault),
-    WorldTick,
+    PeriodicStep,
 }
 
 impl Event {
--- a/crates/simulation/src/sim/fault.rs
+++ b/crates/simulation/src/sim/fault.rs
@@ -250,7 +250,7 @@
 
 impl Fault {
     /// How long its effects last, in seconds. What starts anew afterwards has its own time.
-    pub(super) fn lasts_s(&self) -> f64 {
+    pub(super) fn effect_duration_s(&self) -> f64 {
         match self {
             Fault::ControllerCrash { duration_s, .. }
             | Fault::LeaderCrash { duration_s }
--- a/crates/simulation/src/sim/fault_injection.rs
+++ b/crates/simulation/src/sim/fault_injection.rs
@@ -42,7 +42,7 @@
 impl Simulation {
     /// Begins a fault now.
     pub fn inject(&mut self, fault: Fault) {
-        self.faults_end = self.faults_end.max(self.now + fault.lasts_s());
+        self.faults_end = self.faults_end.max(self.now + fault.effect_duration_s());
         self.begin_fault(fault);
     }
 
@@ -52,7 +52,7 @@
     }
 
     pub(super) fn schedule_fault(&mut self, at: f64, fault: Fault) {
-        self.faults_end = self.faults_end.max(at + fault.lasts_s());
+        self.faults_end = self.faults_end.max(at + fault.effect_duration_s());
         self.schedule(at, Event::FaultBegins(fault));
     }
 
--- a/crates/simulation/src/sim/interception.rs
+++ b/crates/simulation/src/sim/interception.rs
@@ -165,7 +165,7 @@
         let mut message = Some(InTransit { at, event });
         for fault in due {
             let Some(sent) = message else { return };
-            message = self.strike(fault, sent, from);
+            message = self.apply_message_fault(fault, sent, from);
         }
         if let Some(InTransit { at, event }) = message {
             self.schedule(at, event);
@@ -173,7 +173,12 @@
     }
 
     /// What is left of a message after a fault.
-    fn strike(&mut self, fault: MessageFault, sent: InTransit, from: Option<usize>) -> Option<InTransit> {
+    fn apply_message_fault(
+        &mut self,
+        fault: MessageFault,
+        sent: InTransit,
+        from: Option<usize>,
+    ) -> Option<InTransit> {
         if let Some(interception) = &mut self.interception {
             interception.injected += 1;
         }
--- a/crates/simulation/src/sim/invariants.rs
+++ b/crates/simulation/src/sim/invariants.rs
@@ -28,8 +28,8 @@
         }
         if !self.may_run_on(machine, &key.job) {
             let zone = &self.workers[machine].machine.zone;
-            let what = format!("{key:?} on {machine} in {zone}");
-            self.history.violate(Rule::WrongPlace, now, what);
+            let details = format!("{key:?} on {machine} in {zone}");
+            self.history.violate(Rule::WrongPlace, now, details);
         }
     }
 
@@ -74,8 +74,8 @@
                 }
             }
         }
-        for what in overdue {
-            self.history.violate(Rule::RanCancelled, now, what);
+        for details in overdue {
+            self.history.violate(Rule::RanCancelled, now, details);
         }
     }
 
--- a/crates/simulation/src/sim/network.rs
+++ b/crates/simulation/src/sim/network.rs
@@ -116,6 +116,6 @@
             return;
         };
         view.format = self.announced_format.map_or(view.format, |format| format.min(view.format));
-        self.feed(to, Input::PeerView(view));
+        self.deliver_input(to, Input::PeerView(view));
     }
 }
--- a/crates/simulation/src/sim/node.rs
+++ b/crates/simulation/src/sim/node.rs
@@ -108,13 +108,13 @@
         if !self.is_running(node, incarnation) {
             return;
         }
-        self.feed(node, Input::Tick);
+        self.deliver_input(node, Input::Tick);
         let pause_s = self.nodes[node].controller.as_ref().map_or(1.0, Controller::wake_interval_s);
         self.send(self.now + pause_s, Some(node), Event::ControllerTick { node, incarnation });
     }
 
     /// Gives a controller an input and carries out what it puts out.
-    pub(super) fn feed(&mut self, node: usize, input: Input) {
+    pub(super) fn deliver_input(&mut self, node: usize, input: Input) {
         let now = self.now;
         let process = &mut self.nodes[node];
         let Some(controller) = &mut process.controller else { return };
@@ -131,7 +131,7 @@
             if self.nodes[node].controller.is_none() {
                 break;
             }
-            self.carry_out(node, output);
+            self.execute_output(node, output);
         }
     }
 
@@ -139,7 +139,7 @@
     pub(super) fn request(&mut self, node: usize, requester: Requester, request: Request) {
         if self.nodes[node].controller.is_some() {
             let id = self.register_request(node, requester);
-            self.feed(node, Input::Request(id, request));
+            self.deliver_input(node, Input::Request(id, request));
         }
     }
 
--- a/crates/simulation/src/sim/queries.rs
+++ b/crates/simulation/src/sim/queries.rs
@@ -134,8 +134,8 @@
             }
             404 => self.record_status(&job, query.sent_at, None),
             400 | 422 if self.history.accepted.contains(&job) => {
-                let what = format!("{job} got {}", response.status);
-                self.history.violate(Rule::Forgotten, self.now, what);
+                let details = format!("{job} got {}", response.status);
+                self.history.violate(Rule::Forgotten, self.now, details);
             }
             _ => {}
         }
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -79,7 +79,7 @@
         for node in 0..setup.nodes {
             sim.start_controller(node);
         }
-        sim.schedule(0.0, Event::WorldTick);
+        sim.schedule(0.0, Event::PeriodicStep);
         sim.schedule(0.5, Event::ExchangeViews);
         sim
     }
@@ -118,7 +118,7 @@
             failing_jobs: setup.failing_jobs.clone(),
             responded_at: BTreeMap::new(),
             lost_at: BTreeMap::new(),
-            judged: BTreeSet::new(),
+            death_verdicts: BTreeSet::new(),
             dual_leadership_since: None,
             last_leader_at: 0.0,
             announced_format: None,
--- a/crates/simulation/src/sim/tasks.rs
+++ b/crates/simulation/src/sim/tasks.rs
@@ -91,7 +91,7 @@
                 changed = true;
             }
             if changed {
-                worker.hasten_heartbeat(now);
+                worker.expedite_heartbeat(now);
             }
         }
         progress
@@ -166,7 +166,7 @@
                 }
             }
             if changed {
-                worker.hasten_heartbeat(now);
+                worker.expedite_heartbeat(now);
             }
         }
     }
--- a/crates/simulation/src/sim/work_conservation.rs
+++ b/crates/simulation/src/sim/work_conservation.rs
@@ -87,8 +87,8 @@
     /// How many tasks of a job a machine has room for.
     fn free_slots(&self, worker: &Worker, spec: &JobSpec) -> u32 {
         let types = &self.cloud.types;
-        let found = types.iter().find(|kind| kind.name == worker.machine.machine_type);
-        let Some(machine_type) = found else { return 0 };
+        let machine_type = types.iter().find(|kind| kind.name == worker.machine.machine_type);
+        let Some(machine_type) = machine_type else { return 0 };
         if !is_eligible(spec, &worker.machine) || worker.faulty || self.now < worker.hung_until {
             return 0;
         }
--- a/crates/simulation/src/sim/world.rs
+++ b/crates/simulation/src/sim/world.rs
@@ -3,10 +3,10 @@
 use super::*;
 
 /// How often it happens, in seconds.
-pub(super) const TICK_S: f64 = 0.1;
+pub(super) const STEP_INTERVAL_S: f64 = 0.1;
 
 impl Simulation {
-    pub(super) fn tick_world(&mut self) {
+    pub(super) fn run_periodic_step(&mut self) {
         let now = self.now;
         if now >= self.faults.store_down_until {
             self.store.expire_leases(now);
@@ -25,7 +25,7 @@
         for controller in self.nodes.iter().filter_map(|node| node.controller.as_ref()) {
             self.quarantined.extend(controller.quarantined().map(String::from));
         }
-        self.judge_failure_detection();
+        self.check_failure_detection();
         self.measure_leadership();
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// Machines that leaders take for alive and are gone, and those that they declare dead and live.
-    fn judge_failure_detection(&mut self) {
+    fn check_failure_detection(&mut self) {
         let now = self.now;
         let lease_s = self.settings.params.workers.lease_s;
         let suspicion_s = Timing::from(&self.settings).failure_suspicion_s;
@@ -63,7 +63,7 @@
             for id in controller.machines_given_up() {
                 let fencing_token = controller.token().unwrap_or(0);
                 let verdict = DeathVerdict { node: n, fencing_token, machine: id.to_string() };
-                if self.judged.insert(verdict) && is_alive(id) {
+                if self.death_verdicts.insert(verdict) && is_alive(id) {
                     self.wrongly_declared_dead.insert(id.to_string());
                 }
             }
--- a/crates/simulation/src/state.rs
+++ b/crates/simulation/src/state.rs
@@ -121,12 +121,12 @@
     /// When a value under `key` that matches was first stored, and how often the key was written.
     pub fn history(&self, key: &str, matches: impl Fn(&Value) -> bool) -> WriteHistory {
         let mut history = WriteHistory { first_match_at: None, writes: 0 };
-        let mut found = false;
+        let mut matched = false;
         for entry in self.log.iter().filter(|entry| entry.key == key) {
             let Event::Put { value, .. } = &entry.event else { continue };
             history.writes += 1;
-            if !found && matches(value) {
-                found = true;
+            if !matched && matches(value) {
+                matched = true;
                 history.first_match_at = self.written_at.get(&entry.revision).copied();
             }
         }
@@ -220,8 +220,8 @@
 
     fn events_after(&self, prefix: &str, revision: u64) -> Vec<Event<Value>> {
         let newer = self.log.iter().filter(|entry| entry.revision > revision);
-        let wanted = newer.filter(|entry| entry.key.starts_with(prefix));
-        wanted.map(|entry| entry.event.clone()).collect()
+        let matching = newer.filter(|entry| entry.key.starts_with(prefix));
+        matching.map(|entry| entry.event.clone()).collect()
     }
 
     fn grant(&mut self, now: f64, ttl_s: f64) -> StoreReply {
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -191,7 +191,7 @@
     }
 
     /// Something changed: the next heartbeat goes out soon.
-    pub fn hasten_heartbeat(&mut self, now: f64) {
+    pub fn expedite_heartbeat(&mut self, now: f64) {
         let earliest = now.max(self.last_heartbeat + MIN_HEARTBEAT_GAP_S);
         self.next_heartbeat = self.next_heartbeat.min(earliest);
     }
@@ -204,7 +204,7 @@
         self.fencing_token = token;
         if now - self.token_changed_at > lease_s / 2.0 {
             self.token_changed_at = now;
-            self.hasten_heartbeat(now);
+            self.expedite_heartbeat(now);
         }
     }
 
@@ -217,7 +217,7 @@
         self.epoch += 1;
         self.renewed_at = now;
         self.in_flight = None;
-        self.hasten_heartbeat(now);
+        self.expedite_heartbeat(now);
         true
     }
 
@@ -245,7 +245,7 @@
                 }
             }
         }
-        self.hasten_heartbeat(now);
+        self.expedite_heartbeat(now);
     }
 
     /// Begins a task's attempt; false if it is known, or an earlier one goes on.
