--- a/crates/simulation/src/sim.rs
+++ b/crates/simulation/src/sim.rs
@@ -1,9 +1,10 @@
-//! A seeded simulation of a deployment: several controllers, stand-ins for the outside world, and
-//! a network that loses, delays and holds messages.
+//! Seeded simulation of a deployment: several controllers, stand-ins for all other parties, and a
+//! network that loses, delays and holds back messages.
 //!
-//! Everything happens in one queue of events in simulated time, and all random numbers come from
-//! one generator. A run repeats exactly, and `tests/digests.rs` compares every message of recorded
-//! days: neither the order of draws nor that of events may change by accident.
+//! All events go through one queue in simulated time, and all random numbers come from one
+//! generator, so a run can be repeated exactly. `tests/digests.rs` compares every message of
+//! recorded runs with a stored digest: the order of random draws and the order of events must not
+//! change unintentionally.
 
 mod calls;
 mod digest;
@@ -52,29 +53,29 @@
 use store_access::PendingWatch;
 use users::User;
 
-/// A deployment in simulated time.
+/// Deployment in simulated time.
 pub struct Simulation {
-    /// Seconds since the start.
+    /// Simulated seconds since the start.
     pub now: f64,
-    /// What users were told, what really happened, and the rules that broke.
+    /// Statuses that users received, what actually happened, and the rule violations.
     pub history: History,
-    /// Counts and durations of the run so far.
+    /// Counters and durations of the run so far.
     pub metrics: Metrics,
-    /// Machines that a controller deleted, in order.
+    /// Machines deleted by a controller, in order of deletion.
     pub deleted: Vec<DeletedMachine>,
-    /// Machines that a leader would still give work to, long after they were gone.
+    /// Machines that a leader still considered usable long after they were lost or deleted.
     pub usable_after_loss: BTreeSet<String>,
-    /// Machines declared dead that held a renewed lease and did not hang.
+    /// Machines that were declared dead although they had a valid lease and were not hung.
     pub wrongly_declared_dead: BTreeSet<String>,
-    /// Machines that a controller took for faulty.
+    /// Machines that a controller quarantined as faulty.
     pub quarantined: BTreeSet<String>,
-    /// Transactions that were carried out while their sender got no answer.
+    /// Transactions that were applied although their sender received no response.
     pub unanswered_writes: Vec<UnansweredWrite>,
-    /// Tasks that began after a user was told that their job is cancelled.
+    /// Tasks that started after a user was told that their job is cancelled.
     pub late_starts: Vec<LateStart>,
     settings: Settings,
     checks: SafetyChecks,
-    /// Share of all messages that is lost.
+    /// Fraction of all messages that is lost.
     loss: f64,
     forward_timeout_s: f64,
     rng: SmallRng,
@@ -84,59 +85,59 @@
     cloud: Cloud,
     workers: BTreeMap<String, Worker>,
     users: BTreeMap<String, User>,
-    /// Calls of controllers that wait for a reply.
+    /// Calls of controllers that are waiting for a reply.
     open_calls: BTreeSet<CallKey>,
     watches: Vec<PendingWatch>,
-    /// The newest transaction of each node that was applied.
+    /// Newest applied transaction of each node.
     last_applied_write: Vec<CallKey>,
     faults: ActiveFaults,
-    /// When all faults that are known of are over.
+    /// Time at which all faults scheduled so far have ended.
     faults_end: f64,
     /// Jobs whose tasks fail on every machine.
     failing_jobs: BTreeSet<String>,
-    /// When each worker last accepted a response.
+    /// Time at which each worker last accepted a response.
     responded_at: BTreeMap<String, f64>,
-    /// When machines were lost or deleted.
+    /// Time at which each machine was lost or deleted.
     lost_at: BTreeMap<String, f64>,
-    /// Machines declared dead that were judged already, by who declared them.
+    /// Death verdicts that have already been checked.
     death_verdicts: BTreeSet<DeathVerdict>,
-    /// Since when a replaced leader has taken itself for the leader.
+    /// Start of the period in which a replaced leader still considers itself the leader.
     dual_leadership_since: Option<f64>,
     last_leader_at: f64,
-    /// The newest format that nodes announce to each other, if it is not their own.
+    /// Newest format that nodes announce to each other, if it differs from their own.
     announced_format: Option<u32>,
-    /// The response to a request that a test sent outside the users' course.
+    /// Response to a request that a test sent outside the users' regular sequence.
     test_response: Option<HttpResponse>,
     queries: queries::Queries,
     replayed_heartbeats: heartbeat_replay::ReplayedHeartbeats,
     waiting_jobs: work_conservation::WaitingJobs,
-    /// Which faults strike at which message; None: messages are not numbered.
+    /// Planned message faults and recorded messages. None if messages are not numbered.
     interception: Option<interception::Interception>,
-    /// The digest of what goes into controllers and comes out of them; None: not taken.
+    /// Digest of the inputs and outputs of all controllers. None if it is not recorded.
     digest: Option<Digest>,
 }
 
-/// A machine that a controller deleted.
+/// Machine deleted by a controller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DeletedMachine {
-    /// When the cloud carried the deletion out.
+    /// Time at which the cloud deleted it.
     pub at: f64,
-    /// The machine's id.
+    /// Id of the machine.
     pub machine: String,
 }
 
-/// A task that began after a user was told that its job is cancelled.
+/// Task that started after a user was told that its job is cancelled.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LateStart {
-    /// When it began.
+    /// Start time.
     pub at: f64,
-    /// The task.
+    /// Key of the task.
     pub task: TaskKey,
-    /// Where it began.
+    /// Machine on which it started.
     pub machine: String,
 }
 
-/// Which leader declared which machine dead.
+/// Decision of one leader that a machine is dead.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DeathVerdict {
     node: usize,
@@ -145,7 +146,7 @@
 }
 
 impl Simulation {
-    /// Runs until `end`, or until a rule is broken; the violations so far.
+    /// Runs until `end` or until a rule is broken, and returns the violations so far.
     pub fn run(&mut self, end: f64) -> &[Violation] {
         while let Some((at, event)) = self.events.pop() {
             if at > end {
@@ -162,7 +163,7 @@
         &self.history.violations
     }
 
-    /// Has `event` happen at `at`, or now if that is over.
+    /// Schedules `event` for `at`, or for now if `at` is in the past.
     fn schedule(&mut self, at: f64, event: Event) {
         self.events.push(at.max(self.now), event);
     }
--- a/crates/simulation/src/sim/calls.rs
+++ b/crates/simulation/src/sim/calls.rs
@@ -1,18 +1,18 @@
-//! Carries out what controllers put out: responses, and calls to the store, the cloud, workers and
+//! Executes the outputs of controllers: responses, and calls to the store, the cloud, workers and
 //! other controllers.
 
 use super::*;
 use protocol::peer::{ForwardReply, ForwardRequest};
 
-/// How long a controller waits for the store, in seconds; a watch adds its own wait.
+/// Time for which a controller waits for the store, in seconds. The wait of a watch is added.
 const STORE_TIMEOUT_S: f64 = 1.5;
-/// How long it waits for the cloud.
+/// Time for which a controller waits for the cloud, in seconds.
 const CLOUD_TIMEOUT_S: f64 = 5.0;
-/// How long it waits for a worker that it calls.
+/// Time for which a controller waits for a worker that it calls, in seconds.
 const WORKER_TIMEOUT_S: f64 = 2.0;
-/// What a call to the cloud takes besides the network.
+/// Duration of a call to the cloud in addition to the network delay, in seconds.
 const CLOUD_LATENCY_S: f64 = 0.1;
-/// The shortest delay of a transaction that is carried out late.
+/// Shortest delay of a transaction that is applied late, in seconds.
 const MIN_WRITE_DELAY_S: f64 = 2.0;
 
 impl Simulation {
@@ -31,33 +31,34 @@
         }
     }
 
-    /// A call of the running process of `node`.
+    /// Returns the key of a call of the current process of `node`.
     fn call_key(&self, node: usize, call: CallId) -> CallKey {
         CallKey { node, incarnation: self.nodes[node].incarnation, call }
     }
 
-    /// Opens a call; if nothing comes within `timeout_s`, the controller is given `unknown`.
+    /// Opens a call. Without a reply within `timeout_s`, the controller receives `unknown`.
     fn open_call(&mut self, call: CallKey, timeout_s: f64, unknown: Input) {
         self.open_calls.insert(call);
         self.schedule(self.now + timeout_s, Event::CallTimeout(call, unknown));
     }
 
-    /// Gives a controller the outcome of a call, unless it has one or its process has ended.
+    /// Passes the outcome of a call to the controller, unless it already has one or its process has
+    /// ended.
     pub(super) fn finish_call(&mut self, call: CallKey, outcome: Input) {
         if self.open_calls.remove(&call) && self.is_running(call.node, call.incarnation) {
             self.deliver_input(call.node, outcome);
         }
     }
 
-    /// Sends the reply to a call over a link that is cut until `cut_until`; `from`: the node that
-    /// replies, if it is one.
+    /// Sends the reply to a call over a link that is cut until `cut_until`. `from` is the replying
+    /// node, if the reply comes from a node.
     pub(super) fn reply(&mut self, to: CallKey, input: Input, cut_until: f64, from: Option<usize>) {
         if let Some(at) = self.arrival(cut_until) {
             self.send_reply(at, to, input, from);
         }
     }
 
-    /// The same with the time of its arrival.
+    /// Sends the reply to a call so that it arrives at `at`.
     pub(super) fn send_reply(&mut self, at: f64, to: CallKey, input: Input, from: Option<usize>) {
         let CallKey { node, incarnation, .. } = to;
         self.send(at, from, Event::ReplyArrives { node, incarnation, input });
--- a/crates/simulation/src/sim/event.rs
+++ b/crates/simulation/src/sim/event.rs
@@ -1,4 +1,4 @@
-//! Events, and the queue that orders them by time and then by when they were scheduled.
+//! Events, and the queue that orders them by time and then by the order of scheduling.
 
 use super::Fault;
 use controller::{CallId, CloudRequest, HttpResponse, Input, Request, StoreRequest};
@@ -7,27 +7,27 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// One call of one run of a controller. Later calls of a node are greater.
+/// Identifies one call of one incarnation of a controller. Later calls of a node compare greater.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CallKey {
     pub(super) node: usize,
-    /// Which start of the node's process it is of.
+    /// Number of the process start on that node.
     pub(super) incarnation: u64,
     pub(super) call: CallId,
 }
 
-/// What happens at a moment.
+/// Event in simulated time.
 pub(super) enum Event {
     ControllerTick {
         node: usize,
         incarnation: u64,
     },
-    /// A process that ended is started again.
+    /// Restart of a controller process that ended.
     ControllerRestart(usize),
     StoreRequestArrives(CallKey, StoreRequest),
-    /// A transaction whose sender gets no answer.
+    /// Arrival of a transaction whose sender receives no response.
     UnansweredWriteArrives(CallKey, StoreRequest),
-    /// An outage of the store ends: all leases have their full time again.
+    /// End of a store outage: all leases are renewed for their full duration.
     StoreRecovers,
     CloudRequestArrives(CallKey, CloudRequest),
     DirectCommandsArrive {
@@ -46,7 +46,7 @@
         incarnation: u64,
         input: Input,
     },
-    /// A call got no reply in time; the input says so.
+    /// Timeout of a call. The input reports it to the controller.
     CallTimeout(CallKey, Input),
     WorkerTurn(String),
     HeartbeatArrives {
@@ -65,7 +65,7 @@
         machine: String,
         sequence: u64,
     },
-    /// The user of this job acts.
+    /// Next step of the user of this job.
     UserTurn(String),
     UserRequestArrives {
         job: String,
@@ -87,7 +87,7 @@
 }
 
 impl Event {
-    /// The node that has to be running for the event to happen now.
+    /// Returns the node that handles the event. While that node is paused, the event is postponed.
     pub(super) fn receiver(&self) -> Option<usize> {
         match self {
             Event::ControllerTick { node, .. }
@@ -101,7 +101,7 @@
     }
 }
 
-/// The call that an input is the reply to.
+/// Returns the call that an input replies to.
 pub(super) fn call_of_reply(input: &Input) -> Option<CallId> {
     match input {
         Input::Store(call, _)
@@ -112,11 +112,11 @@
     }
 }
 
-/// The events to come.
+/// Queue of scheduled events.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<ScheduledEvent>>,
-    /// Events scheduled so far, which orders those of one moment.
+    /// Number of events scheduled so far. It orders events with the same time.
     count: u64,
 }
 
@@ -126,7 +126,7 @@
         self.heap.push(Reverse(ScheduledEvent { at, order: self.count, event }));
     }
 
-    /// The next event and its time.
+    /// Removes the next event and returns it with its time.
     pub(super) fn pop(&mut self) -> Option<(f64, Event)> {
         self.heap.pop().map(|Reverse(next)| (next.at, next.event))
     }
--- a/crates/simulation/src/sim/fault.rs
+++ b/crates/simulation/src/sim/fault.rs
@@ -1,255 +1,261 @@
-//! The kinds of faults that a run can contain.
+//! Kinds of faults that can be injected into a run.
 
-/// The longest delay, in seconds, until a delayed transaction is carried out (set by the operators).
+/// Longest delay, in seconds, until a delayed transaction is applied. The operators set this value.
 pub(super) const MAX_WRITE_DELAY_S: f64 = 12.0;
 
-/// A fault and when it begins, in simulated seconds.
+/// Fault and its start time.
 #[derive(Debug, Clone)]
 pub struct ScheduledFault {
-    /// When it begins.
+    /// Start time, in simulated seconds.
     pub at: f64,
-    /// What begins.
+    /// Fault that is injected.
     pub fault: Fault,
 }
 
 impl ScheduledFault {
-    /// `fault`, beginning at `at`.
+    /// Creates a fault that begins at `at`.
     pub fn new(at: f64, fault: Fault) -> Self {
         ScheduledFault { at, fault }
     }
 }
 
-/// A fault. All durations and delays are in seconds; `node` is a controller's number, `machine` is
-/// taken modulo the number of machines that there are, in the order of their ids.
+/// Fault that can be injected. All durations and delays are in seconds. `node` is the index of a
+/// controller. `machine` is an index into the machines ordered by id, modulo their number.
 #[derive(Debug, Clone)]
 pub enum Fault {
-    /// A controller's process ends and is started again later.
+    /// A controller's process ends and is restarted later.
     ControllerCrash {
-        /// The controller.
+        /// Index of the controller.
         node: usize,
-        /// Until its restart.
+        /// Time until the restart.
         duration_s: f64,
     },
-    /// The controller that leads at that moment crashes.
+    /// The current leader crashes.
     LeaderCrash {
-        /// Until its restart.
+        /// Time until the restart.
         duration_s: f64,
     },
-    /// A controller does nothing; what reaches it waits.
+    /// A controller is paused. Messages to it wait until it resumes.
     ControllerPause {
-        /// The controller.
+        /// Index of the controller.
         node: usize,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// The key-value store serves nobody.
+    /// The key-value store refuses all requests.
     StoreOutage {
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// The store refuses one controller.
+    /// The store refuses the requests of one controller.
     StoreRefusesNode {
-        /// The controller.
+        /// Index of the controller.
         node: usize,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// The store takes longer, each way.
+    /// Requests to the store and its replies are delayed.
     SlowStore {
-        /// The longest extra delay.
+        /// Longest additional delay.
         max_delay_s: f64,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// A share of transactions gets no answer and is carried out 2 to 12 s later, whatever was
-    /// written since.
+    /// A fraction of the transactions receives no response and is applied 2 to 12 s later,
+    /// regardless of what was written in the meantime.
     DelayedWrites {
-        /// Of all transactions, from 0 to 1.
+        /// Fraction of all transactions, from 0 to 1.
         share: f64,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// A share of transactions is carried out at once, but the answers are lost.
+    /// A fraction of the transactions is applied immediately, but the responses are lost.
     LostWriteResponses {
-        /// Of all transactions, from 0 to 1.
+        /// Fraction of all transactions, from 0 to 1.
         share: f64,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// The store's limits fall without notice, to what the settings announce.
+    /// The store's limits drop, without notice, to the future limits named in the settings.
     StoreLimitsReduced,
-    /// Messages between a controller and the store, the workers or both are held and delivered late.
+    /// Messages between a controller and the store, the workers or both are held back and delivered
+    /// when the partition ends.
     NodePartition {
-        /// The controller.
+        /// Index of the controller.
         node: usize,
         /// Whether it is cut off from the store.
         store: bool,
         /// Whether it is cut off from the workers.
         workers: bool,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// Messages between a controller and the workers of one zone are held and delivered late.
+    /// Messages between a controller and the workers of one zone are held back and delivered when
+    /// the partition ends.
     ZoneWorkersPartition {
-        /// The controller.
+        /// Index of the controller.
         node: usize,
-        /// The workers' zone.
+        /// Zone of the workers.
         zone: &'static str,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// Messages between one controller and the others are held and delivered late.
+    /// Messages between one controller and the others are held back and delivered when the partition
+    /// ends.
     PeerPartition {
-        /// The controller.
+        /// Index of the controller.
         node: usize,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
     /// Connections between controllers are refused.
     PeerConnectionsRefused {
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// A controller reaches its workers, but neither the store nor its peers.
+    /// A controller can reach its workers, but neither the store nor its peers.
     IsolatedWithWorkers {
-        /// The controller.
+        /// Index of the controller.
         node: usize,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// All messages into a zone and out of it are held and delivered late.
+    /// All messages into and out of a zone are held back and delivered when the partition ends.
     ZonePartition {
-        /// The zone.
+        /// Name of the zone.
         zone: &'static str,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
     /// The cloud refuses every call.
     CloudOutage {
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// New machines are up within two seconds.
+    /// New machines boot within two seconds.
     FastBoots {
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// A machine is gone without notice.
+    /// A machine disappears without notice.
     MachineLost {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
     },
-    /// A machine hangs: its clock goes on, it does nothing.
+    /// A machine hangs: its clock continues, but it does nothing.
     MachineHang {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// A machine fails every task that it starts.
+    /// Every task that starts on a machine fails.
     FaultyMachine {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
     },
-    /// A machine takes that long to fetch a job's image for the first time.
+    /// A machine takes unusually long to fetch the image of a job for the first time.
     SlowImageFetch {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
-        /// How long a fetch takes.
+        /// Duration of the first fetch.
         fetch_s: f64,
     },
-    /// One-way partition: a machine's heartbeats arrive, but responses and commands do not reach it.
+    /// One-way partition: the heartbeats of a machine arrive, but responses and commands do not
+    /// reach it.
     ResponsesLost {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// The same for one machine in three of a zone.
+    /// `ResponsesLost` for every third machine of a zone.
     ResponsesLostInZone {
-        /// The zone.
+        /// Name of the zone.
         zone: &'static str,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// One-way partition: a machine's heartbeats arrive nowhere, while direct commands reach it.
+    /// One-way partition: the heartbeats of a machine are lost, but direct commands reach it.
     HeartbeatsLost {
-        /// The machine.
+        /// Index of the machine.
         machine: usize,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// The same for one machine in three of a zone.
+    /// `HeartbeatsLost` for every third machine of a zone.
     HeartbeatsLostInZone {
-        /// The zone.
+        /// Name of the zone.
         zone: &'static str,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// Half of the commands and responses to workers are held up.
+    /// Half of the commands and responses to workers are delayed.
     SlowWorkerResponses {
-        /// The longest extra delay.
+        /// Longest additional delay.
         max_delay_s: f64,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// Copies of a third of the heartbeats arrive once more, at any controller.
+    /// About a third of the heartbeats are duplicated, and the copies arrive at random controllers.
     DuplicatedHeartbeats {
-        /// The longest delay of a copy.
+        /// Longest delay of a copy.
         max_delay_s: f64,
-        /// How long heartbeats are copied.
+        /// Period in which heartbeats are copied.
         duration_s: f64,
     },
-    /// Copies of a third of the heartbeats reach every controller after the next leader has begun.
+    /// Copies of about a third of the heartbeats reach every controller after the next leader has
+    /// started.
     HeartbeatsReplayedAfterFailover {
-        /// How long after the next leader's start.
+        /// Delay of the copies after the start of the next leader.
         delay_s: f64,
-        /// How long heartbeats are copied.
+        /// Period in which heartbeats are copied.
         duration_s: f64,
     },
-    /// Workers go to another controller with every heartbeat.
+    /// Workers send each heartbeat to a different controller than the one before.
     RotatingHeartbeatTargets {
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// Users cancel running jobs that have long to go, within a fifth of a second, and up to eight
-    /// of their machines hang.
+    /// Users cancel jobs with a long remaining run time, all within 0.2 s, and up to eight of the
+    /// machines of these jobs hang.
     CancelRunningJobs {
-        /// The number of jobs.
+        /// Number of jobs.
         count: usize,
-        /// How long their machines hang.
+        /// Duration for which the machines hang.
         hang_s: f64,
     },
-    /// A share of the jobs that end is cancelled at the moment of the end.
+    /// A fraction of the completing jobs is cancelled at the moment of completion.
     CancelAtCompletion {
-        /// Of all jobs that end, from 0 to 1.
+        /// Fraction of all completing jobs, from 0 to 1.
         share: f64,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// Users repeat submissions of unfinished jobs, cancel jobs that are done, and send jobs that
-    /// fit no machine or lack a field.
+    /// Users repeat submissions of unfinished jobs, cancel jobs that are done, and submit jobs that
+    /// cannot run or lack required fields.
     InvalidRequests {
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// Users ask at all controllers within milliseconds after a job was accepted, ended or was
-    /// cancelled, and repeat the submission; some cancel at once.
+    /// Within milliseconds after a job was accepted or reached its final status, users query all
+    /// controllers and repeat the submission. Some cancel immediately after acceptance.
     ConcurrentQueries {
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
-    /// Users ask many times as often, also for jobs that nobody submitted.
+    /// Users send many times as many queries, some of them for jobs that were never submitted.
     QueryFlood {
-        /// How many times as often.
+        /// Factor by which the query rate rises.
         factor: f64,
-        /// How long.
+        /// Duration of the fault.
         duration_s: f64,
     },
 }
 
 impl Fault {
-    /// How long its effects last, in seconds. What starts anew afterwards has its own time.
+    /// Returns the duration of the fault's effects, in seconds. Whatever has to start again afterwards
+    /// is not included.
     pub(super) fn effect_duration_s(&self) -> f64 {
         match self {
             Fault::ControllerCrash { duration_s, .. }
--- a/crates/simulation/src/sim/network.rs
+++ b/crates/simulation/src/sim/network.rs
@@ -1,16 +1,17 @@
-//! Delays, losses and partitions of messages.
+//! Message delays, message losses and partitions.
 
 use super::*;
 
 impl Simulation {
-    /// How long a message is on its way: milliseconds, and now and then up to 0.4 s more.
+    /// Draws the delay of a message: 1 to 10 ms, and for 2 % of the messages up to 0.4 s more.
     pub(super) fn delay(&mut self) -> f64 {
-        let usual = self.rng.gen_range(0.001..0.01);
-        let extra = if self.rng.gen_bool(0.02) { self.rng.gen_range(0.0..0.4) } else { 0.0 };
-        usual + extra
+        let usual_s = self.rng.gen_range(0.001..0.01);
+        let extra_s = if self.rng.gen_bool(0.02) { self.rng.gen_range(0.0..0.4) } else { 0.0 };
+        usual_s + extra_s
     }
 
-    /// When a message arrives over a link that is cut until `cut_until`; None: it is lost.
+    /// Returns the arrival time of a message over a link that is cut until `cut_until`. None if the
+    /// message is lost.
     pub(super) fn arrival(&mut self, cut_until: f64) -> Option<f64> {
         let delay = self.delay();
         if self.now < cut_until {
@@ -20,7 +21,7 @@
         (!lost).then_some(self.now + delay)
     }
 
-    /// How much longer a message to a worker takes.
+    /// Draws the additional delay of a message to a worker.
     pub(super) fn worker_response_delay(&mut self) -> f64 {
         let fault = self.faults.slow_worker_responses;
         if fault.is_active(self.now) && self.rng.gen_bool(0.5) {
@@ -29,7 +30,7 @@
         0.0
     }
 
-    /// How much longer one way to or from the store takes.
+    /// Draws the additional delay of a message to or from the store.
     pub(super) fn store_delay(&mut self) -> f64 {
         let fault = self.faults.slow_store;
         if fault.is_active(self.now) {
@@ -38,33 +39,34 @@
         0.0
     }
 
-    /// Whether a zone is cut off.
+    /// Returns whether a zone is partitioned from the others.
     fn is_cut_off(&self, zone: &str) -> bool {
         let partition = self.faults.zone_partition;
         self.now < partition.until && zone == partition.zone
     }
 
-    /// Until when the link between two zones is cut.
+    /// Returns the end of the partition between two zones, or 0 if there is none.
     fn zones_cut_until(&self, one: &str, other: &str) -> f64 {
-        let apart = self.is_cut_off(one) != self.is_cut_off(other);
-        if apart {
+        let separated = self.is_cut_off(one) != self.is_cut_off(other);
+        if separated {
             self.faults.zone_partition.until
         } else {
             0.0
         }
     }
 
-    /// Until when the link between a worker and a node is cut.
+    /// Returns the time until which the link between a worker and a node is cut.
     pub(super) fn worker_link_cut_until(&self, machine: &str, node: usize) -> f64 {
         let zone = self.workers.get(machine).map_or("", |worker| &worker.machine.zone);
         let process = &self.nodes[node];
         let partition = process.zone_workers_partition;
         let zone_workers_until = if partition.zone == zone { partition.until } else { 0.0 };
-        let own = process.workers_partition_until.max(zone_workers_until);
-        own.max(self.zones_cut_until(zone, &process.zone))
+        let node_until = process.workers_partition_until.max(zone_workers_until);
+        node_until.max(self.zones_cut_until(zone, &process.zone))
     }
 
-    /// The same for the worker at an address; nobody may be there any more.
+    /// Returns the time until which the link between the worker at an address and a node is cut.
+    /// There may no longer be a worker at that address.
     pub(super) fn address_link_cut_until(&self, address: &str, node: usize) -> f64 {
         let worker = self.worker_at(address);
         worker.map_or(self.nodes[node].workers_partition_until, |worker| {
@@ -72,26 +74,27 @@
         })
     }
 
-    /// Until when the link between a node and the store is cut.
+    /// Returns the time until which the link between a node and the store is cut.
     pub(super) fn store_link_cut_until(&self, node: usize) -> f64 {
         let process = &self.nodes[node];
         let zone_until = if self.is_cut_off(&process.zone) { self.faults.zone_partition.until } else { 0.0 };
         process.store_partition_until.max(zone_until)
     }
 
-    /// Until when the link between two nodes is cut.
+    /// Returns the time until which the link between two nodes is cut.
     pub(super) fn peer_link_cut_until(&self, one: usize, other: usize) -> f64 {
         let (one, other) = (&self.nodes[one], &self.nodes[other]);
-        let own = one.peer_partition_until.max(other.peer_partition_until);
-        own.max(self.zones_cut_until(&one.zone, &other.zone))
+        let peers_until = one.peer_partition_until.max(other.peer_partition_until);
+        peers_until.max(self.zones_cut_until(&one.zone, &other.zone))
     }
 
-    /// The worker at an address.
+    /// Returns the worker at an address.
     pub(super) fn worker_at(&self, address: &str) -> Option<&Worker> {
         self.workers.values().find(|worker| worker.machine.addr.as_deref() == Some(address))
     }
 
-    /// The controllers tell each other what they see, and do so again a renewal later.
+    /// Delivers each controller's view of the cluster to its peers, and schedules the next exchange
+    /// after one renewal interval.
     pub(super) fn exchange_views(&mut self) {
         for from in 0..self.nodes.len() {
             for to in 0..self.nodes.len() {
--- a/crates/simulation/src/sim/node.rs
+++ b/crates/simulation/src/sim/node.rs
@@ -1,25 +1,25 @@
-//! Controllers: their processes, what they are asked, and which of them leads.
+//! Controllers: their processes, the requests they receive, and the current leader.
 
 use super::fault_injection::ZoneOutage;
 use super::*;
 
-/// Names of the controllers, by number.
+/// Names of the controllers, by index.
 pub(super) const NODE_NAMES: [&str; 5] = ["n-0", "n-1", "n-2", "n-3", "n-4"];
 
 /// Wall-clock time, in seconds, at the start of every run.
 const WALL_CLOCK_START_S: f64 = 1e9;
 
-/// One controller's process, and the faults of its links. Times are simulated seconds.
+/// Process of one controller, and the faults of its links. Times are in simulated seconds.
 pub(super) struct Node {
-    /// None while its process is not running.
+    /// None while the process is not running.
     pub(super) controller: Option<Controller>,
-    /// Which start of its process this is.
+    /// Number of process starts so far.
     pub(super) incarnation: u64,
     started_at: f64,
-    /// How fast its steady clock goes against true time.
+    /// Rate of its monotonic clock relative to simulated time.
     clock_rate: f64,
     last_request: RequestId,
-    /// Who waits for the response to which request.
+    /// Requesters that are waiting for a response, by request.
     requests: BTreeMap<RequestId, Requester>,
     pub(super) zone: String,
     pub(super) store_partition_until: f64,
@@ -30,19 +30,19 @@
     pub(super) paused_until: f64,
 }
 
-/// Who waits for the response to a request.
+/// Party that is waiting for the response to a request.
 #[derive(Clone)]
 pub(super) enum Requester {
-    /// A worker, with the number of its heartbeat.
+    /// Worker, with the sequence number of its heartbeat.
     Worker { machine: String, sequence: u64 },
-    /// The user of a job, with the number of the request.
+    /// User of a job, with the number of the request.
     User { job: String, number: u64 },
-    /// Another controller that forwards heartbeats.
+    /// Controller that forwards heartbeats.
     Node(CallKey),
 }
 
 impl Node {
-    /// A node in `zone` whose process has not been started.
+    /// Creates a node in `zone` whose process has not been started.
     pub(super) fn new(zone: String, clock_rate: f64) -> Self {
         Node {
             controller: None,
@@ -61,13 +61,13 @@
         }
     }
 
-    /// Its process ends, and nobody gets a response from it any more.
+    /// Ends the process. Open requests to it get no response.
     pub(super) fn stop(&mut self) {
         self.controller = None;
         self.requests.clear();
     }
 
-    /// The fencing token with which it leads.
+    /// Returns the fencing token of its leadership. None if it is not the leader.
     pub(super) fn token(&self) -> Option<u64> {
         self.controller.as_ref().and_then(Controller::token)
     }
@@ -93,12 +93,12 @@
         self.schedule(self.now + 0.01, Event::ControllerTick { node, incarnation });
     }
 
-    /// Whether that start of a node's process is running.
+    /// Returns whether this incarnation of a node's process is running.
     pub(super) fn is_running(&self, node: usize, incarnation: u64) -> bool {
         self.nodes[node].controller.is_some() && self.nodes[node].incarnation == incarnation
     }
 
-    /// When a node that is paused goes on.
+    /// Returns the time at which a paused node resumes. None if the node is not paused.
     pub(super) fn paused_until(&self, node: usize) -> Option<f64> {
         let until = self.nodes[node].paused_until;
         (self.now < until).then_some(until)
@@ -113,7 +113,7 @@
         self.send(self.now + pause_s, Some(node), Event::ControllerTick { node, incarnation });
     }
 
-    /// Gives a controller an input and carries out what it puts out.
+    /// Passes an input to a controller and executes its outputs.
     pub(super) fn deliver_input(&mut self, node: usize, input: Input) {
         let now = self.now;
         let process = &mut self.nodes[node];
@@ -127,7 +127,7 @@
             outputs.iter().for_each(|output| digest.add_output(now, node, output));
         }
         for output in outputs {
-            // A fault at one of its messages may have ended the process.
+            // A fault at one of these messages may have ended the process.
             if self.nodes[node].controller.is_none() {
                 break;
             }
@@ -135,7 +135,7 @@
         }
     }
 
-    /// A request reaches a node; nothing happens if its process is not running.
+    /// Delivers a request to a node. It is dropped if the node's process is not running.
     pub(super) fn request(&mut self, node: usize, requester: Requester, request: Request) {
         if self.nodes[node].controller.is_some() {
             let id = self.register_request(node, requester);
@@ -150,33 +150,33 @@
         process.last_request
     }
 
-    /// Who waited for this response, and does no longer.
+    /// Removes and returns the requester that is waiting for this response.
     pub(super) fn take_requester(&mut self, node: usize, id: RequestId) -> Option<Requester> {
         self.nodes[node].requests.remove(&id)
     }
 
-    /// The fencing token with which a node leads.
+    /// Returns the fencing token of a node's leadership. None if the node is not the leader.
     pub(super) fn token(&self, node: usize) -> Option<u64> {
         self.nodes[node].token()
     }
 
-    /// The node that leads with the highest token.
+    /// Returns the leader with the highest fencing token.
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len()).filter(|&n| self.token(n).is_some()).max_by_key(|&n| self.token(n))
     }
 
-    /// The fencing token of the node that leads.
+    /// Returns the highest fencing token of all leaders.
     pub(super) fn newest_token(&self) -> Option<u64> {
         self.leader().and_then(|node| self.token(node))
     }
 
-    /// Whether a node leads while another leads with a higher token.
+    /// Returns whether a node considers itself the leader while another one leads with a higher token.
     pub(super) fn is_replaced(&self, node: usize) -> bool {
         let newest = (0..self.nodes.len()).filter_map(|other| self.token(other)).max();
         self.token(node).is_some_and(|token| newest > Some(token))
     }
 
-    /// Controllers whose process is running.
+    /// Returns the controllers whose process is running.
     pub(super) fn controllers(&self) -> impl Iterator<Item = &Controller> {
         self.nodes.iter().filter_map(|node| node.controller.as_ref())
     }
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -1,62 +1,63 @@
-//! What a run consists of, and the simulation that begins with it.
+//! Configuration of a run, and the creation of a simulation from it.
 
 use super::*;
 use protocol::cloud::MachineType;
 
-/// How far a controller's steady clock is off at most: 0.05 %.
+/// Largest rate error of a controller's monotonic clock: 0.05 %.
 const MAX_CLOCK_DRIFT: f64 = 0.0005;
 
-/// What a run consists of.
+/// Configuration of a run.
 pub struct Setup {
     /// Number of controllers, up to five.
     pub nodes: usize,
-    /// The settings that the controllers are given, and that the run is judged by.
+    /// Settings that the controllers receive and the rules are checked against.
     pub settings: Settings,
     /// Machine types that the cloud rents out.
     pub types: Vec<MachineType>,
-    /// The number of machines that there can be at once.
+    /// Maximum number of machines at the same time.
     pub capacity: usize,
-    /// Jobs and when they are submitted.
+    /// Jobs with their submission times.
     pub jobs: Vec<Submission>,
     /// Jobs whose tasks fail on every machine.
     pub failing_jobs: BTreeSet<String>,
-    /// Faults and when they begin.
+    /// Faults with their start times.
     pub faults: Vec<ScheduledFault>,
     /// Seed of all random draws.
     pub seed: u64,
-    /// Share of all messages that is lost, from 0 to 1.
+    /// Fraction of all messages that is lost, from 0 to 1.
     pub loss: f64,
-    /// How long controllers wait for the reply to forwarded heartbeats; None: as the settings say.
+    /// Timeout of a request that forwards heartbeats, in seconds. None for the value that follows
+    /// from the settings.
     pub forward_timeout_s: Option<f64>,
-    /// The safety checks that are on.
+    /// Safety checks of the controllers, each of which can be switched off.
     pub checks: SafetyChecks,
 }
 
-/// A job that a user submits, and may cancel.
+/// Job that a user submits and may cancel.
 #[derive(Debug, Clone)]
 pub struct Submission {
-    /// When it is submitted, in simulated seconds.
+    /// Submission time, in simulated seconds.
     pub at: f64,
-    /// The job.
+    /// Specification of the job.
     pub spec: JobSpec,
-    /// When its user cancels it.
+    /// Time at which the user cancels the job.
     pub cancel_at: Option<f64>,
 }
 
 impl Submission {
-    /// `spec`, submitted at `at` and not cancelled.
+    /// Creates a submission of `spec` at `at` that is not cancelled.
     pub fn new(at: f64, spec: JobSpec) -> Self {
         Submission { at, spec, cancel_at: None }
     }
 
-    /// The same, cancelled at `cancel_at`.
+    /// Returns the same submission, cancelled at `cancel_at`.
     pub fn cancelled_at(self, cancel_at: impl Into<Option<f64>>) -> Self {
         Submission { cancel_at: cancel_at.into(), ..self }
     }
 }
 
 impl Simulation {
-    /// A deployment at time 0: no machine, all controllers just started.
+    /// Creates a deployment at time 0, without machines and with all controllers just started.
     pub fn new(setup: Setup) -> Self {
         let mut rng = SmallRng::seed_from_u64(setup.seed);
         let zones = &setup.types[0].zones;
@@ -84,7 +85,7 @@
         sim
     }
 
-    /// A deployment in which nothing is scheduled yet.
+    /// Creates a deployment without any scheduled event.
     fn with_nodes(nodes: Vec<Node>, rng: SmallRng, setup: &Setup) -> Self {
         let params = &setup.settings.params;
         let default_timeout_s = Timing::from(&setup.settings).forward_timeout_s;
@@ -132,7 +133,7 @@
     }
 }
 
-/// An empty store with the limits of today; its rate is not limited.
+/// Creates an empty store with the present size limits and no rate limit.
 fn store_with_limits(settings: &Settings) -> Store {
     let params = &settings.params.store;
     let mut store = Store::default();
--- a/crates/simulation/src/sim/world.rs
+++ b/crates/simulation/src/sim/world.rs
@@ -1,8 +1,8 @@
-//! The periodic step of everything that is not a message.
+//! Periodic step of everything that is not triggered by a message.
 
 use super::*;
 
-/// How often it happens, in seconds.
+/// Interval between two periodic steps, in seconds.
 pub(super) const STEP_INTERVAL_S: f64 = 0.1;
 
 impl Simulation {
@@ -29,7 +29,8 @@
         self.measure_leadership();
     }
 
-    /// Machines that have booted since the last step get a worker, which knows some node.
+    /// Starts a worker on each machine that has booted since the last step. Its first heartbeat
+    /// goes to a randomly drawn node.
     fn start_booted_workers(&mut self) {
         let now = self.now;
         let is_new = |id: &String| !self.workers.contains_key(id);
@@ -42,14 +43,15 @@
         }
     }
 
-    /// Machines that leaders take for alive and are gone, and those that they declare dead and live.
+    /// Records machines that leaders consider usable long after they are gone, and machines that
+    /// leaders declare dead although they are alive.
     fn check_failure_detection(&mut self) {
         let now = self.now;
         let lease_s = self.settings.params.workers.lease_s;
         let suspicion_s = Timing::from(&self.settings).failure_suspicion_s;
         for (n, node) in self.nodes.iter().enumerate() {
             let Some(controller) = &node.controller else { continue };
-            // A replaced leader gives no work, and may hear a heartbeat that was held for it.
+            // A replaced leader assigns no work, and a delayed heartbeat may still reach it.
             let replaced = self.is_replaced(n);
             let long_gone =
                 |id: &&str| !replaced && self.lost_at.get(*id).is_some_and(|at| now - at > suspicion_s);
@@ -59,7 +61,7 @@
                     now < worker.renewed_at + lease_s && now - worker.hung_until > suspicion_s
                 })
             };
-            // Each is judged once, when it is declared dead: what hangs may come back later.
+            // Each verdict is checked only once, when it is made: a hung machine may recover later.
             for id in controller.machines_given_up() {
                 let fencing_token = controller.token().unwrap_or(0);
                 let verdict = DeathVerdict { node: n, fencing_token, machine: id.to_string() };
@@ -70,7 +72,7 @@
         }
     }
 
-    /// For how long nobody leads, or a replaced leader leads on.
+    /// Measures how long there is no leader, and how long a replaced leader continues to lead.
     fn measure_leadership(&mut self) {
         let now = self.now;
         if (0..self.nodes.len()).any(|node| self.is_replaced(node)) {
