--- a/crates/simulation/src/sim/digest.rs
+++ b/crates/simulation/src/sim/digest.rs
@@ -1,6 +1,6 @@
-//! A digest of every message that goes into a controller or comes out of it, in its wire form. Two
-//! versions of the code behave alike on a day if their digests are equal, whatever their types and
-//! fields are called.
+//! Digest of all inputs and outputs of controllers in their wire format. If two versions of the code
+//! have equal digests for a run, they behaved identically in it, regardless of the names of their
+//! types and fields.
 
 use super::Simulation;
 use controller::*;
@@ -9,17 +9,17 @@
 use protocol::state::{Committed, GrantLease, Lease, Missing};
 use serde::Serialize;
 
-/// The hash of no byte.
+/// FNV-1a hash of the empty input.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// The factor of each byte.
+/// FNV-1a multiplier for each byte.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// The number of messages so far, and a hash of all of them.
+/// Number and hash of all messages so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Digest {
-    /// Messages so far.
+    /// Number of messages so far.
     pub messages: u64,
-    /// Their FNV-1a hash of 64 bits.
+    /// 64-bit FNV-1a hash of the messages.
     pub value: u64,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Between whom a message goes, and in which direction. The numbers are part of the digests.
+/// Parties and direction of a message. The numbers are part of the digests.
 #[derive(Clone, Copy)]
 enum Channel {
     Request = 1,
@@ -47,12 +47,12 @@
     PeerView = 13,
 }
 
-/// The bytes of one message, each field with its length or of a fixed length.
+/// Bytes of one message. Each field has a fixed length or is preceded by its length.
 #[derive(Default)]
 struct WireForm(Vec<u8>);
 
 impl WireForm {
-    /// Begins with the kind of message.
+    /// Creates a wire form that begins with the kind of the message.
     fn kind(kind: u8) -> Self {
         WireForm(vec![kind])
     }
@@ -77,7 +77,7 @@
         form.text(text.unwrap_or_default())
     }
 
-    /// A body that is MessagePack on the wire.
+    /// Appends a body that is encoded as MessagePack on the wire.
     fn body<T: Serialize>(self, body: &T) -> Self {
         let bytes = protocol::encode(body);
         assert!(!bytes.is_empty(), "a message has no wire form");
@@ -172,7 +172,7 @@
         self.messages += 1;
     }
 
-    /// An input of a node's controller. The failure of a call counts as its reply; timers don't count.
+    /// Adds an input of a controller. A failed call counts as its reply. Timers are not included.
     pub(super) fn add_input(&mut self, now: f64, node: usize, input: &Input) {
         let (channel, id, form) = match input {
             Input::Tick => return,
@@ -195,7 +195,7 @@
         self.add(now, channel, node, id, form);
     }
 
-    /// An output of a node's controller.
+    /// Adds an output of a controller.
     pub(super) fn add_output(&mut self, now: f64, node: usize, output: &Output) {
         let (channel, id, form) = match output {
             Output::Response(id, a) => (Channel::Response, *id, response(a)),
@@ -216,12 +216,12 @@
 }
 
 impl Simulation {
-    /// Takes the digest of every message from here on.
+    /// Starts the digest: all messages from now on are included.
     pub fn record_digest(&mut self) {
         self.digest = Some(Digest::default());
     }
 
-    /// The digest since then; None: it is not taken.
+    /// Returns the digest of all messages since `record_digest`. None if it was not called.
     pub fn digest(&self) -> Option<Digest> {
         self.digest
     }
--- a/crates/simulation/src/sim/inspection.rs
+++ b/crates/simulation/src/sim/inspection.rs
@@ -1,15 +1,15 @@
-//! What a test can ask a simulation, and change in it.
+//! Queries and settings of a simulation for tests.
 
 use super::*;
 
 impl Simulation {
-    /// Whether the leader has read all records.
+    /// Returns whether the leader has read all records.
     pub fn has_recovered(&self) -> bool {
         let controller = self.leader().and_then(|node| self.nodes[node].controller.as_ref());
         controller.is_some_and(Controller::has_recovered)
     }
 
-    /// Live workers that no leader would give work to or is scaling in.
+    /// Returns the live workers that no controller considers usable or is scaling in.
     pub fn unknown_workers(&self) -> Vec<&str> {
         let known: BTreeSet<&str> = self
             .controllers()
@@ -20,33 +20,33 @@
         live.map(|(id, _)| id.as_str()).filter(|id| !known.contains(id)).collect()
     }
 
-    /// The number of workers that accepted a response within the last `within_s` seconds.
+    /// Returns the number of workers that accepted a response within the last `within_s` seconds.
     pub fn recently_answered_workers(&self, within_s: f64) -> usize {
         self.responded_at.values().filter(|at| self.now - **at < within_s).count()
     }
 
-    /// The number of machines rented so far, gone ones included.
+    /// Returns the number of machines rented so far, including those that no longer exist.
     pub fn rented_count(&self) -> u32 {
         self.cloud.rented_count()
     }
 
-    /// The same in one zone.
+    /// Returns the number of machines rented so far in one zone.
     pub fn rented_count_in(&self, zone: &str) -> usize {
         self.cloud.rented_count_in(zone)
     }
 
-    /// The number of machines that there are.
+    /// Returns the number of machines that currently exist.
     pub fn machine_count(&self) -> usize {
         self.cloud.machines.len()
     }
 
-    /// How many workers send their heartbeats to each node.
+    /// Returns the number of workers that send their heartbeats to each node, by node.
     pub fn workers_by_node(&self) -> Vec<usize> {
         let count = |node: usize| self.workers.values().filter(|worker| worker.node == node).count();
         (0..self.nodes.len()).map(count).collect()
     }
 
-    /// Accelerators that each team's tasks take just now.
+    /// Returns the accelerators currently used by the tasks of each team.
     pub fn accelerators_in_use(&self) -> BTreeMap<String, f64> {
         let mut used = BTreeMap::new();
         for (key, task) in self.workers.values().flat_map(|worker| &worker.tasks) {
@@ -58,52 +58,53 @@
         used
     }
 
-    /// When all faults that are known of are over, in simulated seconds.
+    /// Returns the time at which all faults scheduled so far have ended, in simulated seconds.
     pub fn faults_end(&self) -> f64 {
         self.faults_end
     }
 
-    /// The key-value store.
+    /// Returns the key-value store.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// Has `inspect` see every value that is stored from now on, with its key.
+    /// Calls `inspect` with the key and value of every write from now on.
     pub fn inspect_writes(&mut self, inspect: fn(&str, &controller::records::Value)) {
         self.store.inspect = Some(inspect);
     }
 
-    /// From now on the run is judged by these settings, whatever the controllers were given.
+    /// Checks the rules against these settings from now on. Running controllers keep their settings.
     pub fn check_against(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// Controllers announce no newer format than that: some still run an earlier version.
+    /// Makes controllers announce no format newer than `format` to each other, as if some of them
+    /// still ran an earlier version.
     pub fn announce_format(&mut self, format: u32) {
         self.announced_format = Some(format);
     }
 
-    /// From now on the cloud serves no more calls a second than the settings name.
+    /// Limits the cloud to the call rate in the settings from now on.
     pub fn limit_cloud_rate(&mut self) {
         self.cloud.limit_rate(self.settings.params.cloud.rps, self.now);
     }
 
-    /// The number of calls that the cloud refused for that.
+    /// Returns the number of calls that the cloud refused because of the rate limit.
     pub fn refused_cloud_calls(&self) -> u64 {
         self.cloud.refused
     }
 
-    /// Whether users were told of every submitted job that it is over.
+    /// Returns whether users have received a final status for every job.
     pub fn all_finished(&self) -> bool {
         self.users.keys().all(|job| self.history.finished.contains_key(job))
     }
 
-    /// Accepted jobs that should be over by now and are not.
+    /// Returns the accepted jobs, other than services, without a final status.
     pub fn unfinished(&self) -> Vec<String> {
-        let ends = |job: &String| self.history.specs[job].shape != Shape::Service;
-        let is_over =
+        let ends_by_itself = |job: &String| self.history.specs[job].shape != Shape::Service;
+        let is_finished =
             |job: &String| self.history.last_status.get(job).is_some_and(|status| status.is_final());
         let accepted = self.history.accepted.iter();
-        accepted.filter(|job| ends(job) && !is_over(job)).cloned().collect()
+        accepted.filter(|job| ends_by_itself(job) && !is_finished(job)).cloned().collect()
     }
 }
--- a/crates/simulation/src/sim/message_label.rs
+++ b/crates/simulation/src/sim/message_label.rs
@@ -1,5 +1,5 @@
-//! Labels of recorded messages: their purpose and the state of what they are about. Two messages
-//! with equal labels count as alike to the explorer.
+//! Labels of recorded messages: the purpose of a message and the state of its subject. The explorer
+//! treats two messages with equal labels as equivalent.
 
 use super::interception::MessageKind;
 use super::*;
@@ -7,7 +7,7 @@
 use protocol::state::Mutation;
 use std::fmt::{Debug, Write};
 
-/// Between whom a message goes; None: the event is no message.
+/// Returns the kind of a message. None if the event is not a message.
 pub(super) fn kind_of(event: &Event) -> Option<MessageKind> {
     Some(match event {
         Event::ControllerTick { .. } => MessageKind::Timer,
@@ -35,7 +35,7 @@
     })
 }
 
-/// The label of a message.
+/// Returns the label of a message.
 pub(super) fn label_of(sim: &Simulation, event: &Event) -> String {
     let role = |node: usize| if sim.token(node).is_some() { "leader" } else { "another" };
     match event {
@@ -71,14 +71,15 @@
     }
 }
 
-/// The name of a value's variant: what is written of it up to the first other character.
+/// Returns the name of a value's variant: its `Debug` form up to the first character that is not
+/// alphanumeric.
 fn variant_name<T: Debug>(value: &T) -> String {
     struct FirstWord(String);
     impl Write for FirstWord {
         fn write_str(&mut self, text: &str) -> std::fmt::Result {
             let end = text.find(|c: char| !c.is_alphanumeric());
             self.0.push_str(&text[..end.unwrap_or(text.len())]);
-            // The rest may be long.
+            // The error stops the formatting, since the rest may be long.
             end.map_or(Ok(()), |_| Err(std::fmt::Error))
         }
     }
@@ -87,7 +88,7 @@
     word.0
 }
 
-/// The different words, sorted.
+/// Returns the distinct words, sorted and joined by commas.
 fn distinct(mut words: Vec<String>) -> String {
     words.sort();
     words.dedup();
@@ -108,7 +109,7 @@
     format!("{epoch}{}", distinct(heartbeat.tasks.iter().map(state).collect()))
 }
 
-/// A key without the id in it.
+/// Returns a key without the id in it.
 fn key_prefix(key: &str) -> &str {
     match key.split_once('/') {
         Some(("a", rest)) if !rest.starts_with("n-") => key,
--- a/crates/simulation/src/sim/queries.rs
+++ b/crates/simulation/src/sim/queries.rs
@@ -1,67 +1,67 @@
-//! What users ask beside their own course: at all nodes at once, invalid jobs, and cancellations at
-//! the moment of an end.
+//! User requests outside the regular sequence of a user: concurrent requests to all nodes, invalid
+//! jobs, and cancellations at the moment of completion.
 
 use super::fault_injection::Disturbance;
 use super::*;
 
-/// These requests are numbered from there on.
+/// Requests outside the regular sequence have numbers above this one.
 pub(super) const FIRST_QUERY: u64 = 1 << 40;
 
-/// Within that time of a change, in seconds, users ask at all nodes.
+/// Time after a status change within which users query all nodes, in seconds.
 const CONCURRENT_S: f64 = 0.01;
 
-/// The number of machines that hang, at most, when running jobs are cancelled.
+/// Maximum number of machines that hang when running jobs are cancelled.
 const MAX_HANGING_MACHINES: usize = 8;
 
-/// A running task that has at least that long to go, in seconds, is cancelled by
+/// Remaining run time, in seconds, above which a task makes its job a candidate for
 /// `Fault::CancelRunningJobs`.
 const MIN_REMAINING_S: f64 = 20.0;
 
-/// A request beside a user's own course.
+/// Request outside the regular sequence of a user.
 struct Query {
     job: String,
     sent_at: f64,
-    /// It submits a job that no node may accept.
+    /// Whether it submits a job that no node may accept.
     invalid: bool,
 }
 
-/// Requests beside the users' own course.
+/// Requests outside the regular sequences of the users.
 #[derive(Default)]
 pub(super) struct Queries {
     open: BTreeMap<u64, Query>,
     sent: u64,
     invalid_sent: u64,
-    /// Until when users ask at all nodes at once.
+    /// End of the period in which users query all nodes after a status change.
     pub(super) concurrent_until: f64,
-    /// Until when users send invalid requests.
+    /// End of the period in which users send invalid requests.
     pub(super) invalid_until: f64,
-    /// Until when a share of the jobs is cancelled as it ends.
+    /// Period in which jobs are cancelled at their completion, and the fraction of these jobs.
     pub(super) cancel_at_completion: Disturbance,
     counts: QueryCounts,
 }
 
-/// How often such requests were sent and answered.
+/// Numbers of requests outside the regular sequences that were sent and answered.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct QueryCounts {
-    /// Requests sent within 10 ms of a change, at any node.
+    /// Requests sent to any node within 10 ms of a status change.
     pub concurrent: u64,
-    /// Those of them that were answered with a state.
+    /// Requests outside the regular sequences that were answered with a status.
     pub concurrent_answered: u64,
-    /// Cancellations that were sent at the moment of acceptance.
+    /// Cancellations sent at the moment of acceptance.
     pub cancelled_at_acceptance: u64,
-    /// Cancellations that were sent at the moment of the last task's end.
+    /// Cancellations sent at the moment at which the last task completed.
     pub cancelled_at_completion: u64,
-    /// Jobs that can't run or lack a field that were refused for it.
+    /// Refused submissions of jobs that cannot run or lack required fields.
     pub invalid_refused: u64,
 }
 
 impl Simulation {
-    /// How often users asked beside their own course.
+    /// Returns the numbers of requests outside the regular sequences.
     pub fn query_counts(&self) -> QueryCounts {
         self.queries.counts
     }
 
-    /// Sends a request of a job's user to a node, `after_s` from now.
+    /// Sends a request of a job's user to a node after `after_s` seconds.
     fn query(&mut self, job: &str, node: usize, after_s: f64, request: Request) {
         self.send_query(job, node, after_s, request, false);
     }
@@ -76,7 +76,8 @@
         self.send(at, None, Event::UserRequestArrives { job, number, node, request });
     }
 
-    /// A user cancels its job at any node; its own course repeats that until it is answered.
+    /// Sends a cancellation of a job to a random node. The regular sequence of its user repeats the
+    /// cancellation until it is answered.
     fn cancel_job(&mut self, job: &str, after_s: f64) {
         let node = self.rng.gen_range(0..self.nodes.len());
         if let Some(user) = self.users.get_mut(job) {
@@ -86,14 +87,14 @@
         self.query(job, node, after_s, Request::Cancel(job.to_string()));
     }
 
-    /// A user that had asked at `sent_at` was told a status, or that there is no such job. A change
-    /// may make it ask everywhere.
+    /// Records the answer to a request sent at `sent_at`: a status, or None if the job is unknown to
+    /// the node. A change may make the user query all nodes.
     pub(super) fn record_status(&mut self, job: &str, sent_at: f64, status: Option<JobStatus>) {
-        let is_known =
+        let acceptance_and_end =
             |history: &History| (history.accepted_at.contains_key(job), history.finished.contains_key(job));
-        let before = is_known(&self.history);
+        let before = acceptance_and_end(&self.history);
         self.history.record_status(self.now, sent_at, job, status);
-        if is_known(&self.history) != before && self.now < self.queries.concurrent_until {
+        if acceptance_and_end(&self.history) != before && self.now < self.queries.concurrent_until {
             let newly_accepted = before == (false, false);
             self.query_all_nodes(job, newly_accepted);
         }
@@ -149,7 +150,7 @@
         }
     }
 
-    /// The last task of a job has just ended.
+    /// Cancels a job whose last task has just completed, if that fault is active.
     pub(super) fn cancel_at_completion(&mut self, job: &str) {
         let fault = self.queries.cancel_at_completion;
         if fault.is_active(self.now) && self.rng.gen_bool(fault.strength) {
@@ -158,7 +159,8 @@
         }
     }
 
-    /// Cancels `count` jobs that have long to go, and has up to eight of their machines hang.
+    /// Cancels up to `count` jobs with a long remaining run time, and makes up to eight of their
+    /// machines hang.
     pub(super) fn cancel_running_jobs(&mut self, count: usize, hang_s: f64) {
         let running = self.long_running();
         let mut jobs: Vec<String> = running.iter().map(|task| task.job.clone()).collect();
@@ -183,7 +185,8 @@
         }
     }
 
-    /// Tasks of accepted jobs that have long to go and that nobody has cancelled.
+    /// Returns the running tasks with a long remaining run time whose jobs are accepted and not
+    /// cancelled.
     fn long_running(&self) -> Vec<RunningTask> {
         let earliest = self.now + MIN_REMAINING_S;
         let mut running = Vec::new();
@@ -199,28 +202,28 @@
         running
     }
 
-    /// Users cancel every accepted job that is not known to be over.
+    /// Cancels every accepted job for which users have not received a final status.
     pub(super) fn cancel_all(&mut self) {
         let statuses = &self.history.last_status;
-        let is_over = |job: &&String| statuses.get(*job).is_some_and(|status| status.is_final());
-        let open = self.history.accepted.iter().filter(|job| !is_over(job));
+        let is_finished = |job: &&String| statuses.get(*job).is_some_and(|status| status.is_final());
+        let open = self.history.accepted.iter().filter(|job| !is_finished(job));
         for job in open.cloned().collect::<Vec<_>>() {
             self.cancel_job(&job, 0.0);
         }
     }
 
-    /// Users ask for every job that was submitted at every node, and repeat their submissions.
+    /// Queries every submitted job at every node, and repeats its submission there.
     pub(super) fn query_all_jobs(&mut self) {
         for job in self.history.submitted.iter().cloned().collect::<Vec<_>>() {
-            let again = Request::Submit(protocol::encode(&self.history.specs[&job]));
+            let resubmission = Request::Submit(protocol::encode(&self.history.specs[&job]));
             for node in 0..self.nodes.len() {
                 self.query(&job, node, 0.0, Request::QueryStatus(job.clone()));
-                self.query(&job, node, 0.0, again.clone());
+                self.query(&job, node, 0.0, resubmission.clone());
             }
         }
     }
 
-    /// Requests of a user that make no sense, at any node.
+    /// Sends pointless and invalid requests of a user to a random node.
     pub(super) fn send_invalid_requests(&mut self, job: &str) {
         if self.now >= self.queries.invalid_until || !self.rng.gen_bool(0.3) {
             return;
@@ -238,7 +241,7 @@
         self.send_query(&id, node, 0.0, Request::Submit(body), true);
     }
 
-    /// A submission that can't run or lacks fields.
+    /// Returns the body of a submission that cannot run or lacks required fields.
     fn invalid_submission(&mut self, spec: JobSpec) -> Vec<u8> {
         match self.rng.gen_range(0..4) {
             0 => protocol::encode(&JobSpec { cores: 1e6, ..spec }),
--- a/crates/simulation/src/sim/workers.rs
+++ b/crates/simulation/src/sim/workers.rs
@@ -1,18 +1,19 @@
-//! Heartbeats of workers, and the commands that reach them.
+//! Heartbeats of workers, and the delivery of commands to them.
 
 use super::*;
 
-/// How long a worker waits for the response to a heartbeat (fixed by the protocol).
+/// Time for which a worker waits for the response to a heartbeat, in seconds. The protocol defines
+/// this value.
 const HEARTBEAT_TIMEOUT_S: f64 = 4.0;
-/// When a worker tries another node that was named to it.
+/// Pause of a worker before it sends to the node it was redirected to, in seconds.
 const REDIRECT_PAUSE_S: f64 = 0.2;
-/// When a worker tries the next node, after a failure.
+/// Pause of a worker before it tries the next node after a failure, in seconds.
 const RETRY_PAUSE_S: f64 = 1.0;
-/// Rounding of times that are compared.
+/// Tolerance for rounding errors when times are compared, in seconds.
 const TIME_TOLERANCE_S: f64 = 1e-9;
 
 impl Simulation {
-    /// A worker's turn: its lease, then its heartbeat if one is due.
+    /// Executes one step of a worker: checks its lease and sends a heartbeat if one is due.
     pub(super) fn worker_turn(&mut self, id: &str) {
         let now = self.now;
         let jitter = self.rng.gen_range(0.75..1.25);
@@ -57,7 +58,7 @@
         }
     }
 
-    /// A copy of a heartbeat that reaches a node later, whose response nobody waits for.
+    /// Schedules the arrival of a copied heartbeat at a node. No worker is waiting for the response.
     pub(super) fn schedule_copy(&mut self, at: f64, machine: &str, node: usize, body: Vec<u8>) {
         let machine = machine.to_string();
         self.schedule(at, Event::HeartbeatArrives { machine, sequence: u64::MAX, node, body });
@@ -126,11 +127,11 @@
         self.schedule(at, Event::WorkerTurn(id.to_string()));
     }
 
-    /// Another node is to take the worker's heartbeats.
+    /// Handles a redirect of a worker to another node.
     fn redirect_worker(&mut self, id: &str, node: usize, body: &[u8]) {
         let target = protocol::decode::<Redirect>(body).ok().and_then(|redirect| redirect.report_to);
-        let known = target.and_then(|name| NODE_NAMES.iter().position(|known| *known == name));
-        let Some(to) = known.filter(|&to| to != node) else { return self.try_next_node(id) };
+        let target_node = target.and_then(|name| NODE_NAMES.iter().position(|known| *known == name));
+        let Some(to) = target_node.filter(|&to| to != node) else { return self.try_next_node(id) };
         let now = self.now;
         if let Some(worker) = self.workers.get_mut(id) {
             worker.next_heartbeat = now + REDIRECT_PAUSE_S;
@@ -162,7 +163,7 @@
         }
     }
 
-    /// What launching a task of a job takes, if there is such a job.
+    /// Draws the launch parameters for a task of a job. None if the job was never submitted.
     fn draw_launch(&mut self, job: &str) -> Option<Launch> {
         let submitted = self.history.submitted.contains(job);
         submitted.then(|| Launch { fetch_s: self.rng.gen_range(0.5..4.0) })
