--- a/crates/simulation/src/sim/fault_injection.rs
+++ b/crates/simulation/src/sim/fault_injection.rs
@@ -1,8 +1,8 @@
-//! How each fault begins, and which faults go on.
+//! Injection of faults, and the state of the active ones.
 
 use super::*;
 
-/// Which faults go on, and until when, in simulated seconds.
+/// End times of the active faults, in simulated seconds.
 #[derive(Default)]
 pub(super) struct ActiveFaults {
     pub(super) store_down_until: f64,
@@ -19,14 +19,14 @@
     pub(super) slow_worker_responses: Disturbance,
 }
 
-/// A zone that is cut off until a time.
+/// Partition of a zone until a given time.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ZoneOutage {
     pub(super) until: f64,
     pub(super) zone: &'static str,
 }
 
-/// A disturbance until a time, and how strong it is: a share, a factor or a longest delay.
+/// Disturbance until a given time. Its strength is a fraction, a factor or a longest delay.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Disturbance {
     pub(super) until: f64,
@@ -40,13 +40,13 @@
 }
 
 impl Simulation {
-    /// Begins a fault now.
+    /// Starts a fault now.
     pub fn inject(&mut self, fault: Fault) {
         self.faults_end = self.faults_end.max(self.now + fault.effect_duration_s());
         self.begin_fault(fault);
     }
 
-    /// Begins a fault so many seconds from now.
+    /// Starts a fault in `delay_s` seconds.
     pub fn inject_after(&mut self, delay_s: f64, fault: Fault) {
         self.schedule_fault(self.now + delay_s, fault);
     }
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Faults of one controller and its links.
+    /// Starts a fault of one controller or its links.
     fn begin_controller_fault(&mut self, fault: Fault) {
         let now = self.now;
         match fault {
@@ -118,11 +118,11 @@
                 self.nodes[node].store_partition_until = now + duration_s;
                 self.nodes[node].peer_partition_until = now + duration_s;
             }
-            _ => unreachable!("not a fault of a controller: {fault:?}"),
+            _ => unreachable!("not a controller fault: {fault:?}"),
         }
     }
 
-    /// Faults of machines and of their links.
+    /// Starts a fault of machines or their links.
     fn begin_machine_fault(&mut self, fault: Fault) {
         let now = self.now;
         match fault {
@@ -151,11 +151,11 @@
             Fault::HeartbeatsLostInZone { zone, duration_s } => {
                 self.third_of_zone(zone).for_each(|worker| worker.heartbeats_lost_until = now + duration_s);
             }
-            _ => unreachable!("not a fault of a machine: {fault:?}"),
+            _ => unreachable!("not a machine fault: {fault:?}"),
         }
     }
 
-    /// Users who behave badly.
+    /// Starts a fault in the behaviour of users.
     fn begin_user_fault(&mut self, fault: Fault) {
         let now = self.now;
         match fault {
@@ -168,11 +168,11 @@
             Fault::QueryFlood { factor, duration_s } => {
                 self.faults.query_flood = Disturbance { until: now + duration_s, strength: factor };
             }
-            _ => unreachable!("not a fault of users: {fault:?}"),
+            _ => unreachable!("not a user fault: {fault:?}"),
         }
     }
 
-    /// Faults of the store, the cloud and the network as a whole.
+    /// Starts a fault of the store, the cloud or the network as a whole.
     fn begin_shared_fault(&mut self, fault: Fault) {
         let now = self.now;
         let disturbance = |duration_s: f64, strength: f64| Disturbance { until: now + duration_s, strength };
@@ -213,11 +213,11 @@
             Fault::RotatingHeartbeatTargets { duration_s } => {
                 faults.rotating_targets_until = now + duration_s;
             }
-            _ => unreachable!("not a fault of what all share: {fault:?}"),
+            _ => unreachable!("not a shared fault: {fault:?}"),
         }
     }
 
-    /// The id of a machine by its place among all, modulo their number.
+    /// Returns the id of the machine at an index, modulo the number of machines.
     fn machine_at(&self, index: usize) -> Option<String> {
         let count = self.workers.len().max(1);
         self.workers.keys().nth(index % count).cloned()
@@ -230,7 +230,7 @@
         }
     }
 
-    /// One worker in three of a zone.
+    /// Returns every third worker of a zone.
     fn third_of_zone(&mut self, zone: &'static str) -> impl Iterator<Item = &mut Worker> {
         let in_zone = self.workers.values_mut().filter(move |worker| worker.machine.zone == zone);
         in_zone.step_by(3)
--- a/crates/simulation/src/sim/heartbeat_replay.rs
+++ b/crates/simulation/src/sim/heartbeat_replay.rs
@@ -1,17 +1,17 @@
-//! Copies of heartbeats that reach every controller after the next leader has begun.
+//! Copies of heartbeats that reach every controller after the next leader has started.
 
 use super::*;
 
-/// Copies of heartbeats for the next leader.
+/// Copies of heartbeats that are delivered after the next leader has started.
 #[derive(Default)]
 pub(super) struct ReplayedHeartbeats {
-    /// Until when heartbeats are copied.
+    /// End of the period in which heartbeats are copied.
     until: f64,
-    /// How long after the next leader's start the copies arrive.
+    /// Delay of the copies after the start of the next leader, in seconds.
     delay_s: f64,
-    /// The token of the leader as copying began.
+    /// Fencing token of the leader at the time when copying began.
     token: Option<u64>,
-    /// When the copies arrive; None: no new leader has begun.
+    /// Time at which the copies are delivered. None while no new leader has started.
     due: Option<f64>,
     copies: Vec<HeartbeatCopy>,
     delivered: u64,
@@ -23,7 +23,7 @@
 }
 
 impl Simulation {
-    /// The number of copies that reached a node after a new leader had begun.
+    /// Returns the number of copies sent to nodes after a new leader had started.
     pub fn replayed_heartbeats(&self) -> u64 {
         self.replayed_heartbeats.delivered
     }
--- a/crates/simulation/src/sim/interception.rs
+++ b/crates/simulation/src/sim/interception.rs
@@ -1,47 +1,47 @@
-//! Numbers every message between parties, and has planned faults strike at some of them.
+//! Numbers all messages between parties, and injects planned faults at some of them.
 //!
-//! Nothing here draws at random: a run without planned faults is the same whether it is recorded or
-//! not, and one with faults is the same up to the first of them.
+//! Nothing here draws random numbers: a run without planned faults is the same whether it is
+//! recorded or not, and a run with faults is the same up to the first one.
 
 use super::message_label::{kind_of, label_of};
 use super::*;
 
-/// Which parties a message goes between; a turn of a controller's timer counts as one.
+/// Kind of a message, by sender and receiver. A tick of a controller's timer counts as a message.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MessageKind {
-    /// A turn of a controller's timer.
+    /// Tick of a controller's timer.
     Timer,
-    /// A request to the store.
+    /// Request to the store.
     StoreRequest {
-        /// Whether it may change something.
+        /// Whether it may change the store.
         writes: bool,
     },
-    /// A reply of the store.
+    /// Reply of the store.
     StoreReply,
-    /// A call to the cloud.
+    /// Call to the cloud.
     CloudRequest,
-    /// A reply of the cloud.
+    /// Reply of the cloud.
     CloudReply,
     /// Heartbeats that one controller forwards to another.
     ForwardRequest,
-    /// The reply to these.
+    /// Reply to forwarded heartbeats.
     ForwardReply,
-    /// A worker's heartbeat.
+    /// Heartbeat of a worker.
     Heartbeat,
-    /// The response to a heartbeat.
+    /// Response to a heartbeat.
     HeartbeatResponse,
-    /// Commands that go straight to a worker.
+    /// Commands sent directly to a worker.
     DirectCommands,
-    /// A worker's reply to these.
+    /// Reply of a worker to direct commands.
     DirectReply,
-    /// A user's request.
+    /// Request of a user.
     UserRequest,
-    /// The response to it.
+    /// Response to a user's request.
     UserResponse,
 }
 
 impl MessageKind {
-    /// The word by which the explorer prints it.
+    /// Returns the name that the explorer prints.
     pub fn as_str(&self) -> &'static str {
         match self {
             MessageKind::Timer => "timer",
@@ -62,60 +62,60 @@
     }
 }
 
-/// What can happen at a message. Times are in seconds.
+/// Fault that can be injected at a message. Times are in seconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum MessageFault {
-    /// It does not arrive.
+    /// The message is lost.
     Lost,
-    /// It arrives that much later; at a controller's timer: the controller pauses for that long.
+    /// The message arrives later by this time. At a timer, the controller is paused for this time.
     Delayed(f64),
-    /// A copy of it arrives that much later.
+    /// A copy of the message arrives later by this time.
     Duplicated(f64),
-    /// Its sender ends just before, and is back after that time. A machine stays away.
+    /// The sender ends just before sending and restarts after this time. A machine does not return.
     SenderEndsBefore(f64),
-    /// Its sender ends just after, and is back after that time. A machine stays away.
+    /// The sender ends just after sending and restarts after this time. A machine does not return.
     SenderEndsAfter(f64),
-    /// Its receiver is cut off from there on, for that time.
+    /// The receiver is partitioned for this time from now on.
     ReceiverPartitioned(f64),
-    /// The store refuses its sender from there on, for that time.
+    /// The store refuses the sender for this time from now on.
     SenderRefused(f64),
-    /// The machine that sends or receives it hangs from there on, for that time.
+    /// The machine that sends or receives the message hangs for this time from now on.
     MachineHangs(f64),
-    /// Users cancel every job that goes on.
+    /// Users cancel every accepted job without a final status.
     JobsCancelled,
-    /// Users ask for every job at every node, and repeat their submissions.
+    /// Users query every job at every node and repeat their submissions.
     JobsQueried,
 }
 
-/// A fault that strikes at a message.
+/// Fault that is injected at a message.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannedFault {
-    /// The message's number in the run, from 1 on.
+    /// Number of the message in the run, starting at 1.
     pub message: u64,
-    /// What happens there.
+    /// Fault that is injected there.
     pub fault: MessageFault,
 }
 
-/// A message that was recorded.
+/// Recorded message.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RecordedMessage {
-    /// Its number in the run, from 1 on.
+    /// Number of the message in the run, starting at 1.
     pub number: u64,
-    /// When it was sent, in simulated seconds.
+    /// Time of sending, in simulated seconds.
     pub at: f64,
-    /// Between whom.
+    /// Kind of the message.
     pub kind: MessageKind,
-    /// Its purpose, and the state of what it is about.
+    /// Purpose of the message and state of its subject.
     pub label: String,
 }
 
-/// What is to happen at which message, and which messages were sent.
+/// Planned message faults, and the messages sent so far.
 #[derive(Default)]
 pub(super) struct Interception {
     plan: Vec<PlannedFault>,
-    /// Messages so far.
+    /// Number of messages so far.
     count: u64,
-    /// Planned faults that came about.
+    /// Number of planned faults that were injected.
     injected: usize,
     record: Option<Record>,
 }
@@ -123,36 +123,37 @@
 #[derive(Default)]
 struct Record {
     messages: Vec<RecordedMessage>,
-    /// Labels of calls, for those of their replies.
+    /// Labels of calls, used in the labels of their replies.
     calls: BTreeMap<CallKey, String>,
 }
 
-/// A message on its way, and when it arrives.
+/// Message that has been sent, with its arrival time.
 struct InTransit {
     at: f64,
     event: Event,
 }
 
 impl Simulation {
-    /// Has faults strike at messages, and records the messages if `record` is set.
+    /// Sets the faults to inject at messages, and records all messages if `record` is set.
     pub fn intercept(&mut self, mut plan: Vec<PlannedFault>, record: bool) {
         plan.sort_by_key(|planned| planned.message);
         let record = record.then(Record::default);
         self.interception = Some(Interception { plan, record, ..Interception::default() });
     }
 
-    /// The messages recorded so far.
+    /// Returns the messages recorded so far.
     pub fn recorded_messages(&self) -> &[RecordedMessage] {
         let record = self.interception.as_ref().and_then(|interception| interception.record.as_ref());
         record.map_or(&[], |record| &record.messages)
     }
 
-    /// How many of the planned faults came about.
+    /// Returns the number of planned faults that were injected.
     pub fn faults_injected(&self) -> usize {
         self.interception.as_ref().map_or(0, |interception| interception.injected)
     }
 
-    /// Sends a message, `from` a node if that is known: the one place in which planned faults strike.
+    /// Sends a message. `from` is the sending node, if the sender is a node. All planned message
+    /// faults are injected here.
     pub(super) fn send(&mut self, at: f64, from: Option<usize>, event: Event) {
         let Some(interception) = &mut self.interception else { return self.schedule(at, event) };
         interception.count += 1;
@@ -172,7 +173,8 @@
         }
     }
 
-    /// What is left of a message after a fault.
+    /// Injects a fault at a message and returns the message, changed by the fault. None if the message
+    /// is lost or was never sent.
     fn apply_message_fault(
         &mut self,
         fault: MessageFault,
@@ -263,7 +265,7 @@
         }
     }
 
-    /// The place, among all machines, of the one that sends or receives a message.
+    /// Returns the index of the machine that sends or receives a message.
     fn machine_of(&self, event: &Event) -> Option<usize> {
         let id = match event {
             Event::HeartbeatArrives { machine, .. } | Event::HeartbeatResponseArrives { machine, .. } => {
@@ -299,7 +301,7 @@
     }
 }
 
-/// A copy of a message that may come twice.
+/// Returns a copy of a message. None if messages of this kind cannot arrive twice.
 fn copy_of(event: &Event) -> Option<Event> {
     match event {
         Event::HeartbeatArrives { machine, node, body, .. } => Some(Event::HeartbeatArrives {
@@ -318,7 +320,7 @@
     }
 }
 
-/// The call that a message makes.
+/// Returns the call that a message makes.
 fn call_made_by(event: &Event) -> Option<CallKey> {
     match event {
         Event::StoreRequestArrives(call, _)
@@ -330,7 +332,7 @@
     }
 }
 
-/// The call that a message is the reply to.
+/// Returns the call that a message replies to.
 fn call_answered_by(event: &Event) -> Option<CallKey> {
     let Event::ReplyArrives { node, incarnation, input } = event else { return None };
     let call = event::call_of_reply(input)?;
--- a/crates/simulation/src/sim/invariants.rs
+++ b/crates/simulation/src/sim/invariants.rs
@@ -1,17 +1,18 @@
-//! Rules on starts of tasks, and on everything that is on a machine at a moment.
+//! Rules on task starts, and on all tasks that are on machines at a given time.
 
 use super::*;
 use protocol::cloud::ListedMachine;
 
-/// Once all faults are over, a job about which no question is answered for that long, in seconds,
-/// counts as forgotten (set by the operators).
+/// Time, in seconds, after which a job counts as forgotten if no request about it was answered. It
+/// begins when all faults have ended. The operators set this value.
 const MAX_UNANSWERED_S: f64 = 75.0;
 
-/// Rounding of sums of accelerators that are compared.
+/// Tolerance for rounding errors when sums of accelerators are compared.
 pub(super) const ACCELERATOR_TOLERANCE: f64 = 1e-6;
 
 impl Simulation {
-    /// Rules on the start of a task: not on two machines, after its dependencies, and where it may run.
+    /// Checks the rules on a task start: the task runs on no other machine, its dependencies are done,
+    /// and its job may use this machine.
     pub(super) fn check_start(&mut self, machine: &str, key: &TaskKey) {
         let now = self.now;
         let runs =
@@ -24,7 +25,7 @@
         let dependencies = &self.history.specs[&key.job].dependencies;
         let missing = dependencies.iter().find(|job| !self.history.is_done(job)).cloned();
         if let Some(job) = missing {
-            self.history.violate(Rule::TooEarly, now, format!("{key:?} before {job}"));
+            self.history.violate(Rule::TooEarly, now, format!("{key:?} started before {job} was done"));
         }
         if !self.may_run_on(machine, &key.job) {
             let zone = &self.workers[machine].machine.zone;
@@ -33,7 +34,8 @@
         }
     }
 
-    /// Whether a job's task may run there: type, zone, kind, and the zones of its other tasks.
+    /// Returns whether a task of a job may run on a machine, by the machine's type, zone and kind and
+    /// the zones of the job's other tasks.
     fn may_run_on(&self, machine: &str, job: &str) -> bool {
         let spec = &self.history.specs[job];
         let listed = &self.workers[machine].machine;
@@ -56,7 +58,7 @@
         together && apart
     }
 
-    /// Rules on everything that is on a machine right now, and on what users are told.
+    /// Checks the rules on all tasks that are currently on machines and on the responses to users.
     pub(super) fn check_rules(&mut self) {
         self.check_cancelled_tasks();
         self.check_unanswered();
@@ -87,7 +89,7 @@
         };
         let forgotten: Vec<String> = self.history.accepted.iter().filter(is_unanswered).cloned().collect();
         for job in forgotten {
-            self.history.violate(Rule::Forgotten, now, format!("{job} is not answered"));
+            self.history.violate(Rule::Forgotten, now, format!("no request about {job} was answered"));
         }
     }
 
@@ -97,13 +99,17 @@
             let in_use = used.get(&team.name).copied().unwrap_or(0.0);
             let limit = team.accelerators_max;
             if limit > 0.0 && in_use > limit + ACCELERATOR_TOLERANCE {
-                self.history.violate(Rule::Quota, self.now, format!("{} uses {in_use}", team.name));
+                self.history.violate(
+                    Rule::Quota,
+                    self.now,
+                    format!("{} uses {in_use} accelerators", team.name),
+                );
             }
         }
     }
 }
 
-/// Whether a job may use a machine by its type, zone and kind.
+/// Returns whether a job may use a machine, by the machine's type, zone and kind.
 pub(super) fn is_eligible(spec: &JobSpec, machine: &ListedMachine) -> bool {
     spec.machine_types.as_ref().is_none_or(|types| types.contains(&machine.machine_type))
         && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
--- a/crates/simulation/src/sim/metrics.rs
+++ b/crates/simulation/src/sim/metrics.rs
@@ -1,32 +1,33 @@
-//! What a run is measured by.
+//! Metrics of a run.
 
-/// Counts and durations of a run so far.
+/// Counters and durations of a run so far.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Metrics {
-    /// Tasks that began.
+    /// Tasks that started.
     pub task_starts: u64,
     /// Tasks that failed.
     pub task_failures: u64,
-    /// Transactions that failed on a condition.
+    /// Transactions that failed because of a version conflict.
     pub conflicts: u64,
     /// Mutations sent to the store.
     pub mutations: u64,
-    /// Transactions that were carried out, or failed, after a newer one of the same node.
+    /// Transactions without a response that were executed, successfully or not, after a newer
+    /// transaction of the same node had been applied.
     pub overtaken_writes: u64,
-    /// Calls with commands that went straight to workers.
+    /// Calls that sent commands directly to workers.
     pub direct_calls: u64,
     /// Heartbeats that workers sent.
     pub heartbeats: u64,
-    /// Requests by which controllers forwarded heartbeats to the leader.
+    /// Requests with which controllers forwarded heartbeats.
     pub forward_requests: u64,
-    /// Heartbeats in these requests.
+    /// Heartbeats in the forward requests.
     pub forwarded_heartbeats: u64,
-    /// Bytes of these requests and their replies.
+    /// Bytes of the forward requests and their replies.
     pub forward_bytes: u64,
     /// Calls to the cloud by leaders that had been replaced.
     pub cloud_calls_by_replaced_leaders: u64,
-    /// The longest time, in seconds, that a replaced leader took itself for the leader.
+    /// Longest time, in seconds, for which a replaced leader considered itself the leader.
     pub max_dual_leadership_s: f64,
-    /// The longest time, in seconds, without any leader.
+    /// Longest time without any leader, in seconds.
     pub max_leaderless_s: f64,
 }
--- a/crates/simulation/src/sim/store_access.rs
+++ b/crates/simulation/src/sim/store_access.rs
@@ -1,29 +1,29 @@
-//! Requests to the key-value store, watches that wait for a change, and calls to the cloud.
+//! Requests to the key-value store, pending watches, and calls to the cloud.
 
 use super::*;
 use protocol::state::Mutation;
 
-/// A watch that waits for a change.
+/// Watch that is waiting for a change.
 pub(super) struct PendingWatch {
     call: CallKey,
     request: StoreRequest,
-    /// When it is answered without a change.
+    /// Time at which it is answered if there was no change.
     until: f64,
 }
 
-/// A transaction that was carried out while its sender got no answer.
+/// Transaction that was applied although its sender received no response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UnansweredWrite {
-    /// When it was carried out.
+    /// Time at which it was applied.
     pub at: f64,
-    /// The node that sent it.
+    /// Node that sent it.
     pub node: usize,
-    /// The keys that it changed.
+    /// Keys that it changed.
     pub keys: Vec<String>,
 }
 
 impl Simulation {
-    /// Whether the store serves a node.
+    /// Returns whether the store serves the requests of a node.
     pub(super) fn store_serves(&self, node: usize) -> bool {
         self.now >= self.faults.store_down_until.max(self.nodes[node].store_refuses_until)
     }
@@ -31,7 +31,7 @@
     pub(super) fn serve_store_request(&mut self, call: CallKey, request: StoreRequest) {
         let cut_until = self.store_link_cut_until(call.node);
         if !self.store_serves(call.node) {
-            // Watches that are open already wait.
+            // Watches that are already pending are kept.
             return self.reply(call, Input::Store(call.call, StoreReply::Refused), cut_until, None);
         }
         let revision_before = self.store.revision;
@@ -61,7 +61,7 @@
         }
     }
 
-    /// A transaction arrives whose sender gets no answer.
+    /// Executes a transaction whose sender receives no response.
     pub(super) fn apply_unanswered_write(&mut self, call: CallKey, request: &StoreRequest) {
         if self.now < self.faults.store_down_until {
             return;
@@ -87,7 +87,7 @@
         self.unanswered_writes.push(UnansweredWrite { at: self.now, node, keys });
     }
 
-    /// Answers the watches that have something to tell, or have waited for long enough.
+    /// Answers the watches that have events to report or whose wait has ended.
     pub(super) fn answer_watches(&mut self) {
         for watch in std::mem::take(&mut self.watches) {
             let node = watch.call.node;
@@ -124,7 +124,7 @@
         self.reply(call, Input::Cloud(call.call, reply), 0.0, None);
     }
 
-    /// Machines that the cloud has taken away are gone.
+    /// Removes the workers of machines that the cloud has deleted.
     pub(super) fn drop_deleted_machines(&mut self) {
         for id in std::mem::take(&mut self.cloud.deleted) {
             self.workers.remove(&id);
--- a/crates/simulation/src/sim/tasks.rs
+++ b/crates/simulation/src/sim/tasks.rs
@@ -1,42 +1,43 @@
-//! Tasks and gangs that go on between messages.
+//! Progress of tasks and gangs between messages.
 
 use super::*;
 
-/// A gang's attempt, or that of one task of another job.
+/// Job and attempt number: the attempt of a gang, or of a task of another kind of job.
 type Attempt = (String, u64);
 
-/// A task that ends with success.
+/// Task that completes successfully.
 struct FinishedTask {
     task: TaskKey,
     attempt: u64,
 }
 
-/// A task whose image has been fetched.
+/// Task whose image has been fetched.
 struct ArrivedTask {
     task: TaskKey,
     machine: String,
 }
 
-/// What became of tasks in one step.
+/// Phase changes of tasks in one step.
 #[derive(Default)]
 struct TaskProgress {
     arrived: Vec<ArrivedTask>,
     finished: Vec<FinishedTask>,
 }
 
-/// How many tasks of an attempt wait for the others, and how many run on machines that work.
+/// Number of tasks of an attempt that wait for the others, and that run on machines that do not
+/// hang.
 #[derive(Default)]
 struct AttemptMembers {
     waiting: u32,
     running: u32,
 }
 
-/// What a step does to attempts.
+/// Changes of attempts in one step.
 #[derive(Default)]
 struct AttemptChanges {
-    /// Those that begin, with how long they run, in seconds.
+    /// Attempts that begin to run, with their run time in seconds.
     beginning: BTreeMap<Attempt, f64>,
-    /// Gangs that have lost a task.
+    /// Attempts of gangs that have lost a task.
     broken: BTreeSet<Attempt>,
 }
 
@@ -58,7 +59,7 @@
         let gang_wait_s = self.settings.params.workers.gang_wait_s;
         let mut progress = TaskProgress::default();
         for (machine, worker) in &mut self.workers {
-            // A lease runs out on a machine that hangs, too.
+            // A lease also expires on a hung machine.
             if worker.expire_lease(now, lease_s) || now < worker.hung_until {
                 continue;
             }
@@ -109,7 +110,8 @@
         }
     }
 
-    /// A gang completes together, each task of another job by itself.
+    /// Records a completed task. The tasks of a gang complete together, those of other jobs one by
+    /// one.
     fn task_finishes(&mut self, finished: &FinishedTask) {
         let job = &finished.task.job;
         let spec = &self.history.specs[job];
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Waiting tasks start once their gang is complete; a running gang that lost a task notices.
+    /// Starts waiting tasks whose gang is complete, and marks the tasks of broken gangs as orphaned.
     fn advance_attempts(&mut self) {
         let changes = self.attempt_changes();
         if changes.beginning.is_empty() && changes.broken.is_empty() {
@@ -177,7 +179,7 @@
             let spec = &self.history.specs[job];
             let is_gang = spec.shape == Shape::Gang;
             let drawn_s = spec.estimated_run_s * self.rng.gen_range(0.5..1.6);
-            // A service never ends by itself.
+            // A service never ends on its own.
             let run_s = if spec.shape == Shape::Service { f64::MAX / 4.0 } else { drawn_s };
             if members.waiting > 0 && (!is_gang || members.waiting == spec.tasks) {
                 changes.beginning.insert((job.to_string(), attempt), run_s);
--- a/crates/simulation/src/sim/users.rs
+++ b/crates/simulation/src/sim/users.rs
@@ -1,29 +1,29 @@
-//! Users who submit, query and cancel jobs: one user a job, with one request at a time.
+//! Users who submit, query and cancel jobs. Each job has one user, who sends one request at a time.
 
 use super::*;
 
-/// How long a user waits for a response.
+/// Time for which a user waits for a response, in seconds.
 const USER_TIMEOUT_S: f64 = 4.0;
-/// How long a user waits after a request that got no state.
+/// Pause of a user after a request that got no status, in seconds.
 const RETRY_PAUSE_S: f64 = 1.0;
-/// How long a user waits for the jobs that its own depends on.
+/// Interval at which a user checks whether the dependencies of the job are accepted, in seconds.
 const DEPENDENCY_PAUSE_S: f64 = 0.3;
-/// How often a user asks on after the end: the state must not change.
+/// Interval of queries after the final status, in seconds. They verify that it does not change.
 const FINISHED_PAUSE_S: f64 = 10.0;
-/// The number of a request about a job that nobody submitted.
+/// Number of requests about jobs that were never submitted.
 const UNSUBMITTED: u64 = 0;
-/// The number of a request that a test sends outside the users' course.
+/// Number of a request that a test sends outside the regular sequences of the users.
 const TEST_REQUEST: u64 = u64::MAX;
 
-/// The user of one job.
+/// User of one job.
 pub(super) struct User {
-    /// When it cancels the job.
+    /// Time at which the user cancels the job.
     pub(super) cancel_at: Option<f64>,
-    /// The number of its last request.
+    /// Number of the last request.
     last_request: u64,
     sent_at: f64,
     waiting: bool,
-    /// It was told that its job is refused.
+    /// Whether the user was told that the job is refused.
     refused: bool,
 }
 
@@ -32,7 +32,7 @@
         User { cancel_at, last_request: 0, sent_at: 0.0, waiting: false, refused: false }
     }
 
-    /// Whether it waits for the response to this request.
+    /// Returns whether the user is waiting for the response to this request.
     fn waits_for(&self, number: u64) -> bool {
         self.waiting && self.last_request == number
     }
@@ -65,14 +65,14 @@
         self.schedule(now + USER_TIMEOUT_S, Event::UserRequestTimeout { job, number });
     }
 
-    /// The jobs of a pipeline are submitted one after another.
+    /// Returns whether a job may be submitted: the jobs of a pipeline are submitted one after another.
     fn dependencies_accepted(&self, job: &str) -> bool {
         let accepted = &self.history.accepted;
         let mut dependencies = self.history.specs[job].dependencies.iter();
         accepted.contains(job) || dependencies.all(|dependency| accepted.contains(dependency))
     }
 
-    /// What the user of a job asks for next.
+    /// Returns the next request of a job's user.
     fn next_request(&mut self, job: &str) -> Request {
         let spec = &self.history.specs[job];
         let cancel_at = self.users.get(job).and_then(|user| user.cancel_at);
@@ -83,7 +83,7 @@
             self.history.cancel_requested.insert(job.to_string());
             Request::Cancel(job.to_string())
         } else if self.rng.gen_bool(0.1) {
-            // A repeated submission, which may come at any time.
+            // A submission may be repeated at any time.
             Request::Submit(protocol::encode(spec))
         } else {
             Request::QueryStatus(job.to_string())
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Submits `spec` to a node and runs until there is a response. What becomes of the job is not
-    /// judged.
+    /// Submits `spec` to a node and runs until there is a response. The outcome of the job is not
+    /// checked.
     pub fn submit(&mut self, node: usize, spec: JobSpec) -> HttpResponse {
         let body = protocol::encode(&spec);
         self.history.submitted.insert(spec.id.clone());
@@ -157,12 +157,13 @@
         self.request_and_wait(node, Request::Submit(body))
     }
 
-    /// Whether a node counts as healthy.
+    /// Returns whether a node passes its health check.
     pub fn is_healthy(&mut self, node: usize) -> bool {
         self.request_and_wait(node, Request::HealthCheck).status == 200
     }
 
-    /// Sends a request and runs for up to 10 s until there is a response; status 0: there is none.
+    /// Sends a request and runs for up to 10 s until there is a response. Without one, the returned
+    /// status is 0.
     fn request_and_wait(&mut self, node: usize, request: Request) -> HttpResponse {
         self.test_response = None;
         let job = "by hand".to_string();
@@ -171,7 +172,7 @@
         while self.test_response.is_none() && self.now < end {
             self.run(self.now + 0.05);
         }
-        let none = HttpResponse { status: 0, body: Vec::new(), retry_after_s: None };
-        self.test_response.take().unwrap_or(none)
+        let no_response = HttpResponse { status: 0, body: Vec::new(), retry_after_s: None };
+        self.test_response.take().unwrap_or(no_response)
     }
 }
--- a/crates/simulation/src/sim/work_conservation.rs
+++ b/crates/simulation/src/sim/work_conservation.rs
@@ -1,14 +1,15 @@
-//! The rule that no job waits for long while a machine that fits it has room.
+//! Work conservation: no job waits for long while an eligible machine has free capacity.
 
 use super::invariants::{is_eligible, ACCELERATOR_TOLERANCE};
 use super::*;
 
-/// Once all faults are over, no job waits that long, in seconds, beside room (set by the operators).
-const MAX_WAIT_BESIDE_CAPACITY_S: f64 = 90.0;
-/// How often that is checked, in seconds.
+/// Longest time, in seconds, that a job may wait while free capacity exists. It begins when all
+/// faults have ended. The operators set this value.
+const MAX_WAIT_WITH_CAPACITY_S: f64 = 90.0;
+/// Interval between two checks, in seconds.
 const CHECK_INTERVAL_S: f64 = 1.0;
 
-/// Since when each job has waited beside room.
+/// Time since which each job has been waiting while free capacity exists.
 #[derive(Default)]
 pub(super) struct WaitingJobs {
     since: BTreeMap<String, f64>,
@@ -25,29 +26,33 @@
             return;
         }
         self.waiting_jobs.checked_at = now;
-        let waiting = self.jobs_beside_capacity();
+        let waiting = self.jobs_waiting_despite_capacity();
         self.waiting_jobs.since.retain(|job, _| waiting.contains(job));
         for job in waiting {
             let since = *self.waiting_jobs.since.entry(job.clone()).or_insert(now);
-            if now - since > MAX_WAIT_BESIDE_CAPACITY_S {
-                self.history.violate(Rule::LeftWaiting, now, format!("{job} since {since}"));
+            if now - since > MAX_WAIT_WITH_CAPACITY_S {
+                self.history.violate(
+                    Rule::LeftWaiting,
+                    now,
+                    format!("{job} has waited despite free capacity since {since}"),
+                );
             }
         }
     }
 
-    /// Accepted jobs of which nothing is on a machine although there is room.
-    fn jobs_beside_capacity(&self) -> Vec<String> {
+    /// Returns the accepted jobs without any active task although there is capacity for them.
+    fn jobs_waiting_despite_capacity(&self) -> Vec<String> {
         let tasks = self.workers.values().flat_map(|worker| &worker.tasks);
         let active: BTreeSet<&String> =
             tasks.filter(|(_, task)| !task.has_exited()).map(|(key, _)| &key.job).collect();
-        let waits = |job: &&String| {
+        let is_waiting = |job: &&String| {
             !active.contains(job) && !self.never_runs(job) && self.has_capacity(&self.history.specs[*job])
         };
-        self.history.accepted.iter().filter(waits).cloned().collect()
+        self.history.accepted.iter().filter(is_waiting).cloned().collect()
     }
 
-    /// Whether nothing of a job will run any more: it is done, fails everywhere, or it or one that it
-    /// depends on is being cancelled.
+    /// Returns whether no task of a job will run again: the job is done or fails on every machine, or
+    /// its cancellation or that of one of its dependencies was requested.
     fn never_runs(&self, job: &str) -> bool {
         let mut lineage = self.history.with_dependencies(job).into_iter();
         lineage.any(|job| self.history.cancel_requested.contains(job))
@@ -55,8 +60,8 @@
             || self.failing_jobs.contains(job)
     }
 
-    /// Whether a job could begin now: its dependencies are done, its team is under its limit, and
-    /// machines that fit have room.
+    /// Returns whether a job could start now: its dependencies are done, its team is below its limit,
+    /// and eligible machines have free capacity.
     fn has_capacity(&self, spec: &JobSpec) -> bool {
         if !spec.dependencies.iter().all(|job| self.history.is_done(job)) {
             return false;
@@ -76,7 +81,7 @@
         slots.values().map(|slots| (*slots).min(max_per_zone)).sum::<u32>() >= at_once
     }
 
-    /// Whether so many tasks more would take a job's team over its limit.
+    /// Returns whether `tasks` more tasks of a job would take its team over its limit.
     fn is_over_quota(&self, spec: &JobSpec, tasks: u32) -> bool {
         let team = self.settings.params.teams.iter().find(|team| team.name == spec.team);
         let limit = team.map_or(0.0, |team| team.accelerators_max);
@@ -84,7 +89,7 @@
         limit > 0.0 && used + spec.accelerators * f64::from(tasks) > limit + ACCELERATOR_TOLERANCE
     }
 
-    /// How many tasks of a job a machine has room for.
+    /// Returns the number of tasks of a job that fit into the free capacity of a machine.
     fn free_slots(&self, worker: &Worker, spec: &JobSpec) -> u32 {
         let types = &self.cloud.types;
         let machine_type = types.iter().find(|kind| kind.name == worker.machine.machine_type);
