--- a/crates/simulation/src/bin/explore.rs
+++ b/crates/simulation/src/bin/explore.rs
@@ -124,7 +124,7 @@
 }
 
 fn explore_all(options: &Options) -> ExitCode {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut failed = 0;
     let mut points = 0;
     let mut runs = 0;
@@ -132,17 +132,17 @@
         let bar = progress_bar(script.name);
         let on_progress = |progress: Progress| match progress {
             Progress::Planned(runs) => bar.set_length(runs as u64),
-            Progress::Played => bar.inc(1),
+            Progress::RunFinished => bar.inc(1),
         };
-        let script_began = Instant::now();
-        let explored = explore(script, options, &on_progress);
+        let script_started = Instant::now();
+        let report = explore(script, options, &on_progress);
         bar.finish_and_clear();
-        print_script(script, &explored, script_began.elapsed().as_secs_f64());
-        failed += explored.failed_runs.values().sum::<usize>();
-        points += explored.points;
-        runs += explored.runs;
+        print_script(script, &report, script_started.elapsed().as_secs_f64());
+        failed += report.failed_runs.values().sum::<usize>();
+        points += report.injection_points;
+        runs += report.runs;
     }
-    let took_s = began.elapsed().as_secs_f64();
+    let took_s = started.elapsed().as_secs_f64();
     println!(
         "{points} points, {runs} runs in {took_s:.0} s, {:.0} a second; {failed} broke a rule",
         runs as f64 / took_s
@@ -160,38 +160,39 @@
     bar
 }
 
-fn print_script(script: &Script, explored: &Explored, took_s: f64) {
+fn print_script(script: &Script, report: &ScriptReport, took_s: f64) {
     println!(
         "{}: {} points of {} kinds in meaning, {} runs possible, {} thinned, {} played in {took_s:.0} s ({:.0} a second), {} not played",
         script.name,
-        explored.points,
-        explored.labels,
-        explored.possible,
-        explored.thinned,
-        explored.runs,
-        explored.runs as f64 / took_s.max(1e-9),
-        explored.left
+        report.injection_points,
+        report.distinct_labels,
+        report.possible_runs,
+        report.omitted_runs,
+        report.runs,
+        report.runs as f64 / took_s.max(1e-9),
+        report.skipped_runs
     );
-    let kinds: Vec<String> = explored.kinds.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
+    let kinds: Vec<String> =
+        report.points_by_kind.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
     println!("  messages: {}", kinds.join(", "));
     println!(
         "  troubles that did not come about: {}; starts after a told cancellation: {}",
-        explored.missed, explored.late_starts
+        report.runs_without_last_fault, report.late_starts
     );
-    if explored.firsts_left > 0 {
+    if report.skipped_first_faults > 0 {
         println!(
             "  first troubles whose second ones were not planned, since time was over: {}",
-            explored.firsts_left
+            report.skipped_first_faults
         );
     }
-    for (rule, runs) in &explored.failed_runs {
+    for (rule, runs) in &report.failed_runs {
         println!("  broken: {rule} in {runs} runs");
     }
-    for failure in &explored.failures {
+    for failure in &report.failures {
         let cause = &failure.cause;
         println!(
             "  run {}: {} at {:.1} s: {} (at: {})",
-            failure.after, cause.rule, cause.at, cause.what, failure.label
+            failure.run_number, cause.rule, cause.at, cause.details, failure.label
         );
         println!("    explore --replay {:?}", failure.line.to_string());
     }
--- a/crates/simulation/src/sim/world.rs
+++ b/crates/simulation/src/sim/world.rs
@@ -1,12 +1,12 @@
-//! The periodic step of everything that is not a message.
+//! Periodic step of everything that is not triggered by a message.
 
 use super::*;
 
-/// How often it happens, in seconds.
-pub(super) const TICK_S: f64 = 0.1;
+/// Interval between two periodic steps, in seconds.
+pub(super) const STEP_INTERVAL_S: f64 = 0.1;
 
 impl Simulation {
-    pub(super) fn tick_world(&mut self) {
+    pub(super) fn run_periodic_step(&mut self) {
         let now = self.now;
         if now >= self.faults.store_down_until {
             self.store.expire_leases(now);
@@ -25,11 +25,12 @@
         for controller in self.nodes.iter().filter_map(|node| node.controller.as_ref()) {
             self.quarantined.extend(controller.quarantined().map(String::from));
         }
-        self.judge_failure_detection();
+        self.check_failure_detection();
         self.measure_leadership();
     }
 
-    /// Machines that have booted since the last step get a worker, which knows some node.
+    /// Starts a worker on each machine that has booted since the last step. Its first heartbeat
+    /// goes to a randomly drawn node.
     fn start_booted_workers(&mut self) {
         let now = self.now;
         let is_new = |id: &String| !self.workers.contains_key(id);
@@ -42,14 +43,15 @@
         }
     }
 
-    /// Machines that leaders take for alive and are gone, and those that they declare dead and live.
-    fn judge_failure_detection(&mut self) {
+    /// Records machines that leaders consider usable long after they are gone, and machines that
+    /// leaders declare dead although they are alive.
+    fn check_failure_detection(&mut self) {
         let now = self.now;
         let lease_s = self.settings.params.workers.lease_s;
         let suspicion_s = Timing::from(&self.settings).failure_suspicion_s;
         for (n, node) in self.nodes.iter().enumerate() {
             let Some(controller) = &node.controller else { continue };
-            // A replaced leader gives no work, and may hear a heartbeat that was held for it.
+            // A replaced leader assigns no work, and a delayed heartbeat may still reach it.
             let replaced = self.is_replaced(n);
             let long_gone =
                 |id: &&str| !replaced && self.lost_at.get(*id).is_some_and(|at| now - at > suspicion_s);
@@ -59,18 +61,18 @@
                     now < worker.renewed_at + lease_s && now - worker.hung_until > suspicion_s
                 })
             };
-            // Each is judged once, when it is declared dead: what hangs may come back later.
+            // Each verdict is checked only once, when it is made: a hung machine may recover later.
             for id in controller.machines_given_up() {
                 let fencing_token = controller.token().unwrap_or(0);
                 let verdict = DeathVerdict { node: n, fencing_token, machine: id.to_string() };
-                if self.judged.insert(verdict) && is_alive(id) {
-                    self.declared_dead_alive.insert(id.to_string());
+                if self.death_verdicts.insert(verdict) && is_alive(id) {
+                    self.wrongly_declared_dead.insert(id.to_string());
                 }
             }
         }
     }
 
-    /// For how long nobody leads, or a replaced leader leads on.
+    /// Measures how long there is no leader, and how long a replaced leader continues to lead.
     fn measure_leadership(&mut self) {
         let now = self.now;
         if (0..self.nodes.len()).any(|node| self.is_replaced(node)) {
