--- a/crates/simulation/tests/cancellation.rs
+++ b/crates/simulation/tests/cancellation.rs
@@ -336,7 +336,7 @@
 
 /// Small arrays for three times what each team may use.
 fn full(seed: u64, nodes: usize) -> Setup {
-    let setup = seeded_day(seed, vec![]);
+    let setup = seeded_setup(seed, vec![]);
     let job = |n: usize| JobSpec {
         id: format!("req-{}", 100 + n),
         team: ["dispatch", "clinics", "fleet"][n % 3].into(),
--- a/crates/simulation/tests/combined_faults.rs
+++ b/crates/simulation/tests/combined_faults.rs
@@ -12,7 +12,7 @@
 
 /// Long arrays, most of which their users cancel at `ASKED`, on machines that hold them all.
 fn cancelled_arrays(seed: u64, checks: SafetyChecks) -> Setup {
-    let mut setup = seeded_day(seed, vec![]);
+    let mut setup = seeded_setup(seed, vec![]);
     without_quotas(&mut setup);
     setup.jobs = (0..24)
         .map(|n| {
@@ -230,7 +230,7 @@
 /// transactions were overtaken by newer ones of the same controller.
 fn pair(seed: u64, nodes: usize, (a, b): (usize, usize), duration_s: f64, apart: f64) -> u64 {
     let what = format!("seed {seed}: {a} and {b} for {duration_s} s, {apart} s apart, {nodes} nodes");
-    let mut setup = seeded_day(seed, vec![]);
+    let mut setup = seeded_setup(seed, vec![]);
     for (n, Submission { at, spec, cancel_at: cancel }) in setup.jobs.iter_mut().enumerate() {
         // Many are cancelled while it goes on, and some would run on.
         *cancel = cancel.or((n % 2 == 0).then_some(at.max(45.0) + (n % 7) as f64));
--- a/crates/simulation/tests/common/mod.rs
+++ b/crates/simulation/tests/common/mod.rs
@@ -22,7 +22,7 @@
 }
 
 /// One machine type, in two zones.
-pub fn types() -> Vec<MachineType> {
+pub fn machine_types() -> Vec<MachineType> {
     vec![MachineType {
         name: "big".into(),
         cores: 16.0,
@@ -38,7 +38,7 @@
 }
 
 /// The random job number `n`.
-pub fn job(rng: &mut SmallRng, n: usize) -> JobSpec {
+pub fn random_job(rng: &mut SmallRng, n: usize) -> JobSpec {
     let shape = [Shape::Array, Shape::Array, Shape::Gang, Shape::Service][rng.gen_range(0..4usize)];
     let tasks = if shape == Shape::Array { rng.gen_range(1..6) } else { rng.gen_range(1..4) };
     JobSpec {
@@ -67,12 +67,12 @@
 }
 
 /// Forty random jobs within 150 s, some of them cancelled, on up to six machines.
-pub fn seeded_day(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
+pub fn seeded_setup(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
     let jobs = (0..40)
         .map(|n| {
             let at = rng.gen_range(2.0..150.0);
-            let spec = job(&mut rng, n);
+            let spec = random_job(&mut rng, n);
             let cancel = if spec.shape == Shape::Service || rng.gen_bool(0.25) {
                 Some(at + rng.gen_range(1.0..60.0))
             } else {
@@ -87,7 +87,7 @@
     Setup {
         nodes: 3,
         settings: settings(),
-        types: types(),
+        types: machine_types(),
         capacity: 6,
         jobs,
         failing_jobs: BTreeSet::new(),
@@ -144,7 +144,7 @@
         spread: false,
         spot: false,
         estimated_run_s: 2000.0,
-        ..job(&mut SmallRng::seed_from_u64(1), 0)
+        ..random_job(&mut SmallRng::seed_from_u64(1), 0)
     }
 }
 
@@ -158,14 +158,14 @@
 
 /// How soon a process that ended is restarted: at once or within seconds, each for half of the
 /// crashes.
-pub fn returns(seed: u64) -> impl FnMut() -> f64 {
+pub fn restart_delays(seed: u64) -> impl FnMut() -> f64 {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0xba_c4);
     move || if rng.gen() { rng.gen_range(0.0..0.5) } else { rng.gen_range(0.5..10.0) }
 }
 
 /// Eight faults of all kinds.
 pub fn seeded_faults(seed: u64) -> Vec<ScheduledFault> {
-    faults_with(seed, returns(seed))
+    faults_with(seed, restart_delays(seed))
 }
 
 /// The same with processes that are back after 8 s, as the seeds of past failures were found.
@@ -212,8 +212,8 @@
 
 /// The usual day, with dependencies between all jobs but the services: chains, diamonds, common
 /// ancestors, also across teams.
-pub fn dependent_day(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
-    let mut setup = seeded_day(seed, faults);
+pub fn dependent_jobs_setup(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
+    let mut setup = seeded_setup(seed, faults);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x11a6);
     setup.jobs.sort_by(|a, b| a.at.total_cmp(&b.at));
     let mut earlier: Vec<String> = Vec::new();
@@ -271,7 +271,7 @@
 
 /// The machine type of all tests, in one zone only.
 pub fn single_zone_type() -> MachineType {
-    MachineType { zones: vec!["a".into()], ..types().remove(0) }
+    MachineType { zones: vec!["a".into()], ..machine_types().remove(0) }
 }
 
 /// The documented example, as it is.
--- a/crates/simulation/tests/common/reordered/mod.rs
+++ b/crates/simulation/tests/common/reordered/mod.rs
@@ -4,7 +4,7 @@
 
 pub mod machines;
 
-use crate::common::{example_settings, plain_array, types};
+use crate::common::{example_settings, machine_types, plain_array};
 use anisecroft_simulation::state::Store;
 use controller::records::*;
 use controller::*;
@@ -23,7 +23,7 @@
 }
 
 pub fn big() -> MachineType {
-    types().remove(0)
+    machine_types().remove(0)
 }
 
 /// KiB of a value under the limits to come, and the bytes that are used of it.
--- a/crates/simulation/tests/common/single_controller.rs
+++ b/crates/simulation/tests/common/single_controller.rs
@@ -180,7 +180,7 @@
             return CloudReply::Refused;
         }
         match op {
-            CloudRequest::Types => CloudReply::Types(MachineTypes { types: super::common::types() }),
+            CloudRequest::Types => CloudReply::Types(MachineTypes { types: super::common::machine_types() }),
             CloudRequest::List { .. } => CloudReply::List(self.list()),
             CloudRequest::Rent(_) => CloudReply::NoCapacity,
             CloudRequest::Delete(names) => {
--- a/crates/simulation/tests/dependencies.rs
+++ b/crates/simulation/tests/dependencies.rs
@@ -12,7 +12,7 @@
 #[test]
 fn dependent_jobs_run_in_order_without_faults() {
     for seed in [1, 2] {
-        let mut sim = Simulation::new(dependent_day(seed, vec![]));
+        let mut sim = Simulation::new(dependent_jobs_setup(seed, vec![]));
         assert_eq!(sim.run(600.0), []);
         assert_eq!(sim.unfinished(), Vec::<String>::new());
         assert!(sim.metrics.task_starts > 30, "{}", sim.metrics.task_starts);
@@ -25,7 +25,7 @@
 fn dependent_jobs_under_faults_break_no_rule() {
     for seed in 300..324 {
         let faults = seeded_faults(seed);
-        let mut sim = Simulation::new(dependent_day(seed, faults.clone()));
+        let mut sim = Simulation::new(dependent_jobs_setup(seed, faults.clone()));
         assert_eq!(sim.run(900.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
     }
@@ -49,7 +49,7 @@
 fn a_day_of_everything(seed: u64) {
     let mut faults = one_way_faults(seed);
     faults.push(ScheduledFault::new(20.0 + (seed % 13) as f64 * 8.0, Fault::StoreLimitsReduced));
-    let mut setup = dependent_day(seed, faults.clone());
+    let mut setup = dependent_jobs_setup(seed, faults.clone());
     setup.settings.params.store.next =
         Some(NextLimits { value_kb: Some(2.0), txn_ops: Some(8), ..NextLimits::default() });
     for Submission { spec, .. } in setup.jobs.iter_mut().step_by(9).filter(|j| j.spec.shape == Shape::Array) {
@@ -63,7 +63,10 @@
 
 /// Whether some seed breaks one of `rules` under these checks and faults.
 fn breaks(rules: &[Rule], checks: SafetyChecks, faults: impl Fn(u64) -> Vec<ScheduledFault>) -> bool {
-    some_seed_breaks(rules, 300..400, 400.0, |seed| Setup { checks, ..dependent_day(seed, faults(seed)) })
+    some_seed_breaks(rules, 300..400, 400.0, |seed| Setup {
+        checks,
+        ..dependent_jobs_setup(seed, faults(seed))
+    })
 }
 
 #[test]
@@ -87,7 +90,7 @@
     let checks = SafetyChecks { cancellation_lineage: false, ..SafetyChecks::default() };
     assert!(breaks(&[Rule::Orphaned], checks, faults));
     for seed in 300..306 {
-        assert_eq!(Simulation::new(dependent_day(seed, faults(seed))).run(400.0), [], "seed {seed}");
+        assert_eq!(Simulation::new(dependent_jobs_setup(seed, faults(seed))).run(400.0), [], "seed {seed}");
     }
 }
 
@@ -105,7 +108,7 @@
 
 /// From the end of each job of a chain until the next one's placement is stored, in seconds.
 fn stage_pauses(seed: u64) -> Vec<f64> {
-    let mut setup = seeded_day(seed, vec![]);
+    let mut setup = seeded_setup(seed, vec![]);
     without_quotas(&mut setup);
     let stage = |n: usize| JobSpec {
         id: format!("req-{}", 700 + n),
@@ -138,7 +141,7 @@
 /// once by every controller, and the store is not blocked by them.
 #[test]
 fn wide_cancellation_cascade_is_reported_at_once() {
-    let mut setup = seeded_day(6, vec![]);
+    let mut setup = seeded_setup(6, vec![]);
     without_quotas(&mut setup);
     let wide = |n: usize| JobSpec {
         id: format!("req-{}", 2000 + n),
@@ -166,7 +169,7 @@
 /// status.
 #[test]
 fn invalid_dependencies_are_refused() {
-    let mut setup = seeded_day(7, vec![]);
+    let mut setup = seeded_setup(7, vec![]);
     without_quotas(&mut setup);
     let array = |id: &str, awaits: &[&str]| JobSpec {
         id: id.into(),
--- a/crates/simulation/tests/digests.rs
+++ b/crates/simulation/tests/digests.rs
@@ -90,7 +90,7 @@
 /// Jobs of every kind on machines of three types that hold a part of them: with checkpoints,
 /// deadlines, chosen types and all priorities, so that running work is stopped for other work.
 fn varied(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
-    let mut setup = seeded_day(seed, faults);
+    let mut setup = seeded_setup(seed, faults);
     without_quotas(&mut setup);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x7a61);
     let big = setup.types[0].clone();
@@ -126,7 +126,7 @@
 /// Long work of low priority fills all machines, some of it with checkpoints; from 40 s on more urgent
 /// gangs and arrays come, some with deadlines, some within a guarantee: running work is preempted.
 fn contended(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
-    let mut setup = seeded_day(seed, faults);
+    let mut setup = seeded_setup(seed, faults);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0xc047);
     for team in &mut setup.settings.params.teams {
         team.accelerators = if seed % 2 == 0 { 0.0 } else { 4.0 };
@@ -177,7 +177,7 @@
 
 /// Wide arrays in pages, a store whose limits fall, and users that ask often.
 fn at_limits(seed: u64) -> Setup {
-    let mut setup = seeded_day(seed, seeded_faults(seed));
+    let mut setup = seeded_setup(seed, seeded_faults(seed));
     without_quotas(&mut setup);
     setup.settings.params.store.next = Some(settings::NextLimits {
         value_kb: Some(2.0),
@@ -195,7 +195,7 @@
 /// The store refuses the leader alone, users cancel, and the service is down for all
 /// while the successor takes over.
 fn meeting(seed: u64) -> Simulation {
-    let mut sim = Simulation::new(seeded_day(seed, vec![]));
+    let mut sim = Simulation::new(seeded_setup(seed, vec![]));
     sim.record_digest();
     sim.run(69.0 + seed as f64 % 7.0);
     if let Some(node) = sim.leader() {
@@ -241,26 +241,28 @@
 fn days() -> Vec<Day> {
     let mut days = Vec::new();
     let five = |s: Setup| Setup { nodes: 5, ..s };
-    days.extend((0..2).map(|n| day("quiet", n, move || run(seeded_day(n, vec![]), DAY_S))));
-    days.extend((0..30).map(|n| day("troubles", n, move || run(seeded_day(n, seeded_faults(n)), DAY_S))));
+    days.extend((0..2).map(|n| day("quiet", n, move || run(seeded_setup(n, vec![]), DAY_S))));
+    days.extend((0..30).map(|n| day("troubles", n, move || run(seeded_setup(n, seeded_faults(n)), DAY_S))));
     days.extend(
-        (3080..3092)
-            .map(|n| day("late-returns", n, move || run(seeded_day(n, faults_with_late_restarts(n)), DAY_S))),
+        (3080..3092).map(|n| {
+            day("late-returns", n, move || run(seeded_setup(n, faults_with_late_restarts(n)), DAY_S))
+        }),
     );
-    days.extend((0..16).map(|n| day("newest", n, move || run(seeded_day(n, one_way_faults(n)), DAY_S))));
-    days.extend((0..36).map(|n| day("further", n, move || run(seeded_day(n, further_faults(n)), DAY_S))));
+    days.extend((0..16).map(|n| day("newest", n, move || run(seeded_setup(n, one_way_faults(n)), DAY_S))));
+    days.extend((0..36).map(|n| day("further", n, move || run(seeded_setup(n, further_faults(n)), DAY_S))));
     days.extend(
-        (100..112).map(|n| day("five", n, move || run(five(seeded_day(n, seeded_faults(n))), DAY_S))),
+        (100..112).map(|n| day("five", n, move || run(five(seeded_setup(n, seeded_faults(n))), DAY_S))),
     );
     days.extend(
         (100..108)
-            .map(|n| day("five-further", n, move || run(five(seeded_day(n, further_faults(n))), DAY_S))),
+            .map(|n| day("five-further", n, move || run(five(seeded_setup(n, further_faults(n))), DAY_S))),
     );
     days.extend((200..212).map(|n| {
-        day("broken-jobs", n, move || run(with_broken_jobs(seeded_day(n, seeded_faults(n))), DAY_S))
+        day("broken-jobs", n, move || run(with_broken_jobs(seeded_setup(n, seeded_faults(n))), DAY_S))
     }));
     days.extend(
-        (300..316).map(|n| day("pipelines", n, move || run(dependent_day(n, seeded_faults(n)), DAY_S))),
+        (300..316)
+            .map(|n| day("pipelines", n, move || run(dependent_jobs_setup(n, seeded_faults(n)), DAY_S))),
     );
     days.extend((600..608).map(|n| day("varied", n, move || run(varied(n, vec![]), DAY_S))));
     days.extend((608..624).map(|n| day("varied", n, move || run(varied(n, seeded_faults(n)), DAY_S))));
@@ -304,7 +306,7 @@
 /// Two plays of one day are equal, and another seed's day is another.
 #[test]
 fn a_day_repeats_exactly() {
-    let play = |n| run(seeded_day(n, seeded_faults(n)), 60.0).digest().expect("it was taken");
+    let play = |n| run(seeded_setup(n, seeded_faults(n)), 60.0).digest().expect("it was taken");
     assert_eq!(play(7), play(7));
     assert_ne!(play(7), play(8));
 }
--- a/crates/simulation/tests/explorer_regressions.rs
+++ b/crates/simulation/tests/explorer_regressions.rs
@@ -12,7 +12,7 @@
 #[test]
 fn best_effort_job_alone_gets_a_new_machine() {
     for seed in 0..6 {
-        let mut setup = seeded_day(seed, vec![]);
+        let mut setup = seeded_setup(seed, vec![]);
         without_quotas(&mut setup);
         let idle = JobSpec { priority: Priority::Low, tasks: 2, estimated_run_s: 110.0, ..long_array() };
         setup.jobs = vec![Submission::new(1.0, idle)];
--- a/crates/simulation/tests/failover.rs
+++ b/crates/simulation/tests/failover.rs
@@ -75,7 +75,7 @@
 /// Long jobs that run by then, most of which are cancelled in each of the seconds around the
 /// failover; the others end.
 fn cancelled_around(seed: u64, nodes: usize) -> Setup {
-    let mut setup = seeded_day(seed, vec![]);
+    let mut setup = seeded_setup(seed, vec![]);
     without_quotas(&mut setup);
     let job = |n: usize, long: bool| JobSpec {
         id: format!("req-{}", 100 + n),
--- a/crates/simulation/tests/failure_detection.rs
+++ b/crates/simulation/tests/failure_detection.rs
@@ -23,7 +23,7 @@
             };
             faults.extend([0, 2].map(crash));
         }
-        let mut sim = Simulation::new(seeded_day(seed, faults));
+        let mut sim = Simulation::new(seeded_setup(seed, faults));
         assert_eq!(sim.run(300.0), [], "seed {seed}");
         given_back += sim.deleted.len();
         assert!(sim.usable_after_loss.is_empty(), "seed {seed}: {:?}", sim.usable_after_loss);
@@ -38,7 +38,7 @@
 
 fn full_of(nodes: usize, seed: u64, machines: usize) -> Simulation {
     let spec = JobSpec { tasks: machines as u32 * 4, ..long_array() };
-    let mut setup = seeded_day(seed, vec![]);
+    let mut setup = seeded_setup(seed, vec![]);
     without_quotas(&mut setup);
     let mut sim = Simulation::new(Setup {
         jobs: vec![Submission::new(1.0, spec)],
--- a/crates/simulation/tests/heartbeat_proxying.rs
+++ b/crates/simulation/tests/heartbeat_proxying.rs
@@ -11,7 +11,7 @@
 
 /// Faults of the links between controllers above all, and the others among them.
 fn seeded_faults(seed: u64) -> Vec<ScheduledFault> {
-    faults_with(seed, returns(seed))
+    faults_with(seed, restart_delays(seed))
 }
 
 /// The same with processes that are back after 8 s, as the seeds below were found.
@@ -47,7 +47,7 @@
 fn holds(seeds: std::ops::Range<u64>, faults_of: impl Fn(u64) -> Vec<ScheduledFault>) {
     for seed in seeds {
         let faults = faults_of(seed);
-        let mut sim = Simulation::new(seeded_day(seed, faults.clone()));
+        let mut sim = Simulation::new(seeded_setup(seed, faults.clone()));
         assert_eq!(sim.run(700.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
         assert!(sim.metrics.forwarded_heartbeats > 0, "seed {seed} relayed nothing");
@@ -95,7 +95,7 @@
         )
     };
     let cloud = ScheduledFault::new(25.0, Fault::CloudOutage { duration_s: 250.0 });
-    seeded_day(seed, (0..2).map(cut).chain([cloud]).collect())
+    seeded_setup(seed, (0..2).map(cut).chain([cloud]).collect())
 }
 
 /// A proxy that answers after its delegated lease keeps cancelled tasks alive, and those of
@@ -128,7 +128,7 @@
     let wandering = |seed: u64| {
         let cut = |i: u64| Fault::PeerPartition { node: ((seed + i) % 3) as usize, duration_s: 8.0 };
         let cuts = (0..10).map(|i| ScheduledFault::new(20.0 + 13.0 * i as f64, cut(i)));
-        seeded_day(
+        seeded_setup(
             seed,
             cuts.chain([ScheduledFault::new(15.0, Fault::RotatingHeartbeatTargets { duration_s: 200.0 })])
                 .collect(),
@@ -153,7 +153,7 @@
             Fault::MachineHang { machine: (seed + i) as usize, duration_s: 12.0 },
         ));
     }
-    Setup { forward_timeout_s: Some(60.0), ..seeded_day(seed, faults) }
+    Setup { forward_timeout_s: Some(60.0), ..seeded_setup(seed, faults) }
 }
 
 #[test]
@@ -168,7 +168,7 @@
 /// Machines that are full for the whole run.
 fn busy_fleet(capacity: usize) -> Simulation {
     let spec = JobSpec { tasks: capacity as u32 * 4, ..long_array() };
-    let mut setup = seeded_day(31, vec![]);
+    let mut setup = seeded_setup(31, vec![]);
     without_quotas(&mut setup);
     let mut sim =
         Simulation::new(Setup { jobs: vec![Submission::new(1.0, spec)], capacity, loss: 0.0, ..setup });
@@ -228,7 +228,7 @@
 #[test]
 fn scale_out_stops_at_controller_capacity() {
     let spec = JobSpec { tasks: 400, estimated_run_s: 100.0, ..long_array() };
-    let mut setup = seeded_day(33, vec![]);
+    let mut setup = seeded_setup(33, vec![]);
     without_quotas(&mut setup);
     // Seven tenths of 20 sockets at each of three nodes: 42 workers.
     setup.settings.params.resources.max_connections = 20;
@@ -245,7 +245,7 @@
 /// users'. (It once took workers on all of them, and no user got through.)
 #[test]
 fn users_keep_their_share_of_the_last_controller() {
-    let mut setup = seeded_day(34, vec![]);
+    let mut setup = seeded_setup(34, vec![]);
     without_quotas(&mut setup);
     setup.settings.params.resources.max_connections = 40;
     let most = settings::Timing::from(&setup.settings).max_workers as usize;
--- a/crates/simulation/tests/lost_write_responses.rs
+++ b/crates/simulation/tests/lost_write_responses.rs
@@ -6,7 +6,7 @@
 mod store_harness;
 
 use anisecroft_simulation::{Fault, ScheduledFault, Setup, Simulation, Submission};
-use common::{example_settings, plain_array, seeded_day, single_zone_type, without_quotas};
+use common::{example_settings, plain_array, seeded_setup, single_zone_type, without_quotas};
 use controller::records::{
     JobRecord, LeaderRecord, StoredPlacement, Value, FORMAT, FORMAT_KEY, LEADER_KEY, TYPES_KEY,
 };
@@ -406,7 +406,7 @@
 /// Jobs of all kinds, some of hundreds of tasks and some whose specification is stored in chunks,
 /// under limits that may fall to a quarter.
 fn mixture(seed: u64) -> Setup {
-    let mut setup = seeded_day(seed, vec![]);
+    let mut setup = seeded_setup(seed, vec![]);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x105e);
     let state = &mut setup.settings.params.store;
     (state.value_kb, state.txn_ops) = (8.0, 24);
@@ -514,7 +514,7 @@
 
 /// Of 300 submissions in a minute with a fault, those accepted within a second.
 fn accepted_in_time(seed: u64, nodes: usize, fault: Fault) -> usize {
-    let mut setup = seeded_day(seed, vec![ScheduledFault::new(10.0, fault)]);
+    let mut setup = seeded_setup(seed, vec![ScheduledFault::new(10.0, fault)]);
     without_quotas(&mut setup);
     let job = |n: usize| JobSpec { estimated_run_s: 3.0, ..plain_array(&format!("req-{n:04}"), 1) };
     setup.jobs = (0..300).map(|n| Submission::new(10.0 + n as f64 * 0.2, job(n))).collect();
--- a/crates/simulation/tests/one_way_partitions.rs
+++ b/crates/simulation/tests/one_way_partitions.rs
@@ -47,7 +47,7 @@
     if seed % 3 != 0 {
         faults.push(ScheduledFault::new(43.0, Fault::ResponsesLost { machine: 4, duration_s }));
     }
-    let mut setup = seeded_day(seed, faults);
+    let mut setup = seeded_setup(seed, faults);
     without_quotas(&mut setup);
     // Heartbeat intervals so long that trying another node in between is no silence.
     let workers = &mut setup.settings.params.workers;
@@ -69,7 +69,7 @@
 fn delayed_duplicate_heartbeat_revives_no_machine() {
     for seed in 0..12 {
         let copies = Fault::DuplicatedHeartbeats { max_delay_s: 60.0, duration_s: 30.0 };
-        let mut setup = seeded_day(seed, vec![ScheduledFault::new(40.0, copies)]);
+        let mut setup = seeded_setup(seed, vec![ScheduledFault::new(40.0, copies)]);
         without_quotas(&mut setup);
         setup.jobs = vec![Submission::new(1.0, JobSpec { tasks: 24, ..long_array() })];
         let mut sim = Simulation::new(Setup { capacity: 6, loss: 0.0, ..setup });
@@ -90,7 +90,7 @@
 fn controller_isolated_with_workers_is_unhealthy() {
     let d = timing();
     for node in 0..3 {
-        let mut sim = Simulation::new(Setup { loss: 0.0, ..seeded_day(9, vec![]) });
+        let mut sim = Simulation::new(Setup { loss: 0.0, ..seeded_setup(9, vec![]) });
         assert_eq!(sim.run(40.0), []);
         assert!((0..3).all(|n| sim.is_healthy(n)), "{node}");
         sim.inject(Fault::IsolatedWithWorkers { node, duration_s: 60.0 });
@@ -127,7 +127,7 @@
                 ScheduledFault::new(at + 9.0, Fault::ResponsesLost { machine: 1, duration_s }),
             ]),
         }
-        let mut sim = Simulation::new(seeded_day(seed, faults.clone()));
+        let mut sim = Simulation::new(seeded_setup(seed, faults.clone()));
         assert_eq!(sim.run(800.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
     }
@@ -139,7 +139,7 @@
 fn largest_jobs_begin_within_four_minutes() {
     // The last two did not begin when machines gathered now in one zone and now in another.
     for seed in (0..4).chain([8, 11]) {
-        let mut setup = seeded_day(seed, vec![]);
+        let mut setup = seeded_setup(seed, vec![]);
         without_quotas(&mut setup);
         let plain = long_array();
         let whole = |id: String, tasks, priority| JobSpec {
@@ -225,7 +225,7 @@
             );
         }
         let nodes = if seed % 2 == 0 { 3 } else { 5 };
-        let mut sim = Simulation::new(Setup { nodes, ..seeded_day(seed, faults.clone()) });
+        let mut sim = Simulation::new(Setup { nodes, ..seeded_setup(seed, faults.clone()) });
         assert_eq!(sim.run(800.0), [], "seed {seed}, {duration_s} s: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}, {duration_s} s: {faults:?}");
     }
@@ -238,7 +238,7 @@
     for seed in 1000..1400u64 {
         let faults = one_way_faults(seed);
         let nodes = if seed % 2 == 0 { 3 } else { 5 };
-        let mut sim = Simulation::new(Setup { nodes, ..seeded_day(seed, faults.clone()) });
+        let mut sim = Simulation::new(Setup { nodes, ..seeded_setup(seed, faults.clone()) });
         assert_eq!(sim.run(800.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
     }
--- a/crates/simulation/tests/rule_checks.rs
+++ b/crates/simulation/tests/rule_checks.rs
@@ -48,7 +48,7 @@
             Fault::ControllerCrash { node: ((seed + 1) % 3) as usize, duration_s: 9.0 },
         ),
     ];
-    let mut sim = Simulation::new(Setup { checks, ..seeded_day(seed, faults) });
+    let mut sim = Simulation::new(Setup { checks, ..seeded_setup(seed, faults) });
     sim.run(500.0);
     sim
 }
@@ -74,7 +74,7 @@
 /// task more, since none is rented beyond a limit.)
 #[test]
 fn waiting_beside_capacity_is_detected() {
-    let mut s = seeded_day(3, vec![]);
+    let mut s = seeded_setup(3, vec![]);
     let spec = JobSpec { team: "clinics".into(), accelerators: 1.5, ..long_array() };
     s.jobs = (1..7)
         .map(|n| Submission::new(1.0, JobSpec { id: format!("req-{n}"), tasks: 1, ..spec.clone() }))
@@ -82,7 +82,7 @@
     let mut without = s.settings.clone();
     without.params.teams.iter_mut().for_each(|t| t.accelerators_max = 0.0);
     let run = |judged: bool| {
-        let mut sim = Simulation::new(Setup { jobs: s.jobs.clone(), ..seeded_day(3, vec![]) });
+        let mut sim = Simulation::new(Setup { jobs: s.jobs.clone(), ..seeded_setup(3, vec![]) });
         if judged {
             sim.check_against(without.clone());
         }
--- a/crates/simulation/tests/scale.rs
+++ b/crates/simulation/tests/scale.rs
@@ -13,7 +13,7 @@
 /// Settings as in a deployment of that size: long heartbeat intervals, and sockets for all workers
 /// at two of three controllers.
 fn large(run_s: f64, faults: Vec<ScheduledFault>) -> Setup {
-    let mut setup = seeded_day(1, faults);
+    let mut setup = seeded_setup(1, faults);
     without_quotas(&mut setup);
     let workers = &mut setup.settings.params.workers;
     (workers.heartbeat_interval_s, workers.lease_s, workers.cancel_s) = (6.0, 31.0, 62.0);
@@ -99,7 +99,7 @@
 /// Gangs were once cut to the first 256 of their tasks, and waited for the others for ever.
 #[test]
 fn gang_of_hundreds_starts_as_a_whole() {
-    let mut s = seeded_day(1, vec![]);
+    let mut s = seeded_setup(1, vec![]);
     without_quotas(&mut s);
     s.capacity = 30;
     let gang = JobSpec {
--- a/crates/simulation/tests/seeded_faults.rs
+++ b/crates/simulation/tests/seeded_faults.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn every_job_runs_without_faults() {
-    let mut sim = Simulation::new(seeded_day(1, vec![]));
+    let mut sim = Simulation::new(seeded_setup(1, vec![]));
     assert_eq!(sim.run(400.0), []);
     assert_eq!(sim.unfinished(), Vec::<String>::new());
     assert_eq!(sim.history.accepted.len(), 40);
@@ -23,7 +23,7 @@
     // that was partitioned took its failed archiving of a job for done.
     for seed in (0..24).chain([3087, 6233]) {
         let faults = if seed < 24 { seeded_faults(seed) } else { faults_with_late_restarts(seed) };
-        let mut sim = Simulation::new(seeded_day(seed, faults.clone()));
+        let mut sim = Simulation::new(seeded_setup(seed, faults.clone()));
         assert_eq!(sim.run(700.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
     }
@@ -40,7 +40,7 @@
                 Fault::ControllerCrash { node, duration_s: [0.2, 5.0][seed as usize % 2] },
             )
         }));
-        let mut sim = Simulation::new(Setup { nodes: 5, ..seeded_day(seed, faults.clone()) });
+        let mut sim = Simulation::new(Setup { nodes: 5, ..seeded_setup(seed, faults.clone()) });
         assert_eq!(sim.run(700.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
     }
@@ -52,7 +52,7 @@
     // 6198: a gang waited for ever beside an idle machine that it had failed on.
     for seed in (200..212).chain([6198]) {
         let faults = if seed < 212 { seeded_faults(seed) } else { faults_with_late_restarts(seed) };
-        let mut s = seeded_day(seed, faults.clone());
+        let mut s = seeded_setup(seed, faults.clone());
         for Submission { at, spec, cancel_at: cancel } in s.jobs.iter_mut().step_by(5) {
             s.failing_jobs.insert(spec.id.clone());
             *cancel = Some(*at + 120.0);
@@ -180,7 +180,7 @@
     for (nodes, node) in [(3, 0), (3, 1), (3, 2), (5, 0), (5, 3)] {
         let faults = vec![ScheduledFault::new(60.0, Fault::ControllerPause { node, duration_s: 60.0 })];
         // A lost heartbeat and a frozen node in turn would be a silent machine.
-        let s = Setup { nodes, jobs: long_jobs(), capacity: 4, loss: 0.0, ..seeded_day(13, faults) };
+        let s = Setup { nodes, jobs: long_jobs(), capacity: 4, loss: 0.0, ..seeded_setup(13, faults) };
         let mut sim = Simulation::new(s);
         assert_eq!(sim.run(59.0), []);
         let (deleted, starts) = (sim.deleted.len(), sim.metrics.task_starts);
@@ -192,7 +192,7 @@
 
 /// Whether some seed breaks one of `rules` under these checks and faults.
 fn breaks(rules: &[Rule], checks: SafetyChecks, faults: impl Fn(u64) -> Vec<ScheduledFault>) -> bool {
-    some_seed_breaks(rules, 0..150, 300.0, |seed| Setup { checks, ..seeded_day(seed, faults(seed)) })
+    some_seed_breaks(rules, 0..150, 300.0, |seed| Setup { checks, ..seeded_setup(seed, faults(seed)) })
 }
 
 /// An array or gang of `tasks` small tasks, of a team without a tight limit.
@@ -210,12 +210,12 @@
         spread: false,
         spot: false,
         estimated_run_s: 30.0,
-        ..job(&mut SmallRng::seed_from_u64(1), 0)
+        ..random_job(&mut SmallRng::seed_from_u64(1), 0)
     }
 }
 
 fn roomy(jobs: Vec<Submission>, capacity: usize) -> Setup {
-    let mut setup = seeded_day(21, vec![]);
+    let mut setup = seeded_setup(21, vec![]);
     for t in &mut setup.settings.params.teams {
         t.accelerators_max = 0.0;
         t.accelerators = 0.0;
@@ -264,7 +264,7 @@
             ScheduledFault::new(30.0 + 40.0 * n as f64, Fault::ControllerCrash { node: n, duration_s: 8.0 })
         })
         .collect();
-    let mut sim = Simulation::new(seeded_day(3, faults));
+    let mut sim = Simulation::new(seeded_setup(3, faults));
     assert_eq!(sim.run(200.0), []);
     assert!(
         sim.metrics.max_leaderless_s > 0.5
@@ -278,7 +278,7 @@
 /// stood for election over and over.
 #[test]
 fn followers_see_the_first_leader_of_a_fresh_store() {
-    let mut sim = Simulation::new(Setup { jobs: vec![], ..seeded_day(5, vec![]) });
+    let mut sim = Simulation::new(Setup { jobs: vec![], ..seeded_setup(5, vec![]) });
     assert_eq!(sim.run(60.0), []);
     assert!(sim.metrics.conflicts <= 2, "{}", sim.metrics.conflicts);
 }
@@ -297,7 +297,7 @@
                 spread: false,
                 spot: false,
                 estimated_run_s: 500.0,
-                ..job(&mut SmallRng::seed_from_u64(1), n)
+                ..random_job(&mut SmallRng::seed_from_u64(1), n)
             };
             Submission::new(2.0, spec)
         })
@@ -310,7 +310,7 @@
 fn leader_without_workers_resigns_and_deletes_nothing() {
     for node in 0..3 {
         let cut = Fault::NodePartition { node, store: false, workers: true, duration_s: 60.0 };
-        let setup = seeded_day(11, vec![ScheduledFault::new(60.0, cut)]);
+        let setup = seeded_setup(11, vec![ScheduledFault::new(60.0, cut)]);
         // A lost heartbeat and a cut node in turn would be a silent machine.
         let mut sim = Simulation::new(Setup { jobs: long_jobs(), capacity: 4, loss: 0.0, ..setup });
         assert_eq!(sim.run(59.0), []);
@@ -327,7 +327,7 @@
     let crashes = (0..3)
         .map(|node| ScheduledFault::new(100.0, Fault::ControllerCrash { node, duration_s: 3.0 }))
         .collect();
-    let mut sim = Simulation::new(Setup { jobs: long_jobs(), ..seeded_day(12, crashes) });
+    let mut sim = Simulation::new(Setup { jobs: long_jobs(), ..seeded_setup(12, crashes) });
     assert_eq!(sim.run(99.0), []);
     let (before, starts) = (sim.deleted.len(), sim.metrics.task_starts);
     assert_eq!(sim.run(150.0), []);
--- a/crates/simulation/tests/short_jobs.rs
+++ b/crates/simulation/tests/short_jobs.rs
@@ -43,7 +43,7 @@
 
 /// A day of such jobs while `faults` strike.
 fn day(seed: u64, duration_s: f64, faults: Vec<ScheduledFault>) -> Setup {
-    let mut setup = seeded_day(seed, faults);
+    let mut setup = seeded_setup(seed, faults);
     without_quotas(&mut setup);
     setup.jobs = short_jobs(&mut SmallRng::seed_from_u64(seed ^ 0x5407), 10.0, duration_s);
     Setup { capacity: 12, nodes: 3 + 2 * (seed % 2) as usize, loss: 0.0, ..setup }
--- a/crates/simulation/tests/starvation.rs
+++ b/crates/simulation/tests/starvation.rs
@@ -12,7 +12,7 @@
 }
 
 fn day(seed: u64, jobs: Vec<Submission>, capacity: usize) -> Simulation {
-    let mut setup = seeded_day(seed, vec![]);
+    let mut setup = seeded_setup(seed, vec![]);
     without_quotas(&mut setup);
     Simulation::new(Setup { jobs, capacity, loss: 0.0, ..setup })
 }
--- a/crates/simulation/tests/status_consistency.rs
+++ b/crates/simulation/tests/status_consistency.rs
@@ -7,7 +7,7 @@
 
 use anisecroft_simulation::sim::QueryCounts;
 use anisecroft_simulation::{Fault, ScheduledFault, Setup, Simulation, Submission};
-use common::{seeded_day, without_quotas};
+use common::{seeded_setup, without_quotas};
 use controller::records::*;
 use controller::*;
 use protocol::cloud::MachineType;
@@ -305,7 +305,7 @@
 /// cancel at the end and send invalid requests; and by `seed` a fault beside, or none.
 fn crowd(seed: u64) -> Setup {
     let rng = &mut SmallRng::seed_from_u64(seed ^ 0xc201d);
-    let mut setup = seeded_day(seed, vec![]);
+    let mut setup = seeded_setup(seed, vec![]);
     without_quotas(&mut setup);
     let job = |n: u32, rng: &mut SmallRng| JobSpec {
         tasks: if n % 20 == 7 { 120 } else { rng.gen_range(1..4) },
--- a/crates/simulation/tests/store_limits.rs
+++ b/crates/simulation/tests/store_limits.rs
@@ -10,7 +10,7 @@
 
 /// Wide arrays beside the usual jobs, under limits of `kb` KiB that may fall to a part.
 fn wide(seed: u64, kb: f64, part: f64, faults: Vec<ScheduledFault>) -> Setup {
-    let mut setup = seeded_day(seed, faults);
+    let mut setup = seeded_setup(seed, faults);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x11417);
     without_quotas(&mut setup);
     let state = &mut setup.settings.params.store;
@@ -93,7 +93,7 @@
             one_zone: false,
             spread: false,
             estimated_run_s: 2.0,
-            ..job(rng, n)
+            ..random_job(rng, n)
         };
         setup.jobs = (0..300).map(|n| Submission::new(4.0 + n as f64 * 0.05, small(n, rng))).collect();
         let awaits: Vec<String> = setup.jobs.iter().map(|j| j.spec.id.clone()).collect();
--- a/crates/simulation/tests/version_compatibility.rs
+++ b/crates/simulation/tests/version_compatibility.rs
@@ -150,7 +150,7 @@
         assert!(!format, "the gate is open while a node has the version before");
     }
     for seed in 0..10 {
-        let mut setup = seeded_day(seed, if seed % 2 == 0 { seeded_faults(seed) } else { vec![] });
+        let mut setup = seeded_setup(seed, if seed % 2 == 0 { seeded_faults(seed) } else { vec![] });
         without_quotas(&mut setup);
         let state = &mut setup.settings.params.store;
         state.next = Some(NextLimits { value_kb: Some(2.0), txn_ops: Some(8), ..NextLimits::default() });
@@ -172,7 +172,7 @@
 /// left is converted.
 #[test]
 fn format_gate_opens_when_all_controllers_announce_it() {
-    let mut setup = seeded_day(3, vec![]);
+    let mut setup = seeded_setup(3, vec![]);
     without_quotas(&mut setup);
     setup.settings.params.store.next = Some(NextLimits { value_kb: Some(2.0), ..NextLimits::default() });
     let array = JobSpec { tasks: 900, cores: 0.25, accelerators: 0.0, memory_gb: 0.25, ..long_array() };
--- a/crates/simulation/tests/work_conservation.rs
+++ b/crates/simulation/tests/work_conservation.rs
@@ -24,7 +24,7 @@
 
 /// A day of `jobs` and nothing else on up to `capacity` machines, with three or five controllers.
 fn day(seed: u64, checks: SafetyChecks, capacity: usize, jobs: Vec<Submission>) -> Simulation {
-    let mut setup = seeded_day(seed, vec![]);
+    let mut setup = seeded_setup(seed, vec![]);
     without_quotas(&mut setup);
     let nodes = 3 + 2 * (seed % 2) as usize;
     Simulation::new(Setup { jobs, capacity, nodes, checks, loss: 0.0, ..setup })
@@ -122,7 +122,7 @@
 #[test]
 fn no_scale_out_for_a_team_at_its_limit() {
     for seed in 0..3 {
-        let mut setup = seeded_day(seed, vec![]);
+        let mut setup = seeded_setup(seed, vec![]);
         without_quotas(&mut setup);
         for t in &mut setup.settings.params.teams {
             t.accelerators_max = 8.0;
@@ -163,7 +163,7 @@
 /// A best-effort job may use the cheaper type only, which cannot be had, while a more expensive
 /// machine that others use has room.
 fn left_beside_a_dear_machine(seed: u64, checks: SafetyChecks) -> Vec<Rule> {
-    let mut setup = seeded_day(seed, vec![]);
+    let mut setup = seeded_setup(seed, vec![]);
     without_quotas(&mut setup);
     setup.types.push(protocol::cloud::MachineType {
         name: "dear".into(),
@@ -218,7 +218,7 @@
         // All machines of one zone at a time.
         faults.extend((0..6).map(|machine| ScheduledFault::new(60.0, Fault::MachineLost { machine })));
     }
-    let mut setup = seeded_day(seed, faults);
+    let mut setup = seeded_setup(seed, faults);
     let types = [None, Some(vec!["big".to_string()]), Some(vec!["dear".to_string()])];
     setup.types.push(protocol::cloud::MachineType {
         name: "dear".into(),
