--- a/crates/simulation/tests/common/mod.rs
+++ b/crates/simulation/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! Builders that the simulated days share: settings, jobs, faults and runs.
+//! Builders shared by the simulation tests: settings, jobs, faults and runs.
 
-#![allow(dead_code)] // Each test file uses a part.
+#![allow(dead_code)] // Each test file uses only some of these.
 
 use anisecroft_simulation::{Fault, Rule, ScheduledFault, Setup, Simulation, Submission};
 use controller::SafetyChecks;
@@ -10,10 +10,10 @@
 use settings::Settings;
 use std::collections::BTreeSet;
 
-/// The documented example, with tight quotas.
+/// The documented example settings with tight quotas, so that quota checks and placement are under
+/// pressure.
 pub fn settings() -> Settings {
     let mut settings = example_settings();
-    // A tight limit, so that quota and placement are under pressure.
     for team in &mut settings.params.teams {
         team.accelerators = 4.0;
         team.accelerators_max = 8.0;
@@ -21,7 +21,7 @@
     settings
 }
 
-/// One machine type, in two zones.
+/// One machine type, available in two zones.
 pub fn machine_types() -> Vec<MachineType> {
     vec![MachineType {
         name: "big".into(),
@@ -37,7 +37,7 @@
     }]
 }
 
-/// The random job number `n`.
+/// A random job; its ID is derived from `n`.
 pub fn random_job(rng: &mut SmallRng, n: usize) -> JobSpec {
     let shape = [Shape::Array, Shape::Array, Shape::Gang, Shape::Service][rng.gen_range(0..4usize)];
     let tasks = if shape == Shape::Array { rng.gen_range(1..6) } else { rng.gen_range(1..4) };
@@ -66,7 +66,8 @@
     }
 }
 
-/// Forty random jobs within 150 s, some of them cancelled, on up to six machines.
+/// Forty random jobs, submitted within 150 s on up to six machines; services and a quarter of the
+/// others are cancelled.
 pub fn seeded_setup(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
     let jobs = (0..40)
@@ -78,7 +79,7 @@
             } else {
                 None
             };
-            // Together and spread contradict each other beyond one task.
+            // A job with more than one task cannot be both spread and in one zone.
             let spec = if spec.one_zone { JobSpec { spread: false, ..spec } } else { spec };
             let spec = if spec.zone.is_some() { JobSpec { spread: false, ..spec } } else { spec };
             Submission::new(at, spec).cancelled_at(cancel)
@@ -99,12 +100,12 @@
     }
 }
 
-/// The timing that follows from the settings.
+/// The timing derived from `settings`.
 pub fn timing() -> settings::Timing {
     settings::Timing::from(&settings())
 }
 
-/// A small array of short tasks that may run anywhere.
+/// An array of short tasks with small resource requests that may run anywhere.
 pub fn plain_array(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         id: id.into(),
@@ -148,7 +149,7 @@
     }
 }
 
-/// Takes the teams' guarantees and limits away.
+/// Removes the guarantees and limits of all teams.
 pub fn without_quotas(setup: &mut Setup) {
     for team in &mut setup.settings.params.teams {
         team.accelerators = 0.0;
@@ -156,24 +157,25 @@
     }
 }
 
-/// How soon a process that ended is restarted: at once or within seconds, each for half of the
-/// crashes.
+/// Generates the delays, in seconds, after which crashed processes restart: below 0.5 s for half of
+/// the crashes, 0.5 s to 10 s for the others.
 pub fn restart_delays(seed: u64) -> impl FnMut() -> f64 {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0xba_c4);
     move || if rng.gen() { rng.gen_range(0.0..0.5) } else { rng.gen_range(0.5..10.0) }
 }
 
-/// Eight faults of all kinds.
+/// Eight random faults with random restart delays.
 pub fn seeded_faults(seed: u64) -> Vec<ScheduledFault> {
     faults_with(seed, restart_delays(seed))
 }
 
-/// The same with processes that are back after 8 s, as the seeds of past failures were found.
+/// Like `seeded_faults`, but processes restart after 8 s: the regression seeds were found with that
+/// delay.
 pub fn faults_with_late_restarts(seed: u64) -> Vec<ScheduledFault> {
     faults_with(seed, || 8.0)
 }
 
-fn faults_with(seed: u64, mut back: impl FnMut() -> f64) -> Vec<ScheduledFault> {
+fn faults_with(seed: u64, mut restart_delay_s: impl FnMut() -> f64) -> Vec<ScheduledFault> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0xfa17);
     (0..8)
         .map(|_| {
@@ -182,7 +184,7 @@
             let duration_s: f64 = rng.gen_range(2.0..35.0);
             let machine = rng.gen_range(0..6);
             let fault = match rng.gen_range(0..10) {
-                0 => Fault::ControllerCrash { node, duration_s: back() },
+                0 => Fault::ControllerCrash { node, duration_s: restart_delay_s() },
                 1 => Fault::StoreOutage { duration_s: duration_s.min(25.0) },
                 2 => Fault::StoreRefusesNode { node, duration_s },
                 3 => Fault::NodePartition { node, store: rng.gen(), workers: rng.gen(), duration_s },
@@ -198,20 +200,20 @@
         .collect()
 }
 
-/// The same with a controller isolated with its workers, delayed duplicates of heartbeats, and a
-/// machine that receives no responses.
+/// `seeded_faults`, plus a controller isolated with its workers, delayed duplicates of heartbeats,
+/// and a machine that receives no responses.
 pub fn one_way_faults(seed: u64) -> Vec<ScheduledFault> {
     let duration_s = [5.0, 40.0, 120.0][seed as usize % 3];
-    let alone = Fault::IsolatedWithWorkers { node: seed as usize % 3, duration_s: 30.0 };
+    let isolated = Fault::IsolatedWithWorkers { node: seed as usize % 3, duration_s: 30.0 };
     let mut faults = seeded_faults(seed);
-    faults.push(ScheduledFault::new(30.0 + (seed % 11) as f64 * 7.0, alone));
+    faults.push(ScheduledFault::new(30.0 + (seed % 11) as f64 * 7.0, isolated));
     faults.push(ScheduledFault::new(20.0, Fault::DuplicatedHeartbeats { max_delay_s: 60.0, duration_s }));
     faults.push(ScheduledFault::new(60.0, Fault::ResponsesLost { machine: seed as usize % 5, duration_s }));
     faults
 }
 
-/// The usual day, with dependencies between all jobs but the services: chains, diamonds, common
-/// ancestors, also across teams.
+/// `seeded_setup` with random dependencies between all jobs except services: chains, diamonds and
+/// shared ancestors, also across teams.
 pub fn dependent_jobs_setup(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
     let mut setup = seeded_setup(seed, faults);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x11a6);
@@ -235,7 +237,8 @@
     setup
 }
 
-/// Runs until `done` holds, for `max_s` seconds at most. Whether it does.
+/// Runs until `done` holds, a rule is violated or `max_s` seconds have passed. Returns whether `done`
+/// held.
 pub fn run_until(sim: &mut Simulation, max_s: f64, done: impl Fn(&Simulation) -> bool) -> bool {
     let end = sim.now + max_s;
     while sim.now < end && sim.history.violations.is_empty() {
@@ -247,34 +250,34 @@
     false
 }
 
-/// Whether some seed's day breaks one of `rules` before `end`.
+/// Whether the run of some seed breaks one of `rules` before `end`.
 pub fn some_seed_breaks(
     rules: &[Rule],
     mut seeds: std::ops::Range<u64>,
     end: f64,
-    day: impl Fn(u64) -> Setup,
+    setup: impl Fn(u64) -> Setup,
 ) -> bool {
     seeds.any(|seed| {
-        let mut sim = Simulation::new(day(seed));
+        let mut sim = Simulation::new(setup(seed));
         sim.run(end).iter().any(|violation| rules.contains(&violation.rule))
     })
 }
 
-/// Plays on `count` threads, each with its number.
-pub fn on_threads<T: Send>(count: usize, play: impl Fn(usize) -> T + Sync) -> Vec<T> {
-    let play = &play;
+/// Calls `run` on `count` threads with the index of each, and returns the results in that order.
+pub fn on_threads<T: Send>(count: usize, run: impl Fn(usize) -> T + Sync) -> Vec<T> {
+    let run = &run;
     std::thread::scope(|scope| {
-        let threads: Vec<_> = (0..count).map(|part| scope.spawn(move || play(part))).collect();
-        threads.into_iter().map(|thread| thread.join().expect("no rule breaks")).collect()
+        let threads: Vec<_> = (0..count).map(|index| scope.spawn(move || run(index))).collect();
+        threads.into_iter().map(|thread| thread.join().expect("a simulation thread panicked")).collect()
     })
 }
 
-/// The machine type of all tests, in one zone only.
+/// The machine type of `machine_types`, available in zone `a` only.
 pub fn single_zone_type() -> MachineType {
     MachineType { zones: vec!["a".into()], ..machine_types().remove(0) }
 }
 
-/// The documented example, as it is.
+/// The documented example settings, unchanged.
 pub fn example_settings() -> Settings {
     Settings::parse(include_str!("../../../../docs/example.toml")).unwrap()
 }
