--- a/crates/simulation/tests/common/reordered/machines.rs
+++ b/crates/simulation/tests/common/reordered/machines.rs
@@ -9,31 +9,31 @@
 use rand::{rngs::SmallRng, Rng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Requests of workers are numbered from there on.
+/// Request IDs of workers start here, so that they differ from those of users.
 pub const FIRST_WORKER_REQUEST: RequestId = 1 << 40;
-/// A worker waits that long for a response, in seconds (fixed by the protocol).
+/// How long a worker waits for a response, in seconds. The protocol fixes this value.
 const HEARTBEAT_TIMEOUT_S: f64 = 4.0;
-/// The number of machines that there can be.
+/// The maximum number of machines.
 const CAPACITY: usize = 3;
 
 pub struct Machines {
     cloud: Cloud,
     workers: BTreeMap<String, Worker>,
     /// Heartbeats without a response, by node and request.
-    open: BTreeMap<(usize, RequestId), OpenHeartbeat>,
+    pending_heartbeats: BTreeMap<(usize, RequestId), PendingHeartbeat>,
     last_request: RequestId,
     lease_s: f64,
     /// Tasks that completed.
     completed: BTreeSet<TaskKey>,
 }
 
-struct OpenHeartbeat {
+struct PendingHeartbeat {
     machine: String,
     sequence: u64,
 }
 
 impl Machines {
-    /// One machine that has all tasks of `job`, and room for more to be rented.
+    /// One machine that runs all tasks of `job`; more machines can be rented.
     pub fn running(job: &JobSpec, machine_type: MachineType, lease_s: f64, rng: &mut SmallRng) -> Self {
         let rent = RentRequest {
             request: "first".into(),
@@ -47,7 +47,7 @@
         let mut machines = Machines {
             cloud,
             workers: BTreeMap::new(),
-            open: BTreeMap::new(),
+            pending_heartbeats: BTreeMap::new(),
             last_request: FIRST_WORKER_REQUEST,
             lease_s,
             completed: BTreeSet::new(),
@@ -61,7 +61,7 @@
         machines
     }
 
-    /// A call to the cloud.
+    /// Executes a call to the cloud and removes the workers on deleted machines.
     pub fn call(&mut self, now: f64, request: &CloudRequest) -> CloudReply {
         let reply = self.cloud.execute(now, request, 1.0, 0.5);
         for id in std::mem::take(&mut self.cloud.deleted) {
@@ -70,12 +70,12 @@
         reply
     }
 
-    /// Boots machines, and has tasks go on.
+    /// Adds a worker on each machine that has booted, and advances the tasks of all workers to `now`.
     pub fn advance(&mut self, now: f64, rng: &mut SmallRng) {
         self.cloud.record_listing(now);
         for machine in self.cloud.running(now) {
-            let new = || Worker::new(machine.clone(), now, 0);
-            self.workers.entry(machine.id.clone()).or_insert_with(new);
+            let new_worker = || Worker::new(machine.clone(), now, 0);
+            self.workers.entry(machine.id.clone()).or_insert_with(new_worker);
         }
         for worker in self.workers.values_mut() {
             worker.expire_lease(now, self.lease_s);
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Some worker's heartbeat to `node`, if it has none on its way.
+    /// A heartbeat of a random worker to `node`, unless that worker already has one in flight.
     pub fn heartbeat(&mut self, now: f64, node: usize, rng: &mut SmallRng) -> Option<(RequestId, Request)> {
         let index = rng.gen_range(0..self.workers.len().max(1));
         let (id, worker) = self.workers.iter_mut().nth(index)?;
@@ -103,14 +103,18 @@
         }
         let heartbeat = worker.send_heartbeat(now);
         self.last_request += 1;
-        let open = OpenHeartbeat { machine: id.clone(), sequence: heartbeat.sequence };
-        self.open.insert((node, self.last_request), open);
+        let pending = PendingHeartbeat { machine: id.clone(), sequence: heartbeat.sequence };
+        self.pending_heartbeats.insert((node, self.last_request), pending);
         Some((self.last_request, Request::Heartbeat(protocol::encode(&heartbeat))))
     }
 
-    /// The response to a heartbeat.
+    /// Delivers the response to a heartbeat. A worker ignores late and outdated responses; an accepted
+    /// one renews its lease, and its commands are executed.
     pub fn response_arrives(&mut self, now: f64, node: usize, request: RequestId, response: &HttpResponse) {
-        let Some(OpenHeartbeat { machine, sequence }) = self.open.remove(&(node, request)) else { return };
+        let Some(PendingHeartbeat { machine, sequence }) = self.pending_heartbeats.remove(&(node, request))
+        else {
+            return;
+        };
         let Some(worker) = self.workers.get_mut(&machine) else { return };
         let in_time = |sent: &HeartbeatInFlight| sent.sequence == sequence && !has_timed_out(sent, now);
         let Some(sent) = worker.in_flight.filter(in_time) else { return };
--- a/crates/simulation/tests/status_consistency.rs
+++ b/crates/simulation/tests/status_consistency.rs
@@ -1,5 +1,5 @@
-//! What users are told, at every controller, judged by when each request was sent: nothing older
-//! than what any controller has told of that job before (`docs/safety.md`, `went_back`).
+//! A status that any controller reports must not be older than one that any controller had reported
+//! for that job before the request was sent (`docs/safety.md`, `went_back`).
 
 mod common;
 #[path = "common/reordered/mod.rs"]
@@ -20,59 +20,78 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-fn play(seed: u64, scenario: Scenario, steps: usize) -> Cluster {
-    let mut world = Cluster::new(seed, scenario);
+/// Runs `scenario` until a violation, for at most `steps` steps.
+fn run(seed: u64, scenario: Scenario, steps: usize) -> Cluster {
+    let mut cluster = Cluster::new(seed, scenario);
     for _ in 0..steps {
-        world.step();
-        if world.violation.is_some() {
+        cluster.step();
+        if cluster.violation.is_some() {
             break;
         }
     }
-    world
+    cluster
 }
 
-/// The scenario that `seed` stands for.
+/// Derives a scenario from `seed`.
 fn scenario(seed: u64) -> Scenario {
-    let ids = [1, 2, 3, 6, 9][seed as usize / 8 % 5];
+    let jobs = [1, 2, 3, 6, 9][seed as usize / 8 % 5];
     Scenario {
         nodes: 3 + seed as usize % 2 * 2,
-        ids,
-        lead: seed % 8 >= 5,
+        jobs,
+        elects_leader: seed % 8 >= 5,
         faults: seed / 2 % 3 > 0,
-        cancels: [0.02, 0.1, 0.4][seed as usize / 5 % 3],
+        cancel_probability: [0.02, 0.1, 0.4][seed as usize / 5 % 3],
     }
 }
 
-/// Plays so many scenarios, with every message in any order, lost or late, and controllers that
-/// restart.
-fn play_all(seeds: Range<u64>) -> Coverage {
+/// Runs the scenarios of `seeds` with messages reordered, lost or late and controllers that restart,
+/// and checks that none ends with a violation.
+fn run_scenarios(seeds: Range<u64>) -> Coverage {
     let mut coverage = Coverage::default();
     for seed in seeds {
-        let world = play(seed, scenario(seed), 3000);
-        assert_eq!(world.violation, None, "seed {seed}");
-        coverage.add(&world.coverage);
+        let cluster = run(seed, scenario(seed), 3000);
+        assert_eq!(cluster.violation, None, "seed {seed}");
+        coverage.add(&cluster.coverage);
     }
     coverage
 }
 
 #[test]
 fn status_never_goes_back_at_any_node() {
-    let m = play_all(0..200);
-    assert!(m.close > 1000 && m.repeated > 1000 && m.odd > 1000, "{m:?}");
-    assert!(m.cancelled > 100 && m.done > 100 && m.lineage > 50 && m.marks > 50, "{m:?}");
-    assert!(m.moved > 100 && m.gone > 100 && m.returns > 100 && m.late > 50 && m.lost > 100, "{m:?}");
+    let coverage = run_scenarios(0..200);
+    assert!(
+        coverage.concurrent_queries > 1000
+            && coverage.resubmissions > 1000
+            && coverage.invalid_submissions > 1000,
+        "{coverage:?}"
+    );
+    assert!(
+        coverage.cancelled > 100
+            && coverage.done > 100
+            && coverage.inherited_cancellations > 50
+            && coverage.cancellation_marks > 50,
+        "{coverage:?}"
+    );
+    assert!(
+        coverage.archived > 100
+            && coverage.expired_watches > 100
+            && coverage.restarts > 100
+            && coverage.late_writes > 50
+            && coverage.lost_replies > 100,
+        "{coverage:?}"
+    );
 }
 
-/// The same for minutes: `cargo test --release -p anisecroft-simulation --test status_consistency
-/// -- --ignored`.
+/// The same over many seeds, which takes minutes: `cargo test --release -p anisecroft-simulation
+/// --test status_consistency -- --ignored`.
 #[test]
 #[ignore = "minutes"]
 fn status_never_goes_back_over_many_seeds() {
-    assert!(play_all(200..20_000).marks > 1000);
+    assert!(run_scenarios(200..20_000).cancellation_marks > 1000);
 }
 
-/// A heartbeat of the only machine that all tasks of a job have completed.
-fn all_done(job: &JobSpec, token: u64) -> Request {
+/// A heartbeat of the only machine, which reports all tasks of a job as completed.
+fn completion_heartbeat(job: &JobSpec, token: u64) -> Request {
     let done = |task| TaskStatus {
         task: task_name(&job.id, task),
         attempt: 1,
@@ -94,53 +113,68 @@
     }))
 }
 
-/// The leader's write of the end is on its way when a cancellation is confirmed by a mark, since
-/// the record is too large to be written again. (The leader once wrote the end over the mark; and
-/// of a job whose specification alone is too large it did not expect one.)
+/// The leader's write of a job's completion is in flight when a cancellation is confirmed by a mark,
+/// because the record is too large to be rewritten. The completion must not override the mark, also if
+/// the specification alone makes the record too large.
 #[test]
 fn cancellation_mark_wins_over_completion_in_flight() {
     for (nodes, record) in [3, 5].into_iter().flat_map(|n| oversized_records().map(|r| (n, r))) {
-        let mut world = Cluster::new(1, Scenario { nodes, ids: 1, lead: true, faults: false, cancels: 0.0 });
+        let mut cluster = Cluster::new(
+            1,
+            Scenario { nodes, jobs: 1, elects_leader: true, faults: false, cancel_probability: 0.0 },
+        );
         let (id, job) = ("req-0", record.spec.clone());
         let changes = vec![put(job_key(id), Value::Job(Box::new(record)))];
-        world.store.execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
-        world.submitted.insert(id.into());
-        while world.leader().is_none() {
-            world.settle(0.02, |op| writes(op, id));
+        cluster
+            .store
+            .execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
+        cluster.submitted.insert(id.into());
+        while cluster.leader().is_none() {
+            cluster.settle(0.02, |op| is_leader_write(op, id));
         }
-        let leader = world.leader().unwrap();
-        let token = world.controllers[leader].token().unwrap();
-        world.feed(leader, Input::Request(RequestId::MAX, all_done(&job, token)));
-        world.settle(1.0, |op| writes(op, id));
-        assert!(world.calls.iter().any(|c| writes(&c.3, id)), "its end is on its way");
-        world.ask((leader + 1) % nodes, id, Request::Cancel(id.into()));
-        world.settle(1.0, |op| writes(op, id));
-        assert_eq!(world.told.get(id), Some(&ReportedStatus::Over(JobStatus::Cancelled)));
-        assert!(matches!(world.stored(mark_key(id)), Some(Value::Terminal(_))), "by a mark");
-        world.settle(20.0, |_| false);
-        (0..nodes).for_each(|n| world.ask(n, id, Request::QueryStatus(id.into())));
-        world.settle(1.0, |_| false);
-        assert_eq!(world.violation, None, "{nodes} nodes");
-        let over = world.stored(terminal_job_key(id));
-        assert!(matches!(&over, Some(Value::Terminal(o)) if o.status == JobStatus::Cancelled), "{over:?}");
+        let leader = cluster.leader().unwrap();
+        let token = cluster.controllers[leader].token().unwrap();
+        cluster.feed(leader, Input::Request(RequestId::MAX, completion_heartbeat(&job, token)));
+        cluster.settle(1.0, |op| is_leader_write(op, id));
+        assert!(
+            cluster.calls.iter().any(|c| is_leader_write(&c.3, id)),
+            "the write of the completion is not in flight"
+        );
+        cluster.send_request((leader + 1) % nodes, id, Request::Cancel(id.into()));
+        cluster.settle(1.0, |op| is_leader_write(op, id));
+        assert_eq!(cluster.reported.get(id), Some(&ReportedStatus::Terminal(JobStatus::Cancelled)));
+        assert!(matches!(cluster.stored(mark_key(id)), Some(Value::Terminal(_))), "no cancellation mark");
+        cluster.settle(20.0, |_| false);
+        (0..nodes).for_each(|n| cluster.send_request(n, id, Request::QueryStatus(id.into())));
+        cluster.settle(1.0, |_| false);
+        assert_eq!(cluster.violation, None, "{nodes} nodes");
+        let terminal = cluster.stored(terminal_job_key(id));
+        assert!(
+            matches!(&terminal, Some(Value::Terminal(t)) if t.status == JobStatus::Cancelled),
+            "{terminal:?}"
+        );
     }
 }
 
 impl Cluster {
-    /// A job that runs, whose record takes so many bytes.
-    fn running(seed: u64, nodes: usize, bytes: usize) -> Self {
-        let mut world =
-            Cluster::new(seed, Scenario { nodes, ids: 1, lead: false, faults: false, cancels: 0.0 });
+    /// A cluster with one running job, whose record takes `bytes` bytes.
+    fn with_running_job(seed: u64, nodes: usize, bytes: usize) -> Self {
+        let mut cluster = Cluster::new(
+            seed,
+            Scenario { nodes, jobs: 1, elects_leader: false, faults: false, cancel_probability: 0.0 },
+        );
         let mut record = JobRecord::new(spec("req-0"), 1e9, NEXT_VALUE_BYTES);
         record.status = JobStatus::Running;
-        pad(&mut record, bytes);
+        pad_to(&mut record, bytes);
         let changes = vec![put(job_key("req-0"), Value::Job(Box::new(record)))];
-        world.store.execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
-        world.submitted.insert("req-0".into());
-        world
+        cluster
+            .store
+            .execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
+        cluster.submitted.insert("req-0".into());
+        cluster
     }
 
-    /// Another leader stores that a job is done.
+    /// Stores that a job is done, as a leader elsewhere would.
     fn finish(&mut self, id: &str) {
         let Some(Value::Job(j)) = self.stored(job_key(id)) else { return };
         let record = JobRecord { status: JobStatus::Done, first_page: PageRecord::default(), ..*j };
@@ -149,7 +183,8 @@
             .execute(self.now, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
     }
 
-    /// Another leader takes a mark in: one write removes it and stores the cancellation.
+    /// Applies a cancellation mark, as a leader elsewhere would: one transaction stores the
+    /// cancellation and deletes the mark.
     fn apply_mark(&mut self, id: &str) {
         let Some(Value::Job(j)) = self.stored(job_key(id)) else { return };
         let record = JobRecord { status: JobStatus::Cancelled, first_page: PageRecord::default(), ..*j };
@@ -160,24 +195,28 @@
     }
 }
 
-/// A record that fits by a byte or two, and would not if it named the cancellation, is cancelled
-/// by a mark. (A controller that had read the record once did not look for it.)
+/// A record within a few bytes of the limit, which would exceed it with the cancellation in it, is
+/// cancelled by a mark. Controllers that read such a record must look for the mark.
 #[test]
-fn cancellation_mark_beside_a_full_record_is_seen() {
+fn cancellation_mark_of_a_full_record_is_seen() {
     for (nodes, bytes) in
         [3, 5].into_iter().flat_map(|n| (NEXT_VALUE_BYTES - 12..NEXT_VALUE_BYTES + 4).map(move |b| (n, b)))
     {
-        let mut world = Cluster::running(1, nodes, bytes);
-        world.ask(0, "req-0", Request::Cancel("req-0".into()));
-        world.settle(1.0, |_| false);
-        assert_eq!(world.told.get("req-0"), Some(&ReportedStatus::Over(JobStatus::Cancelled)));
-        (1..nodes).for_each(|n| world.ask(n, "req-0", Request::QueryStatus("req-0".into())));
-        world.settle(1.0, |_| false);
-        assert_eq!((world.violation, world.open.len()), (None, 0), "{bytes} bytes, {nodes} nodes");
+        let mut cluster = Cluster::with_running_job(1, nodes, bytes);
+        cluster.send_request(0, "req-0", Request::Cancel("req-0".into()));
+        cluster.settle(1.0, |_| false);
+        assert_eq!(cluster.reported.get("req-0"), Some(&ReportedStatus::Terminal(JobStatus::Cancelled)));
+        (1..nodes).for_each(|n| cluster.send_request(n, "req-0", Request::QueryStatus("req-0".into())));
+        cluster.settle(1.0, |_| false);
+        assert_eq!(
+            (cluster.violation, cluster.pending_requests.len()),
+            (None, 0),
+            "{bytes} bytes, {nodes} nodes"
+        );
     }
 }
 
-/// Whether a request looks for the mark beside the first job's record.
+/// Whether a request reads or compares the cancellation mark of `req-0`.
 fn reads_mark(op: &StoreRequest) -> bool {
     match op {
         StoreRequest::Get(key) => *key == mark_key("req-0"),
@@ -188,58 +227,60 @@
     }
 }
 
-/// The first job has been cancelled by a mark, and node 1, which was asked, looks for it.
-fn reading_mark(nodes: usize) -> Cluster {
-    let mut world = Cluster::running(1, nodes, NEXT_VALUE_BYTES + 500);
-    world.ask(0, "req-0", Request::Cancel("req-0".into()));
-    world.settle(1.0, |_| false);
-    world.ask(1, "req-0", Request::QueryStatus("req-0".into()));
-    world.settle(0.2, reads_mark);
-    assert!(world.calls.iter().any(|c| reads_mark(&c.3)), "it is reading_mark for the mark");
-    world
+/// A cluster in which `req-0` was cancelled by a mark, and node 1 is reading the mark to answer a
+/// status query.
+fn cluster_reading_mark(nodes: usize) -> Cluster {
+    let mut cluster = Cluster::with_running_job(1, nodes, NEXT_VALUE_BYTES + 500);
+    cluster.send_request(0, "req-0", Request::Cancel("req-0".into()));
+    cluster.settle(1.0, |_| false);
+    cluster.send_request(1, "req-0", Request::QueryStatus("req-0".into()));
+    cluster.settle(0.2, reads_mark);
+    assert!(cluster.calls.iter().any(|c| reads_mark(&c.3)), "node 1 is not reading the mark");
+    cluster
 }
 
-/// A controller has read such a record, and the leader applies the mark before the controller
-/// looks for it. (The job was once called running.)
+/// The leader applies the mark after a controller has read the record and before it reads the mark.
+/// The controller must not report the job as running.
 #[test]
 fn cancellation_mark_removed_during_a_read_is_not_missed() {
     for nodes in [3, 5] {
-        let mut world = reading_mark(nodes);
-        world.apply_mark("req-0");
-        world.settle(1.0, |_| false);
-        assert_eq!((world.violation, world.open.len()), (None, 0), "{nodes} nodes");
+        let mut cluster = cluster_reading_mark(nodes);
+        cluster.apply_mark("req-0");
+        cluster.settle(1.0, |_| false);
+        assert_eq!((cluster.violation, cluster.pending_requests.len()), (None, 0), "{nodes} nodes");
     }
 }
 
-/// That read gets no reply: it is repeated before the user times out.
+/// A read of the mark that gets no reply is repeated before the user times out.
 #[test]
 fn lost_read_of_a_cancellation_mark_is_retried() {
     for nodes in [3, 5] {
-        let mut world = reading_mark(nodes);
-        world.calls.retain(|c| !reads_mark(&c.3));
-        world.settle(1.0, |_| false);
-        assert_eq!((world.violation, world.open.len()), (None, 0), "{nodes} nodes");
+        let mut cluster = cluster_reading_mark(nodes);
+        cluster.calls.retain(|c| !reads_mark(&c.3));
+        cluster.settle(1.0, |_| false);
+        assert_eq!((cluster.violation, cluster.pending_requests.len()), (None, 0), "{nodes} nodes");
     }
 }
 
 impl Cluster {
-    /// Has job `id` read by node `n` and keeps the reply on its way.
-    fn read_slowly(&mut self, n: usize, id: &str) -> (CallId, StoreReply) {
+    /// Queries job `id` at node `n`. Returns node `n`'s read of the record and its reply, which the
+    /// test delivers later.
+    fn start_read(&mut self, n: usize, id: &str) -> (CallId, StoreReply) {
         let read = StoreRequest::Get(job_key(id));
-        self.ask(n, id, Request::QueryStatus(id.into()));
+        self.send_request(n, id, Request::QueryStatus(id.into()));
         self.settle(1.0, |op| *op == read);
-        let at = self.calls.iter().position(|c| c.3 == read).expect("it is being read");
-        let call = self.calls.remove(at).2;
+        let index = self.calls.iter().position(|c| c.3 == read).expect("the node reads the record");
+        let call = self.calls.remove(index).2;
         (call, self.store.execute(self.now, &read).unwrap())
     }
 
-    /// Stores that so many other jobs are over.
-    fn end_others(&mut self, count: usize) {
-        let over = |n| TerminalRecord { status: JobStatus::Done, done: n % 7, submitted_wall_s: 1e9 };
+    /// Stores `count` other jobs as archived.
+    fn archive_other_jobs(&mut self, count: usize) {
+        let terminal = |n| TerminalRecord { status: JobStatus::Done, done: n % 7, submitted_wall_s: 1e9 };
         for from in (0..count).step_by(100) {
             let ids = from..from + 100;
             let changes = ids.map(|n| {
-                put(terminal_job_key(&format!("req-{}", 1000 + n)), Value::Terminal(over(n as u32)))
+                put(terminal_job_key(&format!("req-{}", 1000 + n)), Value::Terminal(terminal(n as u32)))
             });
             self.store.execute(
                 0.0,
@@ -249,61 +290,66 @@
     }
 }
 
-/// A read that is answered after the end was seen once left the job among the live ones, hidden
-/// behind the cached end until that was evicted.
+/// A read of a job's record is answered after the controller has seen the job's end. The outdated
+/// record must not bring the job back once its cached terminal status is evicted.
 #[test]
 fn late_read_does_not_revive_a_finished_job() {
     for nodes in [3, 5] {
-        let mut world = Cluster::running(1, nodes, 1000);
-        let (call, reply) = world.read_slowly(1, "req-0");
-        world.finish("req-0");
-        world.ask(1, "req-0", Request::QueryStatus("req-0".into()));
-        world.settle(1.0, |_| false);
-        assert_eq!(world.told.get("req-0"), Some(&ReportedStatus::Over(JobStatus::Done)));
-        world.feed(1, Input::Store(call, reply));
-        world.end_others(20_500);
+        let mut cluster = Cluster::with_running_job(1, nodes, 1000);
+        let (call, reply) = cluster.start_read(1, "req-0");
+        cluster.finish("req-0");
+        cluster.send_request(1, "req-0", Request::QueryStatus("req-0".into()));
+        cluster.settle(1.0, |_| false);
+        assert_eq!(cluster.reported.get("req-0"), Some(&ReportedStatus::Terminal(JobStatus::Done)));
+        cluster.feed(1, Input::Store(call, reply));
+        cluster.archive_other_jobs(20_500);
         for id in ["req-1000", "req-0"] {
-            world.submitted.insert(id.into());
-            world.ask(1, id, Request::QueryStatus(id.into()));
-            world.settle(1.0, |_| false);
+            cluster.submitted.insert(id.into());
+            cluster.send_request(1, id, Request::QueryStatus(id.into()));
+            cluster.settle(1.0, |_| false);
         }
-        assert_eq!((world.violation, world.open.len()), (None, 0), "{nodes} nodes");
+        assert_eq!((cluster.violation, cluster.pending_requests.len()), (None, 0), "{nodes} nodes");
     }
 }
 
-/// A page is left of a cancelled job whose record is archived. (A new leader once took the job for
-/// done, and released its dependents.)
+/// A page of a cancelled job is left although the job is archived. A new leader must not take the job
+/// for done and release its dependents.
 #[test]
 fn leftover_page_of_a_cancelled_job_releases_no_dependents() {
     for nodes in [3, 5] {
-        let mut world = Cluster::new(1, Scenario { nodes, ids: 1, lead: true, faults: false, cancels: 0.0 });
-        let over = TerminalRecord { status: JobStatus::Cancelled, done: 0, submitted_wall_s: 1e9 };
-        let next = JobRecord::new(world.spec("req-4"), 1e9, NEXT_VALUE_BYTES);
+        let mut cluster = Cluster::new(
+            1,
+            Scenario { nodes, jobs: 1, elects_leader: true, faults: false, cancel_probability: 0.0 },
+        );
+        let terminal = TerminalRecord { status: JobStatus::Cancelled, done: 0, submitted_wall_s: 1e9 };
+        let dependent = JobRecord::new(cluster.spec("req-4"), 1e9, NEXT_VALUE_BYTES);
         let changes = vec![
-            put(terminal_job_key("req-3"), Value::Terminal(over)),
+            put(terminal_job_key("req-3"), Value::Terminal(terminal)),
             put(page_key("req-3", 1, 0), Value::Page(PageRecord::default())),
-            put(job_key("req-4"), Value::Job(Box::new(next))),
+            put(job_key("req-4"), Value::Job(Box::new(dependent))),
         ];
-        world.store.execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
-        world.submitted.insert("req-4".into());
-        world.cancel_asked.insert("req-3".into());
+        cluster
+            .store
+            .execute(0.0, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
+        cluster.submitted.insert("req-4".into());
+        cluster.cancel_requested.insert("req-3".into());
         for _ in 0..3 {
-            world.settle(5.0, |_| false);
-            (0..nodes).for_each(|n| world.ask(n, "req-4", Request::QueryStatus("req-4".into())));
+            cluster.settle(5.0, |_| false);
+            (0..nodes).for_each(|n| cluster.send_request(n, "req-4", Request::QueryStatus("req-4".into())));
         }
-        world.settle(1.0, |_| false);
-        assert_eq!(world.violation, None, "{nodes} nodes");
+        cluster.settle(1.0, |_| false);
+        assert_eq!(cluster.violation, None, "{nodes} nodes");
         assert_eq!(
-            world.told.get("req-4"),
-            Some(&ReportedStatus::Over(JobStatus::Cancelled)),
+            cluster.reported.get("req-4"),
+            Some(&ReportedStatus::Terminal(JobStatus::Cancelled)),
             "{nodes} nodes"
         );
     }
 }
 
-/// Short jobs at four a second, some with dependencies, some wide; users that ask everywhere,
-/// cancel at the end and send invalid requests; and by `seed` a fault beside, or none.
-fn crowd(seed: u64) -> Setup {
+/// Short jobs at four per second, some with dependencies, some with many tasks. Users query all nodes,
+/// cancel as jobs complete and send invalid requests. `seed` selects additional faults, or none.
+fn short_jobs_with_faults(seed: u64) -> Setup {
     let rng = &mut SmallRng::seed_from_u64(seed ^ 0xc201d);
     let mut setup = seeded_setup(seed, vec![]);
     without_quotas(&mut setup);
@@ -360,43 +406,41 @@
     Setup { nodes: 3 + seed as usize % 2 * 2, capacity: 20, ..setup }
 }
 
-/// Plays so many crowds; what was asked in each.
-fn crowds(seeds: Range<u64>) -> Vec<QueryCounts> {
-    let play = |seed| {
-        let mut sim = Simulation::new(crowd(seed));
+/// Runs `short_jobs_with_faults` for each seed, checks that no rule is broken and that all jobs
+/// finish, and returns the requests of each run.
+fn query_counts(seeds: Range<u64>) -> Vec<QueryCounts> {
+    let run = |seed| {
+        let mut sim = Simulation::new(short_jobs_with_faults(seed));
         assert_eq!(sim.run(400.0), [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
         sim.query_counts()
     };
-    seeds.map(play).collect()
+    seeds.map(run).collect()
 }
 
 #[test]
 fn concurrent_queries_invalid_requests_and_late_cancellations_break_no_rule() {
-    let reads_mark = crowds(0..16);
-    assert!(
-        reads_mark.iter().all(|l| l.concurrent_answered > 500 && l.invalid_refused > 50),
-        "{reads_mark:?}"
-    );
+    let counts = query_counts(0..16);
+    assert!(counts.iter().all(|c| c.concurrent_answered > 500 && c.invalid_refused > 50), "{counts:?}");
     assert!(
-        reads_mark.iter().all(|l| l.cancelled_at_acceptance > 0 && l.cancelled_at_completion > 10),
-        "{reads_mark:?}"
+        counts.iter().all(|c| c.cancelled_at_acceptance > 0 && c.cancelled_at_completion > 10),
+        "{counts:?}"
     );
-    // A tenth of those that are accepted, of a hundred each.
-    let at_once: u64 = reads_mark.iter().map(|l| l.cancelled_at_acceptance).sum();
-    assert!(at_once > 16 * 5, "{reads_mark:?}");
+    // A tenth of the hundred jobs of each run is cancelled as it is accepted.
+    let cancelled_at_acceptance: u64 = counts.iter().map(|c| c.cancelled_at_acceptance).sum();
+    assert!(cancelled_at_acceptance > 16 * 5, "{counts:?}");
 }
 
 #[test]
 #[ignore = "minutes"]
 fn concurrent_queries_over_many_seeds_break_no_rule() {
-    assert_eq!(crowds(16..816).len(), 800);
+    assert_eq!(query_counts(16..816).len(), 800);
 }
 
-/// A field's value as a user may send it.
+/// The value of a field in a submission.
 #[derive(Clone, Serialize)]
 #[serde(untagged)]
-enum Sent {
+enum FieldValue {
     Id(String),
     Text(&'static str),
     Texts(Vec<&'static str>),
@@ -406,11 +450,11 @@
     Null(()),
 }
 
-type Body = BTreeMap<&'static str, Sent>;
+type Body = BTreeMap<&'static str, FieldValue>;
 
-/// A submission that is well formed and can run, without its id.
-fn body() -> Body {
-    use Sent::*;
+/// A well-formed submission of a job that can run, without its ID.
+fn valid_body() -> Body {
+    use FieldValue::*;
     BTreeMap::from([
         ("lane", Text("work")),
         ("crew", Text("dispatch")),
@@ -434,24 +478,24 @@
     ])
 }
 
-/// Fields that may be null, and so be omitted.
+/// Fields that may be null or omitted.
 const NULLABLE: [&str; 3] = ["breeds", "yard", "dueS"];
 
-/// Submissions and the status that each gets when it is new.
+/// Submissions, each with a description and the HTTP status code that it gets if its ID is new.
 fn submissions() -> Vec<(String, Body, u16)> {
-    use Sent::*;
-    let mut all = vec![("as it is".to_string(), body(), 201)];
+    use FieldValue::*;
+    let mut all = vec![("unchanged".to_string(), valid_body(), 201)];
     let amounts = ["cores", "accelerators", "memGb", "sizeGb", "etaS", "waypointS", "stashS", "dueS"];
-    let mut with = |what: &str, changes: &[(&'static str, Sent)], status: u16| {
-        let mut b = body();
-        b.extend(changes.iter().cloned());
-        all.push((what.to_string(), b, status));
+    let mut with = |description: &str, changes: &[(&'static str, FieldValue)], code: u16| {
+        let mut body = valid_body();
+        body.extend(changes.iter().cloned());
+        all.push((description.to_string(), body, code));
     };
-    for (field, value) in body() {
+    for (field, value) in valid_body() {
         let nullable = if NULLABLE.contains(&field) { 201 } else { 400 };
         with(&format!("{field} null"), &[(field, Null(()))], nullable);
-        let other = if matches!(value, Text(_) | Texts(_)) { Count(0) } else { Text("1") };
-        with(&format!("{field} of another kind"), &[(field, other)], 400);
+        let other_type = if matches!(value, Text(_) | Texts(_)) { Count(0) } else { Text("1") };
+        with(&format!("{field} of another type"), &[(field, other_type)], 400);
     }
     for field in amounts {
         for bad in [-1.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
@@ -459,112 +503,127 @@
         }
     }
     for bad in [Count(0), Count(-1), Count(100_001), Number(2.5)] {
-        with("a bad number of tasks", &[("legs", bad)], 400);
+        with("an invalid number of tasks", &[("legs", bad)], 400);
     }
     for (field, word) in [("shape", "swarm"), ("urgency", "asap"), ("crew", ""), ("lane", ""), ("kit", "")] {
         with(&format!("{field} {word}"), &[(field, Text(word))], 400);
     }
     with("an unknown team", &[("crew", Text("nobody"))], 422);
-    with("no such type", &[("breeds", Texts(vec!["small"]))], 422);
-    with("no type at all", &[("breeds", Texts(vec![]))], 422);
-    with("no such zone", &[("yard", Text("z"))], 422);
-    for (field, most) in [("cores", 16.0), ("accelerators", 4.0), ("memGb", 64.0)] {
-        with(&format!("{field} of a whole machine"), &[(field, Number(most))], 201);
-        with(&format!("{field} beyond any machine"), &[(field, Number(most + 0.5))], 422);
+    with("an unknown machine type", &[("breeds", Texts(vec!["small"]))], 422);
+    with("no machine type", &[("breeds", Texts(vec![]))], 422);
+    with("an unknown zone", &[("yard", Text("z"))], 422);
+    for (field, capacity) in [("cores", 16.0), ("accelerators", 4.0), ("memGb", 64.0)] {
+        with(&format!("{field} of a whole machine"), &[(field, Number(capacity))], 201);
+        with(&format!("{field} beyond any machine"), &[(field, Number(capacity + 0.5))], 422);
     }
-    let group = |legs, more: &[(&'static str, Sent)]| {
-        let mut changes = vec![("shape", Text("group")), ("legs", Count(legs)), ("yard", Null(()))];
+    let gang = |tasks, more: &[(&'static str, FieldValue)]| {
+        let mut changes = vec![("shape", Text("group")), ("legs", Count(tasks)), ("yard", Null(()))];
         changes.extend(more.iter().cloned());
         changes
     };
-    let (apart, at_once) = (("spread", Flag(true)), ("together", Flag(true)));
-    with("a gang at the limit", &group(72, &[]), 201);
-    with("a gang beyond the limit", &group(73, &[]), 422);
+    let (spread, one_zone) = (("spread", Flag(true)), ("together", Flag(true)));
+    with("a gang at the limit", &gang(72, &[]), 201);
+    with("a gang beyond the limit", &gang(73, &[]), 422);
     with("a service beyond the limit", &[("shape", Text("standing")), ("legs", Count(73))], 422);
     with("an array beyond the limit", &[("legs", Count(73))], 201);
-    with("a gang in two zones", &group(3, std::slice::from_ref(&apart)), 201);
-    with("a gang of one, apart and together", &group(1, &[apart.clone(), at_once.clone()]), 201);
-    with("a gang apart and together", &group(2, &[apart.clone(), at_once]), 422);
-    with("a gang apart in one zone", &group(2, &[apart, ("yard", Text("a"))]), 422);
-    for field in body().into_keys() {
-        let mut b = body();
-        b.remove(field);
-        all.push((format!("no {field}"), b, if NULLABLE.contains(&field) { 201 } else { 400 }));
+    with("a gang spread over two zones", &gang(3, std::slice::from_ref(&spread)), 201);
+    with("a gang of one task, spread and in one zone", &gang(1, &[spread.clone(), one_zone.clone()]), 201);
+    with("a gang spread and in one zone", &gang(2, &[spread.clone(), one_zone]), 422);
+    with("a gang spread and bound to a zone", &gang(2, &[spread, ("yard", Text("a"))]), 422);
+    for field in valid_body().into_keys() {
+        let mut body = valid_body();
+        body.remove(field);
+        all.push((format!("no {field}"), body, if NULLABLE.contains(&field) { 201 } else { 400 }));
     }
     all
 }
 
-fn sent(body: &Body, id: &str) -> Request {
+/// Submits `body` under `id`.
+fn submission(body: &Body, id: &str) -> Request {
     let mut body = body.clone();
-    body.insert("id", Sent::Id(id.into()));
+    body.insert("id", FieldValue::Id(id.into()));
     Request::Submit(protocol::encode(&body))
 }
 
-/// What is malformed gets 400, and what can never run 422.
+/// Malformed submissions get 400, and those of jobs that can never run get 422.
 #[test]
 fn invalid_submissions_are_refused() {
     for nodes in [3, 5] {
-        let mut world = Cluster::new(1, Scenario { nodes, ids: 1, lead: false, faults: false, cancels: 0.0 });
-        world.settle(1.0, |_| false);
+        let mut cluster = Cluster::new(
+            1,
+            Scenario { nodes, jobs: 1, elects_leader: false, faults: false, cancel_probability: 0.0 },
+        );
+        cluster.settle(1.0, |_| false);
         let all = submissions();
         let ids: Vec<String> = (0..all.len()).map(|n| format!("req-{}", 100 + n)).collect();
         for (n, (id, (_, body, _))) in ids.iter().zip(&all).enumerate() {
-            world.ask(n % nodes, id, sent(body, id));
-            world.settle(0.1, |_| false);
+            cluster.send_request(n % nodes, id, submission(body, id));
+            cluster.settle(0.1, |_| false);
         }
-        world.settle(1.0, |_| false);
-        let got: Vec<_> = ids.iter().zip(&all).map(|(id, a)| (&a.0, world.statuses[id].clone())).collect();
-        let wanted: Vec<_> = all.iter().map(|a| (&a.0, vec![a.2])).collect();
-        assert_eq!(got, wanted);
-        assert_eq!(world.violation, None);
+        cluster.settle(1.0, |_| false);
+        let actual: Vec<_> =
+            ids.iter().zip(&all).map(|(id, s)| (&s.0, cluster.response_codes[id].clone())).collect();
+        let expected: Vec<_> = all.iter().map(|s| (&s.0, vec![s.2])).collect();
+        assert_eq!(actual, expected);
+        assert_eq!(cluster.violation, None);
     }
 }
 
-/// Whatever is submitted under the id of a known job, at any controller, gets the status of that
-/// job: while it waits, once it is done or cancelled, and when the types that it could run on are
-/// gone.
+/// Any submission under the ID of a known job, at any controller, gets the status of that job: while
+/// it is pending, once it is done or cancelled, and after the machine types that it could run on are
+/// removed.
 #[test]
 fn resubmission_of_a_known_job_returns_its_status() {
-    for (nodes, end) in [(3, JobStatus::Pending), (5, JobStatus::Done), (3, JobStatus::Cancelled)] {
-        let mut world = Cluster::new(1, Scenario { nodes, ids: 1, lead: false, faults: false, cancels: 0.0 });
-        world.settle(1.0, |_| false);
-        world.ask(0, "req-0", sent(&body(), "req-0"));
-        world.settle(1.0, |_| false);
-        if end.is_final() {
-            let Some(Value::Job(j)) = world.stored(job_key("req-0")) else { panic!("it is not stored") };
-            let over = Value::Terminal(TerminalRecord {
-                status: end,
+    for (nodes, status) in [(3, JobStatus::Pending), (5, JobStatus::Done), (3, JobStatus::Cancelled)] {
+        let mut cluster = Cluster::new(
+            1,
+            Scenario { nodes, jobs: 1, elects_leader: false, faults: false, cancel_probability: 0.0 },
+        );
+        cluster.settle(1.0, |_| false);
+        cluster.send_request(0, "req-0", submission(&valid_body(), "req-0"));
+        cluster.settle(1.0, |_| false);
+        if status.is_final() {
+            let Some(Value::Job(j)) = cluster.stored(job_key("req-0")) else { panic!("req-0 is not stored") };
+            let terminal = Value::Terminal(TerminalRecord {
+                status,
                 done: j.done,
                 submitted_wall_s: j.submitted_wall_s,
             });
             let changes =
-                vec![Mutation::Delete { key: job_key("req-0") }, put(terminal_job_key("req-0"), over)];
-            world.store.execute(
-                world.now,
+                vec![Mutation::Delete { key: job_key("req-0") }, put(terminal_job_key("req-0"), terminal)];
+            cluster.store.execute(
+                cluster.now,
                 &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }),
             );
-            world.cancel_asked.insert("req-0".into());
+            cluster.cancel_requested.insert("req-0".into());
         }
-        let other = Value::Types(vec![MachineType { name: "other".into(), ..big() }]);
-        let changes = vec![put(TYPES_KEY.into(), other)];
-        world
-            .store
-            .execute(world.now, &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }));
-        world.settle(4.0, |_| false);
-        let Request::Submit(whole) = sent(&body(), "req-0") else { return };
-        let mut all: Vec<Request> = submissions().iter().map(|(_, body, _)| sent(body, "req-0")).collect();
-        all.push(Request::Submit([&whole[..], &[0xc0]].concat()));
+        let other_types = Value::Types(vec![MachineType { name: "other".into(), ..big_machine_type() }]);
+        let changes = vec![put(TYPES_KEY.into(), other_types)];
+        cluster.store.execute(
+            cluster.now,
+            &StoreRequest::Commit(Transaction { compares: vec![], mutations: changes }),
+        );
+        cluster.settle(4.0, |_| false);
+        let Request::Submit(encoded) = submission(&valid_body(), "req-0") else { return };
+        let mut all: Vec<Request> =
+            submissions().iter().map(|(_, body, _)| submission(body, "req-0")).collect();
+        // A valid submission with an additional byte.
+        all.push(Request::Submit([&encoded[..], &[0xc0]].concat()));
         let count = all.len() + 1;
         for (n, request) in all.into_iter().enumerate() {
-            world.ask(n % nodes, "req-0", request);
-            world.settle(0.1, |_| false);
+            cluster.send_request(n % nodes, "req-0", request);
+            cluster.settle(0.1, |_| false);
         }
-        world.ask(0, "req-1", sent(&body(), "req-1"));
-        world.settle(1.0, |_| false);
-        assert_eq!(world.statuses["req-1"], [422], "no new job may ask for such a type");
-        let statuses = &world.statuses["req-0"];
-        assert_eq!((statuses.len(), statuses[0]), (count, 201));
-        assert!(statuses[1..].iter().all(|s| *s == 200), "{end:?}: {statuses:?}");
-        assert_eq!(world.violation, None);
+        cluster.send_request(0, "req-1", submission(&valid_body(), "req-1"));
+        cluster.settle(1.0, |_| false);
+        assert_eq!(
+            cluster.response_codes["req-1"],
+            [422],
+            "a new job requests a machine type that was removed"
+        );
+        let codes = &cluster.response_codes["req-0"];
+        assert_eq!((codes.len(), codes[0]), (count, 201));
+        assert!(codes[1..].iter().all(|code| *code == 200), "{status:?}: {codes:?}");
+        assert_eq!(cluster.violation, None);
     }
 }
