--- a/crates/simulation/tests/cancellation.rs
+++ b/crates/simulation/tests/cancellation.rs
@@ -26,7 +26,7 @@
     let mut driver = SingleController::leading(Store::default(), &["vm-1"], 0.0);
     let mut worker = ManualWorker::new("vm-1");
     jobs.iter().for_each(|j| driver.submit(j));
-    driver.settle(&mut worker, &jobs.iter().map(|j| j.id.as_str()).collect::<Vec<_>>());
+    driver.run_until_launched(&mut worker, &jobs.iter().map(|j| j.id.as_str()).collect::<Vec<_>>());
     (driver, worker)
 }
 
@@ -38,30 +38,30 @@
     let (mut driver, mut hung) = busy(&[one("req-1"), one("req-2")]);
     let mut others = ["vm-3", "vm-4"].map(ManualWorker::new);
     let mut well = ManualWorker::new("vm-2");
-    driver.listed.extend(["vm-2", "vm-3", "vm-4"].map(String::from));
+    driver.listed_machines.extend(["vm-2", "vm-3", "vm-4"].map(String::from));
     driver.run(3.0);
-    driver.turn(&mut hung);
+    driver.exchange_heartbeat(&mut hung);
     driver.cancel("req-2");
-    let (_, call, stop) = driver.told(&hung)[0].clone();
+    let (_, call, stop) = driver.direct_commands_to(&hung)[0].clone();
     // It hangs for a while; the others go on.
     for _ in 0..4 {
         for worker in others.iter_mut().chain([&mut well]) {
-            driver.deliver(&worker.next());
+            driver.send_heartbeat(&worker.next_heartbeat());
         }
         driver.run(2.0);
     }
-    let report = hung.next();
-    driver.take_direct(&mut hung, call, &stop);
+    let report = hung.next_heartbeat();
+    driver.execute_direct_commands(&mut hung, call, &stop);
     let renewed = driver.now;
-    let id = driver.deliver(&report);
-    driver.run_until(4.0, |driver| driver.answers.contains_key(&id));
-    assert!(driver.answer(id).is_some(), "not answered: {:?}", driver.answers.get(&id));
-    assert!(hung.has("req-1") && !hung.has("req-2"));
+    let id = driver.send_heartbeat(&report);
+    driver.run_until(4.0, |driver| driver.responses.contains_key(&id));
+    assert!(driver.accepted_response(id).is_some(), "not answered: {:?}", driver.responses.get(&id));
+    assert!(hung.has_live_task("req-1") && !hung.has_live_task("req-2"));
     // Then most are silent at once, and none can be deleted.
     driver.cloud_down = true;
     let mut moved = None;
     while moved.is_none() && driver.now < renewed + 60.0 {
-        let told = driver.turn(&mut well);
+        let told = driver.exchange_heartbeat(&mut well);
         moved = launches(&told, "req-1").then_some(driver.now);
         driver.run(0.5);
     }
@@ -78,17 +78,17 @@
     let (mut driver, mut worker) = busy(&[one("req-1"), one("req-2")]);
     driver.cancel("req-2");
     for _ in 0..4 {
-        let report = worker.next();
-        driver.deliver(&report);
+        let report = worker.next_heartbeat();
+        driver.send_heartbeat(&report);
         driver.run(0.05);
-        let id = driver.deliver(&report);
-        driver.run_until(4.0, |driver| driver.answers.contains_key(&id));
-        if let Some(answer) = driver.answer(id) {
-            worker.obey(&answer);
+        let id = driver.send_heartbeat(&report);
+        driver.run_until(4.0, |driver| driver.responses.contains_key(&id));
+        if let Some(answer) = driver.accepted_response(id) {
+            worker.apply_response(&answer);
         }
         driver.run(2.0);
     }
-    assert!(worker.has("req-1") && !worker.has("req-2"), "{:?}", worker.report.tasks);
+    assert!(worker.has_live_task("req-1") && !worker.has_live_task("req-2"), "{:?}", worker.heartbeat.tasks);
 }
 
 /// A task that is saving a checkpoint when its job is cancelled ends at once, however long saving
@@ -97,21 +97,21 @@
 fn cancellation_ends_a_checkpointing_task_at_once() {
     let long = JobSpec { shape: Shape::Gang, checkpoint_interval_s: 10.0, save_s: 60.0, ..one("req-1") };
     let (mut driver, mut worker) = busy(&[long]);
-    worker.report.notice_s = Some(200.0);
-    let told = driver.deliver(&worker.next());
+    worker.heartbeat.notice_s = Some(200.0);
+    let told = driver.send_heartbeat(&worker.next_heartbeat());
     driver.run(3.0);
-    let told = driver.answer(told).map(|a| a.commands).unwrap_or_default();
-    assert!(stops(&told, "req-1").any(|c| c.grace_s > Some(60.0)), "{told:?}");
-    worker.report.tasks[0].state = TaskState::Saving;
-    driver.direct.clear();
+    let told = driver.accepted_response(told).map(|a| a.commands).unwrap_or_default();
+    assert!(stop_commands(&told, "req-1").any(|c| c.grace_s > Some(60.0)), "{told:?}");
+    worker.heartbeat.tasks[0].state = TaskState::Saving;
+    driver.direct_commands.clear();
     driver.cancel("req-1");
     driver.run(0.2);
-    let direct = driver.told(&worker);
-    let at_once = |c: &[Command]| stops(c, "req-1").any(|c| c.grace_s == Some(0.0));
+    let direct = driver.direct_commands_to(&worker);
+    let at_once = |c: &[Command]| stop_commands(c, "req-1").any(|c| c.grace_s == Some(0.0));
     assert!(direct.iter().any(|d| at_once(&d.2.commands)), "{direct:?}");
-    let id = driver.deliver(&worker.next());
+    let id = driver.send_heartbeat(&worker.next_heartbeat());
     driver.run(3.0);
-    assert!(at_once(&driver.answer(id).expect("no answer").commands));
+    assert!(at_once(&driver.accepted_response(id).expect("no answer").commands));
 }
 
 /// The leader has confirmed a cancellation and reads the record back: it launches no task of the
@@ -122,10 +122,10 @@
     driver.submit(&one("req-2"));
     driver.run(1.0);
     assert_eq!(driver.controller.placement_count(), 2);
-    driver.reads_left = Some(1);
+    driver.remaining_reads = Some(1);
     driver.cancel("req-2");
-    assert_eq!((driver.controller.placement_count(), driver.reads_left), (2, Some(0)));
-    let told = driver.turn(&mut worker);
+    assert_eq!((driver.controller.placement_count(), driver.remaining_reads), (2, Some(0)));
+    let told = driver.exchange_heartbeat(&mut worker);
     assert!(!launches(&told, "req-2"), "{told:?}");
 }
 
@@ -134,10 +134,10 @@
 #[test]
 fn cancellation_during_a_pending_write_stops_tasks_at_once() {
     let (mut driver, mut worker) = busy(&[JobSpec { tasks: 2, ..one("req-1") }]);
-    let first = &mut worker.report.tasks[0];
+    let first = &mut worker.heartbeat.tasks[0];
     (first.state, first.exit_cause) = (TaskState::Exited, Some(ExitCause::Done));
-    driver.writes_held = true;
-    driver.deliver(&worker.next());
+    driver.writes_unanswered = true;
+    driver.send_heartbeat(&worker.next_heartbeat());
     driver.run(2.0);
     let key = job_key("req-1");
     let Some(StoreReply::Item(item)) = driver.store.execute(driver.now, &StoreRequest::Get(key.clone()))
@@ -149,10 +149,10 @@
     let change = Mutation::Put { key, value: Value::Job(cancelled), lease: None };
     let txn = Transaction { compares: Vec::new(), mutations: vec![change] };
     driver.store.execute(driver.now, &StoreRequest::Commit(txn));
-    driver.direct.clear();
+    driver.direct_commands.clear();
     driver.run(0.3);
-    let direct = driver.told(&worker);
-    assert!(direct.iter().any(|d| stops(&d.2.commands, "req-1").count() > 0), "{direct:?}");
+    let direct = driver.direct_commands_to(&worker);
+    assert!(direct.iter().any(|d| stop_commands(&d.2.commands, "req-1").count() > 0), "{direct:?}");
 }
 
 /// A launch is on its way when its job is cancelled: the stop follows at once, and not only when a
@@ -162,13 +162,13 @@
     let (mut driver, mut worker) = busy(&[one("req-1")]);
     driver.submit(&one("req-2"));
     driver.run(1.0);
-    let told = driver.turn(&mut worker);
+    let told = driver.exchange_heartbeat(&mut worker);
     assert!(launches(&told, "req-2"), "{told:?}");
-    driver.direct.clear();
+    driver.direct_commands.clear();
     driver.cancel("req-2");
     driver.run(0.2);
-    let direct = driver.told(&worker);
-    assert!(direct.iter().any(|d| stops(&d.2.commands, "req-2").count() > 0), "{direct:?}");
+    let direct = driver.direct_commands_to(&worker);
+    assert!(direct.iter().any(|d| stop_commands(&d.2.commands, "req-2").count() > 0), "{direct:?}");
 }
 
 /// A direct stop without a reply is sent again while no heartbeat response could carry it.
@@ -177,10 +177,14 @@
     let (mut driver, worker) = busy(&[one("req-1"), one("req-2")]);
     driver.cancel("req-2");
     driver.run(0.2);
-    let (_, call, _) = driver.told(&worker)[0].clone();
+    let (_, call, _) = driver.direct_commands_to(&worker)[0].clone();
     driver.run(2.0);
     driver.feed(Input::Worker(call, WorkerReply::Failed));
-    assert!(driver.run_until(8.0, |driver| driver.told(&worker).len() > 1), "{:?}", driver.told(&worker));
+    assert!(
+        driver.run_until(8.0, |driver| driver.direct_commands_to(&worker).len() > 1),
+        "{:?}",
+        driver.direct_commands_to(&worker)
+    );
 }
 
 /// Jobs are cancelled on a machine whose heartbeats do not reach the new leader: direct commands
@@ -193,15 +197,15 @@
     let mut driver = driver.next_leader();
     let end = driver.now + 12.0;
     let mut taken = 0;
-    while driver.now < end && worker.has("req-2") {
+    while driver.now < end && worker.has_live_task("req-2") {
         driver.run(0.1);
-        let calls = driver.told(&worker);
+        let calls = driver.direct_commands_to(&worker);
         for (_, call, body) in calls.iter().skip(taken) {
-            driver.take_direct(&mut worker, *call, body);
+            driver.execute_direct_commands(&mut worker, *call, body);
         }
         taken = calls.len();
     }
-    assert!(!worker.has("req-2") && worker.has("req-1"), "{:?}", worker.report.tasks);
+    assert!(!worker.has_live_task("req-2") && worker.has_live_task("req-1"), "{:?}", worker.heartbeat.tasks);
 }
 
 /// The first heartbeat of a machine that a new leader gets may be old, and the machine may hang:
@@ -210,12 +214,20 @@
 fn new_leader_sends_stops_once_it_knows_the_agent_epoch() {
     let (mut driver, mut worker) = busy(&[one("req-1"), one("req-2")]);
     driver.cancel("req-2");
-    let copy = worker.next();
+    let copy = worker.next_heartbeat();
     let mut driver = driver.next_leader();
-    assert!(driver.told(&worker).iter().all(|(.., d)| d.epoch != 1), "{:?}", driver.told(&worker));
-    driver.deliver(&copy);
+    assert!(
+        driver.direct_commands_to(&worker).iter().all(|(.., d)| d.epoch != 1),
+        "{:?}",
+        driver.direct_commands_to(&worker)
+    );
+    driver.send_heartbeat(&copy);
     driver.run(0.2);
-    assert!(driver.told(&worker).iter().any(|(.., d)| d.epoch == 1), "{:?}", driver.told(&worker));
+    assert!(
+        driver.direct_commands_to(&worker).iter().any(|(.., d)| d.epoch == 1),
+        "{:?}",
+        driver.direct_commands_to(&worker)
+    );
 }
 
 /// The same where the last heartbeat came to this controller before its election.
@@ -225,14 +237,19 @@
     driver.cancel("req-2");
     let mut driver = driver.successor();
     driver.run(0.1);
-    let early = driver.deliver(&worker.next());
+    let early = driver.send_heartbeat(&worker.next_heartbeat());
     // Nobody leads yet, and the worker is redirected.
     assert!(
-        driver.run_until(4.0, |driver| driver.answers.contains_key(&early)) && !driver.controller.is_leader()
+        driver.run_until(4.0, |driver| driver.responses.contains_key(&early))
+            && !driver.controller.is_leader()
     );
     assert!(driver.run_until(10.0, |driver| driver.controller.has_recovered()));
     driver.run(0.2);
-    assert!(driver.told(&worker).iter().any(|(.., d)| d.epoch == 1), "{:?}", driver.told(&worker));
+    assert!(
+        driver.direct_commands_to(&worker).iter().any(|(.., d)| d.epoch == 1),
+        "{:?}",
+        driver.direct_commands_to(&worker)
+    );
 }
 
 /// A machine that replies to direct commands but whose heartbeats arrive nowhere gets no tasks,
@@ -242,17 +259,17 @@
     let names: Vec<String> = (1..=6).map(|n| format!("req-{n}")).collect();
     let (mut driver, mut worker) = busy(&names.iter().map(|n| one(n)).collect::<Vec<_>>());
     let mut well = ManualWorker::new("vm-2");
-    driver.listed.push("vm-2".into());
+    driver.listed_machines.push("vm-2".into());
     driver.cloud_down = true;
     let mute_since = driver.now;
     for name in &names[1..5] {
         driver.cancel(name);
         driver.run(0.2);
-        for (_, call, body) in driver.told(&worker) {
-            driver.take_direct(&mut worker, call, &body);
+        for (_, call, body) in driver.direct_commands_to(&worker) {
+            driver.execute_direct_commands(&mut worker, call, &body);
         }
-        driver.direct.clear();
-        driver.turn(&mut well);
+        driver.direct_commands.clear();
+        driver.exchange_heartbeat(&mut well);
         driver.run(3.0);
     }
     assert!(driver.now - mute_since > timing().failure_suspicion_s);
@@ -283,8 +300,8 @@
             exit_cause: None,
             checkpointed: None,
         };
-        worker.report.tasks = tasks.map(runs).collect();
-        driver.turn(worker);
+        worker.heartbeat.tasks = tasks.map(runs).collect();
+        driver.exchange_heartbeat(worker);
     }
     (driver, workers)
 }
@@ -297,14 +314,14 @@
     driver.submit(&JobSpec { team: "dispatch".into(), ..one("req-2") });
     let turns = |driver: &mut SingleController, workers: &mut [ManualWorker; 3], duration_s: f64| {
         let end = driver.now + duration_s;
-        while driver.now < end && !workers.iter().any(|h| h.has("req-2")) {
-            workers.iter_mut().for_each(|h| drop(driver.turn(h)));
+        while driver.now < end && !workers.iter().any(|h| h.has_live_task("req-2")) {
+            workers.iter_mut().for_each(|h| drop(driver.exchange_heartbeat(h)));
             driver.run(0.5);
         }
-        workers.iter().any(|h| h.has("req-2"))
+        workers.iter().any(|h| h.has_live_task("req-2"))
     };
-    assert!(!turns(&mut driver, &mut workers, 90.0), "over the limit: {:?}", workers[2].report.tasks);
-    let ended = workers[1].report.tasks.iter_mut().take(2);
+    assert!(!turns(&mut driver, &mut workers, 90.0), "over the limit: {:?}", workers[2].heartbeat.tasks);
+    let ended = workers[1].heartbeat.tasks.iter_mut().take(2);
     ended.for_each(|t| (t.state, t.exit_cause) = (TaskState::Exited, Some(ExitCause::Stopped)));
     assert!(turns(&mut driver, &mut workers, 30.0), "room is kept for ever");
 }
@@ -315,10 +332,10 @@
     let (mut driver, mut workers) = half_read();
     driver.cancel("req-1");
     for _ in 0..3 {
-        workers.iter_mut().for_each(|h| drop(driver.turn(h)));
+        workers.iter_mut().for_each(|h| drop(driver.exchange_heartbeat(h)));
         driver.run(0.5);
     }
-    assert!(workers.iter().all(|h| !h.has("req-1")), "{workers:?}");
+    assert!(workers.iter().all(|h| !h.has_live_task("req-1")), "{workers:?}");
 }
 
 /// A record becomes undecodable while its job runs: other records are written on.
@@ -327,11 +344,11 @@
     let (mut driver, mut worker) = busy(&[one("req-1"), one("req-2")]);
     driver.store.make_undecodable(&job_key("req-1"));
     // The leader has something to write of it.
-    let first = &mut worker.report.tasks[0];
+    let first = &mut worker.heartbeat.tasks[0];
     (first.state, first.exit_cause) = (TaskState::Exited, Some(ExitCause::Stopped));
-    driver.turn(&mut worker);
+    driver.exchange_heartbeat(&mut worker);
     driver.submit(&one("req-3"));
-    driver.settle(&mut worker, &["req-2", "req-3"]);
+    driver.run_until_launched(&mut worker, &["req-2", "req-3"]);
 }
 
 /// Small arrays for three times what each team may use.
--- a/crates/simulation/tests/common/single_controller.rs
+++ b/crates/simulation/tests/common/single_controller.rs
@@ -16,17 +16,17 @@
     pub store: Store,
     pub now: f64,
     /// Machines that the cloud lists.
-    pub listed: Vec<String>,
+    pub listed_machines: Vec<String>,
     pub cloud_down: bool,
     /// The records are not read while this holds.
-    pub lists_down: bool,
+    pub lists_refused: bool,
     /// Writes are on their way while this holds.
-    pub writes_held: bool,
+    pub writes_unanswered: bool,
     /// Reads of single keys that are served yet, if not all.
-    pub reads_left: Option<u32>,
-    pub answers: BTreeMap<RequestId, HttpResponse>,
+    pub remaining_reads: Option<u32>,
+    pub responses: BTreeMap<RequestId, HttpResponse>,
     /// Direct commands, with when and to which address.
-    pub direct: Vec<(f64, CallId, String, DirectCommands)>,
+    pub direct_commands: Vec<(f64, CallId, String, DirectCommands)>,
     watches: Vec<(f64, CallId, StoreRequest)>,
     last_request: RequestId,
 }
@@ -34,12 +34,12 @@
 /// A worker as the test holds it.
 #[derive(Debug, Clone)]
 pub struct ManualWorker {
-    pub report: Heartbeat,
+    pub heartbeat: Heartbeat,
 }
 
 impl ManualWorker {
     pub fn new(machine: &str) -> Self {
-        let report = Heartbeat {
+        let heartbeat = Heartbeat {
             machine: machine.into(),
             addr: addr_of(machine),
             machine_type: "big".into(),
@@ -51,24 +51,24 @@
             notice_s: None,
             tasks: Vec::new(),
         };
-        ManualWorker { report }
+        ManualWorker { heartbeat }
     }
 
     /// Its next heartbeat, also as the reply to a direct command.
-    pub fn next(&mut self) -> Heartbeat {
-        self.report.sequence += 1;
-        self.report.clone()
+    pub fn next_heartbeat(&mut self) -> Heartbeat {
+        self.heartbeat.sequence += 1;
+        self.heartbeat.clone()
     }
 
     /// Executes the commands of a response; launched tasks run at once.
-    pub fn obey(&mut self, answer: &HeartbeatResponse) {
-        self.report.fencing_token = self.report.fencing_token.max(answer.fencing_token);
-        self.carry_out(&answer.commands);
+    pub fn apply_response(&mut self, answer: &HeartbeatResponse) {
+        self.heartbeat.fencing_token = self.heartbeat.fencing_token.max(answer.fencing_token);
+        self.execute_commands(&answer.commands);
     }
 
-    pub fn carry_out(&mut self, commands: &[Command]) {
+    pub fn execute_commands(&mut self, commands: &[Command]) {
         for c in commands {
-            let tasks = &mut self.report.tasks;
+            let tasks = &mut self.heartbeat.tasks;
             let known = tasks.iter_mut().find(|t| t.task == c.task && t.attempt == c.attempt);
             match (c.kind, known) {
                 (CommandKind::Start, None) => tasks.push(TaskStatus {
@@ -88,8 +88,8 @@
     }
 
     /// Whether `job` has a task there that has not exited.
-    pub fn has(&self, job: &str) -> bool {
-        let live = self.report.tasks.iter().filter(|t| t.state != TaskState::Exited);
+    pub fn has_live_task(&self, job: &str) -> bool {
+        let live = self.heartbeat.tasks.iter().filter(|t| t.state != TaskState::Exited);
         live.filter_map(|t| split_task(&t.task)).any(|(id, _)| id == job)
     }
 }
@@ -99,7 +99,7 @@
 }
 
 /// What of `commands` is to stop a task of `job`.
-pub fn stops<'a>(commands: &'a [Command], job: &'a str) -> impl Iterator<Item = &'a Command> {
+pub fn stop_commands<'a>(commands: &'a [Command], job: &'a str) -> impl Iterator<Item = &'a Command> {
     let of = move |c: &&Command| {
         c.kind == CommandKind::Stop && split_task(&c.task).is_some_and(|(id, _)| id == job)
     };
@@ -127,7 +127,7 @@
         SingleController::node("n-0", store, listed, now)
     }
 
-    fn node(name: &str, store: Store, listed: Vec<String>, now: f64) -> Self {
+    fn node(name: &str, store: Store, listed_machines: Vec<String>, now: f64) -> Self {
         let mut s = super::common::settings();
         s.node = name.into();
         s.peers.clear();
@@ -136,13 +136,13 @@
             controller: Controller::new(s, Operator { idle_hold: 1000.0, ..Operator::default() }, 1),
             store,
             now,
-            listed,
+            listed_machines,
             cloud_down: false,
-            lists_down: false,
-            writes_held: false,
-            reads_left: None,
-            answers: BTreeMap::new(),
-            direct: Vec::new(),
+            lists_refused: false,
+            writes_unanswered: false,
+            remaining_reads: None,
+            responses: BTreeMap::new(),
+            direct_commands: Vec::new(),
             watches: Vec::new(),
             last_request: 0,
         }
@@ -150,19 +150,19 @@
 
     /// Another node, on what is stored, as this one ends.
     pub fn successor(self) -> Self {
-        SingleController::node("n-9", self.store, self.listed, self.now)
+        SingleController::node("n-9", self.store, self.listed_machines, self.now)
     }
 
     /// The next leader begins after this one, whose lease has ended.
     pub fn next_leader(mut self) -> Self {
-        let listed = self.listed.clone();
+        let listed = self.listed_machines.clone();
         self.now += 30.0;
         self.store.expire_leases(self.now);
         let listed: Vec<&str> = listed.iter().map(String::as_str).collect();
         SingleController::leading(self.store, &listed, self.now)
     }
 
-    fn list(&self) -> MachineList {
+    fn machine_list(&self) -> MachineList {
         let machine = |id: &String| ListedMachine {
             id: id.clone(),
             addr: Some(addr_of(id)),
@@ -172,19 +172,19 @@
             state: MachineState::Running,
             age_s: 500.0,
         };
-        MachineList { machines: self.listed.iter().map(machine).collect(), more: false }
+        MachineList { machines: self.listed_machines.iter().map(machine).collect(), more: false }
     }
 
-    fn cloud(&mut self, op: &CloudRequest) -> CloudReply {
+    fn cloud_reply(&mut self, op: &CloudRequest) -> CloudReply {
         if self.cloud_down {
             return CloudReply::Refused;
         }
         match op {
             CloudRequest::Types => CloudReply::Types(MachineTypes { types: super::common::types() }),
-            CloudRequest::List { .. } => CloudReply::List(self.list()),
+            CloudRequest::List { .. } => CloudReply::List(self.machine_list()),
             CloudRequest::Rent(_) => CloudReply::NoCapacity,
             CloudRequest::Delete(names) => {
-                self.listed.retain(|m| !names.contains(m));
+                self.listed_machines.retain(|m| !names.contains(m));
                 CloudReply::Done
             }
         }
@@ -194,28 +194,28 @@
         for o in self.controller.handle(self.now, 1e9 + self.now, input) {
             match o {
                 Output::Response(id, answer) => {
-                    self.answers.insert(id, answer);
+                    self.responses.insert(id, answer);
                 }
-                Output::Worker(call, addr, body) => self.direct.push((self.now, call, addr, body)),
+                Output::Worker(call, addr, body) => self.direct_commands.push((self.now, call, addr, body)),
                 Output::Cloud(call, op) => {
-                    let reply = self.cloud(&op);
+                    let reply = self.cloud_reply(&op);
                     self.feed(Input::Cloud(call, reply));
                 }
-                Output::Store(call, op) => self.state(call, op),
+                Output::Store(call, op) => self.handle_store_request(call, op),
                 Output::Forward(..) | Output::ForwardReply(..) => {}
             }
         }
     }
 
-    fn state(&mut self, call: CallId, op: StoreRequest) {
-        if self.lists_down && matches!(op, StoreRequest::List { .. }) {
+    fn handle_store_request(&mut self, call: CallId, op: StoreRequest) {
+        if self.lists_refused && matches!(op, StoreRequest::List { .. }) {
             return self.feed(Input::Store(call, StoreReply::Refused));
         }
-        if self.writes_held && matches!(op, StoreRequest::Commit(_)) {
+        if self.writes_unanswered && matches!(op, StoreRequest::Commit(_)) {
             return;
         }
         if matches!(op, StoreRequest::Get(_)) {
-            match &mut self.reads_left {
+            match &mut self.remaining_reads {
                 Some(0) => return self.feed(Input::Store(call, StoreReply::Refused)),
                 left => *left = left.map(|n| n - 1),
             }
@@ -252,70 +252,80 @@
         done(self)
     }
 
-    pub fn ask(&mut self, request: Request) -> RequestId {
+    pub fn send_request(&mut self, request: Request) -> RequestId {
         self.last_request += 1;
         self.feed(Input::Request(self.last_request, request));
         self.last_request
     }
 
     /// Sends a request, and waits for the status of the response.
-    pub fn status(&mut self, request: Request) -> u16 {
-        let id = self.ask(request);
-        self.run_until(6.0, |driver| driver.answers.contains_key(&id));
-        self.answers.get(&id).map_or(0, |a| a.status)
+    pub fn response_status(&mut self, request: Request) -> u16 {
+        let id = self.send_request(request);
+        self.run_until(6.0, |driver| driver.responses.contains_key(&id));
+        self.responses.get(&id).map_or(0, |a| a.status)
     }
 
     pub fn submit(&mut self, spec: &JobSpec) {
-        assert_eq!(self.status(Request::Submit(protocol::encode(spec))), 201);
+        assert_eq!(self.response_status(Request::Submit(protocol::encode(spec))), 201);
     }
 
     pub fn cancel(&mut self, job: &str) {
-        assert_eq!(self.status(Request::Cancel(job.into())), 200);
+        assert_eq!(self.response_status(Request::Cancel(job.into())), 200);
     }
 
-    pub fn deliver(&mut self, report: &Heartbeat) -> RequestId {
-        self.ask(Request::Heartbeat(protocol::encode(report)))
+    pub fn send_heartbeat(&mut self, report: &Heartbeat) -> RequestId {
+        self.send_request(Request::Heartbeat(protocol::encode(report)))
     }
 
     /// The response with which a heartbeat was accepted by now.
-    pub fn answer(&self, id: RequestId) -> Option<HeartbeatResponse> {
-        let answer = self.answers.get(&id).filter(|a| a.status == 200)?;
+    pub fn accepted_response(&self, id: RequestId) -> Option<HeartbeatResponse> {
+        let answer = self.responses.get(&id).filter(|a| a.status == 200)?;
         protocol::decode(&answer.body).ok()
     }
 
     /// `worker` sends a heartbeat, waits and executes the commands, which are returned.
-    pub fn turn(&mut self, worker: &mut ManualWorker) -> Vec<Command> {
-        let id = self.deliver(&worker.next());
-        self.run_until(4.0, |driver| driver.answers.contains_key(&id));
-        let Some(answer) = self.answer(id) else { return Vec::new() };
-        worker.obey(&answer);
+    pub fn exchange_heartbeat(&mut self, worker: &mut ManualWorker) -> Vec<Command> {
+        let id = self.send_heartbeat(&worker.next_heartbeat());
+        self.run_until(4.0, |driver| driver.responses.contains_key(&id));
+        let Some(answer) = self.accepted_response(id) else { return Vec::new() };
+        worker.apply_response(&answer);
         answer.commands
     }
 
     /// `worker` has what it is to run, and the leader knows.
-    pub fn settle(&mut self, worker: &mut ManualWorker, jobs: &[&str]) {
+    pub fn run_until_launched(&mut self, worker: &mut ManualWorker, jobs: &[&str]) {
         for _ in 0..12 {
-            self.turn(worker);
+            self.exchange_heartbeat(worker);
             self.run(0.5);
         }
-        assert!(jobs.iter().all(|j| worker.has(j)), "{jobs:?} not launched: {:?}", worker.report.tasks);
-        self.direct.clear();
+        assert!(
+            jobs.iter().all(|j| worker.has_live_task(j)),
+            "{jobs:?} not launched: {:?}",
+            worker.heartbeat.tasks
+        );
+        self.direct_commands.clear();
     }
 
     /// Direct commands to `worker` so far.
-    pub fn told(&self, worker: &ManualWorker) -> Vec<(f64, CallId, DirectCommands)> {
-        let to = self.direct.iter().filter(|d| d.2 == worker.report.addr);
+    pub fn direct_commands_to(&self, worker: &ManualWorker) -> Vec<(f64, CallId, DirectCommands)> {
+        let to = self.direct_commands.iter().filter(|d| d.2 == worker.heartbeat.addr);
         to.map(|d| (d.0, d.1, d.3.clone())).collect()
     }
 
     /// `worker` executes a direct command and replies.
-    pub fn take_direct(&mut self, worker: &mut ManualWorker, call: CallId, body: &DirectCommands) {
-        let executed = body.fencing_token >= worker.report.fencing_token && body.epoch == worker.report.epoch;
-        worker.report.fencing_token = worker.report.fencing_token.max(body.fencing_token);
+    pub fn execute_direct_commands(
+        &mut self,
+        worker: &mut ManualWorker,
+        call: CallId,
+        body: &DirectCommands,
+    ) {
+        let executed =
+            body.fencing_token >= worker.heartbeat.fencing_token && body.epoch == worker.heartbeat.epoch;
+        worker.heartbeat.fencing_token = worker.heartbeat.fencing_token.max(body.fencing_token);
         if executed {
-            worker.carry_out(&body.commands);
+            worker.execute_commands(&body.commands);
         }
-        let report = Box::new(worker.next());
+        let report = Box::new(worker.next_heartbeat());
         self.feed(Input::Worker(call, WorkerReply::Heartbeat { executed, report }));
     }
 }
--- a/crates/simulation/tests/failover.rs
+++ b/crates/simulation/tests/failover.rs
@@ -18,17 +18,17 @@
 #[test]
 fn duplicate_does_not_replace_a_newer_early_heartbeat() {
     let mut driver = SingleController::starting(Store::default(), &["vm-1"], 0.0);
-    driver.lists_down = true;
+    driver.lists_refused = true;
     assert!(driver.run_until(10.0, |driver| driver.controller.is_leader()));
     let mut worker = ManualWorker::new("vm-1");
-    let old = worker.next();
-    (0..5).for_each(|_| drop(worker.next()));
-    let live = driver.deliver(&worker.next());
-    driver.deliver(&old);
+    let old = worker.next_heartbeat();
+    (0..5).for_each(|_| drop(worker.next_heartbeat()));
+    let live = driver.send_heartbeat(&worker.next_heartbeat());
+    driver.send_heartbeat(&old);
     driver.run(0.2);
-    driver.lists_down = false;
+    driver.lists_refused = false;
     driver.run(4.0);
-    assert!(driver.answer(live).is_some(), "{:?}", driver.answers.get(&live));
+    assert!(driver.accepted_response(live).is_some(), "{:?}", driver.responses.get(&live));
 }
 
 /// Duplicates of a lost machine's heartbeats reach the next leader one after another: none shows
@@ -37,15 +37,15 @@
 fn old_duplicates_do_not_create_a_machine() {
     let mut driver = SingleController::leading(Store::default(), &[], 100.0);
     let mut worker = ManualWorker::new("vm-9");
-    let copies = [worker.next(), worker.next()];
+    let copies = [worker.next_heartbeat(), worker.next_heartbeat()];
     for copy in &copies {
-        driver.deliver(copy);
+        driver.send_heartbeat(copy);
         driver.run(2.5);
     }
     assert_eq!(driver.controller.usable_machines().count(), 0);
-    driver.turn(&mut worker);
+    driver.exchange_heartbeat(&mut worker);
     driver.run(0.5);
-    driver.turn(&mut worker);
+    driver.exchange_heartbeat(&mut worker);
     assert_eq!(driver.controller.usable_machines().collect::<Vec<_>>(), ["vm-9"]);
 }
 
@@ -57,13 +57,13 @@
     let mut worker = ManualWorker::new("vm-1");
     let job = JobSpec { id: "req-1".into(), tasks: 1, accelerators: 0.5, ..long_array() };
     driver.submit(&job);
-    driver.settle(&mut worker, &["req-1"]);
+    driver.run_until_launched(&mut worker, &["req-1"]);
     driver.cancel("req-1");
     driver.run(0.2);
-    let (_, call, body) = driver.told(&worker)[0].clone();
-    worker.report.fencing_token += 100;
+    let (_, call, body) = driver.direct_commands_to(&worker)[0].clone();
+    worker.heartbeat.fencing_token += 100;
     let before = driver.controller.token();
-    driver.take_direct(&mut worker, call, &body);
+    driver.execute_direct_commands(&mut worker, call, &body);
     assert_ne!(driver.controller.token(), before);
 }
 
