--- a/crates/simulation/tests/cancellation.rs
+++ b/crates/simulation/tests/cancellation.rs
@@ -1,5 +1,5 @@
-//! Cancellations of running jobs: tasks end in time, count against the quota until they are proved
-//! gone, and no longer (`docs/safety.md`).
+//! Cancellations of running jobs: tasks end in time, and they count against the quota exactly until
+//! it is proved that they have ended (`docs/safety.md`).
 
 mod common;
 
@@ -16,13 +16,13 @@
 use protocol::worker::*;
 use single_controller::*;
 
-/// A job of one long task, of which several fit a machine.
-fn one(id: &str) -> JobSpec {
+/// A job with one long task; several such tasks fit on one machine.
+fn single_task_job(id: &str) -> JobSpec {
     JobSpec { id: id.into(), tasks: 1, cores: 1.0, accelerators: 0.5, ..long_array() }
 }
 
-/// A leader with one machine on which `jobs` run.
-fn busy(jobs: &[JobSpec]) -> (SingleController, ManualWorker) {
+/// A leader with one machine on which all of `jobs` run.
+fn leader_with_running(jobs: &[JobSpec]) -> (SingleController, ManualWorker) {
     let mut driver = SingleController::leading(Store::default(), &["vm-1"], 0.0);
     let mut worker = ManualWorker::new("vm-1");
     jobs.iter().for_each(|j| driver.submit(j));
@@ -30,110 +30,113 @@
     (driver, worker)
 }
 
-/// A machine resumes after a hang: it executes a late direct command and sends a heartbeat, and
-/// the reply to the command arrives first. The heartbeat renews the lease all the same. (A task
-/// was once started elsewhere while it still ran there.)
+/// A machine resumes after a hang: it sends a heartbeat and executes a late direct command, and the
+/// reply to the command arrives first. The response to the heartbeat renews the worker's lease, so the
+/// leader must count the lease from then. Otherwise it launches the task elsewhere while the task still
+/// runs there.
 #[test]
 fn overtaken_heartbeat_renews_the_lease() {
-    let (mut driver, mut hung) = busy(&[one("req-1"), one("req-2")]);
+    let (mut driver, mut hung) = leader_with_running(&[single_task_job("req-1"), single_task_job("req-2")]);
     let mut others = ["vm-3", "vm-4"].map(ManualWorker::new);
-    let mut well = ManualWorker::new("vm-2");
+    let mut healthy = ManualWorker::new("vm-2");
     driver.listed_machines.extend(["vm-2", "vm-3", "vm-4"].map(String::from));
     driver.run(3.0);
     driver.exchange_heartbeat(&mut hung);
     driver.cancel("req-2");
     let (_, call, stop) = driver.direct_commands_to(&hung)[0].clone();
-    // It hangs for a while; the others go on.
+    // The machine hangs for a while, and the others continue.
     for _ in 0..4 {
-        for worker in others.iter_mut().chain([&mut well]) {
+        for worker in others.iter_mut().chain([&mut healthy]) {
             driver.send_heartbeat(&worker.next_heartbeat());
         }
         driver.run(2.0);
     }
-    let report = hung.next_heartbeat();
+    let heartbeat = hung.next_heartbeat();
     driver.execute_direct_commands(&mut hung, call, &stop);
-    let renewed = driver.now;
-    let id = driver.send_heartbeat(&report);
+    let renewed_at = driver.now;
+    let id = driver.send_heartbeat(&heartbeat);
     driver.run_until(4.0, |driver| driver.responses.contains_key(&id));
-    assert!(driver.accepted_response(id).is_some(), "not answered: {:?}", driver.responses.get(&id));
+    assert!(driver.accepted_response(id).is_some(), "not accepted: {:?}", driver.responses.get(&id));
     assert!(hung.has_live_task("req-1") && !hung.has_live_task("req-2"));
-    // Then most are silent at once, and none can be deleted.
+    // Then all machines but one fall silent at the same time, and none can be deleted.
     driver.cloud_down = true;
-    let mut moved = None;
-    while moved.is_none() && driver.now < renewed + 60.0 {
-        let told = driver.exchange_heartbeat(&mut well);
-        moved = launches(&told, "req-1").then_some(driver.now);
+    let mut relaunched_at = None;
+    while relaunched_at.is_none() && driver.now < renewed_at + 60.0 {
+        let commands = driver.exchange_heartbeat(&mut healthy);
+        relaunched_at = launches(&commands, "req-1").then_some(driver.now);
         driver.run(0.5);
     }
     let lease_s = settings().params.workers.lease_s;
-    let after = moved.expect("its place is kept for ever") - renewed;
-    assert!(after > lease_s, "started elsewhere {after} s after the answer, the lease is {lease_s} s");
+    let delay_s = relaunched_at.expect("the task was never launched elsewhere") - renewed_at;
+    assert!(delay_s > lease_s, "launched elsewhere {delay_s} s after the renewal; the lease is {lease_s} s");
 }
 
-/// A duplicate of each heartbeat arrives before the heartbeat itself, so the response to the
-/// duplicate, with the stop in it, goes nowhere. (The heartbeat was once answered without
-/// commands, which renewed the lease forever.)
+/// A duplicate of each heartbeat arrives before the heartbeat itself, so the response to the duplicate,
+/// which carries the stop, is lost. The response to the heartbeat must carry the stop too: without
+/// commands it would renew the lease forever and the task would not end.
 #[test]
 fn heartbeat_after_its_duplicate_gets_the_stop() {
-    let (mut driver, mut worker) = busy(&[one("req-1"), one("req-2")]);
+    let (mut driver, mut worker) = leader_with_running(&[single_task_job("req-1"), single_task_job("req-2")]);
     driver.cancel("req-2");
     for _ in 0..4 {
-        let report = worker.next_heartbeat();
-        driver.send_heartbeat(&report);
+        let heartbeat = worker.next_heartbeat();
+        driver.send_heartbeat(&heartbeat);
         driver.run(0.05);
-        let id = driver.send_heartbeat(&report);
+        let id = driver.send_heartbeat(&heartbeat);
         driver.run_until(4.0, |driver| driver.responses.contains_key(&id));
-        if let Some(answer) = driver.accepted_response(id) {
-            worker.apply_response(&answer);
+        if let Some(response) = driver.accepted_response(id) {
+            worker.apply_response(&response);
         }
         driver.run(2.0);
     }
     assert!(worker.has_live_task("req-1") && !worker.has_live_task("req-2"), "{:?}", worker.heartbeat.tasks);
 }
 
-/// A task that is saving a checkpoint when its job is cancelled ends at once, however long saving
-/// would take.
+/// A task that is saving a checkpoint when its job is cancelled ends immediately, regardless of how
+/// long saving takes.
 #[test]
 fn cancellation_ends_a_checkpointing_task_at_once() {
-    let long = JobSpec { shape: Shape::Gang, checkpoint_interval_s: 10.0, save_s: 60.0, ..one("req-1") };
-    let (mut driver, mut worker) = busy(&[long]);
+    let gang =
+        JobSpec { shape: Shape::Gang, checkpoint_interval_s: 10.0, save_s: 60.0, ..single_task_job("req-1") };
+    let (mut driver, mut worker) = leader_with_running(&[gang]);
     worker.heartbeat.notice_s = Some(200.0);
-    let told = driver.send_heartbeat(&worker.next_heartbeat());
+    let id = driver.send_heartbeat(&worker.next_heartbeat());
     driver.run(3.0);
-    let told = driver.accepted_response(told).map(|a| a.commands).unwrap_or_default();
-    assert!(stop_commands(&told, "req-1").any(|c| c.grace_s > Some(60.0)), "{told:?}");
+    let commands = driver.accepted_response(id).map(|response| response.commands).unwrap_or_default();
+    assert!(stop_commands(&commands, "req-1").any(|c| c.grace_s > Some(60.0)), "{commands:?}");
     worker.heartbeat.tasks[0].state = TaskState::Saving;
     driver.direct_commands.clear();
     driver.cancel("req-1");
     driver.run(0.2);
     let direct = driver.direct_commands_to(&worker);
-    let at_once = |c: &[Command]| stop_commands(c, "req-1").any(|c| c.grace_s == Some(0.0));
-    assert!(direct.iter().any(|d| at_once(&d.2.commands)), "{direct:?}");
+    let stops_immediately =
+        |commands: &[Command]| stop_commands(commands, "req-1").any(|c| c.grace_s == Some(0.0));
+    assert!(direct.iter().any(|d| stops_immediately(&d.2.commands)), "{direct:?}");
     let id = driver.send_heartbeat(&worker.next_heartbeat());
     driver.run(3.0);
-    assert!(at_once(&driver.accepted_response(id).expect("no answer").commands));
+    assert!(stops_immediately(&driver.accepted_response(id).expect("no response").commands));
 }
 
-/// The leader has confirmed a cancellation and reads the record back: it launches no task of the
-/// job meanwhile.
+/// While the leader reads back a record whose cancellation it has confirmed, it launches no task of
+/// that job.
 #[test]
 fn nothing_is_launched_after_a_confirmed_cancellation() {
-    let (mut driver, mut worker) = busy(&[one("req-1")]);
-    driver.submit(&one("req-2"));
+    let (mut driver, mut worker) = leader_with_running(&[single_task_job("req-1")]);
+    driver.submit(&single_task_job("req-2"));
     driver.run(1.0);
     assert_eq!(driver.controller.placement_count(), 2);
     driver.remaining_reads = Some(1);
     driver.cancel("req-2");
     assert_eq!((driver.controller.placement_count(), driver.remaining_reads), (2, Some(0)));
-    let told = driver.exchange_heartbeat(&mut worker);
-    assert!(!launches(&told, "req-2"), "{told:?}");
+    let commands = driver.exchange_heartbeat(&mut worker);
+    assert!(!launches(&commands, "req-2"), "{commands:?}");
 }
 
-/// Another controller cancels a job while the leader's own write of it is pending: the stops go
-/// out at once, not when the outcome of that write is known.
+/// Another controller cancels a job while a write of the leader to that job's record is pending. The
+/// stop commands are sent immediately, not only once the outcome of the write is known.
 #[test]
 fn cancellation_during_a_pending_write_stops_tasks_at_once() {
-    let (mut driver, mut worker) = busy(&[JobSpec { tasks: 2, ..one("req-1") }]);
+    let (mut driver, mut worker) = leader_with_running(&[JobSpec { tasks: 2, ..single_task_job("req-1") }]);
     let first = &mut worker.heartbeat.tasks[0];
     (first.state, first.exit_cause) = (TaskState::Exited, Some(ExitCause::Done));
     driver.writes_unanswered = true;
@@ -155,15 +158,15 @@
     assert!(direct.iter().any(|d| stop_commands(&d.2.commands, "req-1").count() > 0), "{direct:?}");
 }
 
-/// A launch is on its way when its job is cancelled: the stop follows at once, and not only when a
-/// heartbeat shows the task.
+/// A job is cancelled while the launch of its task is in flight. The stop command follows immediately,
+/// not only once a heartbeat reports the task.
 #[test]
 fn launch_in_flight_is_followed_by_a_stop() {
-    let (mut driver, mut worker) = busy(&[one("req-1")]);
-    driver.submit(&one("req-2"));
+    let (mut driver, mut worker) = leader_with_running(&[single_task_job("req-1")]);
+    driver.submit(&single_task_job("req-2"));
     driver.run(1.0);
-    let told = driver.exchange_heartbeat(&mut worker);
-    assert!(launches(&told, "req-2"), "{told:?}");
+    let commands = driver.exchange_heartbeat(&mut worker);
+    assert!(launches(&commands, "req-2"), "{commands:?}");
     driver.direct_commands.clear();
     driver.cancel("req-2");
     driver.run(0.2);
@@ -171,10 +174,11 @@
     assert!(direct.iter().any(|d| stop_commands(&d.2.commands, "req-2").count() > 0), "{direct:?}");
 }
 
-/// A direct stop without a reply is sent again while no heartbeat response could carry it.
+/// A direct stop command without a reply is sent again while the worker sends no heartbeat whose
+/// response could carry it.
 #[test]
 fn lost_direct_stop_is_retried() {
-    let (mut driver, worker) = busy(&[one("req-1"), one("req-2")]);
+    let (mut driver, worker) = leader_with_running(&[single_task_job("req-1"), single_task_job("req-2")]);
     driver.cancel("req-2");
     driver.run(0.2);
     let (_, call, _) = driver.direct_commands_to(&worker)[0].clone();
@@ -187,41 +191,42 @@
     );
 }
 
-/// Jobs are cancelled on a machine whose heartbeats do not reach the new leader: direct commands
-/// do, and end the tasks.
+/// A machine's heartbeats do not reach the new leader, so that it stops the tasks of cancelled jobs
+/// there by direct commands.
 #[test]
 fn new_leader_stops_tasks_on_a_machine_whose_heartbeats_are_lost() {
-    let (mut driver, mut worker) = busy(&[one("req-1"), one("req-2")]);
+    let (mut driver, mut worker) = leader_with_running(&[single_task_job("req-1"), single_task_job("req-2")]);
     driver.cancel("req-2");
     driver.cloud_down = true;
     let mut driver = driver.next_leader();
     let end = driver.now + 12.0;
-    let mut taken = 0;
+    let mut executed = 0;
     while driver.now < end && worker.has_live_task("req-2") {
         driver.run(0.1);
         let calls = driver.direct_commands_to(&worker);
-        for (_, call, body) in calls.iter().skip(taken) {
+        for (_, call, body) in calls.iter().skip(executed) {
             driver.execute_direct_commands(&mut worker, *call, body);
         }
-        taken = calls.len();
+        executed = calls.len();
     }
     assert!(!worker.has_live_task("req-2") && worker.has_live_task("req-1"), "{:?}", worker.heartbeat.tasks);
 }
 
-/// The first heartbeat of a machine that a new leader gets may be old, and the machine may hang:
-/// the stops go out as soon as the agent epoch is known, not with the next heartbeat.
+/// The first heartbeat that a new leader receives from a machine may be an old one of a machine that
+/// hangs. So the stop commands are sent as soon as the agent epoch is known, not with the next
+/// heartbeat.
 #[test]
 fn new_leader_sends_stops_once_it_knows_the_agent_epoch() {
-    let (mut driver, mut worker) = busy(&[one("req-1"), one("req-2")]);
+    let (mut driver, mut worker) = leader_with_running(&[single_task_job("req-1"), single_task_job("req-2")]);
     driver.cancel("req-2");
-    let copy = worker.next_heartbeat();
+    let old_heartbeat = worker.next_heartbeat();
     let mut driver = driver.next_leader();
     assert!(
         driver.direct_commands_to(&worker).iter().all(|(.., d)| d.epoch != 1),
         "{:?}",
         driver.direct_commands_to(&worker)
     );
-    driver.send_heartbeat(&copy);
+    driver.send_heartbeat(&old_heartbeat);
     driver.run(0.2);
     assert!(
         driver.direct_commands_to(&worker).iter().any(|(.., d)| d.epoch == 1),
@@ -230,18 +235,18 @@
     );
 }
 
-/// The same where the last heartbeat came to this controller before its election.
+/// A new leader also knows the agent epoch if the machine's last heartbeat reached it before its
+/// election.
 #[test]
 fn new_leader_keeps_agent_epochs_heard_before_its_election() {
-    let (mut driver, mut worker) = busy(&[one("req-1"), one("req-2")]);
+    let (mut driver, mut worker) = leader_with_running(&[single_task_job("req-1"), single_task_job("req-2")]);
     driver.cancel("req-2");
     let mut driver = driver.successor();
     driver.run(0.1);
-    let early = driver.send_heartbeat(&worker.next_heartbeat());
-    // Nobody leads yet, and the worker is redirected.
+    let id = driver.send_heartbeat(&worker.next_heartbeat());
+    // There is no leader yet, so this controller does not accept the heartbeat.
     assert!(
-        driver.run_until(4.0, |driver| driver.responses.contains_key(&early))
-            && !driver.controller.is_leader()
+        driver.run_until(4.0, |driver| driver.responses.contains_key(&id)) && !driver.controller.is_leader()
     );
     assert!(driver.run_until(10.0, |driver| driver.controller.has_recovered()));
     driver.run(0.2);
@@ -252,38 +257,39 @@
     );
 }
 
-/// A machine that replies to direct commands but whose heartbeats arrive nowhere gets no tasks,
-/// since no launch would reach it. (Each cancellation there once made it look alive.)
+/// A machine that replies to direct commands but whose heartbeats are lost gets no tasks, because no
+/// launch would reach it. Replies to the stop commands of cancellations must not make it look alive.
 #[test]
 fn direct_reply_does_not_count_as_a_heartbeat() {
-    let names: Vec<String> = (1..=6).map(|n| format!("req-{n}")).collect();
-    let (mut driver, mut worker) = busy(&names.iter().map(|n| one(n)).collect::<Vec<_>>());
-    let mut well = ManualWorker::new("vm-2");
+    let ids: Vec<String> = (1..=6).map(|n| format!("req-{n}")).collect();
+    let (mut driver, mut worker) =
+        leader_with_running(&ids.iter().map(|id| single_task_job(id)).collect::<Vec<_>>());
+    let mut healthy = ManualWorker::new("vm-2");
     driver.listed_machines.push("vm-2".into());
     driver.cloud_down = true;
-    let mute_since = driver.now;
-    for name in &names[1..5] {
-        driver.cancel(name);
+    let silent_since = driver.now;
+    for id in &ids[1..5] {
+        driver.cancel(id);
         driver.run(0.2);
         for (_, call, body) in driver.direct_commands_to(&worker) {
             driver.execute_direct_commands(&mut worker, call, &body);
         }
         driver.direct_commands.clear();
-        driver.exchange_heartbeat(&mut well);
+        driver.exchange_heartbeat(&mut healthy);
         driver.run(3.0);
     }
-    assert!(driver.now - mute_since > timing().failure_suspicion_s);
+    assert!(driver.now - silent_since > timing().failure_suspicion_s);
     let usable: Vec<&str> = driver.controller.usable_machines().collect();
     assert!(!usable.contains(&"vm-1"), "{usable:?}");
     assert!(driver.controller.machines_given_up().any(|m| m == "vm-1"));
 }
 
-/// A leader that recovers a job of eight tasks, four on each of two machines, whose second page it
-/// cannot decode; together they use up their team's quota.
-fn half_read() -> (SingleController, [ManualWorker; 3]) {
-    let spec = JobSpec { team: "dispatch".into(), tasks: 8, accelerators: 1.0, ..one("req-1") };
-    let place = |task| StoredPlacement { task, attempt: 1, machine: "vm-1".into() };
-    let page = PageRecord { placements: (0..4).map(place).collect(), ..PageRecord::default() };
+/// A leader that has recovered a job whose second page it cannot decode. The job's eight tasks run
+/// on two machines, four on each, and use their team's whole quota.
+fn leader_with_undecodable_page() -> (SingleController, [ManualWorker; 3]) {
+    let spec = JobSpec { team: "dispatch".into(), tasks: 8, accelerators: 1.0, ..single_task_job("req-1") };
+    let placement = |task| StoredPlacement { task, attempt: 1, machine: "vm-1".into() };
+    let page = PageRecord { placements: (0..4).map(placement).collect(), ..PageRecord::default() };
     let record = JobRecord { per_page: 4, attempt: 1, first_page: page, ..JobRecord::new(spec, 1e9, 30_000) };
     let items = [
         (job_key("req-1"), Value::Job(Box::new(record))),
@@ -293,66 +299,72 @@
     let mut driver = SingleController::leading(Store::with_items(items), &["vm-1", "vm-2", "vm-3"], 100.0);
     let mut workers = ["vm-1", "vm-2", "vm-3"].map(ManualWorker::new);
     for (worker, tasks) in workers.iter_mut().zip([0..4, 4..8, 0..0]) {
-        let runs = |n| TaskStatus {
+        let running = |n| TaskStatus {
             task: task_name("req-1", n),
             attempt: 1,
             state: TaskState::Running,
             exit_cause: None,
             checkpointed: None,
         };
-        worker.heartbeat.tasks = tasks.map(runs).collect();
+        worker.heartbeat.tasks = tasks.map(running).collect();
         driver.exchange_heartbeat(worker);
     }
     (driver, workers)
 }
 
-/// Placements that cannot be decoded count against their team's quota, and no longer than their
-/// tasks run.
+/// Tasks whose placements cannot be decoded count against their team's quota for as long as they run,
+/// and no longer.
 #[test]
 fn undecodable_placements_count_against_the_quota() {
-    let (mut driver, mut workers) = half_read();
-    driver.submit(&JobSpec { team: "dispatch".into(), ..one("req-2") });
-    let turns = |driver: &mut SingleController, workers: &mut [ManualWorker; 3], duration_s: f64| {
-        let end = driver.now + duration_s;
-        while driver.now < end && !workers.iter().any(|h| h.has_live_task("req-2")) {
-            workers.iter_mut().for_each(|h| drop(driver.exchange_heartbeat(h)));
-            driver.run(0.5);
-        }
-        workers.iter().any(|h| h.has_live_task("req-2"))
-    };
-    assert!(!turns(&mut driver, &mut workers, 90.0), "over the limit: {:?}", workers[2].heartbeat.tasks);
-    let ended = workers[1].heartbeat.tasks.iter_mut().take(2);
-    ended.for_each(|t| (t.state, t.exit_cause) = (TaskState::Exited, Some(ExitCause::Stopped)));
-    assert!(turns(&mut driver, &mut workers, 30.0), "room is kept for ever");
+    let (mut driver, mut workers) = leader_with_undecodable_page();
+    driver.submit(&JobSpec { team: "dispatch".into(), ..single_task_job("req-2") });
+    let launched_within =
+        |driver: &mut SingleController, workers: &mut [ManualWorker; 3], duration_s: f64| {
+            let end = driver.now + duration_s;
+            while driver.now < end && !workers.iter().any(|w| w.has_live_task("req-2")) {
+                workers.iter_mut().for_each(|w| drop(driver.exchange_heartbeat(w)));
+                driver.run(0.5);
+            }
+            workers.iter().any(|w| w.has_live_task("req-2"))
+        };
+    assert!(
+        !launched_within(&mut driver, &mut workers, 90.0),
+        "launched beyond the quota: {:?}",
+        workers[2].heartbeat.tasks
+    );
+    let stopped = workers[1].heartbeat.tasks.iter_mut().take(2);
+    stopped.for_each(|t| (t.state, t.exit_cause) = (TaskState::Exited, Some(ExitCause::Stopped)));
+    assert!(launched_within(&mut driver, &mut workers, 30.0), "the quota of ended tasks is not released");
 }
 
-/// Tasks of a cancelled job whose placements cannot be decoded are stopped all the same.
+/// Tasks of a cancelled job are stopped even if their placements cannot be decoded.
 #[test]
-fn undecodable_placements_stop_after_cancellation() {
-    let (mut driver, mut workers) = half_read();
+fn cancellation_stops_tasks_with_undecodable_placements() {
+    let (mut driver, mut workers) = leader_with_undecodable_page();
     driver.cancel("req-1");
     for _ in 0..3 {
-        workers.iter_mut().for_each(|h| drop(driver.exchange_heartbeat(h)));
+        workers.iter_mut().for_each(|w| drop(driver.exchange_heartbeat(w)));
         driver.run(0.5);
     }
-    assert!(workers.iter().all(|h| !h.has_live_task("req-1")), "{workers:?}");
+    assert!(workers.iter().all(|w| !w.has_live_task("req-1")), "{workers:?}");
 }
 
-/// A record becomes undecodable while its job runs: other records are written on.
+/// A record that becomes undecodable while its job runs does not keep other records from being
+/// written.
 #[test]
 fn undecodable_record_does_not_block_other_writes() {
-    let (mut driver, mut worker) = busy(&[one("req-1"), one("req-2")]);
+    let (mut driver, mut worker) = leader_with_running(&[single_task_job("req-1"), single_task_job("req-2")]);
     driver.store.make_undecodable(&job_key("req-1"));
-    // The leader has something to write of it.
+    // The exit of a task makes the leader write to that record.
     let first = &mut worker.heartbeat.tasks[0];
     (first.state, first.exit_cause) = (TaskState::Exited, Some(ExitCause::Stopped));
     driver.exchange_heartbeat(&mut worker);
-    driver.submit(&one("req-3"));
+    driver.submit(&single_task_job("req-3"));
     driver.run_until_launched(&mut worker, &["req-2", "req-3"]);
 }
 
-/// Small arrays for three times what each team may use.
-fn full(seed: u64, nodes: usize) -> Setup {
+/// Small arrays that together request three times the limit of each team.
+fn jobs_beyond_quotas(seed: u64, nodes: usize) -> Setup {
     let setup = seeded_setup(seed, vec![]);
     let job = |n: usize| JobSpec {
         id: format!("req-{}", 100 + n),
@@ -366,19 +378,19 @@
     Setup { nodes, capacity: 10, jobs, ..setup }
 }
 
-/// What becomes of the machines whose jobs are cancelled, as faults of that length.
-const WAYS: usize = 6;
+/// The number of disturbances in `disturbance`.
+const DISTURBANCES: usize = 6;
 
-/// How cancelled machines are disturbed, as faults of that duration.
-fn way(n: usize, duration_s: f64) -> Vec<Fault> {
+/// Faults that cancel running jobs and disturb the machines of such jobs.
+fn disturbance(n: usize, duration_s: f64) -> Vec<Fault> {
     let cancel = |hang_s| Fault::CancelRunningJobs { count: 8, hang_s };
-    let mute = |zone| Fault::HeartbeatsLostInZone { zone, duration_s };
+    let lose_heartbeats = |zone| Fault::HeartbeatsLostInZone { zone, duration_s };
     match n {
         0 => vec![cancel(duration_s)],
-        1 => vec![mute("a"), cancel(0.0)],
+        1 => vec![lose_heartbeats("a"), cancel(0.0)],
         2 => vec![Fault::ResponsesLostInZone { zone: "a", duration_s }, cancel(0.0)],
         3 => vec![Fault::ZonePartition { zone: "b", duration_s }, cancel(0.0)],
-        4 => vec![mute("a"), mute("b"), cancel(duration_s / 2.0)],
+        4 => vec![lose_heartbeats("a"), lose_heartbeats("b"), cancel(duration_s / 2.0)],
         _ => vec![
             Fault::SlowWorkerResponses { max_delay_s: 6.0, duration_s },
             Fault::RotatingHeartbeatTargets { duration_s },
@@ -387,78 +399,85 @@
     }
 }
 
-/// What a run of `limits_full` showed.
+/// Counts what occurred in runs of `run_at_quota_limit`.
 #[derive(Default, Debug)]
-struct Shown {
-    /// Teams at their limit as the leader changed, and cancellations told around that.
-    full: usize,
-    told: usize,
+struct Coverage {
+    /// Teams that were at their limit when the leader crashed.
+    teams_at_limit: usize,
+    /// Jobs first reported cancelled during the 20 s that contain the disturbance and the crash.
+    cancellations: usize,
+    /// Tasks that started after their job was reported cancelled.
     late_starts: usize,
 }
 
-/// Every team is at its limit, jobs are cancelled on machines that hang or are out of reach, and
-/// the leader crashes before, just after, or later. Twice.
-fn limits_full(seed: u64, nodes: usize, n: usize, duration_s: f64, after: f64) -> Shown {
-    let what = format!("seed {seed}: way {n} for {duration_s} s, {after} s after, {nodes} nodes");
-    let mut sim = Simulation::new(full(seed, nodes));
-    let mut shown = Shown::default();
+/// All teams are at their limits, running jobs are cancelled on disturbed machines, and the leader
+/// crashes `crash_delay_s` after that, or before it if negative. This happens twice in a run.
+fn run_at_quota_limit(seed: u64, nodes: usize, n: usize, duration_s: f64, crash_delay_s: f64) -> Coverage {
+    let context = format!(
+        "seed {seed}: disturbance {n} for {duration_s} s, crash {crash_delay_s} s after, {nodes} nodes"
+    );
+    let mut sim = Simulation::new(jobs_beyond_quotas(seed, nodes));
+    let mut coverage = Coverage::default();
     for at in [60.0, 150.0] {
         sim.run(at);
-        let (mut steps, change) = (way(n, duration_s), at + after);
+        let (mut faults, crash_at) = (disturbance(n, duration_s), at + crash_delay_s);
         let leader = sim.leader().unwrap_or(0);
-        let back = if seed / WAYS as u64 % 2 == 0 { 0.2 } else { 9.0 };
-        let told = sim.history.cancelled_at.len();
-        if after < 0.0 {
-            sim.run(at - after);
+        let restart_delay_s = if seed / DISTURBANCES as u64 % 2 == 0 { 0.2 } else { 9.0 };
+        let cancelled_before = sim.history.cancelled_at.len();
+        if crash_delay_s < 0.0 {
+            sim.run(at - crash_delay_s);
         }
-        if after >= 0.0 {
-            steps.drain(..).for_each(|f| sim.inject(f));
-            sim.run(change);
+        if crash_delay_s >= 0.0 {
+            faults.drain(..).for_each(|f| sim.inject(f));
+            sim.run(crash_at);
         }
-        let limit = sim.accelerators_in_use().values().filter(|u| **u > 7.5).count();
-        shown.full += limit;
-        sim.inject(Fault::ControllerCrash { node: leader, duration_s: back });
-        if after < 0.0 {
-            sim.run(sim.now - after);
-            steps.drain(..).for_each(|f| sim.inject(f));
+        let teams_at_limit = sim.accelerators_in_use().values().filter(|used| **used > 7.5).count();
+        coverage.teams_at_limit += teams_at_limit;
+        sim.inject(Fault::ControllerCrash { node: leader, duration_s: restart_delay_s });
+        if crash_delay_s < 0.0 {
+            sim.run(sim.now - crash_delay_s);
+            faults.drain(..).for_each(|f| sim.inject(f));
         }
         sim.run(at + 20.0);
-        shown.told += sim.history.cancelled_at.len() - told;
-        assert_eq!(sim.history.violations, [], "{what}");
+        coverage.cancellations += sim.history.cancelled_at.len() - cancelled_before;
+        assert_eq!(sim.history.violations, [], "{context}");
     }
-    assert_eq!(sim.run(700.0), [], "{what}");
-    assert_eq!(sim.unfinished(), Vec::<String>::new(), "{what}");
-    shown.late_starts = sim.late_starts.len();
-    shown
+    assert_eq!(sim.run(700.0), [], "{context}");
+    assert_eq!(sim.unfinished(), Vec::<String>::new(), "{context}");
+    coverage.late_starts = sim.late_starts.len();
+    coverage
 }
 
-/// All disturbances with four durations around a lease and `cancel_s`: `part` of `parts`.
-fn all_full(part: usize, parts: usize, first_seed: u64) -> Shown {
-    let mut sum = Shown::default();
-    for n in (0..WAYS * 16).filter(|n| n % parts == part) {
-        let duration_s = [6.0, 17.0, 30.0, 48.0][n / WAYS % 4];
-        let after = [-1.0, 0.1, 0.5, 6.0][(n + n / (WAYS * 4)) % 4];
-        let nodes = 3 + (n + n / WAYS) % 2 * 2;
-        let s = limits_full(first_seed + n as u64, nodes, n % WAYS, duration_s, after);
-        (sum.full, sum.told) = (sum.full + s.full, sum.told + s.told);
-        sum.late_starts += s.late_starts;
+/// Runs part `part` of `parts` of all disturbances, each with four durations around those of a worker
+/// lease and `cancel_s`.
+fn run_disturbances(part: usize, parts: usize, first_seed: u64) -> Coverage {
+    let mut total = Coverage::default();
+    for n in (0..DISTURBANCES * 16).filter(|n| n % parts == part) {
+        let duration_s = [6.0, 17.0, 30.0, 48.0][n / DISTURBANCES % 4];
+        let crash_delay_s = [-1.0, 0.1, 0.5, 6.0][(n + n / (DISTURBANCES * 4)) % 4];
+        let nodes = 3 + (n + n / DISTURBANCES) % 2 * 2;
+        let coverage =
+            run_at_quota_limit(first_seed + n as u64, nodes, n % DISTURBANCES, duration_s, crash_delay_s);
+        total.teams_at_limit += coverage.teams_at_limit;
+        total.cancellations += coverage.cancellations;
+        total.late_starts += coverage.late_starts;
     }
-    sum
+    total
 }
 
 #[test]
 fn full_quotas_are_kept_and_released_after_cancellation() {
-    for shown in on_threads(2, |part| all_full(part, 5, 0)) {
-        assert!(shown.full > 10 && shown.told > 60, "{shown:?}");
+    for coverage in on_threads(2, |part| run_disturbances(part, 5, 0)) {
+        assert!(coverage.teams_at_limit > 10 && coverage.cancellations > 60, "{coverage:?}");
     }
 }
 
-/// All of them, over many seeds and by worker: `cargo test --release -p anisecroft-simulation --test
-/// cancellation -- --ignored --nocapture`.
+/// All disturbances over many seeds, with the coverage printed per thread: `cargo test --release -p
+/// anisecroft-simulation --test cancellation -- --ignored --nocapture`.
 #[test]
 #[ignore = "minutes"]
 fn full_quotas_are_kept_over_many_seeds() {
     for round in 0..20 {
-        println!("{:?}", on_threads(2, |part| all_full(part, 2, round * 1000)));
+        println!("{:?}", on_threads(2, |part| run_disturbances(part, 2, round * 1000)));
     }
 }
