--- a/crates/simulation/tests/status_queries.rs
+++ b/crates/simulation/tests/status_queries.rs
@@ -1,4 +1,4 @@
-//! Status queries with all messages delivered in any order, and what they cost the store.
+//! Status queries while messages are delivered in random order, and the store reads that they cost.
 
 mod common;
 
@@ -15,12 +15,12 @@
 
 const NODES: usize = 3;
 
-/// What users have been told of a job by any node.
+/// The newest status of a job that any node reported to a user, in the order of a job's life.
 #[derive(Clone, Copy, PartialEq, PartialOrd, Debug)]
 enum ReportedStatus {
-    Nothing,
+    Unknown,
     Accepted,
-    Over,
+    Terminal,
 }
 
 struct Cluster {
@@ -28,17 +28,19 @@
     now: f64,
     controllers: Vec<Controller>,
     store: Store,
-    /// Calls on their way to the store, and replies on their way back.
+    /// Calls in flight to the store, and replies in flight to the nodes.
     calls: Vec<(usize, CallId, StoreRequest)>,
     replies: Vec<(usize, CallId, StoreReply)>,
-    /// Open questions: job, and what had been told when it was asked.
-    open: BTreeMap<(usize, RequestId), (String, ReportedStatus)>,
-    told: BTreeMap<String, ReportedStatus>,
+    /// Requests without a response, by node: the job and the status last reported when the request
+    /// was sent.
+    pending_requests: BTreeMap<(usize, RequestId), (String, ReportedStatus)>,
+    /// The newest status that users were told, by job.
+    reported: BTreeMap<String, ReportedStatus>,
     submitted: BTreeSet<String>,
-    next: RequestId,
+    last_request: RequestId,
     queries: u64,
-    answered: u64,
-    /// Requests that queries cost the store.
+    responses: u64,
+    /// Requests to the store that read job records.
     reads: u64,
 }
 
@@ -61,12 +63,12 @@
             store,
             calls: vec![],
             replies: vec![],
-            open: BTreeMap::new(),
-            told: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
+            reported: BTreeMap::new(),
             submitted: BTreeSet::new(),
-            next: 0,
+            last_request: 0,
             queries: 0,
-            answered: 0,
+            responses: 0,
             reads: 0,
         }
     }
@@ -74,7 +76,7 @@
     fn feed(&mut self, n: usize, input: Input) {
         for o in self.controllers[n].handle(self.now, 1e9 + self.now, input) {
             match o {
-                Output::Response(id, a) => self.answered(n, id, &a),
+                Output::Response(id, response) => self.handle_response(n, id, &response),
                 Output::Store(call, op) => {
                     self.reads += u64::from(match &op {
                         StoreRequest::Get(key) => key.starts_with("j/"),
@@ -89,49 +91,53 @@
         }
     }
 
-    fn ask(&mut self, n: usize, id: &str, r: Request) {
-        self.next += 1;
-        let told = self.told.get(id).copied().unwrap_or(ReportedStatus::Nothing);
-        self.open.insert((n, self.next), (id.to_string(), told));
-        self.feed(n, Input::Request(self.next, r));
+    fn send_request(&mut self, n: usize, id: &str, r: Request) {
+        self.last_request += 1;
+        let reported = self.reported.get(id).copied().unwrap_or(ReportedStatus::Unknown);
+        self.pending_requests.insert((n, self.last_request), (id.to_string(), reported));
+        self.feed(n, Input::Request(self.last_request, r));
     }
 
-    fn answered(&mut self, n: usize, id: RequestId, a: &HttpResponse) {
-        let Some((job, told)) = self.open.remove(&(n, id)) else { return };
-        self.answered += 1;
-        let said = match a.status {
+    /// Checks that a response is not older than what had been reported when its request was sent.
+    fn handle_response(&mut self, n: usize, id: RequestId, response: &HttpResponse) {
+        let Some((job, reported_at_send)) = self.pending_requests.remove(&(n, id)) else { return };
+        self.responses += 1;
+        let status = match response.status {
             200 | 201 => {
-                let v: JobView = protocol::decode(&a.body).unwrap();
-                assert!(self.submitted.contains(&job), "{job} was invented");
+                let v: JobView = protocol::decode(&response.body).unwrap();
+                assert!(self.submitted.contains(&job), "{job} was never submitted");
                 if v.status.is_final() {
-                    ReportedStatus::Over
+                    ReportedStatus::Terminal
                 } else {
                     ReportedStatus::Accepted
                 }
             }
-            404 => ReportedStatus::Nothing,
+            404 => ReportedStatus::Unknown,
             _ => return,
         };
-        assert!(said >= told, "{job}: told {told:?} before it was asked, now {said:?}");
-        let known = self.told.entry(job).or_insert(ReportedStatus::Nothing);
-        if said > *known {
-            *known = said;
+        assert!(
+            status >= reported_at_send,
+            "{job}: {reported_at_send:?} when the request was sent, the response is {status:?}"
+        );
+        let newest = self.reported.entry(job).or_insert(ReportedStatus::Unknown);
+        if status > *newest {
+            *newest = status;
         }
     }
 
-    fn step(&mut self, ids: usize, faults: bool) {
+    fn step(&mut self, jobs: usize, faults: bool) {
         self.now += self.rng.gen_range(0.0..0.05);
         let n = self.rng.gen_range(0..NODES);
-        let id = format!("req-{}", self.rng.gen_range(0..ids));
+        let id = format!("req-{}", self.rng.gen_range(0..jobs));
         match self.rng.gen_range(0..20) {
             0 => {
                 self.submitted.insert(id.clone());
-                self.ask(n, &id, Request::Submit(protocol::encode(&plain_array(&id, 3))));
+                self.send_request(n, &id, Request::Submit(protocol::encode(&plain_array(&id, 3))));
             }
-            1 if self.submitted.contains(&id) => self.ask(n, &id, Request::Cancel(id.clone())),
+            1 if self.submitted.contains(&id) => self.send_request(n, &id, Request::Cancel(id.clone())),
             2..=6 => {
                 self.queries += 1;
-                self.ask(n, &id, Request::QueryStatus(id.clone()));
+                self.send_request(n, &id, Request::QueryStatus(id.clone()));
             }
             7 if faults => self.now += self.rng.gen_range(0.0..8.0),
             8..=12 if !self.calls.is_empty() => {
@@ -161,66 +167,72 @@
         ..ProptestConfig::default()
     })]
 
-    /// A controller's copy once took in a read from before the copy began: a job that another
-    /// controller had cancelled since was called pending.
+    /// A record that was read before the controller's cache of jobs began must not enter the cache:
+    /// otherwise a job that another controller has cancelled since is reported as pending.
     #[test]
-    fn status_answers_never_go_back(seed in any::<u64>(), ids in 1usize..12, faults in any::<bool>()) {
-        let mut world = Cluster::new(seed);
+    fn reported_status_never_goes_back(seed in any::<u64>(), jobs in 1usize..12, faults in any::<bool>()) {
+        let mut cluster = Cluster::new(seed);
         for _ in 0..1500 {
-            world.step(ids, faults);
+            cluster.step(jobs, faults);
         }
-        prop_assert!(world.answered > 20);
+        prop_assert!(cluster.responses > 20);
     }
 }
 
-/// Delivers everything at once, so that only the number of reads counts.
-fn settle(world: &mut Cluster, duration_s: f64) {
-    let end = world.now + duration_s;
-    while world.now < end {
-        world.now += 0.01;
-        for (n, call, op) in std::mem::take(&mut world.calls) {
-            let r = world.store.execute(world.now, &op);
-            let r = r.unwrap_or_else(|| world.store.no_events());
-            world.feed(n, Input::Store(call, r));
+/// Runs for `duration_s` seconds and delivers all messages to and from the store at once, so that only
+/// the number of reads matters.
+fn settle(cluster: &mut Cluster, duration_s: f64) {
+    let end = cluster.now + duration_s;
+    while cluster.now < end {
+        cluster.now += 0.01;
+        for (n, call, op) in std::mem::take(&mut cluster.calls) {
+            let r = cluster.store.execute(cluster.now, &op);
+            let r = r.unwrap_or_else(|| cluster.store.no_events());
+            cluster.feed(n, Input::Store(call, r));
         }
         for n in 0..NODES {
-            world.feed(n, Input::Tick);
+            cluster.feed(n, Input::Tick);
         }
     }
 }
 
-/// Every query once cost a read of its own, from the budget of all.
+/// Queries share reads of the store. With one read per query, a flood of queries would use up the
+/// rate limit that all nodes share.
 #[test]
 fn query_flood_costs_few_reads() {
-    let mut world = Cluster::new(1);
-    settle(&mut world, 2.0);
+    let mut cluster = Cluster::new(1);
+    settle(&mut cluster, 2.0);
     for n in 0..100 {
         let id = format!("req-{n}");
-        world.submitted.insert(id.clone());
-        world.ask(n % NODES, &id, Request::Submit(protocol::encode(&plain_array(&id, 3))));
-        settle(&mut world, 0.1);
+        cluster.submitted.insert(id.clone());
+        cluster.send_request(n % NODES, &id, Request::Submit(protocol::encode(&plain_array(&id, 3))));
+        settle(&mut cluster, 0.1);
     }
-    assert_eq!(world.told.values().filter(|t| **t == ReportedStatus::Accepted).count(), 100);
-    let (before, answered) = (world.reads, world.answered);
+    assert_eq!(cluster.reported.values().filter(|t| **t == ReportedStatus::Accepted).count(), 100);
+    let (reads_before, responses_before) = (cluster.reads, cluster.responses);
     for _ in 0..10 {
         for n in 0..300 {
-            // Half of them ask for jobs that nobody submitted.
+            // Half of the queries are for jobs that were never submitted.
             let id = format!("req-{}", n % 200);
-            world.ask(n % NODES, &id, Request::QueryStatus(id.clone()));
+            cluster.send_request(n % NODES, &id, Request::QueryStatus(id.clone()));
         }
-        settle(&mut world, 1.0);
+        settle(&mut cluster, 1.0);
     }
-    assert_eq!(world.answered - answered, 3000);
-    let reads = world.reads - before;
-    // 10 s of three nodes' shared reads, and one read of each job per node.
+    assert_eq!(cluster.responses - responses_before, 3000);
+    let reads = cluster.reads - reads_before;
+    // 10 s of shared reads by three nodes, and one read of each job per node.
     assert!(reads < 900, "{reads} reads for 3000 queries");
-    let before = world.reads;
+    let reads_before = cluster.reads;
     for _ in 0..10 {
         for n in 0..300 {
             let id = format!("req-{}", n % 100);
-            world.ask(n % NODES, &id, Request::QueryStatus(id.clone()));
+            cluster.send_request(n % NODES, &id, Request::QueryStatus(id.clone()));
         }
-        settle(&mut world, 1.0);
+        settle(&mut cluster, 1.0);
     }
-    assert!(world.reads - before < 300, "{} reads for queries of known jobs", world.reads - before);
+    assert!(
+        cluster.reads - reads_before < 300,
+        "{} reads for queries of known jobs",
+        cluster.reads - reads_before
+    );
 }
