--- a/crates/simulation/tests/cancellation.rs
+++ b/crates/simulation/tests/cancellation.rs
@@ -458,8 +458,8 @@
         let nodes = 3 + (n + n / DISTURBANCES) % 2 * 2;
         let coverage =
             run_at_quota_limit(first_seed + n as u64, nodes, n % DISTURBANCES, duration_s, crash_delay_s);
-        total.teams_at_limit += coverage.teams_at_limit;
-        total.cancellations += coverage.cancellations;
+        (total.teams_at_limit, total.cancellations) =
+            (total.teams_at_limit + coverage.teams_at_limit, total.cancellations + coverage.cancellations);
         total.late_starts += coverage.late_starts;
     }
     total
--- a/crates/simulation/tests/work_conservation.rs
+++ b/crates/simulation/tests/work_conservation.rs
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn no_job_waits_beside_capacity_after_faults() {
+fn no_job_waits_despite_capacity_after_faults() {
     let mut unfinished = 0;
     // Failures of the past: with seed 30, the last available machines were reserved for gangs that could
     // not be placed as a whole; with seed 50, no machine was rented for best-effort jobs that had waited
