--- a/crates/simulation/tests/common/reordered/mod.rs
+++ b/crates/simulation/tests/common/reordered/mod.rs
@@ -35,7 +35,7 @@
     let mut s = example_settings();
     s.node = NODE_NAMES[n].into();
     let peer = |name: &&str| Peer { node: (*name).into(), zone: String::new(), addr: s.peer_addr };
-    s.peers = NODE_NAMES[..nodes].iter().filter(|m| **m != NODE_NAMES[n]).map(peer).collect();
+    s.peers = NODE_NAMES[..nodes].iter().filter(|name| **name != NODE_NAMES[n]).map(peer).collect();
     s.params.nodes = nodes as u32;
     let state = &mut s.params.store;
     state.value_kb = 64.0;
@@ -138,7 +138,7 @@
     /// place of a leader elsewhere.
     pub elects_leader: bool,
     pub faults: bool,
-    /// The probability that a user's chance to cancel is used.
+    /// The probability that a step or query that may cancel a job does so.
     pub cancel_probability: f64,
 }
 
@@ -241,11 +241,14 @@
     pub fn feed(&mut self, n: usize, input: Input) {
         for o in self.controllers[n].handle(self.now, 1e9 + self.now, input) {
             match o {
-                Output::Response(id, a) => self.handle_response(n, id, &a),
+                Output::Response(id, response) => self.handle_response(n, id, &response),
                 Output::Store(call, op) => self.calls.push((n, self.incarnations[n], call, op)),
                 Output::Cloud(call, op) => {
                     let now = self.now;
-                    let r = self.machines.as_mut().map_or(CloudReply::Refused, |m| m.call(now, &op));
+                    let r = self
+                        .machines
+                        .as_mut()
+                        .map_or(CloudReply::Refused, |machines| machines.call(now, &op));
                     self.replies.push((n, self.incarnations[n], Input::Cloud(call, r)));
                 }
                 Output::Worker(call, ..) => {
@@ -431,7 +434,7 @@
     fn status_of(&mut self, id: &str) -> JobStatus {
         match self.stored(job_key(id)).or_else(|| self.stored(terminal_job_key(id))) {
             Some(Value::Job(j)) => j.status,
-            Some(Value::Terminal(o)) => o.status,
+            Some(Value::Terminal(t)) => t.status,
             _ => JobStatus::Pending,
         }
     }
@@ -469,7 +472,7 @@
 
     /// Delivers a random call to the store, which may fail to execute it or to reply.
     pub fn deliver_store_call(&mut self) {
-        let (n, start, call, op) = self.calls.remove(self.rng.gen_range(0..self.calls.len()));
+        let (n, incarnation, call, op) = self.calls.remove(self.rng.gen_range(0..self.calls.len()));
         let faults = self.scenario.faults;
         let is_commit = matches!(&op, StoreRequest::Commit(t) if !t.mutations.is_empty());
         if let (StoreRequest::Commit(t), true) = (&op, is_commit) {
@@ -491,14 +494,14 @@
                     StoreReply::Unknown
                 }
             };
-            return self.replies.push((n, start, Input::Store(call, reply)));
+            return self.replies.push((n, incarnation, Input::Store(call, reply)));
         }
         if faults && matches!(op, StoreRequest::Watch { .. }) && self.rng.gen_bool(0.08) {
             self.coverage.expired_watches += 1;
-            return self.replies.push((n, start, Input::Store(call, StoreReply::Gone)));
+            return self.replies.push((n, incarnation, Input::Store(call, StoreReply::Gone)));
         }
         let r = self.store.execute(self.now, &op).unwrap_or_else(|| self.store.no_events());
-        self.replies.push((n, start, Input::Store(call, r)));
+        self.replies.push((n, incarnation, Input::Store(call, r)));
     }
 
     pub fn step(&mut self) {
@@ -526,7 +529,7 @@
                 // The controller restarts immediately with empty memory.
                 self.coverage.restarts += 1;
                 self.incarnations[n] += 1;
-                self.pending_requests.retain(|(m, _), _| *m != n);
+                self.pending_requests.retain(|(node, _), _| *node != n);
                 self.controllers[n] = self.new_controller(n);
                 self.exchange_views();
             }
@@ -539,8 +542,8 @@
             13 => self.exchange_views(),
             14..=24 if !self.calls.is_empty() => self.deliver_store_call(),
             25..=36 if !self.replies.is_empty() => {
-                let (n, start, reply) = self.replies.remove(self.rng.gen_range(0..self.replies.len()));
-                if start == self.incarnations[n] {
+                let (n, incarnation, reply) = self.replies.remove(self.rng.gen_range(0..self.replies.len()));
+                if incarnation == self.incarnations[n] {
                     self.feed(n, reply);
                 }
             }
--- a/crates/simulation/tests/status_consistency.rs
+++ b/crates/simulation/tests/status_consistency.rs
@@ -114,7 +114,7 @@
 }
 
 /// The leader's write of a job's completion is in flight when a cancellation is confirmed by a mark,
-/// because the record is too large to be rewritten. The completion must not override the mark, also if
+/// because the record is too large to be rewritten. The completion must not override the mark, even if
 /// the specification alone makes the record too large.
 #[test]
 fn cancellation_mark_wins_over_completion_in_flight() {
--- a/crates/simulation/tests/work_conservation.rs
+++ b/crates/simulation/tests/work_conservation.rs
@@ -192,7 +192,7 @@
 
 /// More jobs than capacity, of all priorities and shapes, some bound to zones or machine types, while
 /// machines are lost, hang, are faulty or partitioned in one or both directions, responses are slow,
-/// the cloud and the store are down and controllers crash.
+/// the cloud and the store are down and controllers crash. All faults end during the run.
 fn overloaded_with_faults(seed: u64) -> Simulation {
     let rng = &mut SmallRng::seed_from_u64(seed ^ 0x1e_f7);
     let mut faults: Vec<ScheduledFault> = (0..8)
