--- a/crates/simulation/src/rules.rs
+++ b/crates/simulation/src/rules.rs
@@ -44,7 +44,7 @@
     /// When, in simulated seconds.
     pub at: f64,
     /// What happened.
-    pub what: String,
+    pub details: String,
 }
 
 /// The end of a job as users were told of it first.
@@ -58,7 +58,7 @@
 
 /// What the users of a run know, and what is true. Times are in simulated seconds.
 #[derive(Default)]
-pub struct Ledger {
+pub struct History {
     /// Jobs by id, submitted or not.
     pub specs: BTreeMap<String, JobSpec>,
     /// Jobs that were submitted.
@@ -86,11 +86,11 @@
     pub cancel_s: f64,
 }
 
-impl Ledger {
+impl History {
     /// Records that a rule was broken.
-    pub fn violate(&mut self, rule: Rule, at: f64, what: String) {
+    pub fn violate(&mut self, rule: Rule, at: f64, details: String) {
         if self.violations.len() < MAX_VIOLATIONS {
-            self.violations.push(Violation { rule, at, what });
+            self.violations.push(Violation { rule, at, details });
         }
     }
 
@@ -169,8 +169,8 @@
         let Some(finished) = self.finished.get(job).copied() else { return };
         let FinishedJob { at, status: old } = finished;
         if old != status && (status.is_final() || at <= sent_at) {
-            let what = format!("{job} from {old:?} at {at} to {status:?}, asked at {sent_at}");
-            self.violate(Rule::WentBack, now, what);
+            let details = format!("{job} from {old:?} at {at} to {status:?}, asked at {sent_at}");
+            self.violate(Rule::WentBack, now, details);
         }
     }
 }
--- a/crates/simulation/tests/failover.rs
+++ b/crates/simulation/tests/failover.rs
@@ -18,17 +18,17 @@
 #[test]
 fn duplicate_does_not_replace_a_newer_early_heartbeat() {
     let mut driver = SingleController::starting(Store::default(), &["vm-1"], 0.0);
-    driver.lists_down = true;
+    driver.lists_refused = true;
     assert!(driver.run_until(10.0, |driver| driver.controller.is_leader()));
     let mut worker = ManualWorker::new("vm-1");
-    let old = worker.next();
-    (0..5).for_each(|_| drop(worker.next()));
-    let live = driver.deliver(&worker.next());
-    driver.deliver(&old);
+    let old = worker.next_heartbeat();
+    (0..5).for_each(|_| drop(worker.next_heartbeat()));
+    let live = driver.send_heartbeat(&worker.next_heartbeat());
+    driver.send_heartbeat(&old);
     driver.run(0.2);
-    driver.lists_down = false;
+    driver.lists_refused = false;
     driver.run(4.0);
-    assert!(driver.answer(live).is_some(), "{:?}", driver.answers.get(&live));
+    assert!(driver.accepted_response(live).is_some(), "{:?}", driver.responses.get(&live));
 }
 
 /// Duplicates of a lost machine's heartbeats reach the next leader one after another: none shows
@@ -37,15 +37,15 @@
 fn old_duplicates_do_not_create_a_machine() {
     let mut driver = SingleController::leading(Store::default(), &[], 100.0);
     let mut worker = ManualWorker::new("vm-9");
-    let copies = [worker.next(), worker.next()];
+    let copies = [worker.next_heartbeat(), worker.next_heartbeat()];
     for copy in &copies {
-        driver.deliver(copy);
+        driver.send_heartbeat(copy);
         driver.run(2.5);
     }
     assert_eq!(driver.controller.usable_machines().count(), 0);
-    driver.turn(&mut worker);
+    driver.exchange_heartbeat(&mut worker);
     driver.run(0.5);
-    driver.turn(&mut worker);
+    driver.exchange_heartbeat(&mut worker);
     assert_eq!(driver.controller.usable_machines().collect::<Vec<_>>(), ["vm-9"]);
 }
 
@@ -57,13 +57,13 @@
     let mut worker = ManualWorker::new("vm-1");
     let job = JobSpec { id: "req-1".into(), tasks: 1, accelerators: 0.5, ..long_array() };
     driver.submit(&job);
-    driver.settle(&mut worker, &["req-1"]);
+    driver.run_until_launched(&mut worker, &["req-1"]);
     driver.cancel("req-1");
     driver.run(0.2);
-    let (_, call, body) = driver.told(&worker)[0].clone();
-    worker.report.fencing_token += 100;
+    let (_, call, body) = driver.direct_commands_to(&worker)[0].clone();
+    worker.heartbeat.fencing_token += 100;
     let before = driver.controller.token();
-    driver.take_direct(&mut worker, call, &body);
+    driver.execute_direct_commands(&mut worker, call, &body);
     assert_ne!(driver.controller.token(), before);
 }
 
@@ -75,7 +75,7 @@
 /// Long jobs that run by then, most of which are cancelled in each of the seconds around the
 /// failover; the others end.
 fn cancelled_around(seed: u64, nodes: usize) -> Setup {
-    let mut setup = seeded_day(seed, vec![]);
+    let mut setup = seeded_setup(seed, vec![]);
     without_quotas(&mut setup);
     let job = |n: usize, long: bool| JobSpec {
         id: format!("req-{}", 100 + n),
@@ -191,7 +191,7 @@
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "{what}");
     let mut shown =
         Shown { copies: sim.replayed_heartbeats(), late_starts: sim.late_starts.len(), ..Shown::default() };
-    for told in sim.ledger.cancelled_at.values() {
+    for told in sim.history.cancelled_at.values() {
         let second = told - (CHANGE - BEFORE);
         if (0.0..19.0).contains(&second) {
             shown.seconds[second as usize] += 1;
@@ -235,7 +235,7 @@
         if n == 4 && seed % 2 == 1 {
             sim.inject(Fault::StoreOutage { duration_s: 44.0 });
         }
-        assert_eq!(sim.ledger.violations, [], "{what}");
+        assert_eq!(sim.history.violations, [], "{what}");
     }
     assert_eq!(sim.run(600.0), [], "{what}");
     assert_eq!(sim.unfinished(), Vec::<String>::new(), "{what}");
--- a/crates/simulation/tests/scale.rs
+++ b/crates/simulation/tests/scale.rs
@@ -13,7 +13,7 @@
 /// Settings as in a deployment of that size: long heartbeat intervals, and sockets for all workers
 /// at two of three controllers.
 fn large(run_s: f64, faults: Vec<ScheduledFault>) -> Setup {
-    let mut setup = seeded_day(1, faults);
+    let mut setup = seeded_setup(1, faults);
     without_quotas(&mut setup);
     let workers = &mut setup.settings.params.workers;
     (workers.heartbeat_interval_s, workers.lease_s, workers.cancel_s) = (6.0, 31.0, 62.0);
@@ -44,13 +44,13 @@
     let first = faults[0].at;
     let last = faults[faults.len() - 1].at;
     let mut sim = Simulation::new(large(run_s, faults.to_vec()));
-    sim.limit_cloud();
+    sim.limit_cloud_rate();
     assert_eq!(sim.run(first), []);
-    assert_eq!((sim.rented(), sim.metrics.task_starts), (MACHINES, u64::from(MACHINES)), "at {first}");
+    assert_eq!((sim.rented_count(), sim.metrics.task_starts), (MACHINES, u64::from(MACHINES)), "at {first}");
     assert_eq!(sim.run(last + rest_s), []);
     assert!(sim.has_recovered());
     assert_eq!(sim.unknown_workers(), Vec::<&str>::new());
-    assert_eq!(sim.workers_answered(31.0), MACHINES as usize);
+    assert_eq!(sim.recently_answered_workers(31.0), MACHINES as usize);
     sim
 }
 
@@ -62,10 +62,10 @@
         sim.metrics.forwarded_heartbeats,
         sim.metrics.mutations,
         sim.metrics.max_leaderless_s,
-        sim.refused_by_cloud()
+        sim.refused_cloud_calls()
     );
-    assert_eq!((sim.rented(), sim.metrics.task_starts), (MACHINES, u64::from(MACHINES)));
-    assert!(sim.declared_dead_alive.is_empty(), "{} given up alive", sim.declared_dead_alive.len());
+    assert_eq!((sim.rented_count(), sim.metrics.task_starts), (MACHINES, u64::from(MACHINES)));
+    assert!(sim.wrongly_declared_dead.is_empty(), "{} given up alive", sim.wrongly_declared_dead.len());
     assert!(sim.usable_after_loss.is_empty(), "{} ghosts", sim.usable_after_loss.len());
 }
 
@@ -99,7 +99,7 @@
 /// Gangs were once cut to the first 256 of their tasks, and waited for the others for ever.
 #[test]
 fn gang_of_hundreds_starts_as_a_whole() {
-    let mut s = seeded_day(1, vec![]);
+    let mut s = seeded_setup(1, vec![]);
     without_quotas(&mut s);
     s.capacity = 30;
     let gang = JobSpec {
--- a/crates/simulation/tests/store_limits.rs
+++ b/crates/simulation/tests/store_limits.rs
@@ -10,7 +10,7 @@
 
 /// Wide arrays beside the usual jobs, under limits of `kb` KiB that may fall to a part.
 fn wide(seed: u64, kb: f64, part: f64, faults: Vec<ScheduledFault>) -> Setup {
-    let mut setup = seeded_day(seed, faults);
+    let mut setup = seeded_setup(seed, faults);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x11417);
     without_quotas(&mut setup);
     let state = &mut setup.settings.params.store;
@@ -72,7 +72,7 @@
         let mut sim = Simulation::new(Setup { capacity: 20, loss, ..wide(seed, kb, part, faults.clone()) });
         assert_eq!(sim.run(600.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
-        assert!(sim.store().invalid < 20, "seed {seed}: {} refused", sim.store().invalid);
+        assert!(sim.store().rejected_for_size < 20, "seed {seed}: {} refused", sim.store().rejected_for_size);
     }
 }
 
@@ -93,7 +93,7 @@
             one_zone: false,
             spread: false,
             estimated_run_s: 2.0,
-            ..job(rng, n)
+            ..random_job(rng, n)
         };
         setup.jobs = (0..300).map(|n| Submission::new(4.0 + n as f64 * 0.05, small(n, rng))).collect();
         let awaits: Vec<String> = setup.jobs.iter().map(|j| j.spec.id.clone()).collect();
@@ -110,7 +110,11 @@
         }));
         let mut sim = Simulation::new(Setup { capacity: 8, ..setup });
         assert_eq!(sim.run(25.0), [], "seed {seed}");
-        assert!(sim.store().largest("") <= 2048, "seed {seed}: {}", sim.store().largest(""));
+        assert!(
+            sim.store().largest_value_bytes("") <= 2048,
+            "seed {seed}: {}",
+            sim.store().largest_value_bytes("")
+        );
         assert_eq!(sim.run(500.0), [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
         assert_eq!(sim.store().count("j/"), 0, "seed {seed}");
