--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 client with kept connections and a deadline on every call.
+//! HTTP/1.1 client with a pool of idle connections and a deadline for every call.
 
 use crate::socket::Socket;
-use crate::timeouts::TimeoutWheel;
+use crate::timeouts::TimeoutQueue;
 use async_io::Async;
 use futures_lite::AsyncReadExt;
 use http_types::{Method, Request, Url};
@@ -11,11 +11,11 @@
 use std::net::{SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Largest response that is read; the store's pages are 512 KiB.
+/// Bytes of a response body that are read at most; the store's pages are 512 KiB.
 const MAX_RESPONSE_BYTES: u64 = 4 * 1024 * 1024;
-/// Kept connections idle longer than this are closed rather than used.
+/// Time after which an idle connection is closed instead of reused.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(8);
-/// Idle connections that are kept for an address.
+/// Maximum number of idle connections per address.
 const MAX_IDLE_CONNECTIONS: usize = 8;
 
 /// A request to a service.
@@ -25,25 +25,25 @@
     pub(crate) method: Method,
     /// Path and query.
     pub(crate) target: String,
-    /// MessagePack, if there is a body.
+    /// Body in MessagePack, if any.
     pub(crate) body: Option<Vec<u8>>,
-    /// For the whole call, with connecting.
+    /// Timeout of the whole call, including the connection setup.
     pub(crate) timeout: Duration,
-    /// Kept connections may be used, and the connection is kept afterwards.
+    /// Whether an idle connection may be used, and the connection is kept after the call.
     pub(crate) reuse: bool,
 }
 
-/// A response that was read in full.
+/// A response and its body.
 pub(crate) struct Response {
     pub(crate) status: u16,
     pub(crate) body: Vec<u8>,
 }
 
-/// Why there is no response.
+/// Reason why a call has no response.
 pub(crate) enum ClientError {
     /// No byte of the request was sent.
     NotSent,
-    /// The request may have been carried out, or may be yet.
+    /// The request may have been carried out, or may still be.
     Unknown,
 }
 
@@ -52,10 +52,11 @@
     since: Instant,
 }
 
-/// The client, with the timeouts of all of the driver's calls.
+/// The client's idle connections, and the timeouts of all calls and connections of the
+/// driver.
 #[derive(Default)]
 pub(crate) struct Client {
-    pub(crate) timeouts: TimeoutWheel,
+    pub(crate) timeouts: TimeoutQueue,
     idle: RefCell<HashMap<SocketAddrV4, Vec<IdleConnection>>>,
 }
 
@@ -75,23 +76,24 @@
         }
     }
 
-    /// Makes a call, on a kept connection if there is one.
+    /// Makes a call, on an idle connection if allowed and available.
     pub(crate) async fn call(&self, call: Call) -> Result<Response, ClientError> {
         let deadline = Instant::now() + call.timeout;
         let addr = call.addr;
-        let kept = if call.reuse { self.take_idle(addr) } else { None };
-        if let Some(socket) = kept {
-            let is_repeatable = call.method == Method::Get;
+        let idle_socket = if call.reuse { self.take_idle(addr) } else { None };
+        if let Some(socket) = idle_socket {
+            let is_idempotent = call.method == Method::Get;
             let result = self.exchange(socket, call.clone(), deadline).await;
-            // The other side may have closed a kept connection just then. What can be
-            // repeated is sent again on a new one.
-            let was_lost = matches!(result, Err(ClientError::Unknown));
-            if !(is_repeatable && was_lost) || Instant::now() >= deadline {
+            // The server may have closed the idle connection in the meantime. An idempotent
+            // request is sent again on a new connection.
+            let response_lost = matches!(result, Err(ClientError::Unknown));
+            if !(is_idempotent && response_lost) || Instant::now() >= deadline {
                 return result;
             }
         }
-        let left = deadline.saturating_duration_since(Instant::now());
-        let Some(Ok(stream)) = self.timeouts.within(left, Async::<TcpStream>::connect(addr)).await else {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let Some(Ok(stream)) = self.timeouts.within(remaining, Async::<TcpStream>::connect(addr)).await
+        else {
             return Err(ClientError::NotSent);
         };
         self.exchange(Socket::new(stream), call, deadline).await
@@ -100,20 +102,20 @@
     async fn exchange(&self, socket: Socket, call: Call, deadline: Instant) -> Result<Response, ClientError> {
         let Call { addr, reuse, .. } = call;
         let request = http_request(call)?;
-        let left = deadline.saturating_duration_since(Instant::now());
-        let response = self.timeouts.within(left, send(socket.again(), request)).await;
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let response = self.timeouts.within(remaining, send(socket.with_new_buffer(), request)).await;
         let Some(Ok(received)) = response else { return Err(ClientError::Unknown) };
-        if reuse && !received.closes {
+        if reuse && !received.closes_connection {
             self.keep_idle(addr, socket);
         }
         Ok(received.response)
     }
 }
 
-/// A response and whether the other side closes the connection after it.
-struct Received {
+/// A response and whether the server closes the connection after it.
+struct ReceivedResponse {
     response: Response,
-    closes: bool,
+    closes_connection: bool,
 }
 
 fn http_request(call: Call) -> Result<Request, ClientError> {
@@ -130,14 +132,14 @@
     Ok(request)
 }
 
-async fn send(socket: Socket, request: Request) -> io::Result<Received> {
+async fn send(socket: Socket, request: Request) -> io::Result<ReceivedResponse> {
     let mut response =
         async_h1::connect(socket, request).await.map_err(|error| io::Error::other(error.to_string()))?;
-    let closes = response
+    let closes_connection = response
         .header("connection")
         .is_some_and(|values| values.last().as_str().eq_ignore_ascii_case("close"));
     let status: u16 = response.status().into();
     let mut body = Vec::new();
     response.take_body().take(MAX_RESPONSE_BYTES).read_to_end(&mut body).await?;
-    Ok(Received { response: Response { status, body }, closes })
+    Ok(ReceivedResponse { response: Response { status, body }, closes_connection })
 }
--- a/crates/transport/src/cloud_client.rs
+++ b/crates/transport/src/cloud_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud that provides machines.
+//! Calls to the cloud from which machines are rented.
 
 use crate::client::{Call, Client, ClientError, Response};
 use crate::response_body::{decode_or_warn, error_text, percent_encode};
@@ -7,11 +7,11 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// The cloud's error text when it has no machines of that kind.
+/// Error text of the cloud when it has no machines of the requested type.
 const NO_CAPACITY_ERROR: &str = "no capacity";
 
-/// Sends `request` to the cloud at `addr`. A failed call becomes `Refused` if it surely had
-/// no effect, and `Unknown` otherwise.
+/// Sends `request` to the cloud at `addr`. A failed call returns `Refused` if it certainly
+/// had no effect, and `Unknown` otherwise.
 pub(crate) async fn call(
     client: &Client,
     addr: SocketAddrV4,
@@ -45,7 +45,7 @@
     }
 }
 
-/// The reply that `response` stands for; None if its body is malformed.
+/// Converts a response into a reply; None if its body is malformed.
 fn decode_reply(request: &CloudRequest, response: &Response) -> Option<CloudReply> {
     let body = &response.body;
     match (request, response.status) {
--- a/crates/transport/src/driver.rs
+++ b/crates/transport/src/driver.rs
@@ -1,4 +1,4 @@
-//! Connects the controller's inputs and outputs with the sockets.
+//! Connects the controller's inputs and outputs to the sockets.
 
 use crate::client::Client;
 use crate::{cloud_client, peers, server, store_client, worker_client};
@@ -16,18 +16,18 @@
 
 /// Longest wait for the controller's response to a request.
 const MAX_RESPONSE_WAIT: Duration = Duration::from_secs(5);
-/// Multiplier of the FNV-1a hash, for the controller's seed.
+/// FNV prime, with which the controller's seed is hashed.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// Direct commands that wait for a connection to their worker.
+/// Direct commands that are queued until a connection to their worker may be opened.
 struct WorkerCall {
     call: CallId,
     addr: String,
     commands: DirectCommands,
 }
 
-/// The controller with everything that it needs to run. Shared by all tasks of the
-/// thread; no borrow of a `RefCell` lasts over an await.
+/// The controller and everything that it needs to run. All tasks of the thread share it,
+/// so no borrow of a `RefCell` may be held across an await.
 pub(crate) struct Driver {
     pub(crate) executor: Rc<LocalExecutor<'static>>,
     pub(crate) mailbox: Arc<peers::PeerMailbox>,
@@ -36,7 +36,7 @@
     pub(crate) settings: Settings,
     pub(crate) timing: Timing,
     controller: RefCell<Controller>,
-    waiting_worker_calls: RefCell<VecDeque<WorkerCall>>,
+    queued_worker_calls: RefCell<VecDeque<WorkerCall>>,
     open_worker_calls: Cell<usize>,
     started_at: Instant,
     last_request_id: Cell<RequestId>,
@@ -59,7 +59,7 @@
             controller: RefCell::new(Controller::new(settings.clone(), operator, seed)),
             timing: Timing::from(&settings),
             settings,
-            waiting_worker_calls: RefCell::default(),
+            queued_worker_calls: RefCell::default(),
             open_worker_calls: Cell::new(0),
             started_at: Instant::now(),
             last_request_id: Cell::new(0),
@@ -72,7 +72,7 @@
         self.executor.spawn(task).detach();
     }
 
-    /// Hands `input` to the controller and carries out what it returns.
+    /// Passes `input` to the controller and carries out the resulting outputs.
     pub(crate) fn feed(self: &Rc<Self>, input: Input) {
         let now = self.started_at.elapsed().as_secs_f64();
         let wall_clock = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64());
@@ -108,43 +108,45 @@
             }),
             Output::ForwardReply(id, reply) => self.forwarding.reply(id, reply),
             Output::Worker(call, addr, commands) => {
-                self.waiting_worker_calls.borrow_mut().push_back(WorkerCall { call, addr, commands });
+                self.queued_worker_calls.borrow_mut().push_back(WorkerCall { call, addr, commands });
                 self.send_worker_calls();
             }
         }
     }
 
-    /// An id for a request from outside, unused so far.
+    /// Returns a new id for a request from outside.
     pub(crate) fn next_request_id(&self) -> RequestId {
         let id = self.last_request_id.get() + 1;
         self.last_request_id.set(id);
         id
     }
 
-    /// This node's view, as its peers get it.
+    /// Returns this node's view, as it is sent to peers.
     pub(crate) fn view_for_peers(&self) -> protocol::peer::View {
         self.controller.borrow().view_for_peers()
     }
 
-    /// Sends direct commands as far as connections may be opened for them. (The kills of
-    /// a gang or a huge array once took every socket that the node had left.)
+    /// Sends queued direct commands until the limit of open connections is reached. Without
+    /// the limit, the kills of a gang or of a huge array once used up all of the node's
+    /// remaining sockets.
     fn send_worker_calls(self: &Rc<Self>) {
         while self.open_worker_calls.get() < self.timing.max_worker_calls {
-            let Some(next) = self.waiting_worker_calls.borrow_mut().pop_front() else { return };
+            let Some(worker_call) = self.queued_worker_calls.borrow_mut().pop_front() else { return };
             self.open_worker_calls.set(self.open_worker_calls.get() + 1);
             let this = self.clone();
             self.spawn(async move {
                 let timeout = Duration::from_secs_f64(this.timing.worker_timeout_s / 2.0);
-                let reply = worker_client::call(&this.client, &next.addr, next.commands, timeout).await;
+                let reply =
+                    worker_client::call(&this.client, &worker_call.addr, worker_call.commands, timeout).await;
                 this.open_worker_calls.set(this.open_worker_calls.get() - 1);
-                this.feed(Input::Worker(next.call, reply));
+                this.feed(Input::Worker(worker_call.call, reply));
                 this.send_worker_calls();
             });
         }
     }
 
-    /// Hands a request to the controller and waits for its response; None if it takes
-    /// longer than [`MAX_RESPONSE_WAIT`].
+    /// Passes a request to the controller and waits for its response. Returns None if that
+    /// takes longer than [`MAX_RESPONSE_WAIT`].
     pub(crate) async fn request(self: &Rc<Self>, request: Request) -> Option<HttpResponse> {
         let id = self.next_request_id();
         let (sender, receiver) = async_channel::bounded(1);
@@ -155,14 +157,15 @@
         response?.ok()
     }
 
-    /// Wakes the controller whenever it wants to be, for as long as the process runs.
+    /// Sends ticks to the controller at the intervals that it requests, and fires expired
+    /// timeouts, until the process ends.
     async fn run_ticks(self: Rc<Self>) {
         loop {
-            let pause_s = self.controller.borrow().wake_interval_s();
-            let due = Instant::now() + Duration::from_secs_f64(pause_s);
+            let interval_s = self.controller.borrow().wake_interval_s();
+            let due = Instant::now() + Duration::from_secs_f64(interval_s);
             Timer::at(due).await;
             self.controller.borrow_mut().record_event_loop_lag(due.elapsed().as_secs_f64());
-            self.client.timeouts.sweep();
+            self.client.timeouts.fire_expired();
             self.feed(Input::Tick);
         }
     }
@@ -182,17 +185,17 @@
     }
 }
 
-/// A seed that differs between nodes and between starts of one.
+/// Returns a seed that differs between nodes and between processes of the same node.
 fn process_seed(node: &str) -> u64 {
     node.bytes()
         .fold(u64::from(std::process::id()), |hash, byte| hash.wrapping_mul(FNV_PRIME) ^ u64::from(byte))
 }
 
-/// Runs a controller until the process is ended.
+/// Runs a controller until the process ends.
 ///
 /// # Errors
 ///
-/// If the client address or the peer address of `settings` cannot be bound.
+/// Fails if the client address or the peer address of `settings` cannot be bound.
 pub fn run(settings: Settings, operator: Operator) -> std::io::Result<()> {
     let listener = Async::<TcpListener>::bind(settings.client_addr)?;
     let peer_listener = Async::<TcpListener>::bind(settings.peer_addr)?;
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,8 +1,8 @@
-//! Runs a controller on sockets and clocks, all on one thread.
+//! Runs a controller on real sockets and clocks, on a single thread.
 //!
-//! The [`controller`] crate is a state machine without I/O. This crate feeds it with
-//! requests, replies and ticks, and carries out what it returns: HTTP for clients and
-//! workers, gRPC between controllers, and calls to the key-value store and the cloud.
+//! The [`controller`] crate is a state machine without I/O. This crate passes it requests,
+//! replies and ticks, and carries out its outputs: HTTP responses to clients and workers,
+//! gRPC between controllers, and calls to the key-value store, the cloud and the workers.
 
 mod client;
 mod cloud_client;
--- a/crates/transport/src/peers.rs
+++ b/crates/transport/src/peers.rs
@@ -1,5 +1,5 @@
-//! gRPC between controllers: views and forwarded heartbeats. `tonic` provides the protocol,
-//! hyper's HTTP/2 over this thread's sockets the transport in place of tonic's own.
+//! gRPC between controllers: exchange of views and forwarding of heartbeats. `tonic` provides
+//! the protocol; hyper's HTTP/2 on this thread's sockets replaces tonic's own transport.
 
 mod client;
 mod server;
--- a/crates/transport/src/peers/client.rs
+++ b/crates/transport/src/peers/client.rs
@@ -1,4 +1,4 @@
-//! The client's side: forwards heartbeats to the leader and exchanges views with peers.
+//! Client side: forwards heartbeats to the leader and exchanges views with peers.
 
 use super::LocalSpawner;
 use crate::driver::Driver;
@@ -19,18 +19,18 @@
 use std::time::Duration;
 use tonic::body::BoxBody;
 
-/// Calls in a row that a connection may leave unanswered before it is given up.
+/// Number of consecutive calls that may remain unanswered before a connection is closed.
 const MAX_UNANSWERED_CALLS: u32 = 3;
 
-/// A connection to a node that leads or led.
+/// A connection to the current or a former leader.
 struct ForwardConnection {
     client: PeersClient<PeerChannel>,
-    /// Calls in a row that were not answered in time.
+    /// Consecutive calls that were not answered in time.
     unanswered_calls: u32,
 }
 
-/// Forwarding in both directions: connections to leaders by the node's name, and replies
-/// that this node owes.
+/// State of forwarding in both directions: connections to leaders by node name, and the
+/// forwarded batches to which this node has yet to reply.
 #[derive(Default)]
 pub(crate) struct HeartbeatForwarding {
     connections: RefCell<HashMap<String, ForwardConnection>>,
@@ -38,15 +38,15 @@
 }
 
 impl HeartbeatForwarding {
-    /// Remembers where the reply to a forwarded batch goes. Callers that have given up are
-    /// forgotten.
+    /// Registers the channel for the reply to a forwarded batch. Removes channels of callers
+    /// that no longer wait.
     pub(super) fn register(&self, id: RequestId, sender: async_channel::Sender<ForwardReply>) {
         let mut pending = self.pending_replies.borrow_mut();
         pending.retain(|_, sender| !sender.is_closed());
         pending.insert(id, sender);
     }
 
-    /// Sends the reply to the batch that came as request `id`, if its caller still waits.
+    /// Sends the reply to the batch received as request `id`, if its caller still waits.
     pub(crate) fn reply(&self, id: RequestId, reply: ForwardReply) {
         if let Some(sender) = self.pending_replies.borrow_mut().remove(&id) {
             let _ = sender.try_send(reply);
@@ -54,7 +54,7 @@
     }
 }
 
-/// Forwards a batch of heartbeats to `node`; None if no reply comes in time.
+/// Forwards a batch of heartbeats to `node`. Returns None if no reply arrives in time.
 pub(crate) async fn forward(
     driver: &Rc<Driver>,
     node: &str,
@@ -63,36 +63,36 @@
     let addr = driver.settings.peers.iter().find(|peer| peer.node == node)?.addr;
     let timeout = Duration::from_secs_f64(driver.timing.forward_timeout_s);
     let timeouts = &driver.client.timeouts;
-    let kept = driver.forwarding.connections.borrow_mut().remove(node);
-    let ForwardConnection { client, unanswered_calls } = match kept {
+    let cached = driver.forwarding.connections.borrow_mut().remove(node);
+    let ForwardConnection { client, unanswered_calls } = match cached {
         Some(connection) => connection,
         None => ForwardConnection {
             client: timeouts.within(timeout, connect(driver, addr)).await??,
             unanswered_calls: 0,
         },
     };
-    let keep = |client, unanswered_calls| {
+    let keep_connection = |client, unanswered_calls| {
         let connection = ForwardConnection { client, unanswered_calls };
         driver.forwarding.connections.borrow_mut().insert(node.to_string(), connection);
     };
-    // A connection that failed is not kept, and the next call connects anew. One that is
-    // only late is: a busy node may have no socket left for another.
+    // A connection that failed is dropped, and the next call opens a new one. One that is
+    // only slow is kept: a busy node may have no socket left for another.
     match timeouts.within(timeout, client.clone().relay(request)).await {
         Some(Ok(reply)) => {
-            keep(client, 0);
+            keep_connection(client, 0);
             Some(reply.into_inner())
         }
         Some(Err(_)) => None,
         None => {
             if unanswered_calls < MAX_UNANSWERED_CALLS {
-                keep(client, unanswered_calls + 1);
+                keep_connection(client, unanswered_calls + 1);
             }
             None
         }
     }
 }
 
-/// A connection as tonic's client wants it.
+/// Adapter that lets tonic's client send requests over a hyper connection.
 #[derive(Clone)]
 struct PeerChannel {
     sender: SendRequest<BoxBody>,
@@ -129,7 +129,7 @@
     Some(PeersClient::new(PeerChannel { sender, authority: addr.to_string() }))
 }
 
-/// Exchanges views with one peer for as long as the process runs.
+/// Exchanges views with one peer until the process ends.
 pub(crate) async fn exchange_views(driver: Rc<Driver>, addr: SocketAddrV4, interval: Duration) {
     let mut client: Option<PeersClient<PeerChannel>> = None;
     loop {
--- a/crates/transport/src/peers/server.rs
+++ b/crates/transport/src/peers/server.rs
@@ -1,8 +1,8 @@
-//! The server's side: takes views and forwarded heartbeats of other controllers.
+//! Server side: receives views and forwarded heartbeats from other controllers.
 //!
-//! tonic wants its service to be `Send`, and the controller is not. Views therefore pass
-//! through a mailbox that the driver fills and empties, forwarded heartbeats through a
-//! channel.
+//! tonic requires its service to be `Send`, and the controller is not. Views are therefore
+//! exchanged through a mailbox that the driver fills and empties, and forwarded heartbeats
+//! through a channel.
 
 use super::LocalSpawner;
 use crate::driver::Driver;
@@ -21,45 +21,46 @@
 use tonic::body::BoxBody;
 use tracing::{debug, warn};
 
-/// Connections of other controllers that are open at a time; also views and forwarded
-/// batches that wait for the driver.
+/// Maximum number of open connections from other controllers; also of received views, and of
+/// forwarded batches, that wait for the driver.
 const MAX_PEER_CONNECTIONS: usize = 16;
-/// Requests that a connection carries at a time.
+/// Maximum number of concurrent requests on a connection.
 const MAX_STREAMS_PER_CONNECTION: u32 = 4;
-/// Pause after a connection could not be accepted.
-const ACCEPT_RETRY: Duration = Duration::from_millis(200);
+/// Delay before the next attempt after a failed `accept`.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What passes between the gRPC service and the driver.
+/// Data exchanged between the gRPC service and the driver.
 pub(crate) struct PeerMailbox {
-    /// This node's view, for peers that ask.
+    /// This node's view, sent to peers in response to theirs.
     own_view: Mutex<View>,
-    /// Peers' views that the driver has yet to take.
+    /// Peers' views that the driver has not taken yet.
     received_views: Mutex<Vec<View>>,
-    forwards: async_channel::Sender<InboundForward>,
+    forward_sender: async_channel::Sender<InboundForward>,
 }
 
-/// A forwarded batch and where its reply goes.
+/// A forwarded batch and the channel for its reply.
 pub(crate) struct InboundForward {
     request: ForwardRequest,
     reply: async_channel::Sender<ForwardReply>,
 }
 
 impl PeerMailbox {
-    /// An empty mailbox, and the batches that other controllers forward.
+    /// Creates an empty mailbox and the channel of batches that other controllers forward.
     pub(crate) fn new() -> (Arc<PeerMailbox>, async_channel::Receiver<InboundForward>) {
-        let (forwards, inbound_forwards) = async_channel::bounded(MAX_PEER_CONNECTIONS);
-        let mailbox = PeerMailbox { own_view: Mutex::default(), received_views: Mutex::default(), forwards };
+        let (forward_sender, inbound_forwards) = async_channel::bounded(MAX_PEER_CONNECTIONS);
+        let mailbox =
+            PeerMailbox { own_view: Mutex::default(), received_views: Mutex::default(), forward_sender };
         (Arc::new(mailbox), inbound_forwards)
     }
 
-    /// Sets the view that peers get.
+    /// Sets the view that is sent to peers.
     pub(super) fn set_own_view(&self, view: &View) {
-        if let Ok(mut own) = self.own_view.lock() {
-            own.clone_from(view);
+        if let Ok(mut own_view) = self.own_view.lock() {
+            own_view.clone_from(view);
         }
     }
 
-    /// Takes the views that peers have sent.
+    /// Removes and returns the views that peers have sent.
     pub(super) fn take_received_views(&self) -> Vec<View> {
         self.received_views.lock().map(|mut views| std::mem::take(&mut *views)).unwrap_or_default()
     }
@@ -71,12 +72,12 @@
 #[tonic::async_trait]
 impl Peers for PeerService {
     async fn exchange(&self, request: tonic::Request<View>) -> Result<tonic::Response<View>, tonic::Status> {
-        let lost = || tonic::Status::internal("view lost");
-        let mut received = self.0.received_views.lock().map_err(|_| lost())?;
+        let poisoned = || tonic::Status::internal("view lost");
+        let mut received = self.0.received_views.lock().map_err(|_| poisoned())?;
         if received.len() < MAX_PEER_CONNECTIONS {
             received.push(request.into_inner());
         }
-        let own_view = self.0.own_view.lock().map_err(|_| lost())?.clone();
+        let own_view = self.0.own_view.lock().map_err(|_| poisoned())?.clone();
         Ok(tonic::Response::new(own_view))
     }
 
@@ -86,14 +87,14 @@
     ) -> Result<tonic::Response<ForwardReply>, tonic::Status> {
         let (sender, receiver) = async_channel::bounded(1);
         let forward = InboundForward { request: request.into_inner(), reply: sender };
-        let busy = |_| tonic::Status::resource_exhausted("too many relays");
-        self.0.forwards.try_send(forward).map_err(busy)?;
+        let too_many_relays = |_| tonic::Status::resource_exhausted("too many relays");
+        self.0.forward_sender.try_send(forward).map_err(too_many_relays)?;
         let unanswered = |_| tonic::Status::unavailable("not answered");
         Ok(tonic::Response::new(receiver.recv().await.map_err(unanswered)?))
     }
 }
 
-/// tonic's generated service as a service of hyper.
+/// Adapter from tonic's generated service to hyper's service trait.
 struct HyperService(PeersServer<PeerService>);
 
 impl hyper::service::Service<http::Request<hyper::body::Incoming>> for HyperService {
@@ -106,7 +107,7 @@
     }
 }
 
-/// Accepts connections of other controllers for as long as the process runs.
+/// Accepts connections from other controllers until the process ends.
 pub(crate) async fn serve(driver: Rc<Driver>, listener: Async<TcpListener>) {
     let open_connections = Rc::new(Cell::new(0usize));
     loop {
@@ -114,7 +115,7 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 warn!(error = %error, "cannot accept peer connection");
-                Timer::after(ACCEPT_RETRY).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
@@ -133,16 +134,16 @@
 
 async fn serve_connection(driver: &Driver, stream: Async<TcpStream>) {
     let service = HyperService(PeersServer::new(PeerService(driver.mailbox.clone())));
-    let served = hyper::server::conn::http2::Builder::new(LocalSpawner(driver.executor.clone()))
+    let result = hyper::server::conn::http2::Builder::new(LocalSpawner(driver.executor.clone()))
         .max_concurrent_streams(MAX_STREAMS_PER_CONNECTION)
         .serve_connection(FuturesIo::new(stream), service)
         .await;
-    if let Err(error) = served {
+    if let Err(error) = result {
         debug!(error = %error, "peer connection closed");
     }
 }
 
-/// Hands batches that other controllers forward to this one's controller.
+/// Passes batches that other controllers forward to this node's controller.
 pub(crate) async fn receive_forwards(
     driver: Rc<Driver>,
     inbound_forwards: async_channel::Receiver<InboundForward>,
--- a/crates/transport/src/response_body.rs
+++ b/crates/transport/src/response_body.rs
@@ -1,8 +1,8 @@
-//! Encoding of queries and decoding of response bodies, for all HTTP services.
+//! Encoding of query values and decoding of response bodies, for all HTTP services.
 
 use tracing::warn;
 
-/// Percent-encodes what a query value may not contain.
+/// Percent-encodes the characters that a query value may not contain.
 pub(crate) fn percent_encode(text: &str) -> String {
     text.bytes()
         .map(|byte| match byte {
@@ -14,7 +14,7 @@
         .collect()
 }
 
-/// Decodes a response's body; logs a warning and returns None if it is malformed. `what`
+/// Decodes a response body; if it is malformed, logs a warning and returns None. `what`
 /// names the expected content in the log.
 pub(crate) fn decode_or_warn<T: serde::de::DeserializeOwned>(body: &[u8], what: &str) -> Option<T> {
     match protocol::decode(body) {
@@ -26,7 +26,7 @@
     }
 }
 
-/// The text of an error response; empty if it cannot be decoded.
+/// Returns the text of an error response, empty if it cannot be decoded.
 pub(crate) fn error_text(body: &[u8]) -> String {
     protocol::decode::<protocol::job::ErrorResponse>(body).map(|response| response.error).unwrap_or_default()
 }
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -13,23 +13,23 @@
 use std::time::Duration;
 use tracing::{debug, warn};
 
-/// Silence before a request, the request and its response together take this long at
-/// most; then the connection is closed.
+/// Maximum time for the wait before a request, the request and its response together; after
+/// that, the connection is closed.
 const MAX_EXCHANGE_TIME: Duration = Duration::from_secs(60);
-/// A request's body has to be there within this time.
+/// Time within which the body of a request has to arrive.
 const MAX_BODY_TIME: Duration = Duration::from_secs(4);
-/// Pause after a connection could not be accepted.
-const ACCEPT_RETRY: Duration = Duration::from_millis(100);
-/// Where workers send their heartbeats.
+/// Delay before the next attempt after a failed `accept`.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Path of workers' heartbeats.
 const HEARTBEAT_PATH: &str = "/agent/beat";
-/// Where jobs are submitted.
+/// Path of job submissions.
 const JOBS_PATH: &str = "/api/jobs";
-/// What a job's name follows in the paths of status queries and cancellations.
+/// Path prefix of status queries and cancellations, followed by the job's id.
 const JOB_PREFIX: &str = "/api/jobs/";
-/// Where health checks go.
+/// Path of health checks.
 const HEALTH_PATH: &str = "/up";
 
-/// Accepts connections for as long as the process runs, `max_connections` at a time.
+/// Accepts connections until the process ends; at most `max_connections` are open at a time.
 pub(crate) async fn serve(driver: Rc<Driver>, listener: Async<TcpListener>, max_connections: usize) {
     let open_connections = Rc::new(Cell::new(0usize));
     loop {
@@ -37,12 +37,12 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 warn!(error = %error, "cannot accept connection");
-                Timer::after(ACCEPT_RETRY).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
         if open_connections.get() >= max_connections {
-            debug!("too many connections");
+            debug!("connection refused: too many open connections");
             continue;
         }
         open_connections.set(open_connections.get() + 1);
@@ -57,9 +57,9 @@
     }
 }
 
-/// Serves one connection's requests, one after the other. It uses the library's decoder
-/// and encoder, but not its loop, which sets a timer of a second reactor with a thread of
-/// its own for every request.
+/// Serves the requests of one connection, one after the other. It uses the decoder and the
+/// encoder of `async-h1`, but not its server loop, which sets a timer for every request on a
+/// second reactor with its own thread.
 async fn serve_connection(driver: Rc<Driver>, stream: Async<TcpStream>) -> http_types::Result<()> {
     let mut socket = Socket::new(stream);
     loop {
@@ -72,23 +72,23 @@
     }
 }
 
-/// Serves one request. Returns whether another may follow.
+/// Serves one request. Returns whether the connection stays open for another.
 async fn exchange(driver: &Rc<Driver>, socket: &mut Socket) -> http_types::Result<bool> {
     let Some((request, mut unread_body)) = decode(socket.clone()).await? else { return Ok(false) };
-    let asked_to_close =
+    let close_requested =
         request.header("connection").is_some_and(|values| values.as_str().eq_ignore_ascii_case("close"));
     let method = request.method();
     let is_heartbeat = request.url().path() == HEARTBEAT_PATH;
     let mut response = respond(driver, request).await;
-    // A worker that is not served here goes on to another node.
-    let closes = asked_to_close || is_heartbeat && response.status() != StatusCode::Ok;
-    if closes {
+    // A worker whose heartbeat is refused tries another node.
+    let closes_connection = close_requested || is_heartbeat && response.status() != StatusCode::Ok;
+    if closes_connection {
         response.insert_header("connection", "close");
     }
     io::copy(Encoder::new(response, method), socket).await?;
-    // What the response did not need of the body.
+    // The next request begins after the unread part of the body.
     io::copy(&mut unread_body, io::sink()).await?;
-    Ok(!closes)
+    Ok(!closes_connection)
 }
 
 async fn respond(driver: &Rc<Driver>, request: Request) -> Response {
@@ -102,7 +102,7 @@
     }
 }
 
-/// The controller's request that `request` stands for, or the status to refuse it with.
+/// Returns the controller's request for `request`, or the status with which it is refused.
 async fn route(driver: &Driver, mut request: Request) -> Result<ControllerRequest, StatusCode> {
     let path = request.url().path().to_string();
     let method = request.method();
@@ -120,7 +120,7 @@
     }
 }
 
-/// `path`: what follows [`JOB_PREFIX`].
+/// Routes a request for one job; `path` is the part after [`JOB_PREFIX`].
 fn route_job(method: Method, path: &str) -> Result<ControllerRequest, StatusCode> {
     match (path.strip_suffix("/cancel"), method) {
         (Some(id), Method::Post) => Ok(ControllerRequest::Cancel(id.to_string())),
@@ -129,19 +129,19 @@
     }
 }
 
-fn http_response(from: HttpResponse) -> Response {
-    let status = StatusCode::try_from(from.status).unwrap_or(StatusCode::InternalServerError);
+fn http_response(controller_response: HttpResponse) -> Response {
+    let status = StatusCode::try_from(controller_response.status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
-    response.set_body(from.body);
+    response.set_body(controller_response.body);
     response.insert_header("content-type", "application/msgpack");
-    if let Some(retry_after_s) = from.retry_after_s {
+    if let Some(retry_after_s) = controller_response.retry_after_s {
         response.insert_header("retry-after", retry_after_s.to_string());
     }
     response
 }
 
-/// Reads the body up to one byte over the limit: the controller refuses what is longer.
-/// Fails with the status to respond with if the body is not there in time.
+/// Reads the body up to one byte over the limit, so that the controller can refuse longer
+/// ones. Fails with the status of the response if the body does not arrive in time.
 async fn read_body(driver: &Driver, request: &mut Request) -> Result<Vec<u8>, StatusCode> {
     let max_bytes = protocol::MAX_BODY_BYTES as u64 + 1;
     let mut body = request.take_body().take(max_bytes);
--- a/crates/transport/src/socket.rs
+++ b/crates/transport/src/socket.rs
@@ -1,4 +1,4 @@
-//! A TCP socket that sends a message's head and body together.
+//! TCP socket that sends the head and the body of a message together.
 
 use async_dup::Arc;
 use async_io::Async;
@@ -8,26 +8,26 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// Unsent bytes from which on a write flushes first.
-const MAX_UNSENT_BYTES: usize = 64 * 1024;
+/// Number of buffered bytes from which on a write flushes the buffer first.
+const FLUSH_THRESHOLD_BYTES: usize = 64 * 1024;
 
-/// A socket that buffers written bytes until they are flushed, as `async-h1` does at the
-/// end of each message: that saves a system call and a packet for each.
+/// A socket that buffers written bytes until they are flushed. `async-h1` flushes at the
+/// end of each message, so a message takes one system call and one packet fewer.
 pub(crate) struct Socket {
     stream: Arc<Async<TcpStream>>,
-    /// None in a clone, which writes through: nobody would flush it.
+    /// Buffered bytes; None in a clone, which is unbuffered because nothing would flush it.
     unsent: Option<Vec<u8>>,
 }
 
 impl Socket {
-    /// A buffering socket on `stream`.
+    /// Creates a buffered socket on `stream`.
     pub(crate) fn new(stream: Async<TcpStream>) -> Self {
         let _ = stream.get_ref().set_nodelay(true);
         Socket { stream: Arc::new(stream), unsent: Some(Vec::new()) }
     }
 
-    /// The same socket, buffering for another message.
-    pub(crate) fn again(&self) -> Self {
+    /// Returns a buffered handle on the same stream, with an empty buffer.
+    pub(crate) fn with_new_buffer(&self) -> Self {
         Socket { stream: self.stream.clone(), unsent: Some(Vec::new()) }
     }
 }
@@ -54,7 +54,7 @@
         context: &mut Context<'_>,
         buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.unsent.as_ref().is_some_and(|unsent| unsent.len() >= MAX_UNSENT_BYTES) {
+        if self.unsent.as_ref().is_some_and(|unsent| unsent.len() >= FLUSH_THRESHOLD_BYTES) {
             ready!(self.as_mut().poll_flush(context))?;
         }
         match &mut self.unsent {
--- a/crates/transport/src/store_client.rs
+++ b/crates/transport/src/store_client.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tracing::{debug, warn};
 
-/// A value as it was sent, which this version may be unable to decode.
+/// Stored value; becomes [`Value::Undecodable`] if this version cannot decode it.
 struct LenientValue(Value);
 
 impl<'de> serde::Deserialize<'de> for LenientValue {
@@ -20,18 +20,18 @@
     }
 }
 
-/// Decodes a response with stored values, of which one that cannot be decoded leaves the
-/// others readable. The slower lenient decoding is tried only if the plain one fails.
-fn decode_stored<T, L>(body: &[u8], what: &str, into_plain: impl Fn(L) -> T) -> Option<T>
+/// Decodes a response with stored values; one that cannot be decoded does not affect the
+/// others. The slower lenient decoding is tried only if the strict one fails.
+fn decode_stored<T, L>(body: &[u8], what: &str, unwrap_values: impl Fn(L) -> T) -> Option<T>
 where
     T: serde::de::DeserializeOwned,
     L: serde::de::DeserializeOwned,
 {
-    protocol::decode::<T>(body).ok().or_else(|| decode_or_warn::<L>(body, what).map(into_plain))
+    protocol::decode::<T>(body).ok().or_else(|| decode_or_warn::<L>(body, what).map(unwrap_values))
 }
 
-/// Sends `request` to the store at `addr`. `timeout` is that of a simple read; lists and
-/// watches get more. A failed call becomes `Refused` if it surely had no effect, and
+/// Sends `request` to the store at `addr`. `timeout` applies to a simple read; lists and
+/// watches get more time. A failed call returns `Refused` if it certainly had no effect, and
 /// `Unknown` otherwise.
 pub(crate) async fn call(
     client: &Client,
@@ -46,7 +46,7 @@
         Err(ClientError::NotSent) => return StoreReply::Refused,
         Err(ClientError::Unknown) => return StoreReply::Unknown,
     };
-    // A malformed response says nothing about what was done.
+    // A malformed response does not tell whether a transaction was committed.
     decode_reply(&request, &target, &response).unwrap_or(match request {
         StoreRequest::Commit(_) => StoreReply::Unknown,
         _ => StoreReply::Refused,
@@ -80,7 +80,8 @@
     }
 }
 
-/// A watch that waits may have much to catch up with; clients wait for one that does not.
+/// Returns the timeout of a watch. One that waits for changes may return many of them, and
+/// gets more time; clients wait for one that returns at once.
 fn watch_timeout(timeout: Duration, wait_ms: u64) -> Duration {
     if wait_ms == 0 {
         return timeout;
@@ -88,7 +89,7 @@
     timeout * 2 + Duration::from_millis(wait_ms)
 }
 
-/// The reply that `response` stands for; None if its body is malformed.
+/// Converts a response into a reply; None if its body is malformed.
 fn decode_reply(request: &StoreRequest, target: &str, response: &Response) -> Option<StoreReply> {
     let status = response.status;
     let body = &response.body;
@@ -121,7 +122,7 @@
         }
         (StoreRequest::Watch { .. }, 410) => Some(StoreReply::Gone),
         _ => {
-            debug!(status, %target, "state service refused");
+            debug!(status, %target, "state service refused the request");
             Some(StoreReply::Refused)
         }
     }
--- a/crates/transport/src/timeouts.rs
+++ b/crates/transport/src/timeouts.rs
@@ -1,9 +1,9 @@
-//! Timeouts of calls and connections, checked once a tick.
+//! Timeouts of calls and connections, checked once per tick.
 //!
-//! Nearly every timeout is dropped unused and none has to be exact, but each timer of
-//! `async-io` wakes its poller and costs several system calls: with one or more for every
-//! message they were most of a busy node's work. The timeouts here cost no system call;
-//! they fire late by up to a tick.
+//! Nearly every timeout is dropped before it fires, and none has to be exact. Each timer of
+//! `async-io`, however, wakes the reactor and costs several system calls; with one or more
+//! timers per message, they were most of a busy node's work. The timeouts here cost no
+//! system call, but fire up to one tick late.
 
 use futures_lite::future;
 use std::cell::{Cell, RefCell};
@@ -13,29 +13,29 @@
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
 
-/// Orders timeouts by when they are due; the number tells apart those due at once.
+/// Key that orders timeouts by deadline; `number` distinguishes those with the same one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TimeoutKey {
-    due_at: Instant,
+    deadline: Instant,
     number: u64,
 }
 
-/// All pending timeouts of a thread. They fire only in [`TimeoutWheel::sweep`], which has
-/// to be called regularly.
+/// All pending timeouts of a thread. They fire only in [`TimeoutQueue::fire_expired`], which
+/// has to be called regularly.
 #[derive(Default)]
-pub(crate) struct TimeoutWheel {
-    /// The tasks to wake, by timeout. An entry that is gone has fired.
+pub(crate) struct TimeoutQueue {
+    /// Wakers of the waiting tasks. The entry of a timeout that has fired is removed.
     wakers: RefCell<BTreeMap<TimeoutKey, Waker>>,
     next_number: Cell<u64>,
 }
 
-impl TimeoutWheel {
-    /// The output of `future`, or None if it is not ready within `timeout`.
+impl TimeoutQueue {
+    /// Returns the output of `future`, or None if it is not ready within `timeout`.
     pub(crate) async fn within<T>(&self, timeout: Duration, future: impl Future<Output = T>) -> Option<T> {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
-        let key = TimeoutKey { due_at: Instant::now() + timeout, number };
-        let timeout = Timeout { wheel: self, key, registered: Cell::new(false) };
+        let key = TimeoutKey { deadline: Instant::now() + timeout, number };
+        let timeout = Timeout { queue: self, key, registered: Cell::new(false) };
         future::or(async { Some(future.await) }, async {
             timeout.await;
             None
@@ -43,13 +43,13 @@
         .await
     }
 
-    /// Fires all timeouts that are due.
-    pub(crate) fn sweep(&self) {
+    /// Fires all timeouts whose deadline has passed.
+    pub(crate) fn fire_expired(&self) {
         let now = Instant::now();
         loop {
-            // The borrow ends before the waker runs, which may register other timeouts.
+            // The borrow has to end before `wake`, which may register other timeouts.
             let waker = match self.wakers.borrow_mut().first_entry() {
-                Some(entry) if entry.key().due_at <= now => entry.remove(),
+                Some(entry) if entry.key().deadline <= now => entry.remove(),
                 _ => return,
             };
             waker.wake();
@@ -57,11 +57,12 @@
     }
 }
 
-/// Becomes ready once it has been swept out of its wheel; leaves the wheel when dropped.
+/// Future that becomes ready once the queue has removed its entry; dropping it removes the
+/// entry as well.
 struct Timeout<'a> {
-    wheel: &'a TimeoutWheel,
+    queue: &'a TimeoutQueue,
     key: TimeoutKey,
-    /// It has been put into the wheel.
+    /// Whether the queue has had an entry for it.
     registered: Cell<bool>,
 }
 
@@ -69,9 +70,9 @@
     type Output = ();
 
     fn poll(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
-        let mut wakers = self.wheel.wakers.borrow_mut();
-        let was_swept = self.registered.get() && !wakers.contains_key(&self.key);
-        if was_swept {
+        let mut wakers = self.queue.wakers.borrow_mut();
+        let has_fired = self.registered.get() && !wakers.contains_key(&self.key);
+        if has_fired {
             return Poll::Ready(());
         }
         self.registered.set(true);
@@ -82,6 +83,6 @@
 
 impl Drop for Timeout<'_> {
     fn drop(&mut self) {
-        self.wheel.wakers.borrow_mut().remove(&self.key);
+        self.queue.wakers.borrow_mut().remove(&self.key);
     }
 }
--- a/crates/transport/src/worker_client.rs
+++ b/crates/transport/src/worker_client.rs
@@ -1,4 +1,4 @@
-//! Direct commands to workers, which do not wait for the next heartbeat.
+//! Direct commands to workers, sent without waiting for the next heartbeat.
 
 use crate::client::{Call, Client};
 use crate::response_body::decode_or_warn;
@@ -8,12 +8,12 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Status of commands that were executed.
-const EXECUTED: u16 = 200;
-/// Status of commands that the worker refused; its heartbeat says why.
-const REFUSED: u16 = 409;
+/// HTTP status if the commands were executed.
+const EXECUTED_STATUS: u16 = 200;
+/// HTTP status if the worker refused the commands; its heartbeat tells why.
+const REFUSED_STATUS: u16 = 409;
 
-/// Sends `commands` to the worker at `addr`, which answers with a heartbeat.
+/// Sends `commands` to the worker at `addr`, which responds with a heartbeat.
 pub(crate) async fn call(
     client: &Client,
     addr: &str,
@@ -30,12 +30,12 @@
         reuse: false,
     };
     let Ok(response) = client.call(call).await else { return WorkerReply::Failed };
-    if response.status != EXECUTED && response.status != REFUSED {
+    if response.status != EXECUTED_STATUS && response.status != REFUSED_STATUS {
         return WorkerReply::Failed;
     }
     match decode_or_warn::<Heartbeat>(&response.body, "worker's report") {
         Some(report) => {
-            WorkerReply::Heartbeat { executed: response.status == EXECUTED, report: Box::new(report) }
+            WorkerReply::Heartbeat { executed: response.status == EXECUTED_STATUS, report: Box::new(report) }
         }
         None => WorkerReply::Failed,
     }
