--- a/crates/anisecroft/src/main.rs
+++ b/crates/anisecroft/src/main.rs
@@ -20,29 +20,30 @@
         /// Settings file of the platform (TOML)
         #[arg(long)]
         config: PathBuf,
-        /// Operators' own settings (protobuf text format)
+        /// Operator settings (protobuf text format)
         #[arg(long)]
         operator: Option<PathBuf>,
     },
-    /// Check settings and print what is derived from them
+    /// Check settings and print them with the timing derived from them
     Check {
         /// Settings file of the platform (TOML)
         #[arg(long)]
         config: PathBuf,
-        /// Operators' own settings (protobuf text format)
+        /// Operator settings (protobuf text format)
         #[arg(long)]
         operator: Option<PathBuf>,
     },
 }
 
-/// Where the settings are.
+/// Paths of the settings files.
 struct SettingsFiles {
     platform: PathBuf,
     operator: Option<PathBuf>,
 }
 
 impl SettingsFiles {
-    /// Reads the settings; without a file of the operators' own, those have their defaults.
+    /// Loads the settings. Without an operator settings file, those settings have their
+    /// defaults.
     fn load(&self) -> Result<(Settings, Operator), LoadError> {
         let settings =
             Settings::load(&self.platform).map_err(|source| LoadError::new(&self.platform, source))?;
@@ -54,7 +55,7 @@
     }
 }
 
-/// A file of settings that cannot be used.
+/// Error in a settings file, with the path of the file.
 #[derive(Debug, Error)]
 #[error("{}: {source}", path.display())]
 struct LoadError {
@@ -68,7 +69,7 @@
     }
 }
 
-/// Why the program ends.
+/// Error that ends the program.
 #[derive(Debug, Error)]
 enum MainError {
     #[error(transparent)]
@@ -77,8 +78,8 @@
     Serve(#[source] std::io::Error),
 }
 
-/// Logs to standard error, at the level that the variable `LOG_LEVEL` names: `debug`,
-/// `error`, or anything else for `info`.
+/// Sets up logging to standard error. The environment variable `LOG_LEVEL` selects the level:
+/// `debug` or `error`; without it or with any other value, it is `info`.
 fn init_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => tracing::Level::DEBUG,
--- a/crates/transport/src/tests.rs
+++ b/crates/transport/src/tests.rs
@@ -1,5 +1,5 @@
-//! The HTTP interfaces byte by byte: each request as it is sent, and each reply that the protocol
-//! names to the outcome that the controller gets.
+//! Tests of the HTTP interfaces: the exact bytes of each request, and the result that the
+//! controller gets for each response of the protocol.
 
 mod client_api;
 mod cloud_client;
@@ -14,10 +14,10 @@
 use std::thread;
 use std::time::Duration;
 
-/// Timeout of calls and of sockets; no test waits for it.
+/// Timeout of calls and sockets; no passing test waits that long.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The MessagePack form of a JSON text, with the fields in the text's order.
+/// Converts JSON to MessagePack, keeping the order of the fields.
 fn message(json: &str) -> Vec<u8> {
     let value: rmpv::Value = serde_json::from_str(json).expect("the test's text is JSON");
     let mut body = Vec::new();
@@ -25,18 +25,18 @@
     body
 }
 
-/// An HTTP message as it was received.
+/// A received HTTP message.
 #[derive(Debug, Clone, PartialEq)]
 struct HttpMessage {
     /// Request line or status line.
     first_line: String,
-    /// Headers in lower case, sorted, without `host`, `date` and `content-length`.
+    /// Header lines in lower case, sorted, without `host`, `date` and `content-length`.
     headers: Vec<String>,
     body: Vec<u8>,
 }
 
 impl HttpMessage {
-    /// Reads one message; None if the connection is closed before a whole one has arrived.
+    /// Reads one message. Returns None if the connection is closed before it is complete.
     fn read(stream: &mut TcpStream) -> Option<HttpMessage> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
@@ -51,14 +51,14 @@
         let length = headers.iter().find_map(|header| header.strip_prefix("content-length: "));
         let mut body = vec![0; length.map_or(0, |length| length.parse().expect("a length"))];
         stream.read_exact(&mut body).ok()?;
-        let varies = ["host: ", "date: ", "content-length: "];
-        headers.retain(|header| !varies.iter().any(|name| header.starts_with(name)));
+        let ignored = ["host: ", "date: ", "content-length: "];
+        headers.retain(|header| !ignored.iter().any(|name| header.starts_with(name)));
         headers.sort();
         Some(HttpMessage { first_line, headers, body })
     }
 }
 
-/// A reply of a stand-in: status code and body.
+/// Predefined response of a stub server: status code and body.
 #[derive(Clone)]
 struct CannedReply(u16, Vec<u8>);
 
@@ -78,26 +78,26 @@
     }
 }
 
-/// A listener on a free port, and its address.
+/// Opens a listener on a free port and returns it with its address.
 fn listen() -> (TcpListener, SocketAddrV4) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let port = listener.local_addr().expect("an address").port();
     (listener, SocketAddrV4::new(Ipv4Addr::LOCALHOST, port))
 }
 
-/// An address at which nobody listens.
+/// Returns an address on which nothing listens.
 fn unused_addr() -> SocketAddrV4 {
     listen().1
 }
 
-/// Makes one call to a stand-in that answers with `reply`, or closes the connection unanswered if
-/// there is none. Returns the request as it arrived, and the call's outcome.
+/// Makes one call to a stub server that responds with `reply` or, if that is None, closes the
+/// connection without a response. Returns the received request and the result of the call.
 fn call_with_reply<T>(
     reply: Option<CannedReply>,
     call: impl AsyncFnOnce(&Client, SocketAddrV4) -> T,
 ) -> (HttpMessage, T) {
     let (listener, addr) = listen();
-    let stand_in = thread::spawn(move || {
+    let stub_server = thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
         let request = HttpMessage::read(&mut stream).expect("a request");
         if let Some(reply) = reply {
@@ -106,11 +106,11 @@
         request
     });
     let client = Client::default();
-    let outcome = async_io::block_on(call(&client, addr));
-    (stand_in.join().expect("the stand-in saw a request"), outcome)
+    let result = async_io::block_on(call(&client, addr));
+    (stub_server.join().expect("the stub server received a request"), result)
 }
 
-/// The headers of a request with a body on a connection that is kept.
+/// Headers of a request with a body on a connection that stays open.
 fn body_headers() -> Vec<String> {
     vec!["content-type: application/msgpack".to_string()]
 }
--- a/crates/transport/src/tests/client_api.rs
+++ b/crates/transport/src/tests/client_api.rs
@@ -1,5 +1,5 @@
-//! Requests of users, workers and load balancers to a running controller, and its responses with
-//! every error text that can be provoked from outside.
+//! Tests of the requests of users, workers and load balancers to a running controller: its
+//! responses, with every error text that a request can cause.
 
 use super::platform::Platform;
 use super::{message, HttpMessage};
@@ -12,7 +12,7 @@
 const HEARTBEAT: &str = r#"{"stall":"vm-000231","endpoint":"127.0.0.1:9","breed":"g8","yard":"a",
     "loaners":true,"shift":1,"tally":1,"baton":0,"recallS":null,"legs":[]}"#;
 
-/// The example job with each of the texts replaced.
+/// Returns the example job with each `from` text replaced by its `to` text.
 fn job(changes: &[(&str, &str)]) -> Vec<u8> {
     let mut text = JOB.to_string();
     for (from, to) in changes {
@@ -89,35 +89,41 @@
 #[test]
 fn malformed_submissions_get_400_with_the_first_problem() {
     let platform = Platform::start_healthy();
-    let refuse = |body: &[u8], error: &str| {
+    let assert_refused = |body: &[u8], error: &str| {
         assert_error(&platform.request("POST", "/api/jobs", body), "400 Bad Request", error);
     };
-    refuse(&[0x01], "not a MessagePack map");
-    refuse(&[], "not a MessagePack map");
-    refuse(&[job(&[]), vec![0x01]].concat(), "bytes after the map");
-    refuse(&vec![0x80; 64 * 1024 + 1], "body over 64 KiB");
+    assert_refused(&[0x01], "not a MessagePack map");
+    assert_refused(&[], "not a MessagePack map");
+    assert_refused(&[job(&[]), vec![0x01]].concat(), "bytes after the map");
+    assert_refused(&vec![0x80; 64 * 1024 + 1], "body over 64 KiB");
     for field in ["lane", "crew", "legs", "cores", "accelerators", "memGb", "kit", "sizeGb", "together"] {
-        refuse(&job(&[(&format!(r#""{field}""#), r#""other""#)]), &format!("missing field `{field}`"));
+        assert_refused(
+            &job(&[(&format!(r#""{field}""#), r#""other""#)]),
+            &format!("missing field `{field}`"),
+        );
     }
     for field in ["spread", "loaners", "etaS", "waypointS", "stashS", "shape", "urgency"] {
-        refuse(&job(&[(&format!(r#""{field}""#), r#""other""#)]), &format!("missing field `{field}`"));
+        assert_refused(
+            &job(&[(&format!(r#""{field}""#), r#""other""#)]),
+            &format!("missing field `{field}`"),
+        );
     }
-    refuse(&job(&[("req-000412", "job-000412")]), "invalid id");
-    refuse(&job(&[(r#""legs":2"#, r#""legs":0"#)]), "invalid legs");
-    refuse(&job(&[(r#""legs":2"#, r#""legs":100001"#)]), "invalid legs");
-    refuse(&job(&[(r#""cores":8.0"#, r#""cores":-8.0"#)]), "invalid cores");
-    refuse(&job(&[(r#""accelerators":1.0"#, r#""accelerators":-1.0"#)]), "invalid accelerators");
-    refuse(&job(&[(r#""memGb":64.0"#, r#""memGb":1e9"#)]), "invalid memGb");
-    refuse(&job(&[(r#""sizeGb":6.2"#, r#""sizeGb":-6.2"#)]), "invalid sizeGb");
-    refuse(&job(&[(r#""etaS":240.0"#, r#""etaS":-240.0"#)]), "invalid etaS");
-    refuse(&job(&[(r#""waypointS":30.0"#, r#""waypointS":-30.0"#)]), "invalid waypointS");
-    refuse(&job(&[(r#""stashS":4.0"#, r#""stashS":-4.0"#)]), "invalid stashS");
-    refuse(&job(&[(r#""dueS":900.0"#, r#""dueS":-900.0"#)]), "invalid dueS");
-    refuse(&job(&[(r#""lane":"train""#, r#""lane":"""#)]), "invalid lane");
-    refuse(&job(&[(r#""crew":"vision""#, r#""crew":"""#)]), "invalid crew");
-    refuse(&job(&[(r#""kit":"img-07""#, r#""kit":"""#)]), "invalid kit");
-    refuse(&job(&[(r#""yard":null"#, r#""yard":"""#)]), "invalid breeds or yard");
-    refuse(&job(&[(r#""dueS":900.0"#, r#""dueS":900.0,"awaits":["job-1"]"#)]), "invalid awaits");
+    assert_refused(&job(&[("req-000412", "job-000412")]), "invalid id");
+    assert_refused(&job(&[(r#""legs":2"#, r#""legs":0"#)]), "invalid legs");
+    assert_refused(&job(&[(r#""legs":2"#, r#""legs":100001"#)]), "invalid legs");
+    assert_refused(&job(&[(r#""cores":8.0"#, r#""cores":-8.0"#)]), "invalid cores");
+    assert_refused(&job(&[(r#""accelerators":1.0"#, r#""accelerators":-1.0"#)]), "invalid accelerators");
+    assert_refused(&job(&[(r#""memGb":64.0"#, r#""memGb":1e9"#)]), "invalid memGb");
+    assert_refused(&job(&[(r#""sizeGb":6.2"#, r#""sizeGb":-6.2"#)]), "invalid sizeGb");
+    assert_refused(&job(&[(r#""etaS":240.0"#, r#""etaS":-240.0"#)]), "invalid etaS");
+    assert_refused(&job(&[(r#""waypointS":30.0"#, r#""waypointS":-30.0"#)]), "invalid waypointS");
+    assert_refused(&job(&[(r#""stashS":4.0"#, r#""stashS":-4.0"#)]), "invalid stashS");
+    assert_refused(&job(&[(r#""dueS":900.0"#, r#""dueS":-900.0"#)]), "invalid dueS");
+    assert_refused(&job(&[(r#""lane":"train""#, r#""lane":"""#)]), "invalid lane");
+    assert_refused(&job(&[(r#""crew":"vision""#, r#""crew":"""#)]), "invalid crew");
+    assert_refused(&job(&[(r#""kit":"img-07""#, r#""kit":"""#)]), "invalid kit");
+    assert_refused(&job(&[(r#""yard":null"#, r#""yard":"""#)]), "invalid breeds or yard");
+    assert_refused(&job(&[(r#""dueS":900.0"#, r#""dueS":900.0,"awaits":["job-1"]"#)]), "invalid awaits");
 }
 
 #[test]
@@ -125,20 +131,26 @@
     let platform = Platform::start_healthy();
     let service = job(&[("req-000412", "req-1"), ("group", "standing"), (r#""legs":2"#, r#""legs":1"#)]);
     assert_eq!(platform.request("POST", "/api/jobs", &service).first_line, "HTTP/1.1 201 Created");
-    let refuse = |changes: &[(&str, &str)], error: &str| {
+    let assert_refused = |changes: &[(&str, &str)], error: &str| {
         let response = platform.request("POST", "/api/jobs", &job(changes));
         assert_error(&response, "422 Unprocessable Entity", error);
     };
     let due = r#""dueS":900.0"#;
-    refuse(&[("vision", "nobody")], "unknown team");
-    refuse(&[(r#""cores":8.0"#, r#""cores":97.0"#)], "a task fits no allowed machine type");
-    refuse(&[(r#"["g8"]"#, r#"["s1"]"#)], "a task fits no allowed machine type");
-    refuse(&[(r#""yard":null"#, r#""yard":"c""#)], "a task fits no allowed machine type");
-    refuse(&[(r#""spread":false"#, r#""spread":true"#)], "a gang that is to be spread is bound to one zone");
-    refuse(&[(r#""legs":2"#, r#""legs":33"#)], "more than the team's limit");
-    refuse(&[(due, r#""dueS":900.0,"awaits":["req-1"]"#)], "it awaits a service, which is never done");
-    refuse(&[(due, r#""dueS":900.0,"awaits":["req-2"]"#)], "it awaits a job that was never accepted");
-    refuse(&[(due, r#""dueS":900.0,"awaits":["req-000412"]"#)], "a job cannot await itself");
+    assert_refused(&[("vision", "nobody")], "unknown team");
+    assert_refused(&[(r#""cores":8.0"#, r#""cores":97.0"#)], "a task fits no allowed machine type");
+    assert_refused(&[(r#"["g8"]"#, r#"["s1"]"#)], "a task fits no allowed machine type");
+    assert_refused(&[(r#""yard":null"#, r#""yard":"c""#)], "a task fits no allowed machine type");
+    assert_refused(
+        &[(r#""spread":false"#, r#""spread":true"#)],
+        "a gang that is to be spread is bound to one zone",
+    );
+    assert_refused(&[(r#""legs":2"#, r#""legs":33"#)], "more than the team's limit");
+    assert_refused(
+        &[(due, r#""dueS":900.0,"awaits":["req-1"]"#)],
+        "it awaits a service, which is never done",
+    );
+    assert_refused(&[(due, r#""dueS":900.0,"awaits":["req-2"]"#)], "it awaits a job that was never accepted");
+    assert_refused(&[(due, r#""dueS":900.0,"awaits":["req-000412"]"#)], "a job cannot await itself");
 }
 
 #[test]
@@ -155,15 +167,15 @@
 #[test]
 fn leader_answers_heartbeats_with_its_token() {
     let platform = Platform::start_healthy();
-    let answered = platform.wait_for_status("POST", "/agent/beat", &message(HEARTBEAT), "HTTP/1.1 200 OK");
+    let accepted = platform.wait_for_status("POST", "/agent/beat", &message(HEARTBEAT), "HTTP/1.1 200 OK");
     let response: protocol::worker::HeartbeatResponse =
-        protocol::decode(&answered.body).expect("a response to the heartbeat");
+        protocol::decode(&accepted.body).expect("a response to the heartbeat");
     assert!(response.fencing_token > 0);
-    assert_response(&answered, "200 OK", &format!(r#"{{"baton":{},"orders":[]}}"#, response.fencing_token));
-    assert_eq!(answered.headers, ["content-type: application/msgpack"]);
+    assert_response(&accepted, "200 OK", &format!(r#"{{"baton":{},"orders":[]}}"#, response.fencing_token));
+    assert_eq!(accepted.headers, ["content-type: application/msgpack"]);
 }
 
-/// A worker that is not served here has to close the connection and to try another node.
+/// The closed connection makes the worker try another node.
 #[test]
 fn malformed_heartbeat_gets_400_and_the_connection_closes() {
     let platform = Platform::start_healthy();
@@ -190,9 +202,10 @@
     }
 }
 
-/// Users repeat what is answered with 503; nothing else may be said while the store is away.
+/// Users retry requests that get a 503; any other status would be wrong while the store has an
+/// outage.
 #[test]
-fn clients_are_asked_to_retry_while_the_store_is_out() {
+fn clients_are_asked_to_retry_during_a_store_outage() {
     let platform = Platform::start_healthy();
     platform.set_store_outage(true);
     let submitted = platform.request("POST", "/api/jobs", &job(&[]));
--- a/crates/transport/src/tests/cloud_client.rs
+++ b/crates/transport/src/tests/cloud_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud.
+//! Tests of calls to the cloud.
 
 use super::{body_headers, call_with_reply, message, unused_addr, CannedReply, TIMEOUT};
 use crate::client::Client;
@@ -33,13 +33,13 @@
     call_with_reply(Some(reply), async |client: &Client, addr| call(client, addr, request, TIMEOUT).await).1
 }
 
-/// Checks the request line, the headers and the body that `request` is sent with.
+/// Checks the request line, the headers and the body of the message sent for `request`.
 fn assert_sent(request: CloudRequest, first_line: &str, body: Option<&str>) {
-    let sent =
+    let sent_message =
         call_with_reply(None, async |client: &Client, addr| call(client, addr, request, TIMEOUT).await).0;
-    assert_eq!(sent.first_line, first_line);
-    assert_eq!(sent.headers, if body.is_some() { body_headers() } else { Vec::new() });
-    assert_eq!(sent.body, body.map(message).unwrap_or_default());
+    assert_eq!(sent_message.first_line, first_line);
+    assert_eq!(sent_message.headers, if body.is_some() { body_headers() } else { Vec::new() });
+    assert_eq!(sent_message.body, body.map(message).unwrap_or_default());
 }
 
 #[test]
@@ -115,8 +115,8 @@
     );
 }
 
-/// The leader asks another pool after `NoCapacity`, and the same one again after `Refused`. When
-/// the error text that tells them apart was changed once, it kept asking the full pool.
+/// After `NoCapacity` the leader tries another pool; after `Refused` it retries the same one. A
+/// change of the error text that distinguishes them once made it keep retrying an exhausted pool.
 #[test]
 fn missing_capacity_differs_from_an_outage() {
     let no_capacity = CannedReply::json(503, r#"{"error":"no capacity"}"#);
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn request_is_refused_if_nobody_listens() {
+fn request_is_refused_if_nothing_listens() {
     let client = Client::default();
     let reply = async_io::block_on(call(&client, unused_addr(), rent_request(), TIMEOUT));
     assert_eq!(reply, CloudReply::Refused);
--- a/crates/transport/src/tests/platform.rs
+++ b/crates/transport/src/tests/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the store and the cloud on sockets, and a controller that runs against them.
+//! Stub servers for the store and the cloud, and a controller that runs against them.
 
 use super::{listen, CannedReply, HttpMessage, TIMEOUT};
 use controller::records::Value;
@@ -14,31 +14,31 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Pause between two looks at the store while a watch waits.
-const WATCH_POLL: Duration = Duration::from_millis(2);
+/// Interval at which a waiting watch checks the store.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Machine types of the stand-in cloud: two zones have large machines, one has small ones, too.
+/// Machine types of the stub cloud: large machines in two zones, small ones in one of them.
 const MACHINE_TYPES: &str = r#"{"breeds":[
     {"sku":"g8","cores":96,"accelerators":8,"memGb":768,"localGb":200,"pullGbPerS":1.0,
      "price":12.0,"lowPrice":4.5,"bootS":45,"yards":["a","b"]},
     {"sku":"s1","cores":8,"accelerators":0,"memGb":64,"localGb":50,"pullGbPerS":1.0,
      "price":1.0,"lowPrice":0.5,"bootS":45,"yards":["a"]}]}"#;
 
-/// A switch between a service that works and one that refuses every request.
+/// Whether a stub service refuses every request.
 type Outage = Arc<AtomicBool>;
 
-/// Answers requests of any number of connections in the background.
+/// Serves any number of connections in background threads.
 fn serve(
     listener: TcpListener,
     outage: Outage,
-    answer: impl Fn(&HttpMessage) -> CannedReply + Clone + Send + 'static,
+    respond: impl Fn(&HttpMessage) -> CannedReply + Clone + Send + 'static,
 ) {
     thread::spawn(move || {
         for stream in listener.incoming() {
             let Ok(stream) = stream else { return };
             let outage = outage.clone();
-            let answer = answer.clone();
-            thread::spawn(move || serve_connection(stream, &outage, answer));
+            let respond = respond.clone();
+            thread::spawn(move || serve_connection(stream, &outage, respond));
         }
     });
 }
@@ -46,13 +46,13 @@
 fn serve_connection(
     mut stream: TcpStream,
     outage: &AtomicBool,
-    answer: impl Fn(&HttpMessage) -> CannedReply,
+    respond: impl Fn(&HttpMessage) -> CannedReply,
 ) {
     while let Some(request) = HttpMessage::read(&mut stream) {
         let reply = if outage.load(Ordering::SeqCst) {
             CannedReply::json(503, r#"{"error":"trouble"}"#)
         } else {
-            answer(&request)
+            respond(&request)
         };
         if reply.write(&mut stream).is_err() {
             return;
@@ -60,7 +60,7 @@
     }
 }
 
-/// The request of the store's protocol that `request` stands for.
+/// Parses a request to the store; None if it is not valid.
 fn store_request(request: &HttpMessage) -> Option<StoreRequest> {
     let mut words = request.first_line.split(' ');
     let method = words.next()?;
@@ -96,7 +96,7 @@
     }
 }
 
-/// A store's reply in the protocol's form.
+/// Converts a reply of the store into an HTTP response.
 fn store_reply(request: &StoreRequest, reply: StoreReply) -> CannedReply {
     let error = |text: &str| protocol::encode(&ErrorResponse { error: text.into() });
     match (request, reply) {
@@ -116,9 +116,9 @@
     }
 }
 
-/// Executes a request; a watch without changes waits for as long as it asks to.
+/// Executes a request. A watch without changes waits for at most its `wait_ms`.
 fn execute(store: &Mutex<Store>, started_at: Instant, request: &StoreRequest) -> StoreReply {
-    let waits_until = match request {
+    let deadline = match request {
         StoreRequest::Watch { wait_ms, .. } => Instant::now() + Duration::from_millis(*wait_ms),
         _ => Instant::now(),
     };
@@ -129,11 +129,11 @@
         if let Some(reply) = store.execute(now, request) {
             return reply;
         }
-        if Instant::now() >= waits_until {
+        if Instant::now() >= deadline {
             return store.no_events();
         }
         drop(store);
-        thread::sleep(WATCH_POLL);
+        thread::sleep(WATCH_POLL_INTERVAL);
     }
 }
 
@@ -161,14 +161,19 @@
     });
 }
 
-/// The settings of a deployment of one controller.
-fn settings(front: SocketAddrV4, back: SocketAddrV4, cloud: SocketAddrV4, store: SocketAddrV4) -> Settings {
+/// Returns the settings of a deployment with one controller.
+fn settings(
+    client_addr: SocketAddrV4,
+    peer_addr: SocketAddrV4,
+    cloud: SocketAddrV4,
+    store: SocketAddrV4,
+) -> Settings {
     let text = format!(
         r#"
         label = "stable-0"
         location = "a"
-        front = "{front}"
-        back = "{back}"
+        front = "{client_addr}"
+        back = "{peer_addr}"
         [external]
         cloud = "{cloud}"
         state = "{store}"
@@ -203,30 +208,30 @@
     Settings::parse(&text).expect("the settings are valid")
 }
 
-/// A controller on loopback sockets, with stand-ins for the services that it needs.
+/// A controller on loopback sockets, with stub servers for the services that it needs.
 pub(super) struct Platform {
-    front: SocketAddrV4,
+    client_addr: SocketAddrV4,
     store_outage: Outage,
     cloud_outage: Outage,
 }
 
 impl Platform {
-    /// Starts a controller while the cloud has an outage, so that it knows no machine types.
+    /// Starts a controller during an outage of the cloud, so that it knows no machine types.
     pub(super) fn start() -> Self {
         let (store_listener, store) = listen();
         let (cloud_listener, cloud) = listen();
-        let (front_listener, front) = listen();
-        let (back_listener, back) = listen();
+        let (client_listener, client_addr) = listen();
+        let (peer_listener, peer_addr) = listen();
         let store_outage = Outage::default();
         let cloud_outage = Outage::default();
         cloud_outage.store(true, Ordering::SeqCst);
         serve_store(store_listener, store_outage.clone());
         serve_cloud(cloud_listener, cloud_outage.clone());
-        let settings = settings(front, back, cloud, store);
+        let settings = settings(client_addr, peer_addr, cloud, store);
         // The controller binds the two addresses itself.
-        drop((front_listener, back_listener));
+        drop((client_listener, peer_listener));
         thread::spawn(move || crate::run(settings, Operator::default()));
-        Platform { front, store_outage, cloud_outage }
+        Platform { client_addr, store_outage, cloud_outage }
     }
 
     /// Starts a controller and waits until it is healthy.
@@ -250,9 +255,9 @@
         self.try_request(method, path, body).expect("a response")
     }
 
-    /// None if the controller does not listen yet.
+    /// Returns None if the controller does not listen yet.
     fn try_request(&self, method: &str, path: &str, body: &[u8]) -> Option<HttpMessage> {
-        let mut stream = TcpStream::connect(self.front).ok()?;
+        let mut stream = TcpStream::connect(self.client_addr).ok()?;
         stream.set_read_timeout(Some(TIMEOUT)).ok()?;
         write!(stream, "{method} {path} HTTP/1.1\r\nhost: node\r\ncontent-length: {}\r\n\r\n", body.len())
             .ok()?;
@@ -260,7 +265,7 @@
         HttpMessage::read(&mut stream)
     }
 
-    /// Repeats a request until its response has that status line.
+    /// Repeats a request until its response has the status line `status`.
     pub(super) fn wait_for_status(&self, method: &str, path: &str, body: &[u8], status: &str) -> HttpMessage {
         let deadline = Instant::now() + 3 * TIMEOUT;
         loop {
--- a/crates/transport/src/tests/store_client.rs
+++ b/crates/transport/src/tests/store_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the key-value store.
+//! Tests of calls to the key-value store.
 
 use super::{body_headers, call_with_reply, message, unused_addr, CannedReply, TIMEOUT};
 use crate::client::Client;
@@ -42,13 +42,13 @@
     call_with_reply(Some(reply), async |client: &Client, addr| call(client, addr, request, TIMEOUT).await).1
 }
 
-/// Checks the request line, the headers and the body that `request` is sent with.
+/// Checks the request line, the headers and the body of the message sent for `request`.
 fn assert_sent(request: StoreRequest, first_line: &str, body: Option<&str>) {
-    let sent =
+    let sent_message =
         call_with_reply(None, async |client: &Client, addr| call(client, addr, request, TIMEOUT).await).0;
-    assert_eq!(sent.first_line, first_line);
-    assert_eq!(sent.headers, if body.is_some() { body_headers() } else { Vec::new() });
-    assert_eq!(sent.body, body.map(message).unwrap_or_default());
+    assert_eq!(sent_message.first_line, first_line);
+    assert_eq!(sent_message.headers, if body.is_some() { body_headers() } else { Vec::new() });
+    assert_eq!(sent_message.body, body.map(message).unwrap_or_default());
 }
 
 #[test]
@@ -80,9 +80,9 @@
     let item = |value, version| Item { key: "a/b".into(), value, version };
     let body = r#"{"path":"a/b","v":{"Format":2},"stamp":412,"permit":7}"#;
     assert_eq!(reply_to(get(), CannedReply::json(200, body)), StoreReply::Item(item(Value::Format(2), 412)));
-    let unreadable = r#"{"path":"a/b","v":{"Later":1},"stamp":412}"#;
+    let undecodable = r#"{"path":"a/b","v":{"Later":1},"stamp":412}"#;
     assert_eq!(
-        reply_to(get(), CannedReply::json(200, unreadable)),
+        reply_to(get(), CannedReply::json(200, undecodable)),
         StoreReply::Item(item(Value::Undecodable, 412))
     );
     assert_eq!(reply_to(get(), CannedReply::json(404, r#"{"ledger":431}"#)), StoreReply::Missing(431));
@@ -107,8 +107,8 @@
     );
 }
 
-/// A campaign with an expired lease needs another lease; a transaction that is invalid for any
-/// other reason is never accepted.
+/// After its lease has expired, a campaign needs a new lease; a transaction that is invalid for
+/// any other reason is never accepted.
 #[test]
 fn expired_lease_differs_from_an_invalid_transaction() {
     let expired = CannedReply::json(400, r#"{"error":"no such lease"}"#);
@@ -163,7 +163,8 @@
     }
 }
 
-/// A transaction with a malformed response may have been executed; a read is only repeated.
+/// A transaction may have been committed despite a malformed response; other requests are just
+/// repeated.
 #[test]
 fn malformed_response_leaves_only_a_transaction_unknown() {
     let malformed = CannedReply::json(200, r#"{"other":1}"#);
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn request_is_refused_if_nobody_listens() {
+fn request_is_refused_if_nothing_listens() {
     let client = Client::default();
     let reply = async_io::block_on(call(&client, unused_addr(), commit(), TIMEOUT));
     assert_eq!(reply, StoreReply::Refused);
--- a/crates/transport/src/tests/worker_client.rs
+++ b/crates/transport/src/tests/worker_client.rs
@@ -1,4 +1,4 @@
-//! Direct commands to workers.
+//! Tests of direct commands to workers.
 
 use super::{call_with_reply, message, unused_addr, CannedReply, TIMEOUT};
 use crate::client::Client;
@@ -61,14 +61,14 @@
     let call_worker = async |client: &Client, addr: std::net::SocketAddrV4| {
         call(client, &addr.to_string(), commands(), TIMEOUT).await
     };
-    let (sent, _) = call_with_reply(None, call_worker);
-    assert_eq!(sent.first_line, "POST /do HTTP/1.1");
-    assert_eq!(sent.headers, ["connection: close", "content-type: application/msgpack"]);
+    let (request, _) = call_with_reply(None, call_worker);
+    assert_eq!(request.first_line, "POST /do HTTP/1.1");
+    assert_eq!(request.headers, ["connection: close", "content-type: application/msgpack"]);
     let body = r#"{"baton":41,"shift":1,"orders":[
         {"verb":"launch","leg":"req-000412/4","try":2},
         {"verb":"stop","leg":"req-000377/1","try":1,"leewayS":10.0},
         {"verb":"clear","leg":"req-000398/0","try":1}]}"#;
-    assert_eq!(sent.body, message(body));
+    assert_eq!(request.body, message(body));
 }
 
 #[test]
