--- a/crates/analysis/src/commands.rs
+++ b/crates/analysis/src/commands.rs
@@ -1,4 +1,5 @@
-//! The command line and its commands. Each returns whether what it looked at is good enough.
+//! Command line of `anisecroft-report`. Each command returns whether all results reach their
+//! minimum.
 
 mod days;
 mod logs;
@@ -9,7 +10,7 @@
 use std::path::{Path, PathBuf};
 
 #[derive(Parser)]
-#[command(version, about = "Who was served: by class and team.")]
+#[command(version, about = "Service quality by class and team, and days of faults for the bench")]
 pub(crate) struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -17,34 +18,34 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Jobs asked for, started, done and in time, from logs at level info.
+    /// Jobs submitted, started, done and in time by class and team, from logs at level info.
     Served {
         /// Logs of one day; `-` is standard input.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
-        /// Fails if a class or team was served less than that.
+        /// Fails if the served share of a class or team is below this.
         #[arg(long = "least", value_name = "LEAST", default_value_t = 0.5)]
         min_share: f64,
     },
-    /// Pipelines by the class of their last job: done, in time, and where the time went;
-    /// from logs at level info.
+    /// Pipelines by the class of their last job: done, in time, and the time spent in each
+    /// stage; from logs at level info.
     Pipelines {
         /// Logs of one day; `-` is standard input.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
-    /// Each day's least kept aim of every class, from entries of the journal.
+    /// Least met objective of each class on each day, from entries of the journal.
     Aims {
         #[arg(required = true)]
         entries: Vec<PathBuf>,
-        /// Shows only what is below that.
-        #[arg(long, default_value_t = 1.1)]
-        below: f64,
+        /// Shows only objectives met by a share of jobs below this.
+        #[arg(long = "below", value_name = "BELOW", default_value_t = 1.1)]
+        max_share: f64,
     },
-    /// Makes days of our own for deployments, plays them on the bench and tells what
-    /// came of them. Fails if a day does not hold.
+    /// Generates days of faults for sites, runs them on the bench and prints their outcomes.
+    /// Fails if a day is not passed.
     Days(Days),
-    /// Means by day of two tables that `days` has written.
+    /// Compares the means by day of two tables that `days` has written.
     Compare { before: PathBuf, after: PathBuf },
 }
 
@@ -54,7 +55,7 @@
         match self.command {
             Command::Served { logs, min_share } => logs::print_served(&logs, min_share),
             Command::Pipelines { logs } => logs::print_pipelines(&logs),
-            Command::Aims { entries, below } => logs::print_least_met_objectives(&entries, below),
+            Command::Aims { entries, max_share } => logs::print_least_met_objectives(&entries, max_share),
             Command::Days(days) => days.run(),
             Command::Compare { before, after } => print_comparison(&before, &after),
         }
--- a/crates/analysis/src/error.rs
+++ b/crates/analysis/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of reading logs and files and of running the bench.
+//! Errors of reading logs and other files, and of running the bench.
 
 use crate::{DayError, JournalError, SiteError};
 use std::io;
@@ -6,74 +6,74 @@
 use std::process::ExitStatus;
 use thiserror::Error;
 
-/// What is wrong with a file.
+/// Error in the contents of a file, or in reading or writing it.
 #[derive(Debug, Error)]
 pub enum FileError {
-    /// It cannot be read or written.
+    /// The file cannot be read or written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is not the JSON that was expected.
+    /// The file is not the expected JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It is not a day, or its day does not fit the site.
+    /// The file is not a day file, or its day cannot be generated for the site.
     #[error(transparent)]
     Day(#[from] DayError),
-    /// It is not a site file.
+    /// The file is not a usable site file.
     #[error(transparent)]
     Site(#[from] SiteError),
-    /// It is not an entry of the journal.
+    /// The file is not an entry of the journal.
     #[error(transparent)]
     Journal(#[from] JournalError),
 }
 
-/// Why an analysis or a run failed.
+/// Error of an analysis or a run.
 #[derive(Debug, Error)]
 pub enum AnalysisError {
-    /// Something is wrong with a file.
+    /// A file cannot be used.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Cause of the error.
         source: Box<FileError>,
     },
     /// The logs have no job with dependencies.
-    #[error("no job that waits for others; logs have to be of level info or debug")]
+    #[error("no job with dependencies in the logs; their level must be info or debug")]
     NoPipelines,
     /// The logs have no job.
-    #[error("no line on any job; logs have to be of level info or debug")]
+    #[error("no jobs in the logs; their level must be info or debug")]
     NoJobs,
     /// A restart delay is neither a number nor `own`.
-    #[error("--back {0}: say seconds, or own")]
+    #[error("--back {0}: expected a number of seconds, or `own`")]
     InvalidRestartDelay(String),
-    /// No day has a name that was asked for.
-    #[error("no day of that name")]
-    NoSuchDay,
-    /// The outcomes cannot be encoded.
+    /// There is no day to run.
+    #[error("no matching day; check --days and --only")]
+    NoMatchingDay,
+    /// The outcomes cannot be encoded as JSON.
     #[error(transparent)]
     Encode(#[from] serde_json::Error),
-    /// The bench's output cannot be redirected.
+    /// The output of the bench cannot be redirected.
     #[error(transparent)]
     Redirect(io::Error),
     /// The bench ended without a report.
-    #[error("{status}, {}: {last_line}", log.display())]
+    #[error("no report from the bench ({status}); {} ends with: {last_line}", log.display())]
     NoReport {
-        /// How it ended.
+        /// Exit status of the bench.
         status: ExitStatus,
-        /// Its output.
+        /// File with the output of the bench.
         log: PathBuf,
-        /// The last line of its output.
+        /// Last line of the output.
         last_line: String,
-        /// Why the report cannot be read.
+        /// Error of reading the report.
         source: io::Error,
     },
 }
 
-/// Adds the file's path to an error.
+/// Adds the path of the file to an error.
 ///
 /// # Errors
 ///
-/// If `result` is one.
+/// Fails if `result` is an error.
 pub fn with_path<T, E: Into<FileError>>(path: &Path, result: Result<T, E>) -> Result<T, AnalysisError> {
     result.map_err(|error| AnalysisError::File { path: path.to_path_buf(), source: Box::new(error.into()) })
 }
--- a/crates/analysis/src/served.rs
+++ b/crates/analysis/src/job_counts.rs
@@ -1,16 +1,17 @@
-//! Jobs in the controllers' logs, counted by class and team.
+//! Counts of the jobs in the controllers' logs by class and team.
 
 use crate::job_event::{field, is_cancelled, is_in_time, number_field, JobEvent};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The largest jobs of a class have to start within that time (the operators' figure).
+/// Time within which the largest jobs of a class have to start; set by the operators.
 pub const MAX_START_WAIT_S: f64 = 240.0;
-/// The part of a class's jobs that counts as its largest, with all of the same size.
-const LARGEST_PART: f64 = 0.1;
+/// Share of a class's jobs that counts as its largest, together with all other jobs of the
+/// same size as the smallest of them.
+const LARGEST_SHARE: f64 = 0.1;
 
-/// What is known of a job. Several controllers may log the same event, also again after a
-/// failover.
+/// State of a job. Several controllers may log the same event, and a new leader may log it
+/// again after a failover.
 #[derive(Debug, Default)]
 struct Job {
     class: String,
@@ -20,76 +21,78 @@
     in_time: bool,
     cancelled: bool,
     tasks: u32,
-    /// Time until it started, as logged first: a later leader counts from another start.
+    /// Time until the job started, from the first such line: a later leader measures from
+    /// another point in time.
     waited_s: Option<f64>,
 }
 
 impl Job {
-    fn took_too_long_to_start(&self) -> bool {
+    fn started_too_late(&self) -> bool {
         self.waited_s.is_some_and(|waited_s| waited_s > MAX_START_WAIT_S)
     }
 }
 
-/// By what jobs are counted together.
+/// Criterion by which jobs are counted together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Group {
     /// All jobs of a class.
     Class,
     /// All jobs of a team.
     Team,
-    /// The largest tenth of a class by tasks, at least one job; only those that started
-    /// within [`MAX_START_WAIT_S`] count as started.
+    /// The largest tenth of a class by number of tasks, at least one job. Only jobs that
+    /// started within [`MAX_START_WAIT_S`] count as started.
     Largest,
 }
 
-/// One class or team. Jobs that their users cancelled are left out.
+/// Job counts of a class or team. Jobs that their users cancelled are left out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// What `name` is.
+    /// Criterion of the group.
     pub group: Group,
-    /// The class or team.
+    /// Name of the class or team.
     pub name: String,
-    /// Jobs that were submitted.
-    pub asked: usize,
-    /// Jobs that started.
+    /// Number of submitted jobs.
+    pub submitted: usize,
+    /// Number of jobs that started.
     pub started: usize,
-    /// Jobs that were done.
+    /// Number of jobs that were done.
     pub done: usize,
-    /// Jobs that were done in time.
+    /// Number of jobs that were done in time.
     pub in_time: usize,
 }
 
 impl Row {
-    /// Column titles of what [`Row`] prints.
+    /// Column titles for the printed rows.
     pub const HEAD: &'static str =
         "        name                    asked  started   done  in time  served  timely";
 
     fn empty(group: Group, name: &str) -> Self {
-        Row { group, name: name.to_string(), asked: 0, started: 0, done: 0, in_time: 0 }
+        Row { group, name: name.to_string(), submitted: 0, started: 0, done: 0, in_time: 0 }
     }
 
     fn add(&mut self, job: &Job) {
-        let is_late_start = self.group == Group::Largest && job.took_too_long_to_start();
-        self.asked += 1;
-        self.started += usize::from(job.started && !is_late_start);
+        let started_late = self.group == Group::Largest && job.started_too_late();
+        self.submitted += 1;
+        self.started += usize::from(job.started && !started_late);
         self.done += usize::from(job.done);
         self.in_time += usize::from(job.in_time);
     }
 
-    /// The part of the submitted jobs that was done, of the largest also started in time; 1
-    /// if nothing was submitted.
-    pub fn served(&self) -> f64 {
+    /// Returns the share of the submitted jobs that were done; of the largest jobs, the share
+    /// that also started in time. It is 1 if no jobs were submitted.
+    pub fn served_share(&self) -> f64 {
         let done = if self.group == Group::Largest { self.done.min(self.started) } else { self.done };
-        share(done as f64, self.asked as f64)
+        share(done as f64, self.submitted as f64)
     }
 
-    /// The part of the submitted jobs that was done in time; 1 if nothing was submitted.
-    pub fn timely(&self) -> f64 {
-        share(self.in_time as f64, self.asked as f64)
+    /// Returns the share of the submitted jobs that were done in time, 1 if no jobs were
+    /// submitted.
+    pub fn in_time_share(&self) -> f64 {
+        share(self.in_time as f64, self.submitted as f64)
     }
 }
 
-/// `part` of `whole`; 1 of nothing.
+/// Returns `part` as a share of `whole`, 1 if `whole` is 0.
 pub(crate) fn share(part: f64, whole: f64) -> f64 {
     if whole > 0.0 {
         part / whole
@@ -98,16 +101,16 @@
     }
 }
 
-/// Counts jobs line by line; lines that are not about a job are skipped.
+/// Counts jobs from log lines; lines that do not report an event of a job are skipped.
 #[derive(Debug, Default)]
-pub struct Served {
+pub struct JobCounter {
     jobs: BTreeMap<String, Job>,
 }
 
-impl Served {
-    /// Takes in one line of a controller's log.
-    pub fn line(&mut self, line: &str) {
-        let Some(event) = JobEvent::of_line(line) else { return };
+impl JobCounter {
+    /// Records the event that a line of a controller's log reports, if any.
+    pub fn record_line(&mut self, line: &str) {
+        let Some(event) = JobEvent::from_line(line) else { return };
         if event == JobEvent::HasDependencies {
             return;
         }
@@ -139,7 +142,7 @@
         self.jobs.values().filter(|job| !job.cancelled)
     }
 
-    /// The number of tasks from which on a job is one of its class's largest.
+    /// Returns, for each class, the number of tasks from which on a job is one of its largest.
     fn min_tasks_of_largest(&self) -> BTreeMap<&str, u32> {
         let mut sizes: BTreeMap<&str, Vec<u32>> = BTreeMap::new();
         for job in self.counted_jobs() {
@@ -148,14 +151,14 @@
         sizes.into_iter().map(|(class, sizes)| (class, smallest_of_largest(sizes))).collect()
     }
 
-    /// Every class and team, classes first.
+    /// Returns the counts of all groups: classes, then teams, then largest jobs.
     pub fn rows(&self) -> Vec<Row> {
         let min_tasks = self.min_tasks_of_largest();
         let mut rows: BTreeMap<(Group, &str), Row> = BTreeMap::new();
         for job in self.counted_jobs() {
-            let is_large = job.tasks >= min_tasks.get(job.class.as_str()).copied().unwrap_or(u32::MAX);
+            let is_largest = job.tasks >= min_tasks.get(job.class.as_str()).copied().unwrap_or(u32::MAX);
             let mut groups = vec![(Group::Class, job.class.as_str()), (Group::Team, job.team.as_str())];
-            if is_large {
+            if is_largest {
                 groups.push((Group::Largest, &job.class));
             }
             for (group, name) in groups {
@@ -166,10 +169,10 @@
     }
 }
 
-/// The size of the smallest job in the largest part of `sizes`.
+/// Returns the smallest size among the largest [`LARGEST_SHARE`] of `sizes`.
 fn smallest_of_largest(mut sizes: Vec<u32>) -> u32 {
     sizes.sort_unstable_by(|a, b| b.cmp(a));
-    let count = (sizes.len() as f64 * LARGEST_PART).ceil() as usize;
+    let count = (sizes.len() as f64 * LARGEST_SHARE).ceil() as usize;
     sizes.get(count.saturating_sub(1)).copied().unwrap_or(0)
 }
 
@@ -180,8 +183,8 @@
             Group::Team => "team",
             Group::Largest => "largest",
         };
-        let Row { name, asked, started, done, in_time, .. } = self;
-        write!(f, "{group:<8}{name:<22}{asked:>7}{started:>9}{done:>7}{in_time:>9}")?;
-        write!(f, "{:>8.3}{:>8.3}", self.served(), self.timely())
+        let Row { name, submitted, started, done, in_time, .. } = self;
+        write!(f, "{group:<8}{name:<22}{submitted:>7}{started:>9}{done:>7}{in_time:>9}")?;
+        write!(f, "{:>8.3}{:>8.3}", self.served_share(), self.in_time_share())
     }
 }
--- a/crates/analysis/src/job_event.rs
+++ b/crates/analysis/src/job_event.rs
@@ -1,11 +1,11 @@
-//! Lines of a controller's log that report an event of a job.
+//! Parsing of log lines that report an event of a job.
 
-/// What a line says happened to its job.
+/// Event of a job that a log line reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum JobEvent {
     /// The job was submitted.
     Submitted,
-    /// The job depends on others; follows [`JobEvent::Submitted`].
+    /// The job depends on other jobs; logged after [`JobEvent::Submitted`].
     HasDependencies,
     /// The job started.
     Started,
@@ -13,7 +13,7 @@
     Finished,
 }
 
-/// Each event's message as this version logs it, and as the versions up to 0.1.0 did.
+/// Message of each event, in this version and in the versions up to 0.1.0.
 const MESSAGES: [(&str, JobEvent); 7] = [
     ("job submitted", JobEvent::Submitted),
     ("job accepted", JobEvent::Submitted),
@@ -25,13 +25,13 @@
 ];
 
 impl JobEvent {
-    /// The event that `line` reports, if it is about a job.
-    pub(crate) fn of_line(line: &str) -> Option<JobEvent> {
+    /// Returns the event that a log line reports; None if it does not report one.
+    pub(crate) fn from_line(line: &str) -> Option<JobEvent> {
         MESSAGES.iter().find(|(message, _)| line.contains(message)).map(|(_, event)| *event)
     }
 }
 
-/// The value of `key=value` in a log line, without its quotes.
+/// Returns the value of `key=value` in a log line, without quotes.
 pub(crate) fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     let (start, _) = line.match_indices(key).find(|(start, _)| {
         let before = line[..*start].chars().next_back();
@@ -44,17 +44,17 @@
     }
 }
 
-/// The number in a log line's field, if it has one.
+/// Returns the number in a field of a log line; None if there is none.
 pub(crate) fn number_field(line: &str, key: &str) -> Option<f64> {
     field(line, key)?.parse().ok()
 }
 
-/// Whether a line on the end of a job says that its user cancelled it.
+/// Whether a line about the end of a job reports that its user cancelled it.
 pub(crate) fn is_cancelled(line: &str) -> bool {
     field(line, "status") == Some("withdrawn")
 }
 
-/// Whether a line on the end of a job says that it was in time.
+/// Whether a line about the end of a job reports that it finished in time.
 pub(crate) fn is_in_time(line: &str) -> bool {
     field(line, "late") == Some("false")
 }
--- a/crates/analysis/src/journal.rs
+++ b/crates/analysis/src/journal.rs
@@ -1,15 +1,15 @@
-//! Entries of the journal: how far each day's service-level objectives were met.
+//! Entries of the journal: the share of jobs that met each service-level objective.
 
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Kinds of objectives that are about a class.
+/// Kinds of objectives that apply to a class.
 const CLASS_OBJECTIVES: [&str; 3] = ["wait", "finished", "deadline"];
 
-/// Why a text is no entry.
+/// Error of parsing an entry.
 #[derive(Debug, Error)]
 pub enum JournalError {
-    /// It is no JSON, or lacks what every entry has.
+    /// The text is not JSON, or lacks a key that every entry has.
     #[error("not an entry of the journal: {0}")]
     Malformed(#[from] serde_json::Error),
 }
@@ -24,50 +24,51 @@
 #[derive(Deserialize)]
 struct Day {
     name: String,
-    /// None: a day that was drawn at random.
+    /// None for a randomly generated day.
     #[serde(default)]
     seed: Option<u64>,
-    /// Each objective in words, with its score.
+    /// Text and score of each objective.
     #[serde(default, rename = "aims")]
     objectives: Vec<(String, f64)>,
 }
 
-/// How far a class's service-level objective was met on a day.
+/// Share of a class's jobs that met a service-level objective on a day.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SloResult {
-    /// The site's name.
+    /// Name of the site.
     pub site: String,
-    /// The day's name.
+    /// Name of the day.
     pub day: String,
-    /// The day's seed; None: a day that was drawn at random.
+    /// Seed of the day; None for a randomly generated day.
     pub seed: Option<u64>,
-    /// The class of jobs.
+    /// Class of the jobs.
     pub class: String,
-    /// The objective, as the entry words it.
+    /// Text of the objective in the entry.
     pub objective: String,
-    /// The share of the jobs that met it, from 0 to 1.
+    /// Share of the jobs that met the objective, from 0 to 1.
     pub share: f64,
 }
 
-/// The results of classes in one entry, in its order. An entry is one JSON object, which a
-/// seal may follow.
+/// Returns the results of the classes' objectives in an entry, in the order of the entry. An
+/// entry is one JSON object; a seal may follow it.
 ///
 /// # Errors
 ///
-/// If `text` does not begin with such an object.
+/// Fails if `text` does not begin with such an object.
 pub fn slo_results(text: &str) -> Result<Vec<SloResult>, JournalError> {
     let entry = serde_json::Deserializer::from_str(text).into_iter::<Entry>().next();
     let Some(entry) = entry.transpose()? else { return Ok(Vec::new()) };
     let results = entry
         .days
         .iter()
-        .flat_map(|day| day.objectives.iter().filter_map(|(words, _)| slo_result(&entry.site, day, words)));
+        .flat_map(|day| day.objectives.iter().filter_map(|(text, _)| slo_result(&entry.site, day, text)));
     Ok(results.collect())
 }
 
-/// Parses `KIND CLASS BOUND...: SHARE ...`; None for other objectives.
-fn slo_result(site: &str, day: &Day, words: &str) -> Option<SloResult> {
-    let (objective, rest) = words.split_once(": ")?;
+/// Parses `KIND CLASS BOUND...: SHARE ...`. Returns None for objectives that do not apply to
+/// a class.
+fn slo_result(site: &str, day: &Day, text: &str) -> Option<SloResult> {
+    let (objective, rest) = text.split_once(": ")?;
     let mut parts = objective.split(' ');
     let kind = parts.next().unwrap_or_default();
     let class = parts.next()?;
--- a/crates/analysis/src/main.rs
+++ b/crates/analysis/src/main.rs
@@ -1,5 +1,5 @@
 //! `anisecroft-report`: service quality from controllers' logs and the journal, and days of
-//! troubles for the bench.
+//! faults for the bench.
 
 mod commands;
 
@@ -7,15 +7,15 @@
 use commands::Cli;
 use std::process::ExitCode;
 
-/// The exit code if a class or day falls below what was asked.
-const NOT_HELD: u8 = 1;
-/// The exit code if the program could not do its work.
+/// Exit code if a class, team or day falls below its minimum.
+const BELOW_MINIMUM: u8 = 1;
+/// Exit code if the command failed.
 const FAILED: u8 = 2;
 
 fn main() -> ExitCode {
     match Cli::parse().run() {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(NOT_HELD),
+        Ok(false) => ExitCode::from(BELOW_MINIMUM),
         Err(error) => {
             eprintln!("anisecroft-report: {error}");
             ExitCode::from(FAILED)
--- a/crates/analysis/src/outcome/table.rs
+++ b/crates/analysis/src/outcome/table.rs
@@ -1,10 +1,10 @@
-//! Tables of outcomes.
+//! Printed tables of outcomes.
 
 use super::{Outcome, Share};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Outcomes as a table, in the order of sites, variants and days.
+/// Formats outcomes as a table, sorted by site, variant, day and seed.
 pub fn table(outcomes: &[Outcome]) -> String {
     let mut sorted: Vec<&Outcome> = outcomes.iter().collect();
     sorted.sort_by_key(|outcome| (&outcome.site, &outcome.variant, &outcome.day, outcome.seed));
@@ -19,15 +19,15 @@
 }
 
 fn write_row(text: &mut String, outcome: &Outcome) {
-    let Outcome { site, variant, day, seed, rules_broken, neglected, own_ends, .. } = outcome;
-    let Outcome { unanswered, peaks, killed, lost, .. } = outcome;
-    let mark = outcome.mark_text();
-    let slips: u64 = outcome.slips.values().sum();
-    let _ = write!(text, "{site:<28}{variant:<16}{day:<18}{seed:>5}{mark:>6}");
-    let _ = write!(text, "{rules_broken:>6}{neglected:>6}{slips:>6}{own_ends:>6}{unanswered:>8.3}");
-    let _ = write!(text, "{:>7.2}{:>7.2}{killed:>7}{lost:>7}", peaks.memory, peaks.connections);
-    let flag = if outcome.holds() { ' ' } else { '!' };
-    match outcome.least() {
+    let Outcome { site, variant, day, seed, rule_violations, neglected_jobs, unexpected_exits, .. } = outcome;
+    let Outcome { unanswered_share, peaks, killed_tasks, lost_tasks, .. } = outcome;
+    let score = outcome.score_text();
+    let other_violations: u64 = outcome.other_violations.values().sum();
+    let _ = write!(text, "{site:<28}{variant:<16}{day:<18}{seed:>5}{score:>6}");
+    let _ = write!(text, "{rule_violations:>6}{neglected_jobs:>6}{other_violations:>6}{unexpected_exits:>6}{unanswered_share:>8.3}");
+    let _ = write!(text, "{:>7.2}{:>7.2}{killed_tasks:>7}{lost_tasks:>7}", peaks.memory, peaks.connections);
+    let flag = if outcome.is_passed() { ' ' } else { '!' };
+    match outcome.least_served() {
         Some(Share { name, started, done, in_time, .. }) => {
             let _ = writeln!(text, " {flag}{name} {started:.3} {done:.3} {in_time:.3}");
         }
@@ -35,7 +35,7 @@
     }
 }
 
-/// What outcomes are averaged over: all seeds of a day.
+/// Day over whose seeds outcomes are averaged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct DayKey<'a> {
     site: &'a str,
@@ -45,18 +45,18 @@
 
 #[derive(Debug, Default)]
 struct Sums {
-    mark: f64,
-    least_served: f64,
+    score: f64,
+    min_served_share: f64,
     runs: usize,
 }
 
 impl Sums {
-    fn mean_mark(&self) -> f64 {
-        self.mark / self.runs as f64
+    fn mean_score(&self) -> f64 {
+        self.score / self.runs as f64
     }
 
-    fn mean_least_served(&self) -> f64 {
-        self.least_served / self.runs as f64
+    fn mean_min_served_share(&self) -> f64 {
+        self.min_served_share / self.runs as f64
     }
 }
 
@@ -65,15 +65,15 @@
     for outcome in outcomes {
         let key = DayKey { site: &outcome.site, variant: &outcome.variant, day: &outcome.day };
         let sums = by_day.entry(key).or_default();
-        sums.mark += outcome.mark.unwrap_or(0.0);
-        sums.least_served += outcome.least_served();
+        sums.score += outcome.score.unwrap_or(0.0);
+        sums.min_served_share += outcome.min_served_share();
         sums.runs += 1;
     }
     by_day
 }
 
-/// Means by site, variant and day of two sets of outcomes, with their difference. Days that
-/// are in one of them only are left out.
+/// Formats a table of the means by site, variant and day of two sets of outcomes, with the
+/// change of the score. Days that are only in one of the sets are left out.
 pub fn compare(before: &[Outcome], after: &[Outcome]) -> String {
     let old_days = sums_by_day(before);
     let new_days = sums_by_day(after);
@@ -85,13 +85,13 @@
         let Some(new) = new_days.get(key) else { continue };
         let DayKey { site, variant, day } = key;
         let runs = format!("{}/{}", old.runs, new.runs);
-        let old_mark = old.mean_mark();
-        let new_mark = new.mean_mark();
-        let _ = write!(text, "{site:<28}{variant:<16}{day:<18}{runs:>6}{old_mark:>8.3}{new_mark:>8.3}");
-        let change = new_mark - old_mark;
-        let old_least = old.mean_least_served();
-        let new_least = new.mean_least_served();
-        let _ = writeln!(text, "{change:>+8.3}{old_least:>8.3}{new_least:>6.2}");
+        let old_score = old.mean_score();
+        let new_score = new.mean_score();
+        let _ = write!(text, "{site:<28}{variant:<16}{day:<18}{runs:>6}{old_score:>8.3}{new_score:>8.3}");
+        let change = new_score - old_score;
+        let old_share = old.mean_min_served_share();
+        let new_share = new.mean_min_served_share();
+        let _ = writeln!(text, "{change:>+8.3}{old_share:>8.3}{new_share:>6.2}");
     }
     text
 }
--- a/crates/analysis/src/pipelines.rs
+++ b/crates/analysis/src/pipelines.rs
@@ -1,8 +1,8 @@
-//! Pipelines of dependent jobs in the controllers' logs: how many were in time by their
-//! last job, and where the time went.
+//! Pipelines of dependent jobs in the controllers' logs: how many were done and in time,
+//! judged by their last job, and how long their stages took.
 
+use crate::job_counts::share;
 use crate::job_event::{field, is_cancelled, is_in_time, number_field, JobEvent};
-use crate::served::share;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -10,60 +10,60 @@
 struct Job {
     class: String,
     dependencies: Vec<String>,
-    /// From submission until all dependencies were done.
+    /// Time from submission until all dependencies were done.
     blocked_s: f64,
-    /// From then to its start.
+    /// Time from then until the start.
     waited_s: f64,
-    /// From its start to its end.
+    /// Time from start to end.
     ran_s: f64,
-    /// From submission to its end.
+    /// Time from submission to end.
     total_s: f64,
     done: bool,
     in_time: bool,
     cancelled: bool,
 }
 
-/// Collects jobs with dependencies, line by line.
+/// Jobs and their dependencies, collected from log lines.
 #[derive(Debug, Default)]
 pub struct PipelineStats {
     jobs: BTreeMap<String, Job>,
 }
 
-/// The jobs of one class in the pipelines that end with another. Times are means in
-/// seconds.
+/// The jobs of one class in the pipelines of a [`PipelineRow`]. Times are means in seconds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Stage {
-    /// The class of the stage's jobs.
+    /// Class of the jobs.
     pub class: String,
     /// Jobs that were done.
     pub jobs: usize,
-    /// From when a job's dependencies were done to its start.
+    /// Time from when a job's dependencies were done until its start.
     pub waited_s: f64,
-    /// From its start to its end.
+    /// Time from start to end.
     pub ran_s: f64,
 }
 
-/// The pipelines that end with jobs of one class. Cancelled ones are left out.
+/// The pipelines whose last job is of one class. Pipelines whose last job was cancelled are
+/// left out.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PipelineRow {
-    /// The class of the last job.
-    pub last: String,
-    /// Pipelines that were submitted.
-    pub asked: usize,
-    /// Pipelines whose last job was done.
+    /// Class of the last job.
+    pub last_class: String,
+    /// Number of submitted pipelines.
+    pub submitted: usize,
+    /// Number of pipelines whose last job was done.
     pub done: usize,
-    /// Pipelines whose last job was in time.
+    /// Number of pipelines whose last job was done in time.
     pub in_time: usize,
-    /// From the last job's submission to its end: mean, in seconds.
+    /// Mean time from submission to end of the last job, in seconds.
     pub took_s: f64,
-    /// The pipelines' jobs by class.
+    /// Jobs of the pipelines by class.
     pub stages: Vec<Stage>,
 }
 
 impl PipelineStats {
-    /// Takes in one line of a controller's log.
-    pub fn line(&mut self, line: &str) {
-        let Some(event) = JobEvent::of_line(line) else { return };
+    /// Records the event that a line of a controller's log reports, if any.
+    pub fn record_line(&mut self, line: &str) {
+        let Some(event) = JobEvent::from_line(line) else { return };
         let Some(id) = field(line, "job") else { return };
         let seconds = |key: &str| number_field(line, key).unwrap_or(0.0);
         let job = self.jobs.entry(id.to_string()).or_default();
@@ -88,21 +88,21 @@
         }
     }
 
-    /// `id` and all jobs that it depends on, directly or not.
+    /// Returns `id` and all its direct and indirect dependencies.
     fn pipeline_of<'a>(&'a self, id: &'a str) -> BTreeSet<&'a str> {
-        let mut found = BTreeSet::new();
+        let mut visited = BTreeSet::new();
         let mut unvisited = vec![id];
         while let Some(id) = unvisited.pop() {
-            if found.insert(id) {
+            if visited.insert(id) {
                 let dependencies = self.jobs.get(id).into_iter().flat_map(|job| &job.dependencies);
                 unvisited.extend(dependencies.map(String::as_str));
             }
         }
-        found
+        visited
     }
 
-    /// The last jobs of pipelines by class: those that have dependencies, and that no other
-    /// job depends on.
+    /// Returns the last jobs of pipelines by class: the jobs that have dependencies and on
+    /// which no other job depends.
     fn last_jobs(&self) -> BTreeMap<&str, Vec<&str>> {
         let dependencies: BTreeSet<&str> =
             self.jobs.values().flat_map(|job| &job.dependencies).map(String::as_str).collect();
@@ -115,7 +115,7 @@
         by_class
     }
 
-    /// The pipelines by the class of their last job.
+    /// Returns the pipelines by the class of their last job.
     pub fn rows(&self) -> Vec<PipelineRow> {
         self.last_jobs().into_iter().map(|(class, ids)| self.row(class, &ids)).collect()
     }
@@ -124,8 +124,8 @@
         let done: Vec<&Job> =
             last_jobs.iter().filter_map(|id| self.jobs.get(*id)).filter(|job| job.done).collect();
         PipelineRow {
-            last: class.to_string(),
-            asked: last_jobs.len(),
+            last_class: class.to_string(),
+            submitted: last_jobs.len(),
             done: done.len(),
             in_time: done.iter().filter(|job| job.in_time).count(),
             took_s: mean(done.iter().map(|job| job.total_s)),
@@ -149,7 +149,7 @@
     }
 }
 
-/// The mean; 0 of nothing.
+/// Returns the mean, or 0 if there are no values.
 fn mean(values: impl Iterator<Item = f64>) -> f64 {
     let (sum, count) = values.fold((0.0, 0.0), |(sum, count), value| (sum + value, count + 1.0));
     if count > 0.0 {
@@ -161,11 +161,11 @@
 
 impl fmt::Display for PipelineRow {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let PipelineRow { last, asked, done, in_time, took_s, stages } = self;
-        let in_time_share = share(*in_time as f64, *asked as f64);
+        let PipelineRow { last_class, submitted, done, in_time, took_s, stages } = self;
+        let in_time_share = share(*in_time as f64, *submitted as f64);
         writeln!(
             f,
-            "{last}: {asked} asked, {done} done, {in_time} in time ({in_time_share:.3}), {took_s:.1} s each"
+            "{last_class}: {submitted} asked, {done} done, {in_time} in time ({in_time_share:.3}), {took_s:.1} s each"
         )?;
         for stage in stages {
             let Stage { class, jobs, waited_s, ran_s } = stage;
--- a/crates/analysis/src/site.rs
+++ b/crates/analysis/src/site.rs
@@ -1,57 +1,57 @@
-//! A deployment's site file: what a day needs to know of it, and its variants.
+//! Site file of a deployment: access to the values that days need, and its variants.
 
 use thiserror::Error;
 use toml::{Table, Value};
 
-/// Priorities, the most urgent first.
+/// Priorities, from the most to the least urgent.
 const PRIORITIES: [&str; 6] = ["prod", "high", "normal", "standard", "low", "idle"];
-/// Keys of a team's guarantees and limits.
+/// Keys of a team's guaranteed and maximum resources.
 const QUOTA_KEYS: [&str; 4] = ["gpus", "gpus_max", "cpus", "cpus_max"];
 
-/// Why a site file cannot be used.
+/// Reason why a site file cannot be used.
 #[derive(Debug, Error)]
 pub enum SiteError {
-    /// The file is no TOML.
+    /// The file is not TOML.
     #[error("{0}")]
     Syntax(#[from] toml::de::Error),
     /// A key is missing.
-    #[error("no {0} in the site file")]
-    Lacks(&'static str),
+    #[error("no `{0}` in the site file")]
+    MissingKey(&'static str),
 }
 
-/// What a variant changes of a site.
+/// Changes to a site.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Variant {
-    /// Machines, jobs and teams' amounts as a multiple of the site's; controllers and
-    /// their services as they are.
-    pub size: f64,
-    /// Seconds after which a process that ended is restarted; None: the site's.
-    pub back_s: Option<f64>,
+    /// Factor for machines, jobs and teams' resources; controllers and the services that
+    /// they use are unchanged.
+    pub scale: f64,
+    /// Seconds after which a process that ended is restarted; None for the site's delay.
+    pub restart_delay_s: Option<f64>,
 }
 
 impl Variant {
-    /// A name for files and tables.
+    /// Returns the variant's name in file names and tables.
     pub fn name(&self) -> String {
-        let back = self.back_s.map_or_else(|| "own".to_string(), |seconds| seconds.to_string());
-        format!("x{} back {back}", self.size)
+        let delay = self.restart_delay_s.map_or_else(|| "own".to_string(), |seconds| seconds.to_string());
+        format!("x{} back {delay}", self.scale)
     }
 }
 
-/// What a controller may use.
+/// Resources that a controller may use.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Allowance {
-    /// Memory, in MB.
+pub struct ResourceLimits {
+    /// Memory in MB.
     pub memory_mb: f64,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: f64,
 }
 
-/// The part of a day that counts.
+/// Part of a day whose jobs are counted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TimeSpan {
-    /// When counting begins, in seconds.
+    /// Start of the span, in seconds.
     pub begin_s: f64,
-    /// When no more jobs come, in seconds.
+    /// End of the span, in seconds.
     pub end_s: f64,
 }
 
@@ -65,21 +65,21 @@
     value.as_float().or_else(|| value.as_integer().map(|integer| integer as f64))
 }
 
-/// Multiplies an amount; a table without it stays as it is.
+/// Multiplies an amount and rounds it. Does nothing if the table has no such key.
 fn scale_amount(table: &mut Table, key: &str, factor: f64) {
     if let Some(amount) = table.get(key).and_then(number) {
         table.insert(key.into(), Value::Float((amount * factor).round()));
     }
 }
 
-/// As [`scale_amount`], for whole numbers.
+/// Like [`scale_amount`], for integers.
 fn scale_count(table: &mut Table, key: &str, factor: f64) {
     if let Some(count) = table.get(key).and_then(number) {
         table.insert(key.into(), Value::Integer((count * factor).round() as i64));
     }
 }
 
-/// As [`scale_amount`], without rounding.
+/// Like [`scale_amount`], without rounding.
 fn scale_rate(table: &mut Table, key: &str, factor: f64) {
     if let Some(rate) = table.get(key).and_then(number) {
         table.insert(key.into(), Value::Float(rate * factor));
@@ -95,12 +95,12 @@
     ///
     /// # Errors
     ///
-    /// If `text` is no TOML.
+    /// Fails if `text` is not TOML.
     pub fn parse(text: &str) -> Result<Self, SiteError> {
         Ok(Site { table: text.parse()? })
     }
 
-    /// The file's text.
+    /// Returns the site file as TOML.
     pub fn text(&self) -> String {
         self.table.to_string()
     }
@@ -110,10 +110,10 @@
             Some(section) => self.table.get(section).and_then(Value::as_table),
             None => Some(&self.table),
         };
-        table.and_then(|table| table.get(key)).and_then(number).ok_or(SiteError::Lacks(key))
+        table.and_then(|table| table.get(key)).and_then(number).ok_or(SiteError::MissingKey(key))
     }
 
-    /// The tables of an array, empty if there is none.
+    /// Returns the tables of an array of tables; none if the array does not exist.
     fn tables(&self, key: &str) -> impl Iterator<Item = &Table> {
         self.table.get(key).and_then(Value::as_array).into_iter().flatten().filter_map(Value::as_table)
     }
@@ -123,56 +123,57 @@
         names.map(String::from).collect()
     }
 
-    /// The site's name.
+    /// Returns the name of the site.
     ///
     /// # Errors
     ///
-    /// If the file has none.
+    /// Fails if the file has no name.
     pub fn name(&self) -> Result<&str, SiteError> {
-        self.table.get("name").and_then(Value::as_str).ok_or(SiteError::Lacks("name"))
+        self.table.get("name").and_then(Value::as_str).ok_or(SiteError::MissingKey("name"))
     }
 
-    /// The part of a day that counts: from the end of the warm-up until no more jobs come.
+    /// Returns the counted part of a day: from the end of the warm-up until no more jobs are
+    /// submitted.
     ///
     /// # Errors
     ///
-    /// If the file lacks one of these.
+    /// Fails if the file lacks one of these times.
     pub fn counted_span(&self) -> Result<TimeSpan, SiteError> {
         let begin_s = self.number(None, "warmup_s")?;
         let end_s = self.number(None, "duration_s")?;
         Ok(TimeSpan { begin_s, end_s })
     }
 
-    /// The duration of the workers' leases, in seconds.
+    /// Returns the duration of the workers' leases, in seconds.
     ///
     /// # Errors
     ///
-    /// If the file lacks it.
+    /// Fails if the file lacks it.
     pub fn lease_s(&self) -> Result<f64, SiteError> {
         self.number(Some("workers"), "lease_s")
     }
 
-    /// The number of controllers.
+    /// Returns the number of controllers.
     ///
     /// # Errors
     ///
-    /// If the file lacks it.
-    pub fn nodes(&self) -> Result<usize, SiteError> {
+    /// Fails if the file lacks it.
+    pub fn node_count(&self) -> Result<usize, SiteError> {
         Ok(self.number(Some("nodes"), "count")? as usize)
     }
 
-    /// What a controller may use.
+    /// Returns the resources that a controller may use.
     ///
     /// # Errors
     ///
-    /// If the file lacks it.
-    pub fn allowance(&self) -> Result<Allowance, SiteError> {
+    /// Fails if the file lacks one of the limits.
+    pub fn resource_limits(&self) -> Result<ResourceLimits, SiteError> {
         let memory_mb = self.number(Some("nodes"), "memory_mb")?;
         let connections = self.number(Some("nodes"), "max_connections")?;
-        Ok(Allowance { memory_mb, connections })
+        Ok(ResourceLimits { memory_mb, connections })
     }
 
-    /// The zones that have capacity, each once, in the file's order.
+    /// Returns the zones that have capacity, each once, in the order of the file.
     pub fn zones(&self) -> Vec<String> {
         let mut zones: Vec<String> = Vec::new();
         for zone in self.tables("capacity").filter_map(|table| table.get("zone")?.as_str()) {
@@ -183,12 +184,12 @@
         zones
     }
 
-    /// The classes of jobs, in the file's order.
+    /// Returns the classes of jobs, in the order of the file.
     pub fn classes(&self) -> Vec<String> {
         self.names("jobs")
     }
 
-    /// The class of the most urgent priority, the first of several.
+    /// Returns the class with the most urgent priority, the first one if there are several.
     pub fn most_urgent_class(&self) -> Option<String> {
         let rank = |jobs: &&Table| {
             let priority = jobs.get("priority").and_then(Value::as_str).unwrap_or_default();
@@ -197,13 +198,13 @@
         self.tables("jobs").min_by_key(rank)?.get("name")?.as_str().map(String::from)
     }
 
-    /// The teams, in the file's order.
+    /// Returns the teams, in the order of the file.
     pub fn teams(&self) -> Vec<String> {
         self.names("teams")
     }
 
-    /// The most machines that there may be, of all types.
-    pub fn machines(&self) -> f64 {
+    /// Returns the maximum number of machines of all types together.
+    pub fn max_machines(&self) -> f64 {
         let count = |table: &Table, key| table.get(key).and_then(number).unwrap_or(0.0);
         self.tables("capacity").map(|table| count(table, "count") + count(table, "spot")).sum()
     }
@@ -213,26 +214,26 @@
         tables.into_iter().flatten().filter_map(Value::as_table_mut).for_each(change);
     }
 
-    /// The site with the changes of `variant`.
+    /// Returns the site with the changes of `variant`.
     pub fn variant(&self, variant: Variant) -> Site {
         let mut site = self.clone();
-        let factor = variant.size;
-        // `spot` is a count in `capacity` and a flag in `machines`, which stays.
+        let factor = variant.scale;
+        // `spot` is a count in `capacity`, but a flag in `machines`, where it is unchanged.
         for section in ["capacity", "machines"] {
             site.change_each(section, |table| {
                 scale_count(table, "count", factor);
                 scale_count(table, "spot", factor);
             });
         }
-        site.scale_limits(factor);
+        site.scale_quotas(factor);
         site.change_each("jobs", |jobs| {
             scale_count(jobs, "initial", factor);
             if let Some(arrivals) = jobs.get_mut("arrivals").and_then(Value::as_table_mut) {
                 scale_rate(arrivals, "rate", factor);
             }
         });
-        if let Some(back_s) = variant.back_s {
-            site.set_restart_delay(back_s);
+        if let Some(delay_s) = variant.restart_delay_s {
+            site.set_restart_delay(delay_s);
         }
         site
     }
@@ -243,8 +244,8 @@
         }
     }
 
-    /// Multiplies teams' guarantees and limits.
-    pub fn scale_limits(&mut self, factor: f64) {
+    /// Multiplies the teams' guaranteed and maximum resources.
+    pub fn scale_quotas(&mut self, factor: f64) {
         self.change_each("teams", |team| {
             for key in QUOTA_KEYS {
                 scale_amount(team, key, factor);
@@ -252,15 +253,15 @@
         });
     }
 
-    /// Makes machines of all types boot in about `boot_s` seconds.
+    /// Sets the boot time of all machine types to `boot_s` seconds.
     pub fn set_boot_time(&mut self, boot_s: f64) {
         self.change_each("machine_types", |machine_type| {
             machine_type.insert("boot_s".into(), Value::Float(boot_s));
         });
     }
 
-    /// Makes arrays have one task each, and come at `tasks_per_s` in all.
-    pub fn make_arrays_single_tasks(&mut self, tasks_per_s: f64) {
+    /// Reduces arrays to one task each, and sets their total arrival rate to `tasks_per_s`.
+    pub fn set_single_task_arrays(&mut self, tasks_per_s: f64) {
         let arrays = self.tables("jobs").filter(|jobs| is_array(jobs)).count().max(1);
         self.change_each("jobs", |jobs| {
             if !is_array(jobs) {
@@ -276,8 +277,8 @@
         });
     }
 
-    /// The site with `factor` times the usual part of the jobs for one team.
-    pub fn with_more_jobs_of(&self, team_name: &str, factor: f64) -> Site {
+    /// Returns the site with the job weight of one team multiplied by `factor`.
+    pub fn with_scaled_team_weight(&self, team_name: &str, factor: f64) -> Site {
         let mut site = self.clone();
         site.change_each("teams", |team| {
             if team.get("name").and_then(Value::as_str) == Some(team_name) {
