--- a/crates/analysis/src/day/fault_templates.rs
+++ b/crates/analysis/src/day/fault_templates.rs
@@ -15,7 +15,7 @@
 }
 
 /// Keys of a fault template whose values depend on the site.
-struct SiteKeys {
+struct SiteDependentKeys {
     schedule: Schedule,
     duration_leases: Option<f64>,
     nodes: Option<Value>,
@@ -24,7 +24,7 @@
     class: Option<Value>,
 }
 
-impl SiteKeys {
+impl SiteDependentKeys {
     /// Removes the keys from `template`; the remaining keys are passed to the bench unchanged.
     fn take(template: &mut Table) -> Result<Self, DayError> {
         let mut take = |key: &str| template.remove(key);
@@ -33,7 +33,7 @@
             repetitions: take("times").and_then(|value| value.as_integer()).unwrap_or(1),
             interval_leases: take("every_leases").and_then(|value| value.as_float()).unwrap_or(0.0),
         };
-        Ok(SiteKeys {
+        Ok(SiteDependentKeys {
             schedule,
             duration_leases: take("for_leases").and_then(|value| value.as_float()),
             nodes: take("nodes"),
@@ -49,7 +49,7 @@
 pub(super) fn faults(template: &Table, site: &Site, class: Option<&str>) -> Result<Vec<Table>, DayError> {
     let mut fault = template.clone();
     let lease_s = site.lease_s()?;
-    let keys = SiteKeys::take(&mut fault)?;
+    let keys = SiteDependentKeys::take(&mut fault)?;
     if let Some(leases) = keys.duration_leases {
         fault.insert("for_s".into(), Value::Float(round_to_tenths(leases * lease_s)));
     }
--- a/crates/analysis/src/job_counts.rs
+++ b/crates/analysis/src/job_counts.rs
@@ -6,8 +6,8 @@
 
 /// Time within which the largest jobs of a class have to start; set by the operators.
 pub const MAX_START_WAIT_S: f64 = 240.0;
-/// Share of a class's jobs that counts as its largest, together with all other jobs of the
-/// same size as the smallest of them.
+/// Share of a class's jobs that counts as its largest; jobs as large as the smallest of them
+/// count as well.
 const LARGEST_SHARE: f64 = 0.1;
 
 /// State of a job. Several controllers may log the same event, and a new leader may log it
@@ -39,7 +39,8 @@
     Class,
     /// All jobs of a team.
     Team,
-    /// The largest tenth of a class by number of tasks, at least one job. Only jobs that
+    /// The largest tenth of a class by number of tasks: at least one job, and all others of
+    /// the same size. Only jobs that
     /// started within [`MAX_START_WAIT_S`] count as started.
     Largest,
 }
--- a/crates/analysis/src/pipelines.rs
+++ b/crates/analysis/src/pipelines.rs
@@ -34,7 +34,7 @@
 pub struct Stage {
     /// Class of the jobs.
     pub class: String,
-    /// Jobs that were done.
+    /// Number of jobs that were done.
     pub jobs: usize,
     /// Time from when a job's dependencies were done until its start.
     pub waited_s: f64,
--- a/crates/analysis/tests/days.rs
+++ b/crates/analysis/tests/days.rs
@@ -166,7 +166,7 @@
     assert_eq!(generate("limits = -1.0").unwrap_err(), "invalid limits -1: expected a number above 0");
 }
 
-/// A day is also not passed because of what the bench counts besides violations of its rules.
+/// What the bench counts besides violations of its rules also makes a day fail.
 #[test]
 fn a_day_is_passed_only_without_other_violations() {
     let outcome = |idle: serde_json::Value, largest: u32, unread: &[&str]| {
@@ -182,7 +182,7 @@
     assert!(!outcome(json!({"neglected": 0, "slips": {"started": 2}}), 10, &[]).is_passed());
 }
 
-/// A day is judged by the lowest share done or done in time of any class or team.
+/// A day is judged by the lowest share of jobs done, or done in time, of any class or team.
 #[test]
 fn a_day_is_passed_if_no_class_or_team_is_below_half() {
     let report = |in_time: f64, restart_reason: &str| {
--- a/crates/transport/src/driver.rs
+++ b/crates/transport/src/driver.rs
@@ -16,7 +16,7 @@
 
 /// Longest wait for the controller's response to a request.
 const MAX_RESPONSE_WAIT: Duration = Duration::from_secs(5);
-/// FNV prime, with which the controller's seed is hashed.
+/// Multiplier of the FNV-1a hash with which the controller's seed is computed.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
 /// Direct commands that are queued until a connection to their worker may be opened.
@@ -75,7 +75,7 @@
     /// Passes `input` to the controller and carries out the resulting outputs.
     pub(crate) fn feed(self: &Rc<Self>, input: Input) {
         let now = self.started_at.elapsed().as_secs_f64();
-        let wall_clock = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64());
+        let wall_clock = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |time| time.as_secs_f64());
         let outputs = self.controller.borrow_mut().handle(now, wall_clock, input);
         for output in outputs {
             self.perform(output);
--- a/crates/transport/src/response_body.rs
+++ b/crates/transport/src/response_body.rs
@@ -14,13 +14,13 @@
         .collect()
 }
 
-/// Decodes a response body; if it is malformed, logs a warning and returns None. `what`
+/// Decodes a response body; if it is malformed, logs a warning and returns None. `expected`
 /// names the expected content in the log.
-pub(crate) fn decode_or_warn<T: serde::de::DeserializeOwned>(body: &[u8], what: &str) -> Option<T> {
+pub(crate) fn decode_or_warn<T: serde::de::DeserializeOwned>(body: &[u8], expected: &str) -> Option<T> {
     match protocol::decode(body) {
         Ok(value) => Some(value),
         Err(error) => {
-            warn!(what, error = %error, "malformed response");
+            warn!(what = expected, error = %error, "malformed response");
             None
         }
     }
--- a/crates/transport/src/server.rs
+++ b/crates/transport/src/server.rs
@@ -42,7 +42,7 @@
             }
         };
         if open_connections.get() >= max_connections {
-            debug!("connection refused: too many open connections");
+            debug!("closing connection: too many open connections");
             continue;
         }
         open_connections.set(open_connections.get() + 1);
@@ -86,7 +86,7 @@
         response.insert_header("connection", "close");
     }
     io::copy(Encoder::new(response, method), socket).await?;
-    // The next request begins after the unread part of the body.
+    // Skips the unread part of the body, after which the next request begins.
     io::copy(&mut unread_body, io::sink()).await?;
     Ok(!closes_connection)
 }
--- a/crates/transport/src/socket.rs
+++ b/crates/transport/src/socket.rs
@@ -11,8 +11,8 @@
 /// Number of buffered bytes from which on a write flushes the buffer first.
 const FLUSH_THRESHOLD_BYTES: usize = 64 * 1024;
 
-/// A socket that buffers written bytes until they are flushed. `async-h1` flushes at the
-/// end of each message, so a message takes one system call and one packet fewer.
+/// A socket that buffers written bytes until they are flushed, which `async-h1` does at the
+/// end of each message. The buffer saves a system call and a packet per message.
 pub(crate) struct Socket {
     stream: Arc<Async<TcpStream>>,
     /// Buffered bytes; None in a clone, which is unbuffered because nothing would flush it.
--- a/crates/transport/src/store_client.rs
+++ b/crates/transport/src/store_client.rs
@@ -22,12 +22,12 @@
 
 /// Decodes a response with stored values; one that cannot be decoded does not affect the
 /// others. The slower lenient decoding is tried only if the strict one fails.
-fn decode_stored<T, L>(body: &[u8], what: &str, unwrap_values: impl Fn(L) -> T) -> Option<T>
+fn decode_stored<T, L>(body: &[u8], expected: &str, unwrap_values: impl Fn(L) -> T) -> Option<T>
 where
     T: serde::de::DeserializeOwned,
     L: serde::de::DeserializeOwned,
 {
-    protocol::decode::<T>(body).ok().or_else(|| decode_or_warn::<L>(body, what).map(unwrap_values))
+    protocol::decode::<T>(body).ok().or_else(|| decode_or_warn::<L>(body, expected).map(unwrap_values))
 }
 
 /// Sends `request` to the store at `addr`. `timeout` applies to a simple read; lists and
--- a/crates/transport/src/tests/cloud_client.rs
+++ b/crates/transport/src/tests/cloud_client.rs
@@ -116,7 +116,8 @@
 }
 
 /// After `NoCapacity` the leader tries another pool; after `Refused` it retries the same one. A
-/// change of the error text that distinguishes them once made it keep retrying an exhausted pool.
+/// change of the error text that distinguishes them once made the leader retry an exhausted pool
+/// again and again.
 #[test]
 fn missing_capacity_differs_from_an_outage() {
     let no_capacity = CannedReply::json(503, r#"{"error":"no capacity"}"#);
--- a/crates/transport/src/timeouts.rs
+++ b/crates/transport/src/timeouts.rs
@@ -62,7 +62,7 @@
 struct Timeout<'a> {
     queue: &'a TimeoutQueue,
     key: TimeoutKey,
-    /// Whether the queue has had an entry for it.
+    /// Whether its entry has been added to the queue.
     registered: Cell<bool>,
 }
 
