--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings of a node: the file that the platform hands over, checked field by field, the
-//! operators' own settings, and the intervals that the program derives from both.
+//! Settings of a node: the settings file provided by the platform, which is validated field by field,
+//! the operator settings, and the intervals derived from the platform's settings.
 //!
-//! Fields have the names of the code; serde's attributes map them to the names in the file.
+//! Serde attributes map the names of the fields in the code to the names in the file.
 
 mod error;
 mod limits;
@@ -14,4 +14,4 @@
 pub use limits::{CloudLimits, NextLimits, Resources, StateLimits};
 pub use operator::Operator;
 pub use platform::{Params, Peer, Services, Settings, Slo, Team, Workers};
-pub use timing::{Timing, DRIFT};
+pub use timing::{Timing, CLOCK_DRIFT_FACTOR};
