--- a/crates/simulation/tests/common/single_controller.rs
+++ b/crates/simulation/tests/common/single_controller.rs
@@ -1,5 +1,5 @@
-//! One controller whose workers are played by the test: every heartbeat, duplicate, response and
-//! direct command passes through its hands. The store and the cloud answer at once.
+//! One controller whose workers the test simulates by hand: it sends every heartbeat and duplicate,
+//! and delivers every response and direct command. The store and the cloud reply at once.
 
 #![allow(dead_code)]
 
@@ -18,22 +18,23 @@
     /// Machines that the cloud lists.
     pub listed_machines: Vec<String>,
     pub cloud_down: bool,
-    /// The records are not read while this holds.
+    /// While set, the store refuses to list keys, so that no records are read.
     pub lists_refused: bool,
-    /// Writes are on their way while this holds.
+    /// While set, writes are not executed and get no reply.
     pub writes_unanswered: bool,
-    /// Reads of single keys that are served yet, if not all.
+    /// Number of single-key reads that still succeed; `None` for no limit.
     pub remaining_reads: Option<u32>,
     pub responses: BTreeMap<RequestId, HttpResponse>,
-    /// Direct commands, with when and to which address.
+    /// Direct commands: when each was sent, its call, the worker's address and the content.
     pub direct_commands: Vec<(f64, CallId, String, DirectCommands)>,
     watches: Vec<(f64, CallId, StoreRequest)>,
     last_request: RequestId,
 }
 
-/// A worker as the test holds it.
+/// A worker that acts only when the test says so.
 #[derive(Debug, Clone)]
 pub struct ManualWorker {
+    /// The last heartbeat sent, and the content of the next one.
     pub heartbeat: Heartbeat,
 }
 
@@ -54,16 +55,16 @@
         ManualWorker { heartbeat }
     }
 
-    /// Its next heartbeat, also as the reply to a direct command.
+    /// The next heartbeat of the worker, which is also its reply to a direct command.
     pub fn next_heartbeat(&mut self) -> Heartbeat {
         self.heartbeat.sequence += 1;
         self.heartbeat.clone()
     }
 
     /// Executes the commands of a response; launched tasks run at once.
-    pub fn apply_response(&mut self, answer: &HeartbeatResponse) {
-        self.heartbeat.fencing_token = self.heartbeat.fencing_token.max(answer.fencing_token);
-        self.execute_commands(&answer.commands);
+    pub fn apply_response(&mut self, response: &HeartbeatResponse) {
+        self.heartbeat.fencing_token = self.heartbeat.fencing_token.max(response.fencing_token);
+        self.execute_commands(&response.commands);
     }
 
     pub fn execute_commands(&mut self, commands: &[Command]) {
@@ -87,10 +88,10 @@
         }
     }
 
-    /// Whether `job` has a task there that has not exited.
+    /// Whether `job` has a task on this worker that has not exited.
     pub fn has_live_task(&self, job: &str) -> bool {
-        let live = self.heartbeat.tasks.iter().filter(|t| t.state != TaskState::Exited);
-        live.filter_map(|t| split_task(&t.task)).any(|(id, _)| id == job)
+        let live_tasks = self.heartbeat.tasks.iter().filter(|t| t.state != TaskState::Exited);
+        live_tasks.filter_map(|t| split_task(&t.task)).any(|(id, _)| id == job)
     }
 }
 
@@ -98,12 +99,12 @@
     format!("{machine}:9000")
 }
 
-/// What of `commands` is to stop a task of `job`.
+/// The commands that stop a task of `job`.
 pub fn stop_commands<'a>(commands: &'a [Command], job: &'a str) -> impl Iterator<Item = &'a Command> {
-    let of = move |c: &&Command| {
+    let stops_job = move |c: &&Command| {
         c.kind == CommandKind::Stop && split_task(&c.task).is_some_and(|(id, _)| id == job)
     };
-    commands.iter().filter(of)
+    commands.iter().filter(stops_job)
 }
 
 /// Whether `commands` launch a task of `job`.
@@ -113,27 +114,27 @@
 }
 
 impl SingleController {
-    /// It leads and has read what `store` holds; the cloud lists `listed`.
-    pub fn leading(store: Store, listed: &[&str], now: f64) -> Self {
-        let mut driver = SingleController::starting(store, listed, now);
+    /// A controller that leads and has read the records in `store`; the cloud lists these machines.
+    pub fn leading(store: Store, listed_machines: &[&str], now: f64) -> Self {
+        let mut driver = SingleController::starting(store, listed_machines, now);
         driver.run_until(20.0, |driver| driver.controller.has_recovered());
         driver.run(1.0);
         driver
     }
 
-    /// It has just been started.
-    pub fn starting(store: Store, listed: &[&str], now: f64) -> Self {
-        let listed = listed.iter().map(|m| (*m).to_string()).collect();
-        SingleController::node("n-0", store, listed, now)
+    /// A controller that has just started.
+    pub fn starting(store: Store, listed_machines: &[&str], now: f64) -> Self {
+        let listed_machines = listed_machines.iter().map(|m| (*m).to_string()).collect();
+        SingleController::node("n-0", store, listed_machines, now)
     }
 
     fn node(name: &str, store: Store, listed_machines: Vec<String>, now: f64) -> Self {
-        let mut s = super::common::settings();
-        s.node = name.into();
-        s.peers.clear();
+        let mut settings = super::common::settings();
+        settings.node = name.into();
+        settings.peers.clear();
         SingleController {
             // No idle machine is scaled in.
-            controller: Controller::new(s, Operator { idle_hold: 1000.0, ..Operator::default() }, 1),
+            controller: Controller::new(settings, Operator { idle_hold: 1000.0, ..Operator::default() }, 1),
             store,
             now,
             listed_machines,
@@ -148,18 +149,20 @@
         }
     }
 
-    /// Another node, on what is stored, as this one ends.
+    /// Stops this controller and starts another node with the same store, without waiting for the
+    /// leader lease to expire.
     pub fn successor(self) -> Self {
         SingleController::node("n-9", self.store, self.listed_machines, self.now)
     }
 
-    /// The next leader begins after this one, whose lease has ended.
+    /// Stops this controller and, after its leader lease has expired, runs another one until it
+    /// leads.
     pub fn next_leader(mut self) -> Self {
-        let listed = self.listed_machines.clone();
+        let listed_machines = self.listed_machines.clone();
         self.now += 30.0;
         self.store.expire_leases(self.now);
-        let listed: Vec<&str> = listed.iter().map(String::as_str).collect();
-        SingleController::leading(self.store, &listed, self.now)
+        let listed_machines: Vec<&str> = listed_machines.iter().map(String::as_str).collect();
+        SingleController::leading(self.store, &listed_machines, self.now)
     }
 
     fn machine_list(&self) -> MachineList {
@@ -193,8 +196,8 @@
     pub fn feed(&mut self, input: Input) {
         for o in self.controller.handle(self.now, 1e9 + self.now, input) {
             match o {
-                Output::Response(id, answer) => {
-                    self.responses.insert(id, answer);
+                Output::Response(id, response) => {
+                    self.responses.insert(id, response);
                 }
                 Output::Worker(call, addr, body) => self.direct_commands.push((self.now, call, addr, body)),
                 Output::Cloud(call, op) => {
@@ -217,7 +220,7 @@
         if matches!(op, StoreRequest::Get(_)) {
             match &mut self.remaining_reads {
                 Some(0) => return self.feed(Input::Store(call, StoreReply::Refused)),
-                left => *left = left.map(|n| n - 1),
+                remaining => *remaining = remaining.map(|n| n - 1),
             }
         }
         match (self.store.execute(self.now, &op), &op) {
@@ -234,15 +237,15 @@
         self.run_until(seconds, |driver| driver.now >= end - 1e-9);
     }
 
-    /// Until `done` holds, at most for so long. Whether it does.
+    /// Runs until `done` holds, for at most `seconds`; returns whether it holds.
     pub fn run_until(&mut self, seconds: f64, done: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + seconds;
         while self.now < end && !done(self) {
             self.now += 0.05;
             self.store.expire_leases(self.now);
             for (until, call, op) in std::mem::take(&mut self.watches) {
-                let quiet = (self.now >= until).then(|| self.store.no_events());
-                match self.store.execute(self.now, &op).or(quiet) {
+                let timed_out = (self.now >= until).then(|| self.store.no_events());
+                match self.store.execute(self.now, &op).or(timed_out) {
                     Some(reply) => self.feed(Input::Store(call, reply)),
                     None => self.watches.push((until, call, op)),
                 }
@@ -258,11 +261,11 @@
         self.last_request
     }
 
-    /// Sends a request, and waits for the status of the response.
+    /// Sends a request and waits for the response; returns its status code, or 0 without a response.
     pub fn response_status(&mut self, request: Request) -> u16 {
         let id = self.send_request(request);
         self.run_until(6.0, |driver| driver.responses.contains_key(&id));
-        self.responses.get(&id).map_or(0, |a| a.status)
+        self.responses.get(&id).map_or(0, |r| r.status)
     }
 
     pub fn submit(&mut self, spec: &JobSpec) {
@@ -273,26 +276,27 @@
         assert_eq!(self.response_status(Request::Cancel(job.into())), 200);
     }
 
-    pub fn send_heartbeat(&mut self, report: &Heartbeat) -> RequestId {
-        self.send_request(Request::Heartbeat(protocol::encode(report)))
+    pub fn send_heartbeat(&mut self, heartbeat: &Heartbeat) -> RequestId {
+        self.send_request(Request::Heartbeat(protocol::encode(heartbeat)))
     }
 
-    /// The response with which a heartbeat was accepted by now.
+    /// The response to a heartbeat, if it has been accepted by now.
     pub fn accepted_response(&self, id: RequestId) -> Option<HeartbeatResponse> {
-        let answer = self.responses.get(&id).filter(|a| a.status == 200)?;
-        protocol::decode(&answer.body).ok()
+        let response = self.responses.get(&id).filter(|r| r.status == 200)?;
+        protocol::decode(&response.body).ok()
     }
 
-    /// `worker` sends a heartbeat, waits and executes the commands, which are returned.
+    /// Sends a heartbeat of `worker`, waits for the response and executes its commands, which are
+    /// returned.
     pub fn exchange_heartbeat(&mut self, worker: &mut ManualWorker) -> Vec<Command> {
         let id = self.send_heartbeat(&worker.next_heartbeat());
         self.run_until(4.0, |driver| driver.responses.contains_key(&id));
-        let Some(answer) = self.accepted_response(id) else { return Vec::new() };
-        worker.apply_response(&answer);
-        answer.commands
+        let Some(response) = self.accepted_response(id) else { return Vec::new() };
+        worker.apply_response(&response);
+        response.commands
     }
 
-    /// `worker` has what it is to run, and the leader knows.
+    /// Exchanges heartbeats until `worker` runs tasks of `jobs` and the leader knows about them.
     pub fn run_until_launched(&mut self, worker: &mut ManualWorker, jobs: &[&str]) {
         for _ in 0..12 {
             self.exchange_heartbeat(worker);
@@ -306,13 +310,13 @@
         self.direct_commands.clear();
     }
 
-    /// Direct commands to `worker` so far.
+    /// The direct commands sent to `worker` so far.
     pub fn direct_commands_to(&self, worker: &ManualWorker) -> Vec<(f64, CallId, DirectCommands)> {
-        let to = self.direct_commands.iter().filter(|d| d.2 == worker.heartbeat.addr);
-        to.map(|d| (d.0, d.1, d.3.clone())).collect()
+        let to_worker = self.direct_commands.iter().filter(|d| d.2 == worker.heartbeat.addr);
+        to_worker.map(|d| (d.0, d.1, d.3.clone())).collect()
     }
 
-    /// `worker` executes a direct command and replies.
+    /// Has `worker` execute direct commands, unless their token or epoch is outdated, and reply.
     pub fn execute_direct_commands(
         &mut self,
         worker: &mut ManualWorker,
@@ -325,7 +329,7 @@
         if executed {
             worker.execute_commands(&body.commands);
         }
-        let report = Box::new(worker.next_heartbeat());
-        self.feed(Input::Worker(call, WorkerReply::Heartbeat { executed, report }));
+        let heartbeat = Box::new(worker.next_heartbeat());
+        self.feed(Input::Worker(call, WorkerReply::Heartbeat { executed, report: heartbeat }));
     }
 }
