--- a/crates/simulation/tests/store_limits.rs
+++ b/crates/simulation/tests/store_limits.rs
@@ -1,4 +1,4 @@
-//! The store's limits fall without notice, to a quarter or a sixteenth.
+//! The store's size limits fall without notice, to a quarter or a sixteenth.
 
 mod common;
 
@@ -8,17 +8,18 @@
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use settings::NextLimits;
 
-/// Wide arrays beside the usual jobs, under limits of `kb` KiB that may fall to a part.
-fn wide(seed: u64, kb: f64, part: f64, faults: Vec<ScheduledFault>) -> Setup {
+/// A seeded day in which some arrays have hundreds of tasks. Store values may have `value_kb` KiB;
+/// the settings announce that this limit may fall to `fraction` of it.
+fn day_with_large_arrays(seed: u64, value_kb: f64, fraction: f64, faults: Vec<ScheduledFault>) -> Setup {
     let mut setup = seeded_day(seed, faults);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x11417);
     without_quotas(&mut setup);
-    let state = &mut setup.settings.params.store;
-    (state.value_kb, state.txn_ops) = (kb, 24);
-    state.next = Some(NextLimits {
+    let store = &mut setup.settings.params.store;
+    (store.value_kb, store.txn_ops) = (value_kb, 24);
+    store.next = Some(NextLimits {
         rps: None,
-        write_rps: Some(state.write_rps * 0.7),
-        value_kb: Some(kb * part),
+        write_rps: Some(store.write_rps * 0.7),
+        value_kb: Some(value_kb * fraction),
         txn_ops: Some(8),
     });
     for (n, Submission { at, spec, .. }) in setup.jobs.iter_mut().enumerate().filter(|(n, _)| n % 4 == 0) {
@@ -33,13 +34,13 @@
     setup
 }
 
-/// With faults, failovers, cancellations, a crash of all controllers and a partitioned leader
-/// around it, nothing is lost, and after the fall only controllers that have yet to learn of it
-/// send what the store has to refuse for its size.
+/// The limits fall around faults, failovers, cancellations, a crash of all controllers or a
+/// partition of the leader. No job is lost, and the store refuses only the few oversized writes of
+/// controllers that have not yet learned of the new limits.
 #[test]
-fn store_limits_fall_during_faults() {
+fn falling_store_limits_during_faults_lose_no_job() {
     for seed in 0..12 {
-        let (kb, part) = [(8.0, 0.25), (32.0, 1.0 / 16.0)][seed as usize % 2];
+        let (value_kb, fraction) = [(8.0, 0.25), (32.0, 1.0 / 16.0)][seed as usize % 2];
         let mut faults = if seed % 3 == 0 { seeded_faults(seed) } else { vec![] };
         let at = 40.0 + seed as f64 * 2.0;
         faults.push(ScheduledFault::new(at, Fault::StoreLimitsReduced));
@@ -67,24 +68,35 @@
             })),
             _ => {}
         }
-        // With some, writes of unknown outcome are in flight as it happens.
+        // A higher message loss with some seeds, so that writes of unknown outcome are pending when
+        // the limits fall.
         let loss = if seed % 4 == 3 { 0.02 } else { 0.002 };
-        let mut sim = Simulation::new(Setup { capacity: 20, loss, ..wide(seed, kb, part, faults.clone()) });
+        let mut sim = Simulation::new(Setup {
+            capacity: 20,
+            loss,
+            ..day_with_large_arrays(seed, value_kb, fraction, faults.clone())
+        });
         assert_eq!(sim.run(600.0), [], "seed {seed}: {faults:?}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}: {faults:?}");
-        assert!(sim.store().rejected_for_size < 20, "seed {seed}: {} refused", sim.store().rejected_for_size);
+        assert!(
+            sim.store().rejected_for_size < 20,
+            "seed {seed}: {} writes refused",
+            sim.store().rejected_for_size
+        );
     }
 }
 
-/// A job that names hundreds of others and dozens of long machine types is stored in chunks that
-/// fit, through crashes of all controllers, and starts after all its dependencies; when it ends
-/// only its end is left. Its cancellation, or that of a dependency, reaches it too.
+/// A job with hundreds of dependencies and dozens of long machine type names is stored in chunks
+/// that fit the limits. It survives crashes of all controllers, starts after all its dependencies,
+/// and leaves only its terminal record. With some seeds the job or one of its dependencies is
+/// cancelled.
 #[test]
 fn oversized_specification_is_stored_in_chunks() {
     for seed in 0..6 {
-        let mut setup = wide(seed, 8.0, 0.25, vec![ScheduledFault::new(3.0, Fault::StoreLimitsReduced)]);
+        let mut setup =
+            day_with_large_arrays(seed, 8.0, 0.25, vec![ScheduledFault::new(3.0, Fault::StoreLimitsReduced)]);
         let rng = &mut SmallRng::seed_from_u64(seed);
-        let small = |n: usize, rng: &mut SmallRng| JobSpec {
+        let small_job = |n: usize, rng: &mut SmallRng| JobSpec {
             id: format!("req-{n:08}"),
             shape: Shape::Array,
             tasks: 1,
@@ -95,13 +107,13 @@
             estimated_run_s: 2.0,
             ..job(rng, n)
         };
-        setup.jobs = (0..300).map(|n| Submission::new(4.0 + n as f64 * 0.05, small(n, rng))).collect();
-        let awaits: Vec<String> = setup.jobs.iter().map(|j| j.spec.id.clone()).collect();
+        setup.jobs = (0..300).map(|n| Submission::new(4.0 + n as f64 * 0.05, small_job(n, rng))).collect();
+        let dependencies: Vec<String> = setup.jobs.iter().map(|j| j.spec.id.clone()).collect();
         let names = (0..60).map(|n| format!("{}{n}", "type-with-a-long-name-".repeat(4)));
-        let types = Some(names.chain(["big".to_string()]).collect());
-        let last = JobSpec { dependencies: awaits, machine_types: types, ..small(400, rng) };
-        let cancel = (seed % 3 == 2).then_some(40.0);
-        setup.jobs.push(Submission::new(6.0, last).cancelled_at(cancel));
+        let machine_types = Some(names.chain(["big".to_string()]).collect());
+        let dependent = JobSpec { dependencies, machine_types, ..small_job(400, rng) };
+        let cancel_at = (seed % 3 == 2).then_some(40.0);
+        setup.jobs.push(Submission::new(6.0, dependent).cancelled_at(cancel_at));
         if seed % 3 == 1 {
             setup.jobs[77].cancel_at = Some(20.0);
         }
@@ -118,12 +130,12 @@
         assert_eq!(sim.run(500.0), [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
         assert_eq!(sim.store().count("j/"), 0, "seed {seed}");
-        // A submission whose write got no answer began anew; the first parts go with the
-        // first failover that is late enough to know.
-        let late = timing().abandoned_submission_s + 60.0;
-        assert_eq!(sim.run(late), [], "seed {seed}");
+        // A submission whose write got no response is retried with new chunks. The first failover
+        // after `abandoned_submission_s` deletes the chunks of the first attempt.
+        let failover_at = timing().abandoned_submission_s + 60.0;
+        assert_eq!(sim.run(failover_at), [], "seed {seed}");
         (0..3).for_each(|node| sim.inject(Fault::ControllerCrash { node, duration_s: 2.0 }));
-        assert_eq!(sim.run(late + 60.0), [], "seed {seed}");
+        assert_eq!(sim.run(failover_at + 60.0), [], "seed {seed}");
         assert_eq!(sim.store().count("w/"), 0, "seed {seed}");
     }
 }
