--- a/crates/simulation/tests/stored.rs
+++ b/crates/simulation/tests/stored.rs
@@ -1,9 +1,12 @@
-//! One of each kind of stored record and of each message between controllers, with every field
-//! set, in the bytes of `stored/`: today's code reads each and writes the same bytes again, and
-//! what it builds from the values below is these bytes. So old data reads in new code and the reverse.
+//! Compatibility of stored records and of messages between controllers. `stored/` contains the
+//! encoding of one record of each kind and of one message of each kind, with every field set. The
+//! current code must encode the values below to exactly these bytes, decode the bytes to the same
+//! values, and encode these again without a difference. Old and new versions can then read each
+//! other's data.
 //!
-//! The bytes are never to be changed; a new kind or field gets a new file, written by
-//! `RECORD_STORED=1 cargo test -p anisecroft-simulation --test stored`, which leaves files that there are.
+//! The files must never change. A new kind or field gets a new file, which
+//! `RECORD_STORED=1 cargo test -p anisecroft-simulation --test stored` writes; existing files are
+//! kept.
 
 use controller::records::*;
 use prost::Message;
@@ -18,31 +21,32 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored").join(name)
 }
 
-/// The bytes of a file, which are those of `today`.
-fn recorded(name: &str, today: &[u8]) -> Vec<u8> {
+/// Reads a fixture and checks that its bytes are `current`; with `RECORD_STORED`, writes the file
+/// first if it does not exist.
+fn read_fixture(name: &str, current: &[u8]) -> Vec<u8> {
     let file = path(name);
     if std::env::var_os("RECORD_STORED").is_some() && !file.exists() {
-        std::fs::write(&file, today).expect("the file can be written");
+        std::fs::write(&file, current).expect("cannot write the fixture");
     }
     let bytes = std::fs::read(&file).unwrap_or_else(|e| panic!("{name}: {e}"));
-    assert_eq!(bytes, today, "{name} is written otherwise");
+    assert_eq!(bytes, current, "{name}: the encoding has changed");
     bytes
 }
 
-/// A stored value, or a part of one.
-fn stored<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
-    let bytes = recorded(name, &protocol::encode(value));
-    let read: T = protocol::decode(&bytes).unwrap_or_else(|e| panic!("{name}: {e}"));
-    assert_eq!(&read, value, "{name} is read otherwise");
-    assert_eq!(protocol::encode(&read), bytes, "{name} is not the same when written again");
+/// Checks a stored value, or a part of one, against its fixture.
+fn check_record<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+    let bytes = read_fixture(name, &protocol::encode(value));
+    let decoded: T = protocol::decode(&bytes).unwrap_or_else(|e| panic!("{name}: {e}"));
+    assert_eq!(&decoded, value, "{name}: decoded to another value");
+    assert_eq!(protocol::encode(&decoded), bytes, "{name}: encoded differently after decoding");
 }
 
-/// A message between controllers.
-fn said<T: Message + Default + PartialEq>(name: &str, message: &T) {
-    let bytes = recorded(name, &message.encode_to_vec());
-    let read = T::decode(&bytes[..]).unwrap_or_else(|e| panic!("{name}: {e}"));
-    assert_eq!(&read, message, "{name} is read otherwise");
-    assert_eq!(read.encode_to_vec(), bytes, "{name} is not the same when written again");
+/// Checks a message between controllers against its fixture.
+fn check_message<T: Message + Default + PartialEq>(name: &str, message: &T) {
+    let bytes = read_fixture(name, &message.encode_to_vec());
+    let decoded = T::decode(&bytes[..]).unwrap_or_else(|e| panic!("{name}: {e}"));
+    assert_eq!(&decoded, message, "{name}: decoded to another value");
+    assert_eq!(decoded.encode_to_vec(), bytes, "{name}: encoded differently after decoding");
 }
 
 fn spec(shape: Shape, priority: Priority) -> JobSpec {
@@ -109,45 +113,51 @@
     }
 }
 
-/// Every kind of value, and each word that a job's record may hold.
+/// Every kind of value, and every shape, priority and status that a job record can have.
 #[test]
 fn stored_records_keep_their_bytes() {
     let leader = LeaderRecord { node: "n-1".into(), elected_wall_s: 1.7e9, quick_restarts: 2, lease: 77 };
-    stored("leader.msgpack", &Value::Leader(leader));
-    stored("types.msgpack", &Value::Types(vec![machine_type()]));
-    stored("job.msgpack", &job(spec(Shape::Array, Priority::Normal), JobStatus::Running));
-    stored("job_gang.msgpack", &job(spec(Shape::Gang, Priority::High), JobStatus::Pending));
-    stored("job_service.msgpack", &job(spec(Shape::Service, Priority::Production), JobStatus::Cancelled));
-    stored("job_idle.msgpack", &job(spec(Shape::Array, Priority::Low), JobStatus::Done));
-    stored("page.msgpack", &Value::Page(page()));
+    check_record("leader.msgpack", &Value::Leader(leader));
+    check_record("types.msgpack", &Value::Types(vec![machine_type()]));
+    check_record("job.msgpack", &job(spec(Shape::Array, Priority::Normal), JobStatus::Running));
+    check_record("job_gang.msgpack", &job(spec(Shape::Gang, Priority::High), JobStatus::Pending));
+    check_record(
+        "job_service.msgpack",
+        &job(spec(Shape::Service, Priority::Production), JobStatus::Cancelled),
+    );
+    check_record("job_idle.msgpack", &job(spec(Shape::Array, Priority::Low), JobStatus::Done));
+    check_record("page.msgpack", &Value::Page(page()));
     for (name, status) in
         [("over.msgpack", JobStatus::Done), ("over_cancelled.msgpack", JobStatus::Cancelled)]
     {
-        stored(name, &Value::Terminal(TerminalRecord { status, done: 40, submitted_wall_s: 1.7e9 }));
+        check_record(name, &Value::Terminal(TerminalRecord { status, done: 40, submitted_wall_s: 1.7e9 }));
     }
     let images = ImagesRecord {
         images: vec![("img-7".into(), 6.2), ("img-8".into(), 1.0)],
         machines: vec![("vm-000001".into(), vec![0, 1])],
     };
-    stored("images.msgpack", &Value::Images(images));
-    stored("format.msgpack", &Value::Format(3));
-    stored("part.msgpack", &Value::SpecChunk("{\"id\":\"req-412\"".into()));
+    check_record("images.msgpack", &Value::Images(images));
+    check_record("format.msgpack", &Value::Format(3));
+    check_record("part.msgpack", &Value::SpecChunk("{\"id\":\"req-412\"".into()));
 }
 
 #[test]
 fn chunks_of_split_values_keep_their_bytes() {
     let types = [machine_type(), MachineType { name: "small".into(), ..machine_type() }];
-    let pieces = catalogue_chunks(&types, 500);
-    assert!(pieces.len() > 1);
-    let values: std::collections::BTreeMap<String, Value> = pieces.into_iter().collect();
-    stored("catalogue.msgpack", &values);
+    let chunks = catalogue_chunks(&types, 500);
+    assert!(chunks.len() > 1);
+    let values: std::collections::BTreeMap<String, Value> = chunks.into_iter().collect();
+    check_record("catalogue.msgpack", &values);
     let Value::Job(record) = job(spec(Shape::Array, Priority::Normal), JobStatus::Running) else {
-        panic!("it is a job's record");
+        panic!("not a job record");
     };
-    let (stub, parts) = record.split_spec("5eed".into(), 400);
-    assert!(parts.len() > 1);
-    stored("split_job.msgpack", &Value::Job(Box::new(stub)));
-    stored("split_parts.msgpack", &parts.into_iter().collect::<std::collections::BTreeMap<_, _>>());
+    let (stub, spec_chunks) = record.split_spec("5eed".into(), 400);
+    assert!(spec_chunks.len() > 1);
+    check_record("split_job.msgpack", &Value::Job(Box::new(stub)));
+    check_record(
+        "split_parts.msgpack",
+        &spec_chunks.into_iter().collect::<std::collections::BTreeMap<_, _>>(),
+    );
 }
 
 #[test]
@@ -172,7 +182,7 @@
         mark_key("req-1"),
         images_key(4),
     ];
-    assert_eq!(recorded("keys.txt", keys.join("\n").as_bytes()), keys.join("\n").as_bytes());
+    assert_eq!(read_fixture("keys.txt", keys.join("\n").as_bytes()), keys.join("\n").as_bytes());
 }
 
 fn tasks() -> Vec<Task> {
@@ -194,11 +204,11 @@
         cause: cause.into(),
         saved: Some(n % 2 == 0),
     };
-    let running = phases.into_iter().enumerate().map(|(n, p)| task(n, p, Cause::Done));
-    running.chain(causes.into_iter().enumerate().map(|(n, c)| task(5 + n, Phase::Exited, c))).collect()
+    let in_each_phase = phases.into_iter().enumerate().map(|(n, p)| task(n, p, Cause::Done));
+    in_each_phase.chain(causes.into_iter().enumerate().map(|(n, c)| task(5 + n, Phase::Exited, c))).collect()
 }
 
-fn content() -> HeartbeatContent {
+fn heartbeat_content() -> HeartbeatContent {
     HeartbeatContent {
         addr: "10.1.0.1:9000".into(),
         machine_type: "big".into(),
@@ -210,20 +220,20 @@
     }
 }
 
-fn entry() -> ForwardedHeartbeat {
+fn forwarded_heartbeat() -> ForwardedHeartbeat {
     ForwardedHeartbeat {
         machine: "vm-000001".into(),
         session: 2,
         seq: 88,
         same_as: 87,
         held: true,
-        content: Some(content()),
+        content: Some(heartbeat_content()),
         age_ms: 120,
     }
 }
 
-fn orders() -> MachineCommands {
-    let order = |(n, op): (usize, Op)| TaskCommand {
+fn machine_commands() -> MachineCommands {
+    let command = |(n, op): (usize, Op)| TaskCommand {
         op: op.into(),
         task: format!("req-1/{n}"),
         attempt: 3 + n as u64,
@@ -234,7 +244,7 @@
         machine: "vm-000001".into(),
         session: 2,
         seq: 88,
-        orders: ops.into_iter().enumerate().map(order).collect(),
+        orders: ops.into_iter().enumerate().map(command).collect(),
     }
 }
 
@@ -252,10 +262,10 @@
         serves: true,
         weight: 900,
     };
-    said("view.protobuf", &view);
-    said("task.protobuf", &tasks()[0]);
-    said("content.protobuf", &content());
-    said("entry.protobuf", &entry());
+    check_message("view.protobuf", &view);
+    check_message("task.protobuf", &tasks()[0]);
+    check_message("content.protobuf", &heartbeat_content());
+    check_message("entry.protobuf", &forwarded_heartbeat());
     let request = ForwardRequest {
         node: "n-1".into(),
         incarnation: 5,
@@ -263,33 +273,34 @@
         acked: 8,
         token: 41,
         complete: true,
-        entries: vec![entry()],
+        entries: vec![forwarded_heartbeat()],
     };
-    said("relay_request.protobuf", &request);
-    said("order.protobuf", &orders().orders[1]);
-    said("orders.protobuf", &orders());
-    let attend = LeaderOnly { machine: "vm-000002".into(), stops: true };
-    said("attend.protobuf", &attend);
+    check_message("relay_request.protobuf", &request);
+    check_message("order.protobuf", &machine_commands().orders[1]);
+    check_message("orders.protobuf", &machine_commands());
+    let leader_only = LeaderOnly { machine: "vm-000002".into(), stops: true };
+    check_message("attend.protobuf", &leader_only);
     let reply = ForwardReply {
         token: 41,
         leave_ms: 1500,
         ready: true,
         afresh: true,
-        attend: vec![attend],
+        attend: vec![leader_only],
         attend_no_more: vec!["vm-000003".into()],
         unknown: vec!["vm-000004".into()],
-        orders: vec![orders()],
+        orders: vec![machine_commands()],
     };
-    said("relay_reply.protobuf", &reply);
+    check_message("relay_reply.protobuf", &reply);
 }
 
-/// Nothing lies there that no test reads.
+/// No file in `stored/` is without a test that reads it.
 #[test]
 fn every_fixture_is_read() {
     let source = include_str!("stored.rs");
-    let files = std::fs::read_dir(path("")).expect("the folder is there");
+    let files = std::fs::read_dir(path("")).expect("cannot read the fixture folder");
     for file in files {
-        let name = file.expect("it can be listed").file_name().into_string().expect("names are text");
-        assert!(source.contains(&format!("\"{name}\"")), "{name}");
+        let name =
+            file.expect("cannot list the folder").file_name().into_string().expect("name not in UTF-8");
+        assert!(source.contains(&format!("\"{name}\"")), "{name} is not read by any test");
     }
 }
