--- a/crates/simulation/tests/version_compatibility.rs
+++ b/crates/simulation/tests/version_compatibility.rs
@@ -1,5 +1,6 @@
-//! The version in production and this one on each other's data. What production wrote is in
-//! `production/` (made by `scripts/fixtures`); what it can read is frozen below.
+//! Compatibility with the version in production, in both directions. Data that production wrote is
+//! in `production/` (made by `scripts/fixtures`); what production can read is defined by the frozen
+//! types below.
 
 mod common;
 
@@ -13,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use settings::NextLimits;
 
-/// Production's forms of what is stored, as they were: never to be changed.
+/// The stored types as the production version defines them. They must never change.
 mod frozen {
     use super::*;
 
@@ -74,14 +75,14 @@
         due_s: Option<f64>,
     }
 
-    /// What production's keys of pages look like; another is passed over.
+    /// Parses a page key as production does; production ignores keys for which this is `None`.
     pub fn page_of_key(key: &str) -> Option<(&str, usize)> {
         let (id, number) = key.strip_prefix("t/")?.rsplit_once('/')?;
         Some((id, number.parse().ok()?))
     }
 }
 
-/// Everything that production stored is read, field by field.
+/// Every kind of record that production stored is decoded with the right values.
 #[test]
 fn production_records_are_read() {
     let page: Page<Value> = protocol::decode(include_bytes!("production/page.msgpack")).unwrap();
@@ -89,20 +90,28 @@
     let mut kinds = Vec::new();
     for item in &page.items {
         match &item.value {
-            Value::Leader(l) => assert_eq!((&l.node[..], l.quick_restarts), ("n-1", 1)),
-            Value::Types(t) => assert_eq!((t[0].cores, t[0].zones.len()), (16.0, 2)),
-            Value::Format(f) => assert_eq!(*f, ARCHIVE_FORMAT),
-            Value::Images(i) => assert_eq!(i.machines, [("vm-000001".to_string(), vec![0])]),
-            Value::Terminal(o) => assert_eq!((o.status, o.done), (JobStatus::Done, 40)),
-            Value::Page(p) => assert_eq!((p.placements.len(), p.placements[0].attempt), (38, 3)),
-            Value::Job(j) => {
-                assert_eq!(job_key(&j.spec.id), item.key);
+            Value::Leader(leader) => {
+                assert_eq!((&leader.node[..], leader.quick_restarts), ("n-1", 1));
+            }
+            Value::Types(types) => assert_eq!((types[0].cores, types[0].zones.len()), (16.0, 2)),
+            Value::Format(format) => assert_eq!(*format, ARCHIVE_FORMAT),
+            Value::Images(images) => {
+                assert_eq!(images.machines, [("vm-000001".to_string(), vec![0])]);
+            }
+            Value::Terminal(terminal) => {
+                assert_eq!((terminal.status, terminal.done), (JobStatus::Done, 40));
+            }
+            Value::Page(page) => {
+                assert_eq!((page.placements.len(), page.placements[0].attempt), (38, 3));
+            }
+            Value::Job(job) => {
+                assert_eq!(job_key(&job.spec.id), item.key);
                 assert_eq!(
-                    (j.per_page, j.first_page.placements.len(), j.machines_with_image.len()),
+                    (job.per_page, job.first_page.placements.len(), job.machines_with_image.len()),
                     (252, 38, 40)
                 );
-                assert_eq!((j.spec.deadline_s, j.layout, j.dependencies().len()), (Some(900.0), 0, 0));
-                assert_eq!((j.ready_wall_s, &j.spec_chunks), (None, &None));
+                assert_eq!((job.spec.deadline_s, job.layout, job.dependencies().len()), (Some(900.0), 0, 0));
+                assert_eq!((job.ready_wall_s, &job.spec_chunks), (None, &None));
             }
             other => panic!("{other:?}"),
         }
@@ -117,59 +126,61 @@
 }
 
 #[test]
-fn production_messages_are_understood() {
+fn production_messages_are_decoded() {
     let view = protocol::peer::View::decode(&include_bytes!("production/view.protobuf")[..]).unwrap();
     assert_eq!((&view.node[..], view.token, view.format, view.room), ("n-1", 41, 2, 100));
-    let relay =
+    let request =
         protocol::peer::ForwardRequest::decode(&include_bytes!("production/relay.protobuf")[..]).unwrap();
-    assert_eq!((relay.token, relay.entries.len(), relay.entries[0].age_ms), (41, 1, 120));
-    let report = relay
+    assert_eq!((request.token, request.entries.len(), request.entries[0].age_ms), (41, 1, 120));
+    let heartbeat = request
         .entries
         .into_iter()
         .next()
         .and_then(protocol::peer::ForwardedHeartbeat::into_heartbeat)
         .unwrap();
-    assert_eq!((report.tasks.len(), &report.tasks[0].task[..]), (1, "req-1/3"));
+    assert_eq!((heartbeat.tasks.len(), &heartbeat.tasks[0].task[..]), (1, "req-1/3"));
     let reply =
         protocol::peer::ForwardReply::decode(&include_bytes!("production/reply.protobuf")[..]).unwrap();
     assert_eq!(reply.token, 41);
 }
 
-/// Days on which some controller still runs production's version: with the coming limits known,
-/// with failovers and every fault. Production can read all that is written, and writes it back
-/// byte for byte.
+/// As long as some controller runs production's version, production can decode every write and
+/// encode it again to the same bytes, also with announced store limits and under seeded faults.
 #[test]
 fn writes_before_the_format_gate_are_readable_by_production() {
-    fn look(key: &str, value: &Value) {
+    fn check_write(key: &str, value: &Value) {
         let bytes = protocol::encode(value);
-        let read = protocol::decode::<frozen::Value>(&bytes).unwrap_or_else(|e| panic!("{key}: {e}"));
-        assert_eq!(protocol::encode(&read), bytes, "{key} loses something");
-        let known = ["a/", "j/", "jo/", "i/", "f/format"].iter().any(|p| key.starts_with(p));
-        assert!(known || frozen::page_of_key(key).is_some(), "{key}");
-        let format = matches!(value, Value::Format(f) if *f > ARCHIVE_FORMAT);
-        assert!(!format, "the gate is open while a node has the version before");
+        let decoded = protocol::decode::<frozen::Value>(&bytes).unwrap_or_else(|e| panic!("{key}: {e}"));
+        assert_eq!(protocol::encode(&decoded), bytes, "{key}: production loses data of this record");
+        let known_prefix = ["a/", "j/", "jo/", "i/", "f/format"].iter().any(|p| key.starts_with(p));
+        assert!(known_prefix || frozen::page_of_key(key).is_some(), "{key}: unknown to production");
+        let newer_format = matches!(value, Value::Format(f) if *f > ARCHIVE_FORMAT);
+        assert!(!newer_format, "format gate opened although a node runs production's version");
     }
     for seed in 0..10 {
         let mut setup = seeded_day(seed, if seed % 2 == 0 { seeded_faults(seed) } else { vec![] });
         without_quotas(&mut setup);
-        let state = &mut setup.settings.params.store;
-        state.next = Some(NextLimits { value_kb: Some(2.0), txn_ops: Some(8), ..NextLimits::default() });
+        let store = &mut setup.settings.params.store;
+        store.next = Some(NextLimits { value_kb: Some(2.0), txn_ops: Some(8), ..NextLimits::default() });
         for Submission { spec, .. } in
             setup.jobs.iter_mut().step_by(5).filter(|j| j.spec.shape == Shape::Array)
         {
             (spec.tasks, spec.cores, spec.accelerators, spec.memory_gb) = (200, 0.25, 0.0, 0.25);
         }
         let mut sim = Simulation::new(Setup { capacity: 12, ..setup });
-        sim.inspect_writes(look);
+        sim.inspect_writes(check_write);
         sim.announce_format(ARCHIVE_FORMAT);
         assert_eq!(sim.run(500.0), [], "seed {seed}");
         assert_eq!(sim.unfinished(), Vec::<String>::new(), "seed {seed}");
-        assert!(sim.store().count(TERMINAL_JOB_PREFIX) > 0, "production's own gate is open");
+        assert!(
+            sim.store().count(TERMINAL_JOB_PREFIX) > 0,
+            "nothing archived although production has the archive format"
+        );
     }
 }
 
-/// Once all controllers have announced this version, the new formats are used, and what production
-/// left is converted.
+/// The stored format advances once all controllers announce the new one, and does not go back when
+/// a controller announces an older one later.
 #[test]
 fn format_gate_opens_when_all_controllers_announce_it() {
     let mut setup = seeded_day(3, vec![]);
@@ -183,7 +194,7 @@
     sim.announce_format(FORMAT);
     assert_eq!(sim.run(70.0), []);
     assert_eq!(sim.store().format(), Some(FORMAT));
-    // A node that says less afterwards has not lost what it has.
+    // Announcing an older format later does not lower the stored format.
     sim.announce_format(ARCHIVE_FORMAT);
     assert_eq!(sim.run(90.0), []);
     assert_eq!(sim.store().format(), Some(FORMAT));
