--- a/crates/simulation/tests/digests.rs
+++ b/crates/simulation/tests/digests.rs
@@ -1,9 +1,10 @@
-//! What the controllers do on two hundred seeded days, message by message, is what it was: each
-//! day's digest (`Digest`: wire form, simulated time, border, node and call) is the one recorded
-//! in `digests.txt`, a line a day with its name, its messages and its digest.
+//! Detects changes of behaviour: on some two hundred seeded days, the controllers receive and send
+//! exactly the same messages as recorded. `digests.txt` has a line per day with its name, its
+//! number of messages and their digest, which covers encoding, simulated time, kind, node and call
+//! of every message (see `Digest`).
 //!
-//! A change that is meant to change no behaviour leaves that file as it is. After one that is
-//! meant to, record anew and read which days moved:
+//! A refactoring must leave that file unchanged. After an intended change of behaviour, record it
+//! again and review which days differ:
 //! `RECORD_DIGESTS=1 cargo test -p anisecroft-simulation --test digests`
 
 mod common;
@@ -19,20 +20,20 @@
 use rayon::prelude::*;
 use std::path::Path;
 
-/// How long most days go on: all faults of the helpers have begun by 160 s.
+/// Length of most days. All seeded faults have begun by 160 s.
 const DAY_S: f64 = 230.0;
 
-/// A day by name, and how it is played.
+/// A named day, and the function that simulates it.
 struct Day {
     name: String,
-    play: Box<dyn Fn() -> Simulation + Send + Sync>,
+    simulate: Box<dyn Fn() -> Simulation + Send + Sync>,
 }
 
-fn day(kind: &str, seed: u64, play: impl Fn() -> Simulation + Send + Sync + 'static) -> Day {
-    Day { name: format!("{kind}-{seed}"), play: Box::new(play) }
+fn day(kind: &str, seed: u64, simulate: impl Fn() -> Simulation + Send + Sync + 'static) -> Day {
+    Day { name: format!("{kind}-{seed}"), simulate: Box::new(simulate) }
 }
 
-/// Runs a day from its setup, with the digest taken.
+/// Simulates a day until `until` and records its digest.
 fn run(setup: Setup, until: f64) -> Simulation {
     let mut sim = Simulation::new(setup);
     sim.record_digest();
@@ -40,7 +41,7 @@
     sim
 }
 
-/// Eight faults of those that the other helpers have not.
+/// Eight faults of kinds that `common::seeded_faults` does not inject.
 fn further_faults(seed: u64) -> Vec<ScheduledFault> {
     let mut rng = SmallRng::seed_from_u64(seed ^ 0xd19e);
     let fault = |_| {
@@ -78,18 +79,18 @@
     (0..8).map(fault).collect()
 }
 
-/// Jobs that fail everywhere until their users cancel them.
-fn with_broken_jobs(mut s: Setup) -> Setup {
-    for Submission { at, spec, cancel_at: cancel } in s.jobs.iter_mut().step_by(5) {
-        s.failing_jobs.insert(spec.id.clone());
-        *cancel = Some(*at + 60.0);
+/// Makes every fifth job fail on all machines until its user cancels it.
+fn with_failing_jobs(mut setup: Setup) -> Setup {
+    for Submission { at, spec, cancel_at } in setup.jobs.iter_mut().step_by(5) {
+        setup.failing_jobs.insert(spec.id.clone());
+        *cancel_at = Some(*at + 60.0);
     }
-    s
+    setup
 }
 
-/// Jobs of every kind on machines of three types that hold a part of them: with checkpoints,
-/// deadlines, chosen types and all priorities, so that running work is stopped for other work.
-fn varied(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
+/// Jobs of every kind on too few machines of three types, with checkpoints, deadlines, selected
+/// machine types and all priorities, so that running tasks are preempted.
+fn varied_jobs(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
     let mut setup = seeded_day(seed, faults);
     without_quotas(&mut setup);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x7a61);
@@ -123,23 +124,24 @@
     Setup { capacity: 5, ..setup }
 }
 
-/// Long work of low priority fills all machines, some of it with checkpoints; from 40 s on more urgent
-/// gangs and arrays come, some with deadlines, some within a guarantee: running work is preempted.
-fn contended(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
+/// Long jobs of low priority, some with checkpoints, fill all machines. From 40 s on, more urgent
+/// gangs and arrays arrive, some with deadlines, some within their team's guarantee, so that running
+/// tasks are preempted.
+fn contended_machines(seed: u64, faults: Vec<ScheduledFault>) -> Setup {
     let mut setup = seeded_day(seed, faults);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0xc047);
     for team in &mut setup.settings.params.teams {
         team.accelerators = if seed % 2 == 0 { 0.0 } else { 4.0 };
         team.accelerators_max = 0.0;
     }
-    let first = setup.jobs[0].spec.clone();
-    let base = JobSpec { zone: None, one_zone: false, spread: false, cores: 1.0, ..first };
+    let first_spec = setup.jobs[0].spec.clone();
+    let base = JobSpec { zone: None, one_zone: false, spread: false, cores: 1.0, ..first_spec };
     setup.jobs = (0..6).map(|n| long_submission(n, &base, &mut rng)).collect();
     setup.jobs.extend((10..30).map(|n| urgent_submission(n, &base, &mut rng)));
     Setup { capacity: 5, ..setup }
 }
 
-/// An array of low priority, or the one service, that is cancelled late.
+/// An array of low priority or, for one `n`, a service that is cancelled late.
 fn long_submission(n: u32, base: &JobSpec, rng: &mut SmallRng) -> Submission {
     let service = n == 3;
     let checkpoint_interval_s = if n % 2 == 0 { 0.0 } else { rng.gen_range(5.0..20.0) };
@@ -158,7 +160,7 @@
     Submission::new(1.0 + f64::from(n), spec).cancelled_at(service.then_some(180.0))
 }
 
-/// A gang or array that is more urgent than the long work.
+/// A gang or array that is more urgent than the long jobs.
 fn urgent_submission(n: u32, base: &JobSpec, rng: &mut SmallRng) -> Submission {
     let gang = rng.gen_bool(0.6);
     let spec = JobSpec {
@@ -175,8 +177,8 @@
     Submission::new(40.0 + 6.0 * f64::from(n - 10), spec)
 }
 
-/// Wide arrays in pages, a store whose limits fall, and users that ask often.
-fn at_limits(seed: u64) -> Setup {
+/// Arrays of hundreds of tasks, stored in pages, a store whose limits fall, and a flood of queries.
+fn falling_store_limits(seed: u64) -> Setup {
     let mut setup = seeded_day(seed, seeded_faults(seed));
     without_quotas(&mut setup);
     setup.settings.params.store.next = Some(settings::NextLimits {
@@ -192,9 +194,9 @@
     Setup { capacity: 12, ..setup }
 }
 
-/// The store refuses the leader alone, users cancel, and the service is down for all
-/// while the successor takes over.
-fn meeting(seed: u64) -> Simulation {
+/// The store refuses the leader while users cancel jobs, and is down for all controllers while the
+/// successor takes over.
+fn failover_during_store_outages(seed: u64) -> Simulation {
     let mut sim = Simulation::new(seeded_day(seed, vec![]));
     sim.record_digest();
     sim.run(69.0 + seed as f64 % 7.0);
@@ -210,11 +212,11 @@
     sim
 }
 
-/// A script of the explorer's with a fault of each of some kinds, at messages that the seed draws.
-fn scripted(machine: usize, seed: u64) -> Simulation {
-    let script = &SCRIPTS[machine];
+/// A script of the explorer with up to two faults, whose kinds and messages are drawn with the seed.
+fn scripted(script_index: usize, seed: u64) -> Simulation {
+    let script = &SCRIPTS[script_index];
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x5c71);
-    let kinds = [
+    let faults = [
         MessageFault::Lost,
         MessageFault::Delayed(6.0),
         MessageFault::Duplicated(2.0),
@@ -226,10 +228,10 @@
         MessageFault::JobsCancelled,
         MessageFault::JobsQueried,
     ];
-    // None of these on the first seed.
+    // No faults with seed 0.
     let plan = (0..seed % 3).map(|_| PlannedFault {
         message: rng.gen_range(50..900),
-        fault: kinds[rng.gen_range(0..kinds.len())],
+        fault: faults[rng.gen_range(0..faults.len())],
     });
     let mut sim = Simulation::new(script.setup(seed, checks_without(None)));
     sim.intercept(plan.collect(), false);
@@ -240,7 +242,7 @@
 
 fn days() -> Vec<Day> {
     let mut days = Vec::new();
-    let five = |s: Setup| Setup { nodes: 5, ..s };
+    let five_nodes = |setup: Setup| Setup { nodes: 5, ..setup };
     days.extend((0..2).map(|n| day("quiet", n, move || run(seeded_day(n, vec![]), DAY_S))));
     days.extend((0..30).map(|n| day("troubles", n, move || run(seeded_day(n, seeded_faults(n)), DAY_S))));
     days.extend(
@@ -250,61 +252,71 @@
     days.extend((0..16).map(|n| day("newest", n, move || run(seeded_day(n, one_way_faults(n)), DAY_S))));
     days.extend((0..36).map(|n| day("further", n, move || run(seeded_day(n, further_faults(n)), DAY_S))));
     days.extend(
-        (100..112).map(|n| day("five", n, move || run(five(seeded_day(n, seeded_faults(n))), DAY_S))),
+        (100..112).map(|n| day("five", n, move || run(five_nodes(seeded_day(n, seeded_faults(n))), DAY_S))),
     );
     days.extend(
-        (100..108)
-            .map(|n| day("five-further", n, move || run(five(seeded_day(n, further_faults(n))), DAY_S))),
+        (100..108).map(|n| {
+            day("five-further", n, move || run(five_nodes(seeded_day(n, further_faults(n))), DAY_S))
+        }),
     );
     days.extend((200..212).map(|n| {
-        day("broken-jobs", n, move || run(with_broken_jobs(seeded_day(n, seeded_faults(n))), DAY_S))
+        day("broken-jobs", n, move || run(with_failing_jobs(seeded_day(n, seeded_faults(n))), DAY_S))
     }));
     days.extend(
         (300..316).map(|n| day("pipelines", n, move || run(dependent_day(n, seeded_faults(n)), DAY_S))),
     );
-    days.extend((600..608).map(|n| day("varied", n, move || run(varied(n, vec![]), DAY_S))));
-    days.extend((608..624).map(|n| day("varied", n, move || run(varied(n, seeded_faults(n)), DAY_S))));
-    days.extend((700..710).map(|n| day("contended", n, move || run(contended(n, vec![]), DAY_S))));
-    days.extend((710..720).map(|n| day("contended", n, move || run(contended(n, seeded_faults(n)), DAY_S))));
-    days.extend((400..410).map(|n| day("limits", n, move || run(at_limits(n), DAY_S))));
-    days.extend((500..512).map(|n| day("meeting", n, move || meeting(n))));
-    for (machine, script) in SCRIPTS.iter().enumerate() {
+    days.extend((600..608).map(|n| day("varied", n, move || run(varied_jobs(n, vec![]), DAY_S))));
+    days.extend((608..624).map(|n| day("varied", n, move || run(varied_jobs(n, seeded_faults(n)), DAY_S))));
+    days.extend((700..710).map(|n| day("contended", n, move || run(contended_machines(n, vec![]), DAY_S))));
+    days.extend(
+        (710..720).map(|n| day("contended", n, move || run(contended_machines(n, seeded_faults(n)), DAY_S))),
+    );
+    days.extend((400..410).map(|n| day("limits", n, move || run(falling_store_limits(n), DAY_S))));
+    days.extend((500..512).map(|n| day("meeting", n, move || failover_during_store_outages(n))));
+    for (script_index, script) in SCRIPTS.iter().enumerate() {
         let kind = format!("script-{}", script.name);
-        days.extend((0..3).map(|n| day(&kind, n, move || scripted(machine, n))));
+        days.extend((0..3).map(|n| day(&kind, n, move || scripted(script_index, n))));
     }
     days
 }
 
-/// A day's line. A day that breaks a rule is none to compare with.
-fn line(day: &Day) -> String {
-    let sim = (day.play)();
+/// Simulates a day and returns its line for `digests.txt`. The day must break no rule, because the
+/// messages of a faulty run are no reference.
+fn digest_line(day: &Day) -> String {
+    let sim = (day.simulate)();
     assert_eq!(sim.history.violations, [], "{}", day.name);
-    let digest = sim.digest().expect("it was taken");
+    let digest = sim.digest().expect("no digest recorded");
     assert!(digest.messages > 1000, "{}: {} messages", day.name, digest.messages);
     format!("{} {} {:016x}", day.name, digest.messages, digest.value)
 }
 
 #[test]
-fn every_day_is_as_it_was_recorded() {
-    let lines: Vec<String> = days().par_iter().with_max_len(1).map(line).collect();
+fn every_day_matches_its_recorded_digest() {
+    let lines: Vec<String> = days().par_iter().with_max_len(1).map(digest_line).collect();
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/digests.txt");
     if std::env::var_os("RECORD_DIGESTS").is_some() {
-        std::fs::write(&path, lines.join("\n") + "\n").expect("the file can be written");
+        std::fs::write(&path, lines.join("\n") + "\n").expect("cannot write digests.txt");
     }
     let recorded = std::fs::read_to_string(&path).unwrap_or_default();
     let recorded: Vec<&str> = recorded.lines().collect();
-    let moved: Vec<String> = (0..lines.len().max(recorded.len()))
+    let differences: Vec<String> = (0..lines.len().max(recorded.len()))
         .map(|n| (recorded.get(n).copied(), lines.get(n).map(String::as_str)))
         .filter(|(before, now)| before != now)
         .map(|(before, now)| format!("{} is now {}", before.unwrap_or("none"), now.unwrap_or("none")))
         .collect();
-    assert!(moved.is_empty(), "{} of {} days moved:\n{}", moved.len(), lines.len(), moved.join("\n"));
+    assert!(
+        differences.is_empty(),
+        "{} of {} days differ:\n{}",
+        differences.len(),
+        lines.len(),
+        differences.join("\n")
+    );
 }
 
-/// Two plays of one day are equal, and another seed's day is another.
 #[test]
-fn a_day_repeats_exactly() {
-    let play = |n| run(seeded_day(n, seeded_faults(n)), 60.0).digest().expect("it was taken");
-    assert_eq!(play(7), play(7));
-    assert_ne!(play(7), play(8));
+fn equal_seeds_give_equal_digests_and_different_seeds_do_not() {
+    let digest =
+        |seed| run(seeded_day(seed, seeded_faults(seed)), 60.0).digest().expect("no digest recorded");
+    assert_eq!(digest(7), digest(7));
+    assert_ne!(digest(7), digest(8));
 }
