--- a/crates/simulation/tests/explorer.rs
+++ b/crates/simulation/tests/explorer.rs
@@ -1,5 +1,5 @@
-//! The explorer: its runs repeat exactly, it finds what each safety check prevents, and bad input
-//! is refused in one line.
+//! The explorer: its runs are reproducible, it finds a failure for each disabled safety check, and
+//! it reports bad input in one line.
 
 use anisecroft_simulation::explore::*;
 use anisecroft_simulation::{MessageFault, MessageKind, PlannedFault, Simulation};
@@ -20,94 +20,103 @@
 }
 
 fn line(text: &str) -> ReplayLine {
-    text.parse().expect("the line is one that a run printed")
+    text.parse().expect("not a valid replay line")
 }
 
-/// Of all scripts one run in many; every run without fault, and messages of rare meaning, are
-/// among them. All of it: `cargo run --release -p anisecroft-simulation --bin explore`.
+/// Samples the runs of all scripts; the sample contains every run without faults and the messages
+/// of rare kinds. All runs: `cargo run --release -p anisecroft-simulation --bin explore`.
 #[test]
-fn a_selection_of_all_scripts_breaks_no_rule() {
+fn sampled_runs_of_all_scripts_break_no_rule() {
     for script in &SCRIPTS {
-        let e = explore(script, &options(SELECTED), &|_| {});
-        let lines: Vec<String> = e.failures.iter().map(|f| format!("{}: {}", f.cause.rule, f.line)).collect();
-        assert!(lines.is_empty(), "{lines:#?}");
+        let report = explore(script, &options(SAMPLING_INTERVAL), &|_| {});
+        let failures: Vec<String> =
+            report.failures.iter().map(|f| format!("{}: {}", f.cause.rule, f.line)).collect();
+        assert!(failures.is_empty(), "{failures:#?}");
         assert!(
-            e.injection_points > 400 && e.runs > 10,
-            "{}: {} points, {} runs",
+            report.injection_points > 400 && report.runs > 10,
+            "{}: {} injection points, {} runs",
             script.name,
-            e.injection_points,
-            e.runs
+            report.injection_points,
+            report.runs
         );
-        assert_eq!(e.possible_runs, e.runs + e.omitted_runs, "{}", script.name);
-        assert_eq!((e.skipped_runs, e.runs_without_last_fault), (0, 0), "{}", script.name);
+        assert_eq!(report.possible_runs, report.runs + report.omitted_runs, "{}", script.name);
+        assert_eq!((report.skipped_runs, report.runs_without_last_fault), (0, 0), "{}", script.name);
     }
 }
 
-/// Of the runs of a script one in so many.
-const SELECTED: usize = 800;
-
-/// Without a safety check, the plan of a script reaches a run that breaks one of `rules`; with the
-/// check the same run breaks none. One run in `every` is played, with one kind of fault if it is
-/// named.
-fn found(guard_name: &'static str, rules: &[&str], script: &str, only: &[&'static str], every: usize) {
-    let o = Options { without: Some(guard_name), stop_at_first: true, only: only.to_vec(), ..options(every) };
-    let e = explore(find_script(script).expect("it is there"), &o, &|_| {});
-    let failure = e.failures.first().unwrap_or_else(|| panic!("{guard_name}: none in {} runs", e.runs));
-    let without = line(&failure.line.to_string());
-    assert!(rules.contains(&failure.cause.rule.as_str()), "{}: {without}", failure.cause.rule);
+/// One in this many runs of a script is sampled.
+const SAMPLING_INTERVAL: usize = 800;
+
+/// Checks that without the named safety check, exploring `script` finds a run that breaks one of
+/// `rules`, and that the same run with the check breaks none. Explores one run in `every`, with
+/// only the kinds of fault in `only` unless that is empty.
+fn assert_failure_found(
+    check_name: &'static str,
+    rules: &[&str],
+    script: &str,
+    only: &[&'static str],
+    every: usize,
+) {
+    let options =
+        Options { without: Some(check_name), stop_at_first: true, only: only.to_vec(), ..options(every) };
+    let report = explore(find_script(script).expect("unknown script"), &options, &|_| {});
+    let failure =
+        report.failures.first().unwrap_or_else(|| panic!("{check_name}: no failure in {} runs", report.runs));
+    let without_check = line(&failure.line.to_string());
+    assert!(rules.contains(&failure.cause.rule.as_str()), "{}: {without_check}", failure.cause.rule);
     assert_eq!(
-        run_line(&without, false).failure.map(|failure| failure.rule).as_ref(),
+        run_line(&without_check, false).failure.map(|failure| failure.rule).as_ref(),
         Some(&failure.cause.rule),
-        "{without}"
+        "{without_check}"
     );
-    let with = ReplayLine { without: None, ..without };
-    assert_eq!(run_line(&with, false).failure, None, "{with}");
+    let with_check = ReplayLine { without: None, ..without_check };
+    assert_eq!(run_line(&with_check, false).failure, None, "{with_check}");
 }
 
 #[test]
 fn disabled_safety_checks_are_found() {
-    found("quota", &["Quota"], "limit", &[], 1000);
-    found("awaits", &["TooEarly"], "await", &[], 1000);
-    found("lineage", &["Orphaned", "WentBack"], "leaderless", &[], 1000);
-    found("gateway.leave", &["RanCancelled", "RanTwice"], "zone", &["cut"], 50);
+    assert_failure_found("quota", &["Quota"], "limit", &[], 1000);
+    assert_failure_found("awaits", &["TooEarly"], "await", &[], 1000);
+    assert_failure_found("lineage", &["Orphaned", "WentBack"], "leaderless", &[], 1000);
+    assert_failure_found("gateway.leave", &["RanCancelled", "RanTwice"], "zone", &["cut"], 50);
 }
 
-/// Each safety check of the controller has a name that switches it off, and only it.
+/// Each safety check of the controller has a name that disables this check and no other.
 #[test]
 fn every_safety_check_has_a_name() {
-    let on = |without| format!("{:?}", checks_without(without)).matches("true").count();
-    assert_eq!(on(None), check_names().count());
-    assert!(check_names().all(|name| on(Some(name)) == on(None) - 1));
+    let enabled_count = |without| format!("{:?}", checks_without(without)).matches("true").count();
+    assert_eq!(enabled_count(None), check_names().count());
+    assert!(check_names().all(|name| enabled_count(Some(name)) == enabled_count(None) - 1));
 }
 
-/// The others take hundreds or thousands of runs: `cargo test --release -p anisecroft-simulation
+/// Safety checks whose failures take hundreds or thousands of runs to find: `cargo test --release -p anisecroft-simulation
 /// --test explorer -- --ignored`.
 #[test]
 #[ignore = "a minute"]
 fn other_disabled_safety_checks_are_found() {
-    found("grace", &["RanCancelled"], "gap", &[], 30);
-    found("write_ahead", &["RanTwice"], "steady", &[], 6);
-    found("versions", &["WentBack"], "cancel", &[], 12);
-    found("relay_wait", &["RanTwice"], "zone", &[], 12);
+    assert_failure_found("grace", &["RanCancelled"], "gap", &[], 30);
+    assert_failure_found("write_ahead", &["RanTwice"], "steady", &[], 6);
+    assert_failure_found("versions", &["WentBack"], "cancel", &[], 12);
+    assert_failure_found("relay_wait", &["RanTwice"], "zone", &[], 12);
 }
 
-/// A fault that the failure does not need is left out, and the others get shorter.
+/// Reduction removes faults that the failure does not depend on.
 #[test]
 fn failures_are_reduced() {
-    let large = line("await 30:late:2 40:ask 50:cancel seed:1 without:awaits");
-    let rule = run_line(&large, false).failure.expect("it breaks a rule").rule;
-    let small = reduce(&large, &rule);
-    assert!(small.plan.is_empty(), "{small}");
-    assert_eq!(run_line(&small, false).failure.map(|failure| failure.rule), Some(rule), "{small}");
+    let full = line("await 30:late:2 40:ask 50:cancel seed:1 without:awaits");
+    let rule = run_line(&full, false).failure.expect("no rule broke").rule;
+    let reduced = reduce(&full, &rule);
+    assert!(reduced.plan.is_empty(), "{reduced}");
+    assert_eq!(run_line(&reduced, false).failure.map(|failure| failure.rule), Some(rule), "{reduced}");
 }
 
-/// Recording draws nothing at random: the run is the same with and without.
+/// Recording makes no random draws, so a run is the same with and without it.
 #[test]
 fn recording_does_not_change_a_run() {
     for script in SCRIPTS.iter().step_by(3) {
-        let run = |recorded: Option<bool>| {
+        let run = |intercepted: Option<bool>| {
             let mut sim = Simulation::new(script.setup(5, checks_without(None)));
-            if let Some(record) = recorded {
+            if let Some(record) = intercepted {
                 sim.intercept(Vec::new(), record);
             }
             sim.run(50.0);
@@ -120,51 +129,63 @@
                 sim.history.last_status,
             )
         };
-        let quiet = run(None);
-        assert_eq!(run(Some(true)), quiet, "{}", script.name);
-        assert_eq!(run(Some(false)), quiet, "{}", script.name);
+        let not_intercepted = run(None);
+        assert_eq!(run(Some(true)), not_intercepted, "{}", script.name);
+        assert_eq!(run(Some(false)), not_intercepted, "{}", script.name);
     }
 }
 
-/// Every kind of fault at every kind of message comes about, and all but a delay that nobody
-/// notices change later messages.
+/// Every kind of fault can be injected at every kind of message that it applies to, and all kinds
+/// but the cancellation of jobs change later messages.
 #[test]
 fn every_message_fault_takes_effect() {
-    let quiet = line("cancel");
-    let crossings = run_line(&quiet, true).messages;
-    let borders: std::collections::BTreeSet<&MessageKind> = crossings.iter().map(|c| &c.kind).collect();
-    assert_eq!(borders.len(), 14, "{borders:?}");
-    for border in borders {
-        // Late enough that machines are there, and others where one changes nothing: the answer to a
-        // stop may be lost unnoticed, since the next heartbeat says the same.
-        let alike: Vec<_> = crossings.iter().filter(|c| c.kind == *border).collect();
-        let points = [2, 4, 1].map(|part| alike[(alike.len() / part).min(alike.len() - 1)].number);
-        for fault in applicable_faults(border) {
+    let without_faults = line("cancel");
+    let messages = run_line(&without_faults, true).messages;
+    let kinds: std::collections::BTreeSet<&MessageKind> = messages.iter().map(|m| &m.kind).collect();
+    assert_eq!(kinds.len(), 14, "{kinds:?}");
+    for kind in kinds {
+        // Tries the message in the middle first, when machines are running, then others, because a
+        // fault at a single message may change nothing: if the reply to a stop is lost, the next
+        // heartbeat has the same content.
+        let same_kind: Vec<_> = messages.iter().filter(|m| m.kind == *kind).collect();
+        let points =
+            [2, 4, 1].map(|divisor| same_kind[(same_kind.len() / divisor).min(same_kind.len() - 1)].number);
+        for fault in applicable_faults(kind) {
             let mut changed = matches!(fault, MessageFault::JobsCancelled);
             for number in points {
-                let one = ReplayLine { plan: vec![PlannedFault { message: number, fault }], ..quiet.clone() };
-                let outcome = run_line(&one, true);
-                assert_eq!((outcome.faults_injected, outcome.failure), (1, None), "{one}");
-                let before = crossings.iter().take_while(|c| c.number <= number);
-                assert!(before.eq(outcome.messages.iter().take_while(|c| c.number <= number)), "{one}");
-                changed |= outcome.messages != crossings;
+                let with_fault = ReplayLine {
+                    plan: vec![PlannedFault { message: number, fault }],
+                    ..without_faults.clone()
+                };
+                let outcome = run_line(&with_fault, true);
+                assert_eq!((outcome.faults_injected, outcome.failure), (1, None), "{with_fault}");
+                let before = messages.iter().take_while(|m| m.number <= number);
+                assert!(
+                    before.eq(outcome.messages.iter().take_while(|m| m.number <= number)),
+                    "{with_fault}"
+                );
+                changed |= outcome.messages != messages;
                 if changed {
                     break;
                 }
             }
-            assert!(changed, "{border:?}: {fault:?} changes nothing");
+            assert!(changed, "{kind:?}: {fault:?} changes no later message");
         }
     }
 }
 
-/// Second faults come within a lease after the first, and what is thinned is counted.
+/// Runs with two faults, the second within a lease after the first: each possible run is counted as
+/// run, omitted or skipped.
 #[test]
 fn fault_pairs_are_counted() {
-    let o = Options { depth: 2, only: vec!["copied"], ..options(500) };
-    let e = explore(find_script("await").expect("it is there"), &o, &|_| {});
-    assert_eq!(e.failures, []);
-    assert!(e.possible_runs > 100, "{}", e.possible_runs);
-    assert!(e.runs > 0 && e.possible_runs == e.runs + e.omitted_runs + e.skipped_runs, "{e:?}");
+    let options = Options { depth: 2, only: vec!["copied"], ..options(500) };
+    let report = explore(find_script("await").expect("unknown script"), &options, &|_| {});
+    assert_eq!(report.failures, []);
+    assert!(report.possible_runs > 100, "{}", report.possible_runs);
+    assert!(
+        report.runs > 0 && report.possible_runs == report.runs + report.omitted_runs + report.skipped_runs,
+        "{report:?}"
+    );
 }
 
 #[test]
@@ -175,10 +196,11 @@
     assert_eq!(line("cancel").to_string(), "cancel seed:1");
 }
 
-/// What the command prints on a bad line or option, and its exit code.
+/// For an invalid replay line or option the command prints one line with a hint to what is valid,
+/// and exits with code 2.
 #[test]
 fn bad_input_is_reported_in_one_line() {
-    for (args, word) in [
+    for (args, hint) in [
         (&["--replay", "nothing 1:lost"][..], "arrays"),
         (&["--replay", "cancel 1:gone"], "ends-before"),
         (&["--replay", "cancel 0:lost"], "number"),
@@ -201,19 +223,20 @@
         (&["--only", "lost,gone"], "ends-before"),
         (&["--nothing"], "--help"),
     ] {
-        let out = Command::new(env!("CARGO_BIN_EXE_explore")).args(args).output().expect("it runs");
-        let said = String::from_utf8_lossy(&out.stderr).to_string();
-        assert_eq!(out.status.code(), Some(2), "{args:?}: {said}");
-        assert_eq!((said.lines().count(), out.stdout.len()), (1, 0), "{args:?}: {said}");
-        assert!(said.starts_with("explore: ") && said.contains(word), "{args:?}: {said}");
+        let out =
+            Command::new(env!("CARGO_BIN_EXE_explore")).args(args).output().expect("cannot run explore");
+        let stderr = String::from_utf8_lossy(&out.stderr).to_string();
+        assert_eq!(out.status.code(), Some(2), "{args:?}: {stderr}");
+        assert_eq!((stderr.lines().count(), out.stdout.len()), (1, 0), "{args:?}: {stderr}");
+        assert!(stderr.starts_with("explore: ") && stderr.contains(hint), "{args:?}: {stderr}");
     }
 }
 
-/// The exit code tells whether a rule broke.
+/// The exit code is 1 if a rule broke.
 #[test]
 fn exit_code_reports_broken_rules() {
     for (text, code) in [("await", 0), ("await seed:1 without:awaits", 1)] {
         let out = Command::new(env!("CARGO_BIN_EXE_explore")).args(["--replay", text]).output();
-        assert_eq!(out.expect("it runs").status.code(), Some(code), "{text}");
+        assert_eq!(out.expect("cannot run explore").status.code(), Some(code), "{text}");
     }
 }
