--- a/crates/controller/tests/records.rs
+++ b/crates/controller/tests/records.rs
@@ -1,12 +1,12 @@
-//! Stored records: forms of earlier versions are read, and sizes are estimated from above.
+//! Stored records: forms of earlier versions are decoded, and estimated sizes are upper bounds.
 
 use anisecroft_controller::records::*;
 use serde::Serialize;
 
-/// A typical specification's size in JSON.
+/// Size of a typical specification in JSON.
 const SPEC_BYTES: usize = 450;
 
-/// A placement as it was stored before placements became lists.
+/// A placement as earlier versions stored it, as a map; now it is stored as a list.
 #[derive(Serialize)]
 struct OldPlacement {
     task: u32,
@@ -14,7 +14,7 @@
     machine: String,
 }
 
-/// A page with such placements.
+/// A page with placements in the old form.
 #[derive(Serialize)]
 struct OldPage {
     done: String,
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn placements_stored_as_maps_are_read() {
+fn placements_stored_as_maps_are_decoded() {
     let old = OldPage {
         done: "f1".into(),
         places: vec![OldPlacement { task: 3, attempt: 2, machine: "vm-000012".into() }],
@@ -33,16 +33,16 @@
 }
 
 #[test]
-fn a_page_of_usual_placements_fits_a_value() {
+fn page_of_typical_placements_fits_the_value_limit() {
     assert_eq!(StoredPlacement::size(17, 204, "vm-000012"), r#"[17, 204, "vm-000012"], "#.len());
     for max_value_bytes in [1_000, 2_000, 8_000, 32_000, 500_000] {
         let tasks = tasks_per_page(max_value_bytes, SPEC_BYTES);
-        let page = tasks as usize * StoredPlacement::size(999, 999, "vm-001234");
+        let placements_bytes = tasks as usize * StoredPlacement::size(999, 999, "vm-001234");
         assert!(
-            tasks <= 4 || page + SPEC_BYTES + RECORD_OVERHEAD_BYTES <= max_value_bytes,
-            "{tasks} tasks take {page}"
+            tasks <= 4 || placements_bytes + SPEC_BYTES + RECORD_OVERHEAD_BYTES <= max_value_bytes,
+            "the placements of {tasks} tasks take {placements_bytes} bytes"
         );
     }
-    // An array of 250 tasks is one key at 8 KiB: a launch costs one change.
+    // With values of 8 KiB, an array of 250 tasks fits in one key, so that a launch takes one mutation.
     assert!(tasks_per_page(8192 * 31 / 32, SPEC_BYTES) >= 250);
 }
