--- a/crates/simulation/tests/common/store_harness.rs
+++ b/crates/simulation/tests/common/store_harness.rs
@@ -177,7 +177,7 @@
             let r = self.store.execute(self.now, &op);
             match r.or_else(|| (self.now >= until).then(|| self.store.no_events())) {
                 Some(r) if (self.call_outcome)(&op) == CallOutcome::ReplyHeld => {
-                    self.held_replies.push(Input::Store(call, r))
+                    self.held_replies.push(Input::Store(call, r));
                 }
                 Some(r) => self.replies.push((self.now + ONE_WAY_DELAY_S, Input::Store(call, r))),
                 None => self.watches.push((until, call, op)),
