--- a/crates/simulation/tests/failover.rs
+++ b/crates/simulation/tests/failover.rs
@@ -88,7 +88,7 @@
     };
     setup.jobs = (0..48)
         .map(|n| {
-            // A third are submitted 1 to 3.4 s before their cancellation, which finds them while their
+            // A third are submitted 1 to 3.4 s before their cancellation, which then arrives while their
             // image is fetched or their tasks are launched.
             let cancel_at =
                 FAILOVER_AT_S - CANCEL_BEFORE_S + n as f64 * (CANCEL_BEFORE_S + CANCEL_AFTER_S) / 48.0;
@@ -271,8 +271,8 @@
     assert!(elections.iter().flatten().all(|count| *count >= 6), "{elections:?}");
 }
 
-/// All kinds of failover, and ten in two minutes, over many seeds: `cargo test --release -p anisecroft-simulation --test failover --
-/// --ignored --nocapture`.
+/// All kinds of failover, and ten in two minutes, over many seeds: `cargo test --release -p
+/// anisecroft-simulation --test failover -- --ignored --nocapture`.
 #[test]
 #[ignore = "minutes"]
 fn failovers_over_many_seeds_break_no_rule() {
--- a/crates/simulation/tests/leader_recovery.rs
+++ b/crates/simulation/tests/leader_recovery.rs
@@ -12,10 +12,11 @@
 use settings::{NextLimits, Operator, Peer, Settings};
 
 fn settings() -> Settings {
-    let mut s = example_settings();
-    s.peers.clear();
-    s.params.store.next = Some(NextLimits { value_kb: Some(2.0), txn_ops: Some(8), ..NextLimits::default() });
-    s
+    let mut settings = example_settings();
+    settings.peers.clear();
+    settings.params.store.next =
+        Some(NextLimits { value_kb: Some(2.0), txn_ops: Some(8), ..NextLimits::default() });
+    settings
 }
 
 fn record(id: &str, status: JobStatus) -> JobRecord {
@@ -78,11 +79,11 @@
 
     /// Starts at `now` with another controller as a peer, and runs until recovery is complete.
     fn with_peer(store: Store, now: f64) -> Self {
-        let mut s = settings();
+        let mut settings = settings();
         let node = "n-1".to_string();
-        s.peers = vec![Peer { node: node.clone(), zone: String::new(), addr: s.peer_addr }];
+        settings.peers = vec![Peer { node: node.clone(), zone: String::new(), addr: settings.peer_addr }];
         let view = protocol::peer::View { node, state_reached: true, format: FORMAT, ..Default::default() };
-        let controller = Controller::new(s, Operator::default(), 1);
+        let controller = Controller::new(settings, Operator::default(), 1);
         let mut harness =
             RecoveryHarness { controller, peer: Some(view), now, ..RecoveryHarness::new(store) };
         harness.store.expire_leases(now);
@@ -92,8 +93,8 @@
 
     fn feed(&mut self, input: Input) {
         for o in self.controller.handle(self.now, 1e9 + self.now, input) {
-            if let Output::Response(id, answer) = &o {
-                self.responses.insert(*id, answer.clone());
+            if let Output::Response(id, response) = &o {
+                self.responses.insert(*id, response.clone());
             }
             let Output::Store(call, op) = o else { continue };
             self.requests += 1;
--- a/crates/simulation/tests/lost_write_responses.rs
+++ b/crates/simulation/tests/lost_write_responses.rs
@@ -145,11 +145,11 @@
         harness.submit(&plain_array(&format!("req-{n}"), 1));
     });
     harness.run(1.4);
-    let state = example_settings().params.store;
-    let max_reads = state.rps * 0.8 / 3.0 * 0.25 * 2.4;
+    let limits = example_settings().params.store;
+    let max_reads = limits.rps * 0.8 / 3.0 * 0.25 * 2.4;
     let (reads, writes) = (harness.read_count("j/"), harness.write_count(1.1, "j/"));
     assert!(reads > 5 && reads as f64 <= max_reads, "{reads} reads, at most {max_reads} allowed");
-    assert!(writes as f64 <= state.write_rps * 0.5 * 0.25 * 2.4, "{writes} hedged writes");
+    assert!(writes as f64 <= limits.write_rps * 0.5 * 0.25 * 2.4, "{writes} hedged writes");
 }
 
 /// A task is launched at once although the response to the write of its placement is lost.
@@ -349,9 +349,9 @@
 #[test]
 fn page_split_with_lost_response_takes_effect() {
     let mut settings = example_settings();
-    let state = &mut settings.params.store;
-    (state.value_kb, state.txn_ops) = (8.0, 2);
-    state.next = Some(NextLimits { rps: None, write_rps: None, value_kb: Some(2.0), txn_ops: None });
+    let store = &mut settings.params.store;
+    (store.value_kb, store.txn_ops) = (8.0, 2);
+    store.next = Some(NextLimits { rps: None, write_rps: None, value_kb: Some(2.0), txn_ops: None });
     let array = JobSpec { cores: 0.16, accelerators: 0.0, memory_gb: 0.1, ..plain_array("req-1", 200) };
     let record = JobRecord { per_page: 200, ..JobRecord::new(array, 1e9, 8192) };
     let mut harness = StoreHarness::with_items(settings, [("j/req-1".into(), Value::Job(Box::new(record)))]);
@@ -432,18 +432,18 @@
 fn mixed_jobs(seed: u64) -> Setup {
     let mut setup = seeded_day(seed, vec![]);
     let mut rng = SmallRng::seed_from_u64(seed ^ 0x105e);
-    let state = &mut setup.settings.params.store;
-    (state.value_kb, state.txn_ops) = (8.0, 24);
-    state.next = Some(NextLimits {
+    let store = &mut setup.settings.params.store;
+    (store.value_kb, store.txn_ops) = (8.0, 24);
+    store.next = Some(NextLimits {
         rps: None,
-        write_rps: Some(state.write_rps * 0.7),
+        write_rps: Some(store.write_rps * 0.7),
         value_kb: Some(2.0),
         txn_ops: Some(8),
     });
     without_quotas(&mut setup);
-    for (n, Submission { at, spec, cancel_at: cancel }) in setup.jobs.iter_mut().enumerate() {
+    for (n, Submission { at, spec, cancel_at }) in setup.jobs.iter_mut().enumerate() {
         *at = rng.gen_range(2.0..110.0);
-        *cancel = cancel.map(|_| *at + rng.gen_range(0.1..30.0));
+        *cancel_at = cancel_at.map(|_| *at + rng.gen_range(0.1..30.0));
         if n % 5 == 0 && spec.shape == Shape::Array {
             spec.tasks = rng.gen_range(60..300);
             (spec.cores, spec.accelerators, spec.memory_gb) = (0.25, 0.0, 0.25);
@@ -479,7 +479,7 @@
     Simulation::new(Setup { nodes, faults, ..mixed_jobs(seed) })
 }
 
-/// Crashes, pauses or cuts off the leader from the store, so that it is replaced or restarts.
+/// Crashes or pauses the leader, or makes the store refuse it, so that it restarts or is replaced.
 fn disrupt_leader(sim: &mut Simulation, seed: u64) {
     let Some(node) = sim.leader() else { return };
     sim.inject(match seed % 4 {
