--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -1,30 +1,30 @@
-//! A stand-in for the cloud: machines that boot, and a list that lags behind.
+//! Simulated cloud: machines that take time to boot, and a machine list that lags behind.
 
 use controller::{CloudReply, CloudRequest};
 use protocol::cloud::*;
 use std::collections::BTreeMap;
 
-/// A machine that is rented. Times are in simulated seconds.
+/// Rented machine. Times are in simulated seconds.
 #[derive(Debug, Clone)]
 pub struct RentedMachine {
-    /// The machine as it was listed first.
+    /// List entry at the time of the rental.
     pub listed: ListedMachine,
-    /// When it was rented.
+    /// Time of the rental.
     pub rented_at: f64,
-    /// When it has booted.
+    /// Time at which it has booted.
     pub up_at: f64,
 }
 
-/// What the list showed at a time.
+/// Contents of the machine list at one time.
 struct Listing {
     at: f64,
     machines: Vec<ListedMachine>,
 }
 
-/// Limits calls to a rate, with at most one second's worth at once.
+/// Token bucket for calls, with a burst of the calls of one second.
 struct RateLimit {
     per_s: f64,
-    /// Calls that are served now.
+    /// Number of calls that are currently admitted.
     available: f64,
     updated_at: f64,
 }
@@ -42,18 +42,18 @@
     }
 }
 
-/// The cloud.
+/// Simulated cloud.
 pub struct Cloud {
-    /// Types of machine that it rents out.
+    /// Machine types on offer.
     pub types: Vec<MachineType>,
-    /// The machines that there are, by id.
+    /// Existing machines by id.
     pub machines: BTreeMap<String, RentedMachine>,
-    /// Machines deleted since somebody last took this list.
+    /// Machines deleted since the simulation last took this list.
     pub deleted: Vec<String>,
-    /// Calls refused for their rate.
+    /// Number of calls refused because of the rate limit.
     pub refused: u64,
     listings: Vec<Listing>,
-    /// Machines that each rental was answered with, by request, so that a repetition gets the same.
+    /// Machines returned for each rental request, so that a repeated request gets the same ones.
     rentals: BTreeMap<String, Vec<String>>,
     next_id: u32,
     rented_by_zone: BTreeMap<String, usize>,
@@ -63,8 +63,8 @@
 }
 
 impl Cloud {
-    /// A cloud without a machine, in which `capacity` can be at once. Its list lags behind by
-    /// `list_lag_s` or more.
+    /// Creates a cloud without machines that has room for `capacity` machines at a time. Its list lags
+    /// behind by at least `list_lag_s` seconds.
     pub fn new(types: Vec<MachineType>, capacity: usize, list_lag_s: f64) -> Self {
         Cloud {
             types,
@@ -81,28 +81,28 @@
         }
     }
 
-    /// The number of machines rented so far, gone ones included.
+    /// Returns the number of machines rented so far, including those that no longer exist.
     pub fn rented_count(&self) -> u32 {
         self.next_id - 1
     }
 
-    /// The same in one zone.
+    /// Returns the number of machines rented so far in one zone.
     pub fn rented_count_in(&self, zone: &str) -> usize {
         self.rented_by_zone.get(zone).copied().unwrap_or(0)
     }
 
-    /// Machines that have booted.
+    /// Returns the machines that have booted.
     pub fn running(&self, now: f64) -> impl Iterator<Item = &ListedMachine> {
         let booted = self.machines.values().filter(move |machine| now >= machine.up_at);
         booted.map(|machine| &machine.listed)
     }
 
-    /// From now on no more than `per_s` calls a second are served.
+    /// Limits calls to `per_s` per second from now on.
     pub fn limit_rate(&mut self, per_s: f64, now: f64) {
         self.rate_limit = Some(RateLimit { per_s, available: per_s, updated_at: now });
     }
 
-    /// Records what the list shows of this moment.
+    /// Records the current contents of the list.
     pub fn record_listing(&mut self, now: f64) {
         let listed = |machine: &RentedMachine| {
             let booted = now >= machine.up_at;
@@ -111,19 +111,19 @@
         };
         let machines = self.machines.values().map(listed).collect();
         self.listings.push(Listing { at: now, machines });
-        // Nobody is shown an older one.
+        // Older listings are never returned.
         let oldest = now - 2.0 * self.list_lag_s - 1.0;
         self.listings.retain(|listing| listing.at > oldest);
     }
 
-    /// Takes a machine away.
+    /// Deletes a machine.
     pub fn remove(&mut self, id: &str) {
         self.machines.remove(id);
         self.deleted.push(id.to_string());
     }
 
-    /// Executes a call. The list lags behind by `lag_factor` times the usual lag, and machines that
-    /// are rented boot in `boot_s` seconds.
+    /// Executes a call. The list lags behind by `lag_factor` times `list_lag_s`, and rented machines
+    /// boot within `boot_s` seconds.
     pub fn execute(&mut self, now: f64, request: &CloudRequest, lag_factor: f64, boot_s: f64) -> CloudReply {
         if !self.admits(now) {
             return CloudReply::Refused;
@@ -147,7 +147,7 @@
         admitted
     }
 
-    /// A page of the machines after an id, as they were at a time.
+    /// Returns a page of the machines after an id, as listed at the time `as_of`.
     fn list(&self, after: Option<&str>, as_of: f64) -> CloudReply {
         let listing = self.listings.iter().rev().find(|listing| listing.at <= as_of);
         let all = listing.map_or(&[][..], |listing| &listing.machines);
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,10 +1,10 @@
-//! Stand-ins for the key-value store, the cloud, workers and users, and a seeded simulation that
-//! runs several controllers against them and checks the protocol's rules after every step.
+//! Simulated key-value store, cloud, workers and users, and a seeded simulation that runs several
+//! controllers against them and checks the rules of the protocol after every step.
 //!
 //! - [`sim`]: the simulation, its faults and its network
-//! - [`state`], [`cloud`], [`worker`]: the stand-ins
-//! - [`rules`]: the rules, judged on what really happens
-//! - [`explore`]: plays short scripts with each kind of fault at each message
+//! - [`state`], [`cloud`], [`worker`]: the simulated store, cloud and workers
+//! - [`rules`]: the rules, checked against the actual state and the responses to users
+//! - [`explore`]: runs short scripts with each kind of fault at each message
 
 pub mod cloud;
 pub mod explore;
--- a/crates/simulation/src/rules.rs
+++ b/crates/simulation/src/rules.rs
@@ -1,100 +1,102 @@
-//! The protocol's rules, judged on what really happens and on what users are told.
+//! Rules of the protocol, checked against the actual state and the responses to users.
 
 use protocol::job::{JobSpec, JobStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The number of violations that are kept of a run.
+/// Maximum number of violations recorded in a run.
 const MAX_VIOLATIONS: usize = 20;
 
-/// A rule of the protocol.
+/// Rule of the protocol, described by its violation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// A task runs on two machines at once.
     RanTwice,
     /// A team uses more accelerators than its limit.
     Quota,
-    /// A task begins where its job may not run.
+    /// A task starts on a machine that its job may not use.
     WrongPlace,
-    /// A task is on a machine long after users were told that its job is cancelled.
+    /// A task is still on a machine long after users were told that its job is cancelled.
     RanCancelled,
     /// An accepted job is unknown, refused or unanswered.
     Forgotten,
-    /// A job is known that nobody submitted.
+    /// A status is reported for a job that was never submitted.
     Invented,
-    /// A job is called done and is not.
+    /// A job is reported as done although not all of its tasks have completed.
     NotDone,
-    /// A status is older than one that was told before, or contradicts it.
+    /// A reported status contradicts an earlier final status, or a job that nobody cancelled is
+    /// reported as cancelled.
     WentBack,
-    /// A task begins before a job that it depends on is done.
+    /// A task starts before a job that it depends on is done.
     TooEarly,
-    /// A job is called alive long after one that it depends on was called cancelled.
+    /// A job has no final status long after it or one of its dependencies was reported as cancelled.
     Orphaned,
-    /// A job was accepted that can't run or lacks a field.
+    /// A job was accepted although it cannot run or lacks a required field.
     Unfit,
-    /// Faults are over, and a job waits although a machine that fits has room and its team is under
-    /// its limit.
+    /// All faults have ended, and a job waits although an eligible machine has free capacity and its
+    /// team is below its limit.
     LeftWaiting,
 }
 
-/// A rule that was broken.
+/// Violation of a rule.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Violation {
-    /// The rule.
+    /// Rule that was broken.
     pub rule: Rule,
-    /// When, in simulated seconds.
+    /// Time of the violation, in simulated seconds.
     pub at: f64,
-    /// What happened.
+    /// Description of the violation.
     pub details: String,
 }
 
-/// The end of a job as users were told of it first.
+/// First final status of a job that was reported to a user.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FinishedJob {
-    /// When, in simulated seconds.
+    /// Time of the report, in simulated seconds.
     pub at: f64,
-    /// How it ended.
+    /// Final status.
     pub status: JobStatus,
 }
 
-/// What the users of a run know, and what is true. Times are in simulated seconds.
+/// History of a run: statuses that users received, and what actually happened. Times are in
+/// simulated seconds.
 #[derive(Default)]
 pub struct History {
-    /// Jobs by id, submitted or not.
+    /// Specifications of all jobs by id, whether submitted yet or not.
     pub specs: BTreeMap<String, JobSpec>,
     /// Jobs that were submitted.
     pub submitted: BTreeSet<String>,
     /// Jobs that users were told are accepted.
     pub accepted: BTreeSet<String>,
-    /// The newest status that users were told.
+    /// Newest status that users received of each job.
     pub last_status: BTreeMap<String, JobStatus>,
-    /// When users were first told that a job is accepted.
+    /// Time at which users were first told that each job is accepted.
     pub accepted_at: BTreeMap<String, f64>,
-    /// How each job ended.
+    /// First final status of each job that was reported to a user.
     pub finished: BTreeMap<String, FinishedJob>,
-    /// When a question about a job was last answered.
+    /// Time at which a request about each job was last answered with a status.
     pub answered_at: BTreeMap<String, f64>,
-    /// Jobs whose cancellation a user asked for.
+    /// Jobs whose cancellation a user requested.
     pub cancel_requested: BTreeSet<String>,
-    /// When users were first told that a job is cancelled.
+    /// Time at which users were first told that each job is cancelled.
     pub cancelled_at: BTreeMap<String, f64>,
-    /// Tasks that really completed.
+    /// Indices of the tasks that actually completed, by job.
     pub completed: BTreeMap<String, BTreeSet<u32>>,
-    /// The first rules that were broken.
+    /// First violations of the run.
     pub violations: Vec<Violation>,
-    /// Within that time, in seconds, after users were told of a cancellation, all jobs that depend on
-    /// the job are called cancelled.
+    /// Time, in seconds, after the first report of a cancellation within which all dependent jobs have
+    /// to be reported as cancelled.
     pub cancel_s: f64,
 }
 
 impl History {
-    /// Records that a rule was broken.
+    /// Records a violation of a rule.
     pub fn violate(&mut self, rule: Rule, at: f64, details: String) {
         if self.violations.len() < MAX_VIOLATIONS {
             self.violations.push(Violation { rule, at, details });
         }
     }
 
-    /// A job and all that it depends on, directly or through others.
+    /// Returns a job and all its direct and indirect dependencies.
     pub fn with_dependencies<'a>(&'a self, job: &'a str) -> BTreeSet<&'a str> {
         let mut all = BTreeSet::new();
         let mut pending = vec![job];
@@ -107,19 +109,19 @@
         all
     }
 
-    /// Whether all tasks of a job have completed.
+    /// Returns whether all tasks of a job have completed.
     pub fn is_done(&self, job: &str) -> bool {
         let tasks = self.specs.get(job).map_or(usize::MAX, |spec| spec.tasks as usize);
         self.completed.get(job).map_or(0, BTreeSet::len) >= tasks
     }
 
-    /// Whether a task has completed.
+    /// Returns whether a task has completed.
     pub fn has_completed(&self, task: &crate::worker::TaskKey) -> bool {
         self.completed.get(&task.job).is_some_and(|completed| completed.contains(&task.index))
     }
 
-    /// A user that had asked at `sent_at` was told a job's status at `now`; None: there is no such
-    /// job.
+    /// Records a response that a user received at `now` to a request sent at `sent_at`: the status of
+    /// a job, or None if the job is unknown to the node. Checks the response against the rules.
     pub fn record_status(&mut self, now: f64, sent_at: f64, job: &str, status: Option<JobStatus>) {
         let Some(status) = status else { return self.record_unknown(now, sent_at, job) };
         if !self.submitted.contains(job) {
@@ -150,26 +152,32 @@
         }
     }
 
-    /// A job is cancelled only if a user asked for that, and soon after one that it depends on is.
+    /// Checks that a job is reported as cancelled only if its cancellation or that of a dependency was
+    /// requested, and that it has a final status soon after a dependency was reported as cancelled.
     fn check_cancellation(&mut self, now: f64, sent_at: f64, job: &str, status: JobStatus) {
         let lineage = self.with_dependencies(job);
         let requested = lineage.iter().any(|job| self.cancel_requested.contains(*job));
-        let told = lineage.iter().filter_map(|job| self.cancelled_at.get(*job)).copied();
-        let told_at = told.fold(f64::MAX, f64::min);
+        let report_times = lineage.iter().filter_map(|job| self.cancelled_at.get(*job)).copied();
+        let reported_at = report_times.fold(f64::MAX, f64::min);
         if status == JobStatus::Cancelled && !requested {
-            self.violate(Rule::WentBack, now, format!("{job} was not cancelled"));
+            self.violate(Rule::WentBack, now, format!("{job} is reported as cancelled without a request"));
         }
-        if !status.is_final() && sent_at - told_at > self.cancel_s {
-            self.violate(Rule::Orphaned, now, format!("{job} is called {status:?}, told at {told_at}"));
+        if !status.is_final() && sent_at - reported_at > self.cancel_s {
+            self.violate(
+                Rule::Orphaned,
+                now,
+                format!("{job} is {status:?} although cancellation was reported at {reported_at}"),
+            );
         }
     }
 
-    /// An end never changes. What was asked before the end was told may be answered after it.
+    /// Checks that a final status never changes. Requests sent before the final status was reported
+    /// may still be answered with an earlier status.
     fn check_end(&mut self, now: f64, sent_at: f64, job: &str, status: JobStatus) {
         let Some(finished) = self.finished.get(job).copied() else { return };
-        let FinishedJob { at, status: old } = finished;
-        if old != status && (status.is_final() || at <= sent_at) {
-            let details = format!("{job} from {old:?} at {at} to {status:?}, asked at {sent_at}");
+        let FinishedJob { at, status: previous } = finished;
+        if previous != status && (status.is_final() || at <= sent_at) {
+            let details = format!("{job} went from {previous:?} at {at} to {status:?}, queried at {sent_at}");
             self.violate(Rule::WentBack, now, details);
         }
     }
--- a/crates/simulation/src/state.rs
+++ b/crates/simulation/src/state.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the key-value store: versions, compare-and-swap transactions, leases, watches and
+//! Simulated key-value store with versions, compare-and-swap transactions, leases, watches and
 //! limits.
 
 use controller::records::{json_size, Value};
@@ -6,20 +6,20 @@
 use protocol::state::*;
 use std::collections::BTreeMap;
 
-/// Items in one page of a list: few, so that paging is exercised.
+/// Number of items in one page of a list. It is small so that paging is exercised.
 const PAGE_ITEMS: usize = 7;
 
-/// Times as many conditions as mutations fit into one transaction.
+/// Ratio of the maximum number of compares in a transaction to that of mutations.
 const COMPARES_PER_MUTATION: usize = 4;
 
-/// What the store accepts.
+/// Limits of the store.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Bytes of a value.
+    /// Maximum size of a value, in bytes.
     pub value_bytes: usize,
-    /// Mutations in a transaction.
+    /// Maximum number of mutations in a transaction.
     pub txn_ops: usize,
-    /// Mutations a second.
+    /// Maximum number of mutations per second.
     pub write_rps: f64,
 }
 
@@ -29,12 +29,12 @@
     }
 }
 
-/// How a key was written.
+/// Write history of a key.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WriteHistory {
-    /// When a matching value was first stored, in simulated seconds.
+    /// Time at which a matching value was first stored, in simulated seconds.
     pub first_match_at: Option<f64>,
-    /// How often the key was written in all.
+    /// Total number of writes of the key.
     pub writes: usize,
 }
 
@@ -42,7 +42,7 @@
 struct StoredItem {
     value: Value,
     version: u64,
-    /// The lease that it is deleted with.
+    /// Lease with which the item is deleted.
     lease: Option<u64>,
 }
 
@@ -51,30 +51,30 @@
     ttl_s: f64,
 }
 
-/// A change of a key, as watches see it.
+/// Change of a key, as seen by watches.
 struct LogEntry {
     revision: u64,
     key: String,
     event: Event<Value>,
 }
 
-/// Mutations that may be made at a time.
+/// Token bucket for mutations.
 #[derive(Default)]
 struct WriteBudget {
     available: f64,
     updated_at: f64,
 }
 
-/// The store.
+/// Simulated key-value store.
 #[derive(Default)]
 pub struct Store {
-    /// Rises with every transaction that changes something.
+    /// Revision of the latest change.
     pub revision: u64,
-    /// Transactions refused for their size.
+    /// Number of transactions rejected because of their size.
     pub rejected_for_size: u64,
-    /// Transactions refused for their rate.
+    /// Number of transactions rejected because of the write rate.
     pub rejected_for_rate: u64,
-    /// Sees every value that is written, with its key.
+    /// Called with the key and value of every write.
     pub inspect: Option<fn(&str, &Value)>,
     items: BTreeMap<String, StoredItem>,
     leases: BTreeMap<u64, Lease>,
@@ -82,35 +82,35 @@
     log: Vec<LogEntry>,
     limits: Limits,
     budget: WriteBudget,
-    /// When the mutations of each revision were made.
+    /// Time at which the mutations of each revision were made.
     written_at: BTreeMap<u64, f64>,
 }
 
 impl Store {
-    /// A store that holds `items` from long ago.
+    /// Creates a store that initially contains `items`, all at revision 1.
     pub fn with_items(items: impl IntoIterator<Item = (String, Value)>) -> Self {
         let stored = |(key, value)| (key, StoredItem { value, version: 1, lease: None });
         Store { revision: 1, items: items.into_iter().map(stored).collect(), ..Store::default() }
     }
 
-    /// Replaces what a key holds by something that nobody can decode.
+    /// Replaces the value of a key with one that cannot be decoded.
     pub fn make_undecodable(&mut self, key: &str) {
         let mutation = Mutation::Put { key: key.to_string(), value: Value::Undecodable, lease: None };
         self.commit(&Transaction { compares: Vec::new(), mutations: vec![mutation] });
     }
 
-    /// The number of keys that begin with `prefix`.
+    /// Returns the number of keys that begin with `prefix`.
     pub fn count(&self, prefix: &str) -> usize {
         self.items.keys().filter(|key| key.starts_with(prefix)).count()
     }
 
-    /// Bytes of the largest value under `prefix`.
+    /// Returns the size, in bytes, of the largest value under `prefix`.
     pub fn largest_value_bytes(&self, prefix: &str) -> usize {
         let held = self.items.iter().filter(|(key, _)| key.starts_with(prefix));
         held.map(|(_, item)| json_size(&item.value)).max().unwrap_or(0)
     }
 
-    /// The format that is recorded as readable by all controllers.
+    /// Returns the stored format version, which all controllers can read.
     pub fn format(&self) -> Option<u32> {
         match self.items.get(controller::records::FORMAT_KEY).map(|item| &item.value) {
             Some(Value::Format(format)) => Some(*format),
@@ -118,7 +118,7 @@
         }
     }
 
-    /// When a value under `key` that matches was first stored, and how often the key was written.
+    /// Returns the number of writes of `key` and the time of the first one whose value matches.
     pub fn history(&self, key: &str, matches: impl Fn(&Value) -> bool) -> WriteHistory {
         let mut history = WriteHistory { first_match_at: None, writes: 0 };
         let mut matched = false;
@@ -133,13 +133,13 @@
         history
     }
 
-    /// Other limits from now on. What is stored stays.
+    /// Sets the limits. Values already stored are kept even if they exceed them.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
         self.budget.available = self.budget.available.min(limits.write_rps);
     }
 
-    /// Ends leases whose time is over. Whether a key went with one.
+    /// Ends all expired leases. Returns whether a key was deleted with one of them.
     pub fn expire_leases(&mut self, now: f64) -> bool {
         let expired = self.leases.iter().filter(|(_, lease)| lease.expires_at <= now);
         let expired: Vec<u64> = expired.map(|(&id, _)| id).collect();
@@ -150,7 +150,7 @@
         self.revision != revision_before
     }
 
-    /// After an outage every lease has its full time again.
+    /// Renews all leases for their full duration, as after an outage.
     pub fn renew_all_leases(&mut self, now: f64) {
         for lease in self.leases.values_mut() {
             lease.expires_at = now + lease.ttl_s;
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Executes a request; None: a watch has to wait.
+    /// Executes a request. Returns None if it is a watch that has to wait.
     pub fn execute(&mut self, now: f64, request: &StoreRequest) -> Option<StoreReply> {
         Some(match request {
             StoreRequest::Get(key) => self.get(key),
@@ -191,7 +191,7 @@
         })
     }
 
-    /// The answer to a watch that saw no change.
+    /// Returns the reply to a watch without events.
     pub fn no_events(&self) -> StoreReply {
         StoreReply::Events(Events { revision: self.revision, events: Vec::new() })
     }
@@ -294,7 +294,7 @@
         StoreReply::Committed(self.revision)
     }
 
-    /// Stores a value at the current revision.
+    /// Writes a value at the current revision.
     fn put(&mut self, key: &str, value: &Value, lease: Option<u64>) {
         if let Some(inspect) = self.inspect {
             inspect(key, value);
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -1,18 +1,18 @@
-//! A stand-in for a worker: its lease, fencing tokens, tasks and commands.
+//! Simulated worker with its lease, fencing tokens, tasks and commands.
 
 use protocol::cloud::ListedMachine;
 use protocol::worker::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The shortest time, in seconds, between heartbeats that are sent early.
+/// Minimum interval between a heartbeat and a following one that is sent early, in seconds.
 const MIN_HEARTBEAT_GAP_S: f64 = 0.5;
 
-/// A task of a job.
+/// Key of a task: its job and its index.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskKey {
-    /// The job's id.
+    /// Id of the job.
     pub job: String,
-    /// The task's number in the job, from 0 on.
+    /// Index of the task in the job, starting at 0.
     pub index: u32,
 }
 
@@ -22,49 +22,49 @@
     }
 }
 
-/// How far a task is on its machine. Times are in simulated seconds.
+/// Phase of a task on its machine. Times are in simulated seconds.
 #[derive(Debug, Clone, PartialEq)]
 pub enum TaskPhase {
-    /// Its image is being fetched.
+    /// The image is being fetched.
     Fetching {
-        /// When the image is there.
+        /// Time at which the image is available.
         until: f64,
     },
-    /// It waits for its gang.
+    /// The task is waiting for the rest of its gang.
     Waiting {
-        /// When it began to wait.
+        /// Time at which it began to wait.
         since: f64,
     },
-    /// It runs.
+    /// The task is running.
     Running {
-        /// When it completes.
+        /// Time at which it completes.
         until: f64,
     },
-    /// It runs, but its gang has lost a task.
+    /// The task is running, but its gang has lost another task.
     Orphaned {
-        /// When it notices.
+        /// Time at which it notices the loss and exits.
         until: f64,
     },
-    /// It has ended.
+    /// The task has exited.
     Exited(ExitCause),
 }
 
-/// A task on a machine.
+/// Task on a machine.
 #[derive(Debug, Clone)]
 pub struct Task {
-    /// Which attempt of the task it is.
+    /// Attempt number.
     pub attempt: u64,
-    /// How far it is.
+    /// Current phase.
     pub phase: TaskPhase,
 }
 
 impl Task {
-    /// Whether it has its image and has not exited.
+    /// Returns whether the image has been fetched and the task has not exited.
     pub fn on_machine(&self) -> bool {
         !matches!(self.phase, TaskPhase::Fetching { .. } | TaskPhase::Exited(_))
     }
 
-    /// Whether it has exited.
+    /// Returns whether the task has exited.
     pub fn has_exited(&self) -> bool {
         matches!(self.phase, TaskPhase::Exited(_))
     }
@@ -81,62 +81,62 @@
     }
 }
 
-/// A heartbeat that has got no response yet.
+/// Heartbeat without a response so far.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HeartbeatInFlight {
-    /// Its number.
+    /// Sequence number of the heartbeat.
     pub sequence: u64,
-    /// The worker's epoch as it was sent.
+    /// Epoch of the worker when it was sent.
     pub epoch: u64,
-    /// When it was sent, in simulated seconds.
+    /// Time of sending, in simulated seconds.
     pub sent_at: f64,
 }
 
-/// What launching a task takes.
+/// Parameters of a task launch.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Launch {
-    /// How long its image is fetched, in seconds.
+    /// Duration of the image fetch, in seconds.
     pub fetch_s: f64,
 }
 
-/// A worker and its machine. Times are in simulated seconds.
+/// Worker and its machine. Times are in simulated seconds.
 pub struct Worker {
-    /// The machine as the cloud lists it.
+    /// Machine as listed by the cloud.
     pub machine: ListedMachine,
-    /// Rises whenever the lease ends.
+    /// Epoch, incremented whenever the lease expires.
     pub epoch: u64,
-    /// The number of its last heartbeat.
+    /// Sequence number of the last heartbeat.
     pub sequence: u64,
-    /// The highest fencing token that it has seen.
+    /// Highest fencing token seen so far.
     pub fencing_token: u64,
-    /// When the last accepted heartbeat was sent, or the epoch began.
+    /// Time at which the last accepted heartbeat was sent or the epoch began, whichever is later.
     pub renewed_at: f64,
-    /// The controller that it sends heartbeats to.
+    /// Controller that receives the heartbeats.
     pub node: usize,
-    /// When the next heartbeat is due.
+    /// Time at which the next heartbeat is due.
     pub next_heartbeat: f64,
-    /// The heartbeat that waits for a response.
+    /// Heartbeat that is waiting for a response.
     pub in_flight: Option<HeartbeatInFlight>,
-    /// Its tasks, exited ones included until they are cleared.
+    /// Tasks on the machine, including exited ones until a command removes them.
     pub tasks: BTreeMap<TaskKey, Task>,
-    /// It fails every task.
+    /// Whether every task fails.
     pub faulty: bool,
-    /// How long a job's image takes here for the first time, if not as usual.
+    /// Duration of the first fetch of a job's image, in seconds, if it differs from the usual one.
     pub first_fetch_s: Option<f64>,
     /// Jobs whose image has been fetched.
     pub fetched_images: BTreeSet<String>,
-    /// It does nothing until then.
+    /// Time until which the machine hangs.
     pub hung_until: f64,
-    /// Its heartbeats leave it, but nothing reaches it until then.
+    /// Time until which responses and commands do not reach the worker, while its heartbeats arrive.
     pub responses_lost_until: f64,
-    /// Its heartbeats arrive nowhere until then, while direct commands reach it.
+    /// Time until which its heartbeats are lost, while direct commands reach it.
     pub heartbeats_lost_until: f64,
     last_heartbeat: f64,
     token_changed_at: f64,
 }
 
 impl Worker {
-    /// A worker that starts at `now` and sends its heartbeats to `node`.
+    /// Creates a worker that starts at `now` and sends its heartbeats to `node`.
     pub fn new(machine: ListedMachine, now: f64, node: usize) -> Self {
         Worker {
             machine,
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Sends a heartbeat, which waits for a response from then on.
+    /// Returns the next heartbeat and records that it is waiting for a response.
     pub fn send_heartbeat(&mut self, now: f64) -> Heartbeat {
         let heartbeat = self.next_heartbeat_body();
         let sent = HeartbeatInFlight { sequence: self.sequence, epoch: self.epoch, sent_at: now };
@@ -168,7 +168,7 @@
         heartbeat
     }
 
-    /// The next heartbeat, also as the reply to direct commands.
+    /// Returns the body of the next heartbeat, which is also the reply to direct commands.
     pub fn next_heartbeat_body(&mut self) -> Heartbeat {
         self.sequence += 1;
         Heartbeat {
@@ -185,18 +185,19 @@
         }
     }
 
-    /// How long a job's image takes here, if this is its first fetch and it takes unusually long.
+    /// Returns the duration of the fetch of a job's image if this is the first fetch on this machine
+    /// and it differs from the usual one.
     pub fn first_fetch_of(&self, job: &str) -> Option<f64> {
         self.first_fetch_s.filter(|_| !self.fetched_images.contains(job))
     }
 
-    /// Something changed: the next heartbeat goes out soon.
+    /// Moves the next heartbeat forward after a change, keeping the minimum interval.
     pub fn expedite_heartbeat(&mut self, now: f64) {
         let earliest = now.max(self.last_heartbeat + MIN_HEARTBEAT_GAP_S);
         self.next_heartbeat = self.next_heartbeat.min(earliest);
     }
 
-    /// Remembers a fencing token if it is the highest so far.
+    /// Records a fencing token if it is the highest so far.
     pub fn observe_token(&mut self, token: u64, now: f64, lease_s: f64) {
         if token <= self.fencing_token {
             return;
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Ends all tasks and begins a new epoch if the lease has expired. Whether it has.
+    /// Ends all tasks and begins a new epoch if the lease has expired. Returns whether it has expired.
     pub fn expire_lease(&mut self, now: f64, lease_s: f64) -> bool {
         if now - self.renewed_at <= lease_s {
             return false;
@@ -221,7 +222,7 @@
         true
     }
 
-    /// Executes a command. A task without a `launch` fails to start.
+    /// Executes a command. A start command without `launch` leaves the task exited as unknown.
     pub fn execute(&mut self, now: f64, command: &Command, launch: Option<Launch>) {
         let Some((job, index)) = split_task(&command.task) else { return };
         let key = TaskKey { job: job.to_string(), index };
@@ -248,7 +249,8 @@
         self.expedite_heartbeat(now);
     }
 
-    /// Begins a task's attempt; false if it is known, or an earlier one goes on.
+    /// Starts an attempt of a task. Returns false if the attempt is already known or an earlier one
+    /// has not exited.
     fn start(&mut self, now: f64, key: TaskKey, attempt: u64, launch: Option<Launch>) -> bool {
         let known = self.tasks.get(&key);
         if known.is_some_and(|task| task.attempt == attempt || !task.has_exited()) {
