--- a/crates/simulation/src/bin/explore.rs
+++ b/crates/simulation/src/bin/explore.rs
@@ -1,4 +1,4 @@
-//! `explore`: goes through scripts with each kind of fault at each message.
+//! Command `explore`: runs short scripts with each kind of fault at each message.
 
 use anisecroft_simulation::explore::*;
 use clap::Parser;
@@ -6,50 +6,50 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// The exit code of bad input.
-const BAD_INPUT: u8 = 2;
+/// Exit code for invalid input.
+const INVALID_INPUT: u8 = 2;
 
-/// The largest number of threads.
+/// Maximum number of threads.
 const MAX_THREADS: usize = 256;
 
 #[derive(Parser)]
-#[command(about = "Plays short scripts with each kind of trouble at each message.")]
+#[command(about = "Runs short scripts with each kind of fault at each message.")]
 struct Cli {
-    /// Troubles in one run: 1 or 2.
+    /// Number of faults in one run: 1 or 2.
     #[arg(long, default_value_t = 1)]
     depth: usize,
-    /// Threads.
+    /// Number of threads.
     #[arg(long, default_value_t = 8)]
     jobs: usize,
-    /// Scripts by name; all if none is named.
+    /// Names of the scripts to run; all by default.
     #[arg(long, value_delimiter = ',')]
     script: Vec<String>,
-    /// For each script no new run begins after so many seconds.
+    /// Time limit for each script in seconds, after which no new run begins.
     #[arg(long)]
     most_s: Option<f64>,
-    /// Of the runs one in so many is played.
+    /// Executes only one in this number of planned runs.
     #[arg(long, default_value_t = 1)]
     every: usize,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Switches a guard off, to see what is found then.
+    /// Switches a safety check off, to see which rules break without it.
     #[arg(long)]
     without: Option<String>,
-    /// Kinds of trouble by their words; all if none is named.
+    /// Kinds of fault to use, by their words in replay lines; all by default.
     #[arg(long, value_delimiter = ',')]
     only: Vec<String>,
-    /// Ends a script at its first failure.
+    /// Ends each script at its first failure.
     #[arg(long)]
     first: bool,
-    /// Plays one line that a run printed.
+    /// Replays one line that a run printed.
     #[arg(long)]
     replay: Option<String>,
 }
 
-/// Reports bad input in one line.
-fn bad_input(problem: impl std::fmt::Display) -> ExitCode {
-    eprintln!("explore: {problem}");
-    ExitCode::from(BAD_INPUT)
+/// Reports invalid input in one line.
+fn invalid_input(error: impl std::fmt::Display) -> ExitCode {
+    eprintln!("explore: {error}");
+    ExitCode::from(INVALID_INPUT)
 }
 
 impl Cli {
@@ -93,24 +93,24 @@
         Err(error) if error.use_stderr() => {
             let text = error.to_string();
             let line = text.lines().next().unwrap_or_default().trim_start_matches("error: ");
-            return bad_input(format_args!("{line}; see --help"));
+            return invalid_input(format_args!("{line}; see --help"));
         }
         Err(help) => {
             print!("{help}");
             return ExitCode::SUCCESS;
         }
     };
-    // A controller that panics is a failure that is reported; the text comes with it.
+    // A panicking controller is reported as a failure, together with the panic message.
     std::panic::set_hook(Box::new(|_| {}));
     if let Some(text) = &cli.replay {
         return match text.parse::<ReplayLine>() {
             Ok(line) => replay_one(&line),
-            Err(problem) => bad_input(problem),
+            Err(error) => invalid_input(error),
         };
     }
     match cli.options() {
         Ok(options) => explore_all(&options),
-        Err(problem) => bad_input(problem),
+        Err(error) => invalid_input(error),
     }
 }
 
@@ -118,7 +118,7 @@
     let Replay { outcome, lines } = replay(line);
     lines.iter().for_each(|text| println!("{text}"));
     if outcome.faults_injected < line.plan.len() {
-        println!("{} of {} troubles came about", outcome.faults_injected, line.plan.len());
+        println!("{} of {} faults were injected", outcome.faults_injected, line.plan.len());
     }
     ExitCode::from(u8::from(outcome.failure.is_some()))
 }
@@ -144,7 +144,7 @@
     }
     let took_s = started.elapsed().as_secs_f64();
     println!(
-        "{points} points, {runs} runs in {took_s:.0} s, {:.0} a second; {failed} broke a rule",
+        "{points} points, {runs} runs in {took_s:.0} s, {:.0} per second; {failed} broke a rule",
         runs as f64 / took_s
     );
     ExitCode::from(u8::from(failed > 0))
@@ -162,7 +162,7 @@
 
 fn print_script(script: &Script, report: &ScriptReport, took_s: f64) {
     println!(
-        "{}: {} points of {} kinds in meaning, {} runs possible, {} thinned, {} played in {took_s:.0} s ({:.0} a second), {} not played",
+        "{}: {} points with {} distinct labels, {} runs possible, {} omitted, {} executed in {took_s:.0} s ({:.0} per second), {} skipped",
         script.name,
         report.injection_points,
         report.distinct_labels,
@@ -176,12 +176,12 @@
         report.points_by_kind.iter().map(|(kind, count)| format!("{kind} {count}")).collect();
     println!("  messages: {}", kinds.join(", "));
     println!(
-        "  troubles that did not come about: {}; starts after a told cancellation: {}",
+        "  runs without their last fault: {}; task starts after a reported cancellation: {}",
         report.runs_without_last_fault, report.late_starts
     );
     if report.skipped_first_faults > 0 {
         println!(
-            "  first troubles whose second ones were not planned, since time was over: {}",
+            "  first faults without planned second faults because of the time limit: {}",
             report.skipped_first_faults
         );
     }
@@ -191,7 +191,7 @@
     for failure in &report.failures {
         let cause = &failure.cause;
         println!(
-            "  run {}: {} at {:.1} s: {} (at: {})",
+            "  run {}: {} at {:.1} s: {} (fault at: {})",
             failure.run_number, cause.rule, cause.at, cause.details, failure.label
         );
         println!("    explore --replay {:?}", failure.line.to_string());
--- a/crates/simulation/src/explore.rs
+++ b/crates/simulation/src/explore.rs
@@ -1,5 +1,5 @@
-//! Goes through what could go wrong instead of drawing it: each script is recorded without faults,
-//! and then played once for each message and each kind of fault that can strike there
+//! Systematic exploration of faults instead of random draws: each script is recorded without faults
+//! and then run once for each message and each kind of fault that can occur there
 //! (`docs/explore.md`).
 
 mod error;
@@ -20,89 +20,91 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-/// Runs a thread plays before the time and the failures so far are looked at.
+/// Number of runs per thread between two checks of the time limit and the failures so far.
 const BATCH_RUNS: usize = 64;
-/// The same if the first failure ends the script.
+/// Number of runs per thread between two such checks if the first failure ends the script.
 const FIRST_FAILURE_BATCH_RUNS: usize = 8;
 
-/// Failures that are reduced and shown for each script and rule.
+/// Maximum number of failures that are reduced and printed for each script and rule.
 const MAX_SHOWN_FAILURES: usize = 3;
 
-/// What is explored.
+/// Options of an exploration.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The scripts to play.
+    /// Scripts to run.
     pub scripts: Vec<&'static Script>,
-    /// Faults in one run: 1 or 2.
+    /// Number of faults in one run: 1 or 2.
     pub depth: usize,
-    /// The number of threads.
+    /// Number of threads.
     pub jobs: usize,
     /// Seed of the scripts and of the order of runs.
     pub seed: u64,
-    /// A safety check that is switched off.
+    /// Safety check that is switched off.
     pub without: Option<&'static str>,
-    /// No new run of a script begins after that time.
+    /// Time limit for each script, after which no new run begins.
     pub time_limit: Option<Duration>,
-    /// Of the runs, one in so many is played.
+    /// Selects one in `every` planned runs.
     pub every: usize,
-    /// Words of the kinds of fault; all if none is named.
+    /// Names of the kinds of fault to use. Empty for all.
     pub only: Vec<&'static str>,
     /// Whether the first failure ends a script.
     pub stop_at_first: bool,
 }
 
-/// A rule that broke, and the line that replays it.
+/// Violation of a rule, with the line that replays it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Failure {
-    /// The line that replays it.
+    /// Line that replays the run.
     pub line: ReplayLine,
-    /// How many runs it took, in the order of the plan.
+    /// Number of the run, in the order of the plan and starting at 1.
     pub run_number: usize,
-    /// The rule that broke, when, and how.
+    /// Violated rule, time and details.
     pub cause: RunFailure,
-    /// The message that the last fault struck at.
+    /// Label of the message at which the last fault was injected.
     pub label: String,
 }
 
-/// What came of one script.
+/// Result of exploring one script.
 #[derive(Debug, Clone, Default)]
 pub struct ScriptReport {
-    /// Messages and timers of the run without faults.
+    /// Number of messages and timer ticks in the run without faults.
     pub injection_points: usize,
-    /// Runs that the plan had before it was thinned.
+    /// Number of possible runs before any were omitted.
     pub possible_runs: usize,
-    /// Runs that are not planned, since runs alike are.
+    /// Number of runs omitted from the plan because they are equivalent to planned ones or not
+    /// selected by `every`.
     pub omitted_runs: usize,
-    /// Planned runs that were not played: time was over, or a failure ended the script.
+    /// Number of planned runs that were not executed, because of the time limit or because a failure
+    /// ended the script.
     pub skipped_runs: usize,
-    /// First faults whose second ones were not planned: time was over.
+    /// Number of first faults for which no second faults were planned because of the time limit.
     pub skipped_first_faults: usize,
-    /// Runs played.
+    /// Number of executed runs.
     pub runs: usize,
-    /// Runs whose last fault did not come about.
+    /// Number of runs in which the last fault was not injected.
     pub runs_without_last_fault: usize,
-    /// Tasks that started after users were told of a cancellation, over all runs.
+    /// Number of tasks that started after users were told of a cancellation, over all runs.
     pub late_starts: usize,
-    /// Points by kind of message.
+    /// Number of injection points by kind of message.
     pub points_by_kind: BTreeMap<String, usize>,
-    /// Different messages, by kind, purpose and state of the record.
+    /// Number of distinct message labels.
     pub distinct_labels: usize,
-    /// Runs that broke a rule, by rule.
+    /// Number of runs that broke a rule, by rule.
     pub failed_runs: BTreeMap<String, usize>,
-    /// Some of them, reduced.
+    /// Some of these failures, reduced.
     pub failures: Vec<Failure>,
 }
 
-/// How far a script's exploration is.
+/// Progress of the exploration of a script.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// So many runs are planned.
+    /// This number of runs has been planned.
     Planned(usize),
-    /// One more run has been played.
+    /// One more run has finished.
     RunFinished,
 }
 
-/// Who is told of the progress, on any thread.
+/// Callback for progress, called on any thread.
 type OnProgress<'a> = &'a (dyn Fn(Progress) + Sync);
 
 /// Explores one script.
@@ -133,7 +135,7 @@
     report
 }
 
-/// Plays what is planned and sums up what came of it.
+/// Executes the planned runs and adds their outcomes to the report.
 fn run_all(
     plan: &[PlannedRun],
     options: &Options,
@@ -187,15 +189,15 @@
     Failure { line, cause, ..failure.clone() }
 }
 
-/// A line's run, and what a person reads of it.
+/// Outcome of replaying a line, and its description.
 pub struct Replay {
-    /// What came of it.
+    /// Outcome of the run.
     pub outcome: Outcome,
-    /// The faults and how it ended.
+    /// Description of the faults and of the end of the run, as lines of text.
     pub lines: Vec<String>,
 }
 
-/// Plays a line and describes its run.
+/// Runs a replay line and describes the run.
 pub fn replay(line: &ReplayLine) -> Replay {
     let outcome = run_line(line, true);
     let faults_of = |message: &RecordedMessage| -> Vec<MessageFault> {
@@ -214,12 +216,12 @@
     }
     lines.push(match &outcome.failure {
         Some(failure) => format!("{} at {:.3} s: {}", failure.rule, failure.at, failure.details),
-        None => format!("no rule broke until {:.1} s", outcome.ended_at),
+        None => format!("no rule was broken until {:.1} s", outcome.ended_at),
     });
     Replay { outcome, lines }
 }
 
-/// A fault as replays print it: the words of its kind, capitalised, and its time.
+/// Returns a fault as replays print it: the capitalised words of its kind, and its time.
 fn printed(fault: MessageFault) -> String {
     let FaultWord { word, time_s } = FaultWord::from(fault);
     let capitalised = word.split('-').map(|part| part[..1].to_uppercase() + &part[1..]);
--- a/crates/simulation/src/explore/error.rs
+++ b/crates/simulation/src/explore/error.rs
@@ -1,85 +1,85 @@
-//! What can be wrong with a replay line or an option. Each text names what to do.
+//! Errors in replay lines and options. Each text says how to correct the input.
 
-/// A line or option that can't be used.
+/// Invalid replay line or option.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InputError {
-    /// No safety check has that name.
-    #[error("unknown guard {name:?}; name one of {known}")]
+    /// No safety check has this name.
+    #[error("unknown safety check {name:?}; use one of {known}")]
     UnknownCheck {
-        /// What was given.
+        /// Given value.
         name: String,
-        /// The names that there are.
+        /// Existing names.
         known: String,
     },
-    /// No script has that name.
-    #[error("unknown script {name:?}; name one of {known}")]
+    /// No script has this name.
+    #[error("unknown script {name:?}; use one of {known}")]
     UnknownScript {
-        /// What was given.
+        /// Given value.
         name: String,
-        /// The names that there are.
+        /// Existing names.
         known: String,
     },
-    /// No kind of fault has that word.
-    #[error("unknown kind of trouble {name:?}; use one of {known}")]
+    /// No kind of fault has this word.
+    #[error("unknown fault {name:?}; use one of {known}")]
     UnknownFault {
-        /// What was given.
+        /// Given value.
         name: String,
-        /// The words that there are.
+        /// Existing words.
         known: String,
     },
-    /// A fault that takes no time was given one.
-    #[error("{word} takes no time, so {text:?} has to be {word}")]
+    /// A time was given for a fault that takes none.
+    #[error("fault {word} takes no time; write {word} instead of {text:?}")]
     UnexpectedTime {
-        /// The fault's word.
+        /// Word of the fault.
         word: String,
-        /// What was given.
+        /// Given value.
         text: String,
     },
-    /// A fault's time is missing or out of range.
-    #[error("{text:?} needs seconds from 0 to 600, like {word}:6")]
+    /// The time of a fault is missing or out of range.
+    #[error("{text:?} needs a time above 0 and up to 600 seconds, like {word}:6")]
     InvalidTime {
-        /// The fault's word.
+        /// Word of the fault.
         word: String,
-        /// What was given.
+        /// Given value.
         text: String,
     },
     /// The line is empty.
-    #[error("an empty line; pass one that a run printed")]
+    #[error("the replay line is empty; pass a line that a run printed")]
     EmptyLine,
-    /// The seed is no number.
-    #[error("{text:?} needs a whole number, like seed:1")]
+    /// The seed is not a number.
+    #[error("{text:?} needs a whole number as seed, like seed:1")]
     InvalidSeed {
-        /// What was given.
+        /// Given value.
         text: String,
     },
-    /// The number of a message is none.
-    #[error("{text:?} needs a message's number, like 12:lost")]
+    /// The message number is invalid.
+    #[error("{text:?} needs a message number, like 12:lost")]
     InvalidMessageNumber {
-        /// What was given.
+        /// Given value.
         text: String,
     },
-    /// A word has no colon.
-    #[error("{text:?} is no part of a line; write NUMBER:TROUBLE, like 12:lost")]
+    /// A part of the line has no colon.
+    #[error("{text:?} is not a valid part of a replay line; write NUMBER:TROUBLE, like 12:lost")]
     UnknownPart {
-        /// What was given.
+        /// Given value.
         text: String,
     },
     /// The number of faults in one run is out of range.
-    #[error("depth {depth} is not known; use --depth 1 or --depth 2")]
+    #[error("depth {depth} is not supported; use --depth 1 or --depth 2")]
     InvalidDepth {
-        /// What was given.
+        /// Given value.
         depth: usize,
     },
     /// The number of threads is out of range.
-    #[error("{jobs} threads are not possible; use --jobs 1 to 256")]
+    #[error("{jobs} threads are not supported; use --jobs 1 to 256")]
     InvalidThreads {
-        /// What was given.
+        /// Given value.
         jobs: usize,
     },
-    /// One run in zero was asked for.
-    #[error("one in 0 runs is none; use --every 1 for all")]
+    /// The divisor for the selection of runs is zero.
+    #[error("--every 0 selects no runs; use --every 1 for all runs")]
     InvalidFraction,
-    /// The time limit is no positive number of seconds.
+    /// The time limit is not a positive number of seconds.
     #[error("--most-s needs a number of seconds above 0, like --most-s 60")]
     InvalidTimeLimit,
 }
--- a/crates/simulation/src/explore/plan.rs
+++ b/crates/simulation/src/explore/plan.rs
@@ -1,4 +1,4 @@
-//! Which runs of a script are played, and in which order.
+//! Selection and order of the runs of a script.
 
 use super::play::{applicable_faults, run_line};
 use super::replay_line::{FaultWord, ReplayLine};
@@ -8,39 +8,39 @@
 use rayon::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One run that is planned.
+/// Planned run.
 pub(super) struct PlannedRun {
     pub(super) line: ReplayLine,
-    /// The message that its last fault strikes at.
+    /// Label of the message at which the last fault is injected.
     pub(super) label: String,
-    /// How many messages alike came before that one.
+    /// Number of earlier messages with the same label.
     occurrence: usize,
 }
 
-/// The runs with two faults.
+/// Runs with two faults.
 pub(super) struct FaultPairs {
     pub(super) runs: Vec<PlannedRun>,
-    /// How many runs there would be with all messages and times after the same first faults.
+    /// Number of runs if second faults were planned at all messages and with all times.
     pub(super) possible_runs: usize,
-    /// First faults whose second ones were not planned: time was over.
+    /// Number of first faults for which no second faults were planned because of the time limit.
     pub(super) skipped_first_faults: usize,
 }
 
-/// The run without faults, and those with one.
+/// Plans the run without faults and the runs with one fault.
 pub(super) fn single_faults(
     faultless: ReplayLine,
     messages: &[RecordedMessage],
     options: &Options,
 ) -> Vec<PlannedRun> {
     let single_fault_runs = runs_with_fault(&faultless, messages, |kind| selected_faults(kind, options));
-    let label = "no trouble".to_string();
+    let label = "no fault".to_string();
     let mut plan = vec![PlannedRun { line: faultless, label, occurrence: 0 }];
     plan.extend(single_fault_runs);
     plan
 }
 
-/// The runs with a second fault within a lease after the first. Of messages alike only the first
-/// is a point, for both faults.
+/// Plans the runs with two faults, the second one within a lease after the first. Of the messages
+/// with equal labels, only the first is used, for both faults.
 pub(super) fn fault_pairs(
     faultless: &ReplayLine,
     messages: &[RecordedMessage],
@@ -58,7 +58,7 @@
     FaultPairs { runs, possible_runs, skipped_first_faults }
 }
 
-/// The runs with one first fault and a second one.
+/// Runs that add a second fault to the same first one.
 struct SecondFaults {
     runs: Vec<PlannedRun>,
     possible_runs: usize,
@@ -81,7 +81,7 @@
     }
 }
 
-/// The runs that have one fault more than `line`, at one of these messages.
+/// Returns the runs that add one fault to `line`, at one of the given messages.
 fn runs_with_fault(
     line: &ReplayLine,
     messages: &[RecordedMessage],
@@ -101,7 +101,7 @@
     runs
 }
 
-/// Kinds of fault that are played at such a message.
+/// Returns the faults at a message of this kind that the options select.
 fn selected_faults(kind: &MessageKind, options: &Options) -> Vec<MessageFault> {
     let mut faults = applicable_faults(kind);
     faults.retain(|fault| options.only.is_empty() || options.only.contains(&word_of(*fault)));
@@ -112,7 +112,8 @@
     FaultWord::from(fault).word
 }
 
-/// The same with one time of each kind: who ends is back at once, everything else lasts longest.
+/// Returns one fault of each selected kind: an ended sender restarts after the shortest time, all
+/// other faults have their longest time.
 fn one_duration_per_kind(kind: &MessageKind, options: &Options) -> Vec<MessageFault> {
     let mut kept: Vec<MessageFault> = Vec::new();
     for fault in selected_faults(kind, options) {
@@ -126,21 +127,22 @@
     kept
 }
 
-/// Of messages that are alike by kind, purpose and state of the record, the first.
+/// Returns the first message with each label.
 fn first_with_each_label(messages: &[RecordedMessage]) -> Vec<RecordedMessage> {
     let mut seen = BTreeSet::new();
     messages.iter().filter(|message| seen.insert(&message.label)).cloned().collect()
 }
 
-/// One run in `every`. The first of messages alike comes before the second and so on, and otherwise
-/// the order is drawn from the seed: what is left out when time is over is most alike to what was
-/// played. Adds what is left out to `omitted`.
+/// Selects and orders one in `every` runs, and adds the number of the others to `omitted`. Runs with
+/// faults at the first message with a label come before those at the second one and so on. Otherwise
+/// the order is random, drawn from the seed. The runs that are omitted, or not reached within the
+/// time limit, are therefore those most similar to the executed ones.
 pub(super) fn select_runs(
     mut plan: Vec<PlannedRun>,
     options: &Options,
     omitted: &mut usize,
 ) -> Vec<PlannedRun> {
-    // The run without faults stays the first.
+    // The run without faults stays first.
     let rest = plan.len().min(1);
     plan[rest..].shuffle(&mut SmallRng::seed_from_u64(options.seed));
     plan[rest..].sort_by_key(|run| run.occurrence);
@@ -152,5 +154,5 @@
 
 pub(super) fn thread_pool(options: &Options) -> rayon::ThreadPool {
     let builder = rayon::ThreadPoolBuilder::new().num_threads(options.jobs);
-    builder.build().expect("threads can be started")
+    builder.build().expect("starting the worker threads failed")
 }
--- a/crates/simulation/src/explore/play.rs
+++ b/crates/simulation/src/explore/play.rs
@@ -1,4 +1,4 @@
-//! Plays one line, judges it, and reduces what fails.
+//! Executes the run of a replay line, checks its outcome, and reduces failing runs.
 
 use super::replay_line::{checks_without, parse_fault, FaultWord, ReplayLine};
 use super::script::{script, workers, Script};
@@ -7,21 +7,22 @@
 use crate::Simulation;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// How long after the last fault all jobs have to be over, in seconds: what waits beside room breaks
-/// its rule before that.
+/// Time after the last fault within which all jobs have to end, in seconds. The limit is high enough
+/// that a job waiting despite free capacity breaks the rule `LeftWaiting` first.
 const MAX_COMPLETION_S: f64 = 110.0;
 
-/// How long a run goes on after the end, in seconds: users ask on, and what is stored is archived.
+/// Time for which a run continues after all jobs have ended, in seconds. In it, users continue to
+/// query and stored jobs are archived.
 const AFTER_END_S: f64 = 11.0;
 
-/// How a run failed.
+/// Failure of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunFailure {
-    /// The rule that broke, `Unfinished` or `Panicked`.
+    /// Name of the violated rule, `Unfinished` or `Panicked`.
     pub rule: String,
-    /// When, in simulated seconds.
+    /// Time of the failure, in simulated seconds.
     pub at: f64,
-    /// What happened.
+    /// Description of the failure.
     pub details: String,
 }
 
@@ -32,25 +33,25 @@
     }
 }
 
-/// What came of a run.
+/// Outcome of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
-    /// The first rule that broke.
+    /// First failure of the run.
     pub failure: Option<RunFailure>,
-    /// How many of its faults came about.
+    /// Number of planned faults that were injected.
     pub faults_injected: usize,
-    /// Tasks that began after users were told of their job's cancellation.
+    /// Number of tasks that started after users were told of their job's cancellation.
     pub late_starts: usize,
-    /// When the run ended, in simulated seconds.
+    /// End of the run, in simulated seconds.
     pub ended_at: f64,
-    /// The messages before the script's end, if they were recorded.
+    /// Messages before the end of the script, if they were recorded.
     pub messages: Vec<RecordedMessage>,
 }
 
-/// Plays a line to its end; `record`: with its messages.
+/// Executes the run of a line to its end. `record` selects whether its messages are recorded.
 pub fn run_line(line: &ReplayLine, record: bool) -> Outcome {
-    let played = catch_unwind(AssertUnwindSafe(|| run_script(line, record)));
-    played.unwrap_or_else(|cause| {
+    let result = catch_unwind(AssertUnwindSafe(|| run_script(line, record)));
+    result.unwrap_or_else(|cause| {
         let text = cause.downcast_ref::<String>().cloned();
         let text = text.or_else(|| cause.downcast_ref::<&str>().map(std::string::ToString::to_string));
         let rule = "Panicked".to_string();
@@ -60,7 +61,7 @@
 }
 
 fn run_script(line: &ReplayLine, record: bool) -> Outcome {
-    let script = script(line.script).expect("a line names a script that there is");
+    let script = script(line.script).expect("a replay line names an existing script");
     let mut sim = Simulation::new(script.setup(line.seed, checks_without(line.without)));
     sim.intercept(line.plan.clone(), record);
     let failure = run_to_end(&mut sim, script, line.plan.len());
@@ -75,7 +76,8 @@
     }
 }
 
-/// Runs until all jobs are over after the last of so many faults, or a rule is broken.
+/// Runs until a rule is broken, or until all `faults` faults have been injected and have ended and
+/// all jobs have ended.
 fn run_to_end(sim: &mut Simulation, script: &Script, faults: usize) -> Option<RunFailure> {
     let mut finished_at = f64::MAX;
     loop {
@@ -100,18 +102,20 @@
     }
 }
 
-/// How long faults last, in seconds: for a heartbeat, a lease, or longer than `cancel_s`.
+/// Returns the durations of faults, in seconds: one heartbeat interval, more than a lease, and more
+/// than `cancel_s`.
 fn durations() -> [f64; 3] {
     let workers = workers();
     [workers.heartbeat_interval_s, workers.lease_s + 1.0, workers.cancel_s + 4.0]
 }
 
-/// When a process that ended is back, in seconds: at once, or after a lease.
+/// Returns the times after which an ended process restarts, in seconds: almost immediately, and
+/// after more than a lease.
 fn restart_times() -> [f64; 2] {
     [0.2, durations()[1]]
 }
 
-/// Every kind of fault that can strike at such a message.
+/// Returns all faults that can be injected at a message of this kind.
 pub fn applicable_faults(kind: &MessageKind) -> Vec<MessageFault> {
     use MessageFault::*;
     let mut faults = delivery_faults(kind);
@@ -139,7 +143,7 @@
     faults
 }
 
-/// Losses, delays and duplicates.
+/// Returns the losses, delays and duplicates that can be injected at a message of this kind.
 fn delivery_faults(kind: &MessageKind) -> Vec<MessageFault> {
     use MessageFault::*;
     let longer_than_lease = durations()[1] + 5.0;
@@ -181,11 +185,11 @@
     )
 }
 
-/// The same failure with fewer and shorter faults.
+/// Reduces a failing run: returns a line that breaks the same rule with fewer and shorter faults.
 pub fn reduce(line: &ReplayLine, rule: &str) -> ReplayLine {
     let mut best = line.clone();
     let fails = |line: &ReplayLine| run_line(line, false).failure.is_some_and(|failure| failure.rule == rule);
-    // What could not be left out may be once another one is.
+    // A fault that could not be left out before may become unnecessary once another one is removed.
     while let Some(fewer) = without_one(&best).find(fails) {
         best = fewer;
     }
@@ -204,7 +208,7 @@
     best
 }
 
-/// The same line without one of its faults.
+/// Returns the variants of a line that lack one of its faults.
 fn without_one(line: &ReplayLine) -> impl Iterator<Item = ReplayLine> {
     let line = line.clone();
     (0..line.plan.len()).rev().map(move |n| {
@@ -214,7 +218,7 @@
     })
 }
 
-/// The same fault for shorter times, the shortest first.
+/// Returns the same fault with shorter times, the shortest first.
 fn shorter(fault: MessageFault) -> Vec<MessageFault> {
     let FaultWord { word, time_s: Some(time_s) } = FaultWord::from(fault) else { return Vec::new() };
     let times = [0.2, 1.0, 2.0, 3.0, 6.0, 12.0, 20.0, 30.0].into_iter();
--- a/crates/simulation/src/explore/replay_line.rs
+++ b/crates/simulation/src/explore/replay_line.rs
@@ -1,28 +1,28 @@
-//! A run as one line that replays it: `script NUMBER:FAULT... seed:N without:CHECK`.
+//! Replay lines, each of which describes a run: `script NUMBER:FAULT... seed:N without:CHECK`.
 
 use super::error::InputError;
 use super::script::{script, Script, SCRIPTS};
 use crate::sim::{MessageFault, PlannedFault};
 use controller::SafetyChecks;
 
-/// The longest time, in seconds, that a fault in a line may have.
+/// Longest time that a fault in a line may have, in seconds.
 const MAX_FAULT_S: f64 = 600.0;
 
-/// One run: a script, and which fault strikes at which of its messages.
+/// Run of a script with faults injected at some of its messages.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReplayLine {
-    /// The script's name.
+    /// Name of the script.
     pub script: &'static str,
-    /// The faults.
+    /// Faults to inject.
     pub plan: Vec<PlannedFault>,
-    /// Seed of the run's random draws.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// The name of a safety check that is switched off.
+    /// Name of the safety check that is switched off.
     pub without: Option<&'static str>,
 }
 
 impl ReplayLine {
-    /// The same with one fault more.
+    /// Returns the same line with one more fault.
     pub(super) fn with_fault(&self, message: u64, fault: MessageFault) -> Self {
         let mut line = self.clone();
         line.plan.push(PlannedFault { message, fault });
@@ -30,7 +30,7 @@
     }
 }
 
-/// A safety check by its name in lines and on the command line.
+/// Safety check with its name in replay lines and on the command line.
 struct NamedCheck {
     name: &'static str,
     switch_off: fn(&mut SafetyChecks),
@@ -59,33 +59,33 @@
     check_named("gateway.token", |checks| checks.proxy.fencing = false),
 ];
 
-/// Names of all safety checks.
+/// Returns the names of all safety checks.
 pub fn check_names() -> impl Iterator<Item = &'static str> {
     CHECKS.iter().map(|check| check.name)
 }
 
-/// The safety check's name as it is listed.
+/// Returns the listed name that equals `name`.
 ///
 /// # Errors
-/// If there is no such check.
+/// If there is no safety check of that name.
 pub fn find_check(name: &str) -> Result<&'static str, InputError> {
     let unknown = || InputError::UnknownCheck { name: name.into(), known: joined(check_names()) };
     check_names().find(|known| *known == name).ok_or_else(unknown)
 }
 
-/// The script of that name.
+/// Returns the script of a name.
 ///
 /// # Errors
-/// If there is no such script.
+/// If there is no script of that name.
 pub fn find_script(name: &str) -> Result<&'static Script, InputError> {
     let names = SCRIPTS.iter().map(|script| script.name);
     script(name).ok_or_else(|| InputError::UnknownScript { name: name.into(), known: joined(names) })
 }
 
-/// The word of a kind of fault as it is listed.
+/// Returns the listed word of a kind of fault that equals `name`.
 ///
 /// # Errors
-/// If there is no such kind.
+/// If there is no such kind of fault.
 pub fn find_fault_word(name: &str) -> Result<&'static str, InputError> {
     let words = || UNTIMED_FAULTS.iter().map(|fault| fault.0).chain(TIMED_FAULTS.iter().map(|fault| fault.0));
     let known = words().find(|word| *word == name);
@@ -96,7 +96,7 @@
     names.collect::<Vec<_>>().join(", ")
 }
 
-/// All safety checks on, but for the named one.
+/// Returns all safety checks switched on, except for the named one.
 pub fn checks_without(name: Option<&str>) -> SafetyChecks {
     let mut checks = SafetyChecks::default();
     if let Some(check) = CHECKS.iter().find(|check| Some(check.name) == name) {
@@ -105,10 +105,10 @@
     checks
 }
 
-/// A word, and the fault of such a time.
+/// Word of a fault, and the constructor of the fault from its time.
 type TimedFault = (&'static str, fn(f64) -> MessageFault);
 
-/// Words of faults that take a time.
+/// Words of the faults that take a time.
 const TIMED_FAULTS: [TimedFault; 7] = [
     ("late", MessageFault::Delayed),
     ("copied", MessageFault::Duplicated),
@@ -119,19 +119,19 @@
     ("hangs", MessageFault::MachineHangs),
 ];
 
-/// Words of faults that take none.
+/// Words of the faults that take no time.
 const UNTIMED_FAULTS: [(&str, MessageFault); 3] = [
     ("lost", MessageFault::Lost),
     ("cancel", MessageFault::JobsCancelled),
     ("ask", MessageFault::JobsQueried),
 ];
 
-/// A fault as it stands in a line.
+/// Fault in the notation of replay lines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct FaultWord {
-    /// Its kind.
+    /// Word of the kind of fault.
     pub(super) word: &'static str,
-    /// Its time, in seconds.
+    /// Time of the fault, in seconds.
     pub(super) time_s: Option<f64>,
 }
 
--- a/crates/simulation/src/explore/script.rs
+++ b/crates/simulation/src/explore/script.rs
@@ -1,4 +1,4 @@
-//! Short fixed runs of a few jobs, in which a fault may strike at each message.
+//! Scripts: short fixed runs with a few jobs, in which faults can be injected at each message.
 
 use crate::{Fault, ScheduledFault, Setup, Submission};
 use controller::SafetyChecks;
@@ -8,28 +8,29 @@
 use std::collections::BTreeSet;
 use std::sync::LazyLock;
 
-/// A fixed run.
+/// Fixed run.
 #[derive(Debug, Clone, Copy)]
 pub struct Script {
-    /// Its name in replay lines.
+    /// Name in replay lines.
     pub name: &'static str,
-    /// What happens, in one line.
+    /// Description in one line.
     pub about: &'static str,
-    /// When all jobs should be over, in simulated seconds. No fault strikes at later messages.
+    /// Time by which all jobs should have ended, in simulated seconds. No fault is injected at later
+    /// messages.
     pub until_s: f64,
     jobs: fn() -> Vec<Submission>,
     faults: fn() -> Vec<ScheduledFault>,
-    /// The number of machines that there can be.
+    /// Maximum number of machines.
     capacity: usize,
-    /// Accelerators that the first team may use; 0: any number.
+    /// Limit of accelerators for the first team, or 0 for none.
     limit: f64,
 }
 
-/// All scripts, in the order in which they are played.
+/// All scripts, in the order in which they are run.
 pub const SCRIPTS: [Script; 12] = [
     Script {
         name: "arrays",
-        about: "jobs are accepted, placed, launched and end",
+        about: "jobs are accepted, placed, launched and completed",
         until_s: 45.0,
         jobs: arrays,
         faults: no_faults,
@@ -38,7 +39,7 @@
     },
     Script {
         name: "cancel",
-        about: "running jobs are cancelled, others take their room",
+        about: "running jobs are cancelled, and others take their capacity",
         until_s: 60.0,
         jobs: cancelled_jobs,
         faults: no_faults,
@@ -47,7 +48,7 @@
     },
     Script {
         name: "gang",
-        about: "a gang takes the machines of less urgent work",
+        about: "a gang preempts jobs of lower priority",
         until_s: 70.0,
         jobs: urgent_gang,
         faults: no_faults,
@@ -56,16 +57,16 @@
     },
     Script {
         name: "handover",
-        about: "the lead goes from node to node while jobs run, end and are cancelled",
+        about: "leadership moves from node to node while jobs run, end and are cancelled",
         until_s: 60.0,
         jobs: jobs_across_failovers,
-        faults: crash_each,
+        faults: crash_each_node,
         capacity: 2,
         limit: 0.0,
     },
     Script {
         name: "rent",
-        about: "machines are rented, given back and rented again",
+        about: "machines are rented, scaled in and rented again",
         until_s: 90.0,
         jobs: bursts,
         faults: no_faults,
@@ -74,7 +75,7 @@
     },
     Script {
         name: "await",
-        about: "jobs await others, one of which is cancelled",
+        about: "jobs depend on others, one of which is cancelled",
         until_s: 60.0,
         jobs: dependent_jobs,
         faults: no_faults,
@@ -102,7 +103,7 @@
     Script {
         name: "steady",
         about:
-            "small jobs come to machines with room, which report to a node after the other; the cloud is out",
+            "small jobs start beside long ones while heartbeats rotate among the nodes and the cloud is down",
         until_s: 50.0,
         jobs: steady_jobs,
         faults: cloud_outage,
@@ -111,16 +112,16 @@
     },
     Script {
         name: "leaderless",
-        about: "one node or another ends all the time, while what others await is cancelled",
+        about: "nodes crash continually, and a job that others depend on is cancelled",
         until_s: 90.0,
         jobs: dependent_jobs,
-        faults: crash_all_the_time,
+        faults: continual_crashes,
         capacity: 2,
         limit: 0.0,
     },
     Script {
         name: "zone",
-        about: "a zone is cut off with a gateway inside, and the cloud is out",
+        about: "a zone that contains a heartbeat proxy is partitioned during a cloud outage",
         until_s: 80.0,
         jobs: long_jobs,
         faults: zone_partition,
@@ -129,7 +130,7 @@
     },
     Script {
         name: "gap",
-        about: "jobs are cancelled, and then the state service is out for longer than cancel_s",
+        about: "jobs are cancelled, followed by a store outage longer than cancel_s",
         until_s: 90.0,
         jobs: jobs_cancelled_before_outage,
         faults: store_outage,
@@ -138,13 +139,13 @@
     },
 ];
 
-/// The script of that name.
+/// Returns the script of a name.
 pub fn script(name: &str) -> Option<&'static Script> {
     SCRIPTS.iter().find(|s| s.name == name)
 }
 
 impl Script {
-    /// The run, ready to be played by three controllers.
+    /// Returns the configuration of the run, with three controllers.
     pub fn setup(&self, seed: u64, checks: SafetyChecks) -> Setup {
         Setup {
             nodes: 3,
@@ -162,12 +163,14 @@
     }
 }
 
-/// The documented example.
+/// Example settings from the documentation.
 static EXAMPLE: LazyLock<Settings> = LazyLock::new(|| {
-    Settings::parse(include_str!("../../../../docs/example.toml")).expect("the documented example is read")
+    Settings::parse(include_str!("../../../../docs/example.toml"))
+        .expect("the documented example settings are valid")
 });
 
-/// The same with a limit for its first team only; 0: none.
+/// Returns the example settings with an accelerator limit for the first team only, or for no team if
+/// `limit` is 0.
 fn settings(limit: f64) -> Settings {
     let mut settings = EXAMPLE.clone();
     for (n, team) in settings.params.teams.iter_mut().enumerate() {
@@ -177,7 +180,7 @@
     settings
 }
 
-/// The workers' heartbeats, leases and other times, in every script.
+/// Returns the settings of the workers, such as heartbeat interval and lease, in every script.
 pub fn workers() -> &'static Workers {
     &EXAMPLE.params.workers
 }
@@ -201,7 +204,7 @@
     Vec::new()
 }
 
-/// An array of the first team that may run anywhere.
+/// Returns an array job of the first team that may run on any machine type and in any zone.
 fn array(number: u32, tasks: u32, estimate_s: f64) -> JobSpec {
     JobSpec {
         id: format!("req-{number}"),
@@ -228,7 +231,7 @@
     }
 }
 
-fn of_other_team(spec: JobSpec) -> JobSpec {
+fn for_other_team(spec: JobSpec) -> JobSpec {
     JobSpec { team: "clinics".into(), ..spec }
 }
 
@@ -267,8 +270,8 @@
     ]
 }
 
-/// Each node crashes once, so each leader does; the last is away for longer.
-fn crash_each() -> Vec<ScheduledFault> {
+/// Crashes each node once, and thereby each leader. The last one is down for longer.
+fn crash_each_node() -> Vec<ScheduledFault> {
     [(25.0, 0, 0.2), (32.0, 1, 0.2), (39.0, 2, 8.0)]
         .map(|(at, node, duration_s)| ScheduledFault::new(at, Fault::ControllerCrash { node, duration_s }))
         .to_vec()
@@ -294,7 +297,7 @@
         Submission::new(2.0, array(1, 4, 400.0)).cancelled_at(28.0),
         Submission::new(20.0, array(2, 4, 6.0)),
         Submission::new(22.0, JobSpec { one_zone: true, ..array(3, 2, 6.0) }),
-        Submission::new(24.0, of_other_team(array(4, 4, 6.0))),
+        Submission::new(24.0, for_other_team(array(4, 4, 6.0))),
     ]
 }
 
@@ -310,14 +313,14 @@
 fn long_jobs() -> Vec<Submission> {
     vec![
         Submission::new(2.0, array(1, 8, 28.0)),
-        Submission::new(3.0, of_other_team(JobSpec { one_zone: true, ..array(2, 4, 20.0) })),
+        Submission::new(3.0, for_other_team(JobSpec { one_zone: true, ..array(2, 4, 20.0) })),
         Submission::new(4.0, JobSpec { zone: Some("b".into()), accelerators: 2.0, ..array(4, 1, 400.0) })
             .cancelled_at(29.0),
         Submission::new(30.0, array(3, 4, 6.0)),
     ]
 }
 
-/// Three machines half full, and a small job every three seconds.
+/// Returns jobs that half fill three machines, and a small job every three seconds.
 fn steady_jobs() -> Vec<Submission> {
     let small = |n: u32| Submission::new(21.0 + 3.0 * f64::from(n), array(n, 1, 5.0));
     let long = JobSpec { accelerators: 2.0, ..array(100, 4, 400.0) };
@@ -335,7 +338,7 @@
     ]
 }
 
-fn crash_all_the_time() -> Vec<ScheduledFault> {
+fn continual_crashes() -> Vec<ScheduledFault> {
     let end = |i: usize| {
         ScheduledFault::new(30.0 + 1.2 * i as f64, Fault::ControllerCrash { node: i % 3, duration_s: 2.0 })
     };
@@ -358,7 +361,7 @@
     ]
 }
 
-/// Longer than `cancel_s`.
+/// Returns a store outage that lasts longer than `cancel_s`.
 fn store_outage() -> Vec<ScheduledFault> {
     vec![ScheduledFault::new(30.0, Fault::StoreOutage { duration_s: 48.0 })]
 }
