--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -151,8 +151,8 @@
     fn list(&self, after: Option<&str>, as_of: f64) -> CloudReply {
         let listing = self.listings.iter().rev().find(|listing| listing.at <= as_of);
         let all = listing.map_or(&[][..], |listing| &listing.machines);
-        let is_wanted = |machine: &&ListedMachine| after.is_none_or(|after| machine.id.as_str() > after);
-        let mut machines: Vec<ListedMachine> = all.iter().filter(is_wanted).cloned().collect();
+        let is_after = |machine: &&ListedMachine| after.is_none_or(|after| machine.id.as_str() > after);
+        let mut machines: Vec<ListedMachine> = all.iter().filter(is_after).cloned().collect();
         let more = machines.len() > MAX_LISTED;
         machines.truncate(MAX_LISTED);
         CloudReply::List(MachineList { machines, more })
--- a/crates/simulation/src/explore.rs
+++ b/crates/simulation/src/explore.rs
@@ -161,7 +161,7 @@
         }
     }
     report.skipped_runs = plan.len() - report.runs;
-    report.failures = pool.install(|| report.failures.par_iter().map(reduced).collect());
+    report.failures = pool.install(|| report.failures.par_iter().map(reduce_failure).collect());
 }
 
 impl ScriptReport {
@@ -179,7 +179,7 @@
     }
 }
 
-fn reduced(failure: &Failure) -> Failure {
+fn reduce_failure(failure: &Failure) -> Failure {
     let line = reduce(&failure.line, &failure.cause.rule);
     let mut cause = failure.cause.clone();
     if let Some(reduced) = run_line(&line, false).failure {
@@ -210,7 +210,7 @@
         if !faults.is_empty() {
             let (at, number, label) = (message.at, message.number, &message.label);
             let kind = message.kind.as_str();
-            let faults = faults.into_iter().map(printed).collect::<Vec<_>>().join(", ");
+            let faults = faults.into_iter().map(describe_fault).collect::<Vec<_>>().join(", ");
             lines.push(format!("{at:.3} s, message {number}: {label} ({kind}): [{faults}]"));
         }
     }
@@ -222,7 +222,7 @@
 }
 
 /// Returns a fault as replays print it: the capitalised words of its kind, and its time.
-fn printed(fault: MessageFault) -> String {
+fn describe_fault(fault: MessageFault) -> String {
     let FaultWord { word, time_s } = FaultWord::from(fault);
     let capitalised = word.split('-').map(|part| part[..1].to_uppercase() + &part[1..]);
     let time = time_s.map(|time_s| format!("({time_s:?})"));
--- a/crates/simulation/src/explore/plan.rs
+++ b/crates/simulation/src/explore/plan.rs
@@ -50,11 +50,11 @@
     let one_duration = |kind: &MessageKind| one_duration_per_kind(kind, options);
     let first_fault_runs = runs_with_fault(faultless, &first_with_each_label(messages), one_duration);
     let second_of = |first: &PlannedRun| (!time_is_up()).then(|| second_faults(first, options));
-    let all: Vec<Option<SecondFaults>> =
+    let plans: Vec<Option<SecondFaults>> =
         thread_pool(options).install(|| first_fault_runs.par_iter().map(second_of).collect());
-    let skipped_first_faults = all.iter().filter(|second| second.is_none()).count();
-    let possible_runs = all.iter().flatten().map(|second| second.possible_runs).sum();
-    let runs = all.into_iter().flatten().flat_map(|second| second.runs).collect();
+    let skipped_first_faults = plans.iter().filter(|second| second.is_none()).count();
+    let possible_runs = plans.iter().flatten().map(|second| second.possible_runs).sum();
+    let runs = plans.into_iter().flatten().flat_map(|second| second.runs).collect();
     FaultPairs { runs, possible_runs, skipped_first_faults }
 }
 
@@ -115,16 +115,16 @@
 /// Returns one fault of each selected kind: an ended sender restarts after the shortest time, all
 /// other faults have their longest time.
 fn one_duration_per_kind(kind: &MessageKind, options: &Options) -> Vec<MessageFault> {
-    let mut kept: Vec<MessageFault> = Vec::new();
+    let mut faults: Vec<MessageFault> = Vec::new();
     for fault in selected_faults(kind, options) {
         let same_kind = |earlier: &&mut MessageFault| word_of(**earlier) == word_of(fault);
-        match kept.iter_mut().find(same_kind) {
+        match faults.iter_mut().find(same_kind) {
             Some(MessageFault::SenderEndsBefore(_) | MessageFault::SenderEndsAfter(_)) => {}
             Some(earlier) => *earlier = fault,
-            None => kept.push(fault),
+            None => faults.push(fault),
         }
     }
-    kept
+    faults
 }
 
 /// Returns the first message with each label.
--- a/crates/simulation/src/explore/play.rs
+++ b/crates/simulation/src/explore/play.rs
@@ -76,16 +76,16 @@
     }
 }
 
-/// Runs until a rule is broken, or until all `faults` faults have been injected and have ended and
-/// all jobs have ended.
-fn run_to_end(sim: &mut Simulation, script: &Script, faults: usize) -> Option<RunFailure> {
+/// Runs until a rule is broken, or until all jobs have ended after the last of the planned faults.
+/// Jobs that take too long are reported as `Unfinished`.
+fn run_to_end(sim: &mut Simulation, script: &Script, planned_faults: usize) -> Option<RunFailure> {
     let mut finished_at = f64::MAX;
     loop {
         sim.run(sim.now + 1.0);
         if let Some(violation) = sim.history.violations.first() {
             return Some(violation.into());
         }
-        if sim.faults_injected() < faults && sim.now < script.until_s {
+        if sim.faults_injected() < planned_faults && sim.now < script.until_s {
             continue;
         }
         if sim.all_finished() {
--- a/crates/simulation/src/sim/digest.rs
+++ b/crates/simulation/src/sim/digest.rs
@@ -85,7 +85,7 @@
     }
 }
 
-fn request(request: &Request) -> WireForm {
+fn request_form(request: &Request) -> WireForm {
     match request {
         Request::Submit(body) => WireForm::kind(1).bytes(body),
         Request::QueryStatus(id) => WireForm::kind(2).text(id),
@@ -95,12 +95,12 @@
     }
 }
 
-fn response(response: &HttpResponse) -> WireForm {
+fn response_form(response: &HttpResponse) -> WireForm {
     let retry = response.retry_after_s.map_or(u64::MAX, u64::from);
     WireForm::default().number(response.status.into()).bytes(&response.body).number(retry)
 }
 
-fn store_request(request: &StoreRequest) -> WireForm {
+fn store_request_form(request: &StoreRequest) -> WireForm {
     match request {
         StoreRequest::Get(key) => WireForm::kind(1).text(key),
         StoreRequest::List { prefix, after } => WireForm::kind(2).text(prefix).optional(after.as_deref()),
@@ -114,7 +114,7 @@
     }
 }
 
-fn store_reply(reply: &StoreReply) -> WireForm {
+fn store_reply_form(reply: &StoreReply) -> WireForm {
     match reply {
         StoreReply::Item(item) => WireForm::kind(1).body(item),
         StoreReply::Missing(revision) => WireForm::kind(2).body(&Missing { revision: *revision }),
@@ -132,7 +132,7 @@
     }
 }
 
-fn cloud_request(request: &CloudRequest) -> WireForm {
+fn cloud_request_form(request: &CloudRequest) -> WireForm {
     match request {
         CloudRequest::Types => WireForm::kind(1),
         CloudRequest::List { after } => WireForm::kind(2).optional(after.as_deref()),
@@ -141,7 +141,7 @@
     }
 }
 
-fn cloud_reply(reply: &CloudReply) -> WireForm {
+fn cloud_reply_form(reply: &CloudReply) -> WireForm {
     match reply {
         CloudReply::Types(types) => WireForm::kind(1).body(types),
         CloudReply::List(list) => WireForm::kind(2).body(list),
@@ -154,7 +154,7 @@
     }
 }
 
-fn direct_reply(reply: &WorkerReply) -> WireForm {
+fn direct_reply_form(reply: &WorkerReply) -> WireForm {
     match reply {
         WorkerReply::Heartbeat { executed, report } => {
             WireForm::kind(1).number((*executed).into()).body(report)
@@ -176,17 +176,17 @@
     pub(super) fn add_input(&mut self, now: f64, node: usize, input: &Input) {
         let (channel, id, form) = match input {
             Input::Tick => return,
-            Input::Request(id, r) => (Channel::Request, *id, request(r)),
-            Input::Store(call, r) => (Channel::StoreReply, *call, store_reply(r)),
-            Input::Cloud(call, r) => (Channel::CloudReply, *call, cloud_reply(r)),
-            Input::Worker(call, r) => (Channel::CommandsReply, *call, direct_reply(r)),
+            Input::Request(id, request) => (Channel::Request, *id, request_form(request)),
+            Input::Store(call, reply) => (Channel::StoreReply, *call, store_reply_form(reply)),
+            Input::Cloud(call, reply) => (Channel::CloudReply, *call, cloud_reply_form(reply)),
+            Input::Worker(call, reply) => (Channel::CommandsReply, *call, direct_reply_form(reply)),
             Input::PeerView(view) => (Channel::PeerView, 0, WireForm::default().bytes(&view.encode_to_vec())),
-            Input::ForwardRequest(id, r) => {
-                (Channel::ForwardReceived, *id, WireForm::default().bytes(&r.encode_to_vec()))
+            Input::ForwardRequest(id, request) => {
+                (Channel::ForwardReceived, *id, WireForm::default().bytes(&request.encode_to_vec()))
             }
-            Input::ForwardReply(call, r) => {
-                let form = match r {
-                    Some(r) => WireForm::kind(1).bytes(&r.encode_to_vec()),
+            Input::ForwardReply(call, reply) => {
+                let form = match reply {
+                    Some(reply) => WireForm::kind(1).bytes(&reply.encode_to_vec()),
                     None => WireForm::kind(0),
                 };
                 (Channel::ForwardReplyReceived, *call, form)
@@ -198,17 +198,17 @@
     /// Adds an output of a controller.
     pub(super) fn add_output(&mut self, now: f64, node: usize, output: &Output) {
         let (channel, id, form) = match output {
-            Output::Response(id, a) => (Channel::Response, *id, response(a)),
-            Output::Store(call, op) => (Channel::Store, *call, store_request(op)),
-            Output::Cloud(call, op) => (Channel::Cloud, *call, cloud_request(op)),
+            Output::Response(id, response) => (Channel::Response, *id, response_form(response)),
+            Output::Store(call, request) => (Channel::Store, *call, store_request_form(request)),
+            Output::Cloud(call, request) => (Channel::Cloud, *call, cloud_request_form(request)),
             Output::Worker(call, addr, body) => {
                 (Channel::Commands, *call, WireForm::default().text(addr).body(body))
             }
             Output::Forward(call, peer, request) => {
                 (Channel::ForwardSent, *call, WireForm::default().text(peer).bytes(&request.encode_to_vec()))
             }
-            Output::ForwardReply(id, r) => {
-                (Channel::ForwardReplySent, *id, WireForm::default().bytes(&r.encode_to_vec()))
+            Output::ForwardReply(id, reply) => {
+                (Channel::ForwardReplySent, *id, WireForm::default().bytes(&reply.encode_to_vec()))
             }
         };
         self.add(now, channel, node, id, form);
--- a/crates/simulation/src/sim/interception.rs
+++ b/crates/simulation/src/sim/interception.rs
@@ -282,20 +282,20 @@
 
     fn record_message(&mut self, number: u64, event: &Event) {
         let Some(kind) = kind_of(event) else { return };
-        let own_label = label_of(self, event);
+        let message_label = label_of(self, event);
         let at = self.now;
         let interception = self.interception.as_mut();
         let Some(record) = interception.and_then(|interception| interception.record.as_mut()) else {
             return;
         };
         let label = if let Some(call) = call_made_by(event) {
-            record.calls.insert(call, own_label.clone());
-            own_label
+            record.calls.insert(call, message_label.clone());
+            message_label
         } else if let Some(call) = call_answered_by(event) {
             let request = record.calls.get(&call).map_or("", String::as_str);
-            format!("{request} -> {own_label}")
+            format!("{request} -> {message_label}")
         } else {
-            own_label
+            message_label
         };
         record.messages.push(RecordedMessage { number, at, kind, label });
     }
--- a/crates/simulation/src/sim/invariants.rs
+++ b/crates/simulation/src/sim/invariants.rs
@@ -53,9 +53,9 @@
                 tasks_elsewhere += count;
             }
         }
-        let together = !spec.one_zone || tasks_elsewhere == 0;
-        let apart = !spec.spread || tasks_here <= spec.tasks.div_ceil(2);
-        together && apart
+        let one_zone_kept = !spec.one_zone || tasks_elsewhere == 0;
+        let spread_kept = !spec.spread || tasks_here <= spec.tasks.div_ceil(2);
+        one_zone_kept && spread_kept
     }
 
     /// Checks the rules on all tasks that are currently on machines and on the responses to users.
@@ -87,8 +87,9 @@
             let answered_at = self.history.answered_at.get(*job).copied().unwrap_or(0.0);
             now - answered_at.max(self.faults_end) > MAX_UNANSWERED_S
         };
-        let forgotten: Vec<String> = self.history.accepted.iter().filter(is_unanswered).cloned().collect();
-        for job in forgotten {
+        let forgotten_jobs: Vec<String> =
+            self.history.accepted.iter().filter(is_unanswered).cloned().collect();
+        for job in forgotten_jobs {
             self.history.violate(Rule::Forgotten, now, format!("no request about {job} was answered"));
         }
     }
--- a/crates/simulation/src/sim/message_label.rs
+++ b/crates/simulation/src/sim/message_label.rs
@@ -59,8 +59,8 @@
             format!("answer of {} {} {}", role(*node), response.status, commands.unwrap_or_default())
         }
         Event::UserRequestArrives { job, request, .. } => {
-            let told = sim.history.last_status.get(job).map_or("nothing".into(), variant_name);
-            format!("user {}, told {told}", variant_name(request))
+            let reported = sim.history.last_status.get(job).map_or("nothing".into(), variant_name);
+            format!("user {}, told {reported}", variant_name(request))
         }
         Event::UserResponseArrives { response, .. } => {
             let view = protocol::decode::<JobView>(&response.body);
--- a/crates/simulation/src/sim/node.rs
+++ b/crates/simulation/src/sim/node.rs
@@ -118,11 +118,11 @@
         let now = self.now;
         let process = &mut self.nodes[node];
         let Some(controller) = &mut process.controller else { return };
-        let steady_s = (now - process.started_at) * process.clock_rate;
+        let monotonic_s = (now - process.started_at) * process.clock_rate;
         if let Some(digest) = &mut self.digest {
             digest.add_input(now, node, &input);
         }
-        let outputs = controller.handle(steady_s, WALL_CLOCK_START_S + now, input);
+        let outputs = controller.handle(monotonic_s, WALL_CLOCK_START_S + now, input);
         if let Some(digest) = &mut self.digest {
             outputs.iter().for_each(|output| digest.add_output(now, node, output));
         }
--- a/crates/simulation/src/sim/queries.rs
+++ b/crates/simulation/src/sim/queries.rs
@@ -192,9 +192,9 @@
         let mut running = Vec::new();
         for (machine, worker) in &self.workers {
             for (key, task) in &worker.tasks {
-                let long = matches!(task.phase, TaskPhase::Running { until } if until > earliest);
+                let long_running = matches!(task.phase, TaskPhase::Running { until } if until > earliest);
                 let accepted = self.history.accepted.contains(&key.job);
-                if long && accepted && !self.history.cancel_requested.contains(&key.job) {
+                if long_running && accepted && !self.history.cancel_requested.contains(&key.job) {
                     running.push(RunningTask { job: key.job.clone(), machine: machine.clone() });
                 }
             }
--- a/crates/simulation/src/sim/work_conservation.rs
+++ b/crates/simulation/src/sim/work_conservation.rs
@@ -66,8 +66,8 @@
         if !spec.dependencies.iter().all(|job| self.history.is_done(job)) {
             return false;
         }
-        let at_once = if spec.shape == Shape::Array { 1 } else { spec.tasks };
-        if self.is_over_quota(spec, at_once) {
+        let min_tasks = if spec.shape == Shape::Array { 1 } else { spec.tasks };
+        if self.is_over_quota(spec, min_tasks) {
             return false;
         }
         let mut slots: BTreeMap<&str, u32> = BTreeMap::new();
@@ -75,10 +75,10 @@
             *slots.entry(&worker.machine.zone).or_default() += self.free_slots(worker, spec);
         }
         if spec.one_zone {
-            return slots.values().any(|slots| *slots >= at_once);
+            return slots.values().any(|slots| *slots >= min_tasks);
         }
         let max_per_zone = if spec.spread { spec.tasks.div_ceil(2) } else { u32::MAX };
-        slots.values().map(|slots| (*slots).min(max_per_zone)).sum::<u32>() >= at_once
+        slots.values().map(|slots| (*slots).min(max_per_zone)).sum::<u32>() >= min_tasks
     }
 
     /// Returns whether `tasks` more tasks of a job would take its team over its limit.
@@ -99,8 +99,9 @@
         }
         let mut free = [machine_type.cores, machine_type.accelerators, machine_type.memory_gb];
         for (key, _) in worker.tasks.iter().filter(|(_, task)| !task.has_exited()) {
-            let taken = &self.history.specs[&key.job];
-            free = [free[0] - taken.cores, free[1] - taken.accelerators, free[2] - taken.memory_gb];
+            let task_spec = &self.history.specs[&key.job];
+            free =
+                [free[0] - task_spec.cores, free[1] - task_spec.accelerators, free[2] - task_spec.memory_gb];
         }
         let needed = [spec.cores, spec.accelerators, spec.memory_gb];
         let count = |(free, needed): (&f64, f64)| {
--- a/crates/simulation/src/sim/world.rs
+++ b/crates/simulation/src/sim/world.rs
@@ -53,9 +53,10 @@
             let Some(controller) = &node.controller else { continue };
             // A replaced leader assigns no work, and a delayed heartbeat may still reach it.
             let replaced = self.is_replaced(n);
-            let long_gone =
+            let lost_long_ago =
                 |id: &&str| !replaced && self.lost_at.get(*id).is_some_and(|at| now - at > suspicion_s);
-            self.usable_after_loss.extend(controller.usable_machines().filter(long_gone).map(String::from));
+            self.usable_after_loss
+                .extend(controller.usable_machines().filter(lost_long_ago).map(String::from));
             let is_alive = |id: &str| {
                 self.workers.get(id).is_some_and(|worker| {
                     now < worker.renewed_at + lease_s && now - worker.hung_until > suspicion_s
--- a/crates/simulation/src/state.rs
+++ b/crates/simulation/src/state.rs
@@ -106,8 +106,8 @@
 
     /// Returns the size, in bytes, of the largest value under `prefix`.
     pub fn largest_value_bytes(&self, prefix: &str) -> usize {
-        let held = self.items.iter().filter(|(key, _)| key.starts_with(prefix));
-        held.map(|(_, item)| json_size(&item.value)).max().unwrap_or(0)
+        let matching = self.items.iter().filter(|(key, _)| key.starts_with(prefix));
+        matching.map(|(_, item)| json_size(&item.value)).max().unwrap_or(0)
     }
 
     /// Returns the stored format version, which all controllers can read.
@@ -270,11 +270,11 @@
     }
 
     fn commit(&mut self, transaction: &Transaction<Value>) -> StoreReply {
-        let lease_gone = |mutation: &Mutation<Value>| match mutation {
+        let lease_missing = |mutation: &Mutation<Value>| match mutation {
             Mutation::Put { lease: Some(id), .. } => !self.leases.contains_key(id),
             _ => false,
         };
-        if transaction.mutations.iter().any(lease_gone) {
+        if transaction.mutations.iter().any(lease_missing) {
             return StoreReply::Gone;
         }
         let version_of = |key: &String| self.items.get(key).map_or(0, |item| item.version);
