--- a/crates/simulation/src/explore.rs
+++ b/crates/simulation/src/explore.rs
@@ -43,7 +43,7 @@
     pub without: Option<&'static str>,
     /// Time limit for each script, after which no new run begins.
     pub time_limit: Option<Duration>,
-    /// Selects one in `every` planned runs.
+    /// Divisor of the selection: one in `every` planned runs is executed.
     pub every: usize,
     /// Names of the kinds of fault to use. Empty for all.
     pub only: Vec<&'static str>,
--- a/crates/simulation/src/sim/event.rs
+++ b/crates/simulation/src/sim/event.rs
@@ -7,7 +7,7 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Identifies one call of one incarnation of a controller. Later calls of a node compare greater.
+/// Key of one call of one incarnation of a controller. Later calls of a node compare greater.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CallKey {
     pub(super) node: usize,
