--- a/crates/simulation/src/sim/fault_injection.rs
+++ b/crates/simulation/src/sim/fault_injection.rs
@@ -180,7 +180,7 @@
         match fault {
             Fault::StoreOutage { duration_s } => {
                 faults.store_down_until = now + duration_s;
-                // The leases have their full time again just before it serves anybody.
+                // All leases are renewed just before the store serves requests again.
                 self.schedule(now + duration_s - 1e-6, Event::StoreRecovers);
             }
             Fault::SlowStore { max_delay_s, duration_s } => {
--- a/crates/simulation/src/sim/interception.rs
+++ b/crates/simulation/src/sim/interception.rs
@@ -75,11 +75,11 @@
     SenderEndsBefore(f64),
     /// The sender ends just after sending and restarts after this time. A machine does not return.
     SenderEndsAfter(f64),
-    /// The receiver is partitioned for this time from now on.
+    /// The receiver is partitioned from that moment on, for this time.
     ReceiverPartitioned(f64),
-    /// The store refuses the sender for this time from now on.
+    /// The store refuses the sender from that moment on, for this time.
     SenderRefused(f64),
-    /// The machine that sends or receives the message hangs for this time from now on.
+    /// The machine that sends or receives the message hangs from that moment on, for this time.
     MachineHangs(f64),
     /// Users cancel every accepted job without a final status.
     JobsCancelled,
--- a/crates/simulation/src/sim/invariants.rs
+++ b/crates/simulation/src/sim/invariants.rs
@@ -3,8 +3,8 @@
 use super::*;
 use protocol::cloud::ListedMachine;
 
-/// Time, in seconds, after which a job counts as forgotten if no request about it was answered. It
-/// begins when all faults have ended. The operators set this value.
+/// Time without an answer, in seconds, after which an accepted job counts as forgotten. Time before
+/// the end of all faults does not count. The operators set this value.
 const MAX_UNANSWERED_S: f64 = 75.0;
 
 /// Tolerance for rounding errors when sums of accelerators are compared.
--- a/crates/simulation/src/sim/users.rs
+++ b/crates/simulation/src/sim/users.rs
@@ -10,9 +10,9 @@
 const DEPENDENCY_PAUSE_S: f64 = 0.3;
 /// Interval of queries after the final status, in seconds. They verify that it does not change.
 const FINISHED_PAUSE_S: f64 = 10.0;
-/// Number of requests about jobs that were never submitted.
+/// Request number used for jobs that were never submitted.
 const UNSUBMITTED: u64 = 0;
-/// Number of a request that a test sends outside the regular sequences of the users.
+/// Request number used by tests, outside the regular sequences of the users.
 const TEST_REQUEST: u64 = u64::MAX;
 
 /// User of one job.
--- a/crates/simulation/src/sim/work_conservation.rs
+++ b/crates/simulation/src/sim/work_conservation.rs
@@ -3,8 +3,8 @@
 use super::invariants::{is_eligible, ACCELERATOR_TOLERANCE};
 use super::*;
 
-/// Longest time, in seconds, that a job may wait while free capacity exists. It begins when all
-/// faults have ended. The operators set this value.
+/// Longest time, in seconds, that a job may wait while free capacity exists. Time before the end of
+/// all faults does not count. The operators set this value.
 const MAX_WAIT_WITH_CAPACITY_S: f64 = 90.0;
 /// Interval between two checks, in seconds.
 const CHECK_INTERVAL_S: f64 = 1.0;
--- a/crates/simulation/src/worker.rs
+++ b/crates/simulation/src/worker.rs
@@ -191,7 +191,7 @@
         self.first_fetch_s.filter(|_| !self.fetched_images.contains(job))
     }
 
-    /// Moves the next heartbeat forward after a change, keeping the minimum interval.
+    /// Schedules the next heartbeat earlier because of a change, keeping the minimum interval.
     pub fn expedite_heartbeat(&mut self, now: f64) {
         let earliest = now.max(self.last_heartbeat + MIN_HEARTBEAT_GAP_S);
         self.next_heartbeat = self.next_heartbeat.min(earliest);
@@ -222,7 +222,7 @@
         true
     }
 
-    /// Executes a command. A start command without `launch` leaves the task exited as unknown.
+    /// Executes a command. Without `launch`, a started task exits with `ExitCause::Unknown`.
     pub fn execute(&mut self, now: f64, command: &Command, launch: Option<Launch>) {
         let Some((job, index)) = split_task(&command.task) else { return };
         let key = TaskKey { job: job.to_string(), index };
