--- a/crates/controller/src/storage/archive/machine_images.rs
+++ b/crates/controller/src/storage/archive/machine_images.rs
@@ -161,7 +161,7 @@
             // its outdated version would fail forever and no other part would be written.
             StoreReply::Conflict(_) | StoreReply::Unknown => {
                 images.check_at = next_check_at;
-                let context = CallContext::ImagesRead { token, part };
+                let context = CallContext::ImagesRead { token, page: part };
                 self.call_store(context, StoreRequest::Get(images_key(part)));
             }
             // The write is not urgent, since only the next leader needs it.
--- a/crates/simulation/src/sim/workers.rs
+++ b/crates/simulation/src/sim/workers.rs
@@ -129,7 +129,7 @@
 
     /// Handles a redirect of a worker to another node.
     fn redirect_worker(&mut self, id: &str, node: usize, body: &[u8]) {
-        let target = protocol::decode::<Redirect>(body).ok().and_then(|redirect| redirect.report_to);
+        let target = protocol::decode::<Redirect>(body).ok().and_then(|redirect| redirect.addr);
         let target_node = target.and_then(|name| NODE_NAMES.iter().position(|known| *known == name));
         let Some(to) = target_node.filter(|&to| to != node) else { return self.try_next_node(id) };
         let now = self.now;
