--- a/crates/transport/src/tests.rs
+++ b/crates/transport/src/tests.rs
@@ -18,7 +18,7 @@
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Converts JSON to MessagePack, keeping the order of the fields.
-fn message(json: &str) -> Vec<u8> {
+fn msgpack_from_json(json: &str) -> Vec<u8> {
     let value: rmpv::Value = serde_json::from_str(json).expect("the test's text is JSON");
     let mut body = Vec::new();
     value.serialize(&mut rmp_serde::Serializer::new(&mut body)).expect("any JSON value can be encoded");
@@ -36,7 +36,8 @@
 }
 
 impl HttpMessage {
-    /// Reads one message. Returns None if the connection is closed before it is complete.
+    /// Reads one message. Returns None if the connection is closed before the message is
+    /// complete.
     fn read(stream: &mut TcpStream) -> Option<HttpMessage> {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
@@ -64,7 +65,7 @@
 
 impl CannedReply {
     fn json(status: u16, body: &str) -> Self {
-        CannedReply(status, message(body))
+        CannedReply(status, msgpack_from_json(body))
     }
 
     fn empty(status: u16) -> Self {
@@ -110,7 +111,7 @@
     (stub_server.join().expect("the stub server received a request"), result)
 }
 
-/// Headers of a request with a body on a connection that stays open.
+/// Headers of a request with a body; without `connection: close`, since the connection is reused.
 fn body_headers() -> Vec<String> {
     vec!["content-type: application/msgpack".to_string()]
 }
--- a/crates/transport/src/tests/client_api.rs
+++ b/crates/transport/src/tests/client_api.rs
@@ -2,7 +2,7 @@
 //! responses, with every error text that a request can cause.
 
 use super::platform::Platform;
-use super::{message, HttpMessage};
+use super::{msgpack_from_json, HttpMessage};
 
 const JOB: &str = r#"{"id":"req-000412","lane":"train","crew":"vision","shape":"group","urgency":"high",
     "legs":2,"cores":8.0,"accelerators":1.0,"memGb":64.0,"kit":"img-07","sizeGb":6.2,"breeds":["g8"],
@@ -19,12 +19,12 @@
         assert!(text.contains(from), "the example has no {from}");
         text = text.replace(from, to);
     }
-    message(&text)
+    msgpack_from_json(&text)
 }
 
 fn assert_response(response: &HttpMessage, status: &str, json: &str) {
     assert_eq!(response.first_line, format!("HTTP/1.1 {status}"));
-    assert_eq!(response.body, message(json), "{:?}", String::from_utf8_lossy(&response.body));
+    assert_eq!(response.body, msgpack_from_json(json), "{:?}", String::from_utf8_lossy(&response.body));
 }
 
 fn assert_error(response: &HttpMessage, status: &str, error: &str) {
@@ -167,7 +167,8 @@
 #[test]
 fn leader_answers_heartbeats_with_its_token() {
     let platform = Platform::start_healthy();
-    let accepted = platform.wait_for_status("POST", "/agent/beat", &message(HEARTBEAT), "HTTP/1.1 200 OK");
+    let accepted =
+        platform.wait_for_status("POST", "/agent/beat", &msgpack_from_json(HEARTBEAT), "HTTP/1.1 200 OK");
     let response: protocol::worker::HeartbeatResponse =
         protocol::decode(&accepted.body).expect("a response to the heartbeat");
     assert!(response.fencing_token > 0);
--- a/crates/transport/src/tests/cloud_client.rs
+++ b/crates/transport/src/tests/cloud_client.rs
@@ -1,6 +1,6 @@
 //! Tests of calls to the cloud.
 
-use super::{body_headers, call_with_reply, message, unused_addr, CannedReply, TIMEOUT};
+use super::{body_headers, call_with_reply, msgpack_from_json, unused_addr, CannedReply, TIMEOUT};
 use crate::client::Client;
 use crate::cloud_client::call;
 use controller::{CloudReply, CloudRequest};
@@ -39,7 +39,7 @@
         call_with_reply(None, async |client: &Client, addr| call(client, addr, request, TIMEOUT).await).0;
     assert_eq!(sent_message.first_line, first_line);
     assert_eq!(sent_message.headers, if body.is_some() { body_headers() } else { Vec::new() });
-    assert_eq!(sent_message.body, body.map(message).unwrap_or_default());
+    assert_eq!(sent_message.body, body.map(msgpack_from_json).unwrap_or_default());
 }
 
 #[test]
--- a/crates/transport/src/tests/store_client.rs
+++ b/crates/transport/src/tests/store_client.rs
@@ -1,6 +1,6 @@
 //! Tests of calls to the key-value store.
 
-use super::{body_headers, call_with_reply, message, unused_addr, CannedReply, TIMEOUT};
+use super::{body_headers, call_with_reply, msgpack_from_json, unused_addr, CannedReply, TIMEOUT};
 use crate::client::Client;
 use crate::store_client::call;
 use controller::records::Value;
@@ -38,8 +38,9 @@
     [get(), list(), commit(), grant(), StoreRequest::Renew(7), StoreRequest::Revoke(7), watch()]
 }
 
-fn reply_to(request: StoreRequest, reply: CannedReply) -> StoreReply {
-    call_with_reply(Some(reply), async |client: &Client, addr| call(client, addr, request, TIMEOUT).await).1
+fn store_reply(request: StoreRequest, response: CannedReply) -> StoreReply {
+    call_with_reply(Some(response), async |client: &Client, addr| call(client, addr, request, TIMEOUT).await)
+        .1
 }
 
 /// Checks the request line, the headers and the body of the message sent for `request`.
@@ -48,7 +49,7 @@
         call_with_reply(None, async |client: &Client, addr| call(client, addr, request, TIMEOUT).await).0;
     assert_eq!(sent_message.first_line, first_line);
     assert_eq!(sent_message.headers, if body.is_some() { body_headers() } else { Vec::new() });
-    assert_eq!(sent_message.body, body.map(message).unwrap_or_default());
+    assert_eq!(sent_message.body, body.map(msgpack_from_json).unwrap_or_default());
 }
 
 #[test]
@@ -79,13 +80,16 @@
 fn key_is_read() {
     let item = |value, version| Item { key: "a/b".into(), value, version };
     let body = r#"{"path":"a/b","v":{"Format":2},"stamp":412,"permit":7}"#;
-    assert_eq!(reply_to(get(), CannedReply::json(200, body)), StoreReply::Item(item(Value::Format(2), 412)));
+    assert_eq!(
+        store_reply(get(), CannedReply::json(200, body)),
+        StoreReply::Item(item(Value::Format(2), 412))
+    );
     let undecodable = r#"{"path":"a/b","v":{"Later":1},"stamp":412}"#;
     assert_eq!(
-        reply_to(get(), CannedReply::json(200, undecodable)),
+        store_reply(get(), CannedReply::json(200, undecodable)),
         StoreReply::Item(item(Value::Undecodable, 412))
     );
-    assert_eq!(reply_to(get(), CannedReply::json(404, r#"{"ledger":431}"#)), StoreReply::Missing(431));
+    assert_eq!(store_reply(get(), CannedReply::json(404, r#"{"ledger":431}"#)), StoreReply::Missing(431));
 }
 
 #[test]
@@ -93,41 +97,46 @@
     let body = r#"{"rows":[{"path":"c/8","v":{"Format":2},"stamp":9}],"hasNext":true,"ledger":431}"#;
     let items = vec![Item { key: "c/8".into(), value: Value::Format(2), version: 9 }];
     assert_eq!(
-        reply_to(list(), CannedReply::json(200, body)),
+        store_reply(list(), CannedReply::json(200, body)),
         StoreReply::Page(Page { items, more: true, revision: 431 })
     );
 }
 
 #[test]
 fn transaction_is_committed_or_conflicts() {
-    assert_eq!(reply_to(commit(), CannedReply::json(200, r#"{"ledger":432}"#)), StoreReply::Committed(432));
     assert_eq!(
-        reply_to(commit(), CannedReply::json(409, r#"{"failed":["a/b"],"ledger":431}"#)),
+        store_reply(commit(), CannedReply::json(200, r#"{"ledger":432}"#)),
+        StoreReply::Committed(432)
+    );
+    assert_eq!(
+        store_reply(commit(), CannedReply::json(409, r#"{"failed":["a/b"],"ledger":431}"#)),
         StoreReply::Conflict(CasConflict { failed: vec!["a/b".into()], revision: 431 })
     );
 }
 
-/// After its lease has expired, a campaign needs a new lease; a transaction that is invalid for
-/// any other reason is never accepted.
+/// After its lease has expired, a candidate for leadership needs a new one; a transaction that is
+/// invalid for any other reason is never accepted.
 #[test]
 fn expired_lease_differs_from_an_invalid_transaction() {
     let expired = CannedReply::json(400, r#"{"error":"no such lease"}"#);
-    assert_eq!(reply_to(commit(), expired.clone()), StoreReply::Gone);
+    assert_eq!(store_reply(commit(), expired.clone()), StoreReply::Gone);
     assert_eq!(
-        reply_to(commit(), CannedReply::json(400, r#"{"error":"value too large"}"#)),
+        store_reply(commit(), CannedReply::json(400, r#"{"error":"value too large"}"#)),
         StoreReply::Invalid
     );
-    assert_eq!(reply_to(commit(), CannedReply::empty(400)), StoreReply::Invalid);
-    assert_eq!(reply_to(get(), expired), StoreReply::Refused);
+    assert_eq!(store_reply(commit(), CannedReply::empty(400)), StoreReply::Invalid);
+    // Only for a transaction does status 400 report an expired lease or an invalid request; for any
+    // other request it is a refusal.
+    assert_eq!(store_reply(get(), expired), StoreReply::Refused);
 }
 
 #[test]
 fn lease_is_granted_renewed_and_revoked() {
-    assert_eq!(reply_to(grant(), CannedReply::json(200, r#"{"permit":7}"#)), StoreReply::Granted(7));
+    assert_eq!(store_reply(grant(), CannedReply::json(200, r#"{"permit":7}"#)), StoreReply::Granted(7));
     for request in [StoreRequest::Renew(7), StoreRequest::Revoke(7)] {
-        assert_eq!(reply_to(request.clone(), CannedReply::empty(200)), StoreReply::Done);
-        assert_eq!(reply_to(request.clone(), CannedReply::empty(204)), StoreReply::Done);
-        assert_eq!(reply_to(request, CannedReply::empty(404)), StoreReply::Gone);
+        assert_eq!(store_reply(request.clone(), CannedReply::empty(200)), StoreReply::Done);
+        assert_eq!(store_reply(request.clone(), CannedReply::empty(204)), StoreReply::Done);
+        assert_eq!(store_reply(request, CannedReply::empty(404)), StoreReply::Gone);
     }
 }
 
@@ -140,17 +149,17 @@
         Event::Delete { key: "c/d".into(), version: 432 },
     ];
     assert_eq!(
-        reply_to(watch(), CannedReply::json(200, body)),
+        store_reply(watch(), CannedReply::json(200, body)),
         StoreReply::Events(Events { revision: 433, events })
     );
-    assert_eq!(reply_to(watch(), CannedReply::empty(410)), StoreReply::Gone);
+    assert_eq!(store_reply(watch(), CannedReply::empty(410)), StoreReply::Gone);
 }
 
 #[test]
-fn outages_and_rate_limits_hold_for_every_request() {
+fn outages_and_rate_limits_are_reported_for_every_request() {
     for request in all_requests() {
-        assert_eq!(reply_to(request.clone(), CannedReply::empty(503)), StoreReply::Refused);
-        assert_eq!(reply_to(request, CannedReply::empty(429)), StoreReply::Limited);
+        assert_eq!(store_reply(request.clone(), CannedReply::empty(503)), StoreReply::Refused);
+        assert_eq!(store_reply(request, CannedReply::empty(429)), StoreReply::Limited);
     }
 }
 
@@ -163,14 +172,14 @@
     }
 }
 
-/// A transaction may have been committed despite a malformed response; other requests are just
-/// repeated.
+/// A transaction may have been committed despite a malformed response; other requests are
+/// reported as refused, since the caller can safely repeat them.
 #[test]
 fn malformed_response_leaves_only_a_transaction_unknown() {
     let malformed = CannedReply::json(200, r#"{"other":1}"#);
-    assert_eq!(reply_to(commit(), malformed.clone()), StoreReply::Unknown);
+    assert_eq!(store_reply(commit(), malformed.clone()), StoreReply::Unknown);
     for request in [get(), list(), grant(), watch()] {
-        assert_eq!(reply_to(request, malformed.clone()), StoreReply::Refused);
+        assert_eq!(store_reply(request, malformed.clone()), StoreReply::Refused);
     }
 }
 
--- a/crates/transport/src/tests/worker_client.rs
+++ b/crates/transport/src/tests/worker_client.rs
@@ -1,6 +1,6 @@
 //! Tests of direct commands to workers.
 
-use super::{call_with_reply, message, unused_addr, CannedReply, TIMEOUT};
+use super::{call_with_reply, msgpack_from_json, unused_addr, CannedReply, TIMEOUT};
 use crate::client::Client;
 use crate::worker_client::call;
 use controller::WorkerReply;
@@ -68,7 +68,7 @@
         {"verb":"launch","leg":"req-000412/4","try":2},
         {"verb":"stop","leg":"req-000377/1","try":1,"leewayS":10.0},
         {"verb":"clear","leg":"req-000398/0","try":1}]}"#;
-    assert_eq!(request.body, message(body));
+    assert_eq!(request.body, msgpack_from_json(body));
 }
 
 #[test]
