--- a/crates/analysis/src/lib.rs
+++ b/crates/analysis/src/lib.rs
@@ -19,6 +19,6 @@
 pub use error::{with_path, AnalysisError, FileError};
 pub use job_counts::{Group, JobCounter, Row, MAX_START_WAIT_S};
 pub use journal::{slo_results, JournalError, SloResult};
-pub use outcome::{compare, table, Outcome, Peaks, RunId, Share, MIN_SERVED_SHARE};
-pub use pipelines::{PipelineRow, PipelineStats, Stage};
+pub use outcome::{compare, table, Outcome, Peaks, RunId, ServiceQuality, MIN_SERVED_SHARE};
+pub use pipelines::{ClassStats, PipelineRow, PipelineStats};
 pub use site::{ResourceLimits, Site, SiteError, TimeSpan, Variant};
--- a/crates/analysis/src/outcome.rs
+++ b/crates/analysis/src/outcome.rs
@@ -16,7 +16,7 @@
 
 /// Service quality of a class or team on a day, as shares of the submitted jobs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Share {
+pub struct ServiceQuality {
     /// Name of the class, or what is counted with the name of the team or class.
     pub name: String,
     /// Number of submitted jobs.
@@ -30,7 +30,7 @@
     pub in_time: f64,
 }
 
-impl Share {
+impl ServiceQuality {
     /// Returns the share that counts as served: the lower of done and done in time.
     pub fn served_share(&self) -> f64 {
         self.done.min(self.in_time)
@@ -96,7 +96,8 @@
     #[serde(rename = "unanswered")]
     pub unanswered_share: f64,
     /// Service quality of each class and team.
-    pub shares: Vec<Share>,
+    #[serde(rename = "shares")]
+    pub service_quality: Vec<ServiceQuality>,
     /// Peak resource usage of the controllers.
     pub peaks: Peaks,
     /// Number of tasks that were killed because their lease expired.
@@ -134,7 +135,7 @@
             rule_violations: number(report, &["rules_broken", "total"]) as u64,
             unexpected_exits: unexpected_exits(report),
             unanswered_share: unanswered_share(report),
-            shares: shares::shares(report, logged_jobs),
+            service_quality: shares::service_quality(report, logged_jobs),
             peaks: peaks(report, limits),
             killed_tasks: number(report, &["fleet", "tasks_killed_by_lease"]) as u64,
             lost_tasks: number(report, &["fleet", "tasks_lost"]) as u64,
@@ -150,14 +151,14 @@
     }
 
     /// Returns the class or team with the lowest served share; None if no jobs were submitted.
-    pub fn least_served(&self) -> Option<&Share> {
-        let with_jobs = self.shares.iter().filter(|share| share.submitted > 0);
+    pub fn least_served(&self) -> Option<&ServiceQuality> {
+        let with_jobs = self.service_quality.iter().filter(|quality| quality.submitted > 0);
         with_jobs.min_by(|a, b| a.served_share().total_cmp(&b.served_share()))
     }
 
     /// Returns the lowest served share of any class or team, 1 if no jobs were submitted.
     pub fn min_served_share(&self) -> f64 {
-        self.least_served().map_or(1.0, Share::served_share)
+        self.least_served().map_or(1.0, ServiceQuality::served_share)
     }
 
     /// Returns the score as it is printed.
--- a/crates/analysis/src/outcome/table.rs
+++ b/crates/analysis/src/outcome/table.rs
@@ -1,6 +1,6 @@
 //! Printed tables of outcomes.
 
-use super::{Outcome, Share};
+use super::{Outcome, ServiceQuality};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -28,7 +28,7 @@
     let _ = write!(text, "{:>7.2}{:>7.2}{killed_tasks:>7}{lost_tasks:>7}", peaks.memory, peaks.connections);
     let flag = if outcome.is_passed() { ' ' } else { '!' };
     match outcome.least_served() {
-        Some(Share { name, started, done, in_time, .. }) => {
+        Some(ServiceQuality { name, started, done, in_time, .. }) => {
             let _ = writeln!(text, " {flag}{name} {started:.3} {done:.3} {in_time:.3}");
         }
         None => text.push_str(" -\n"),
--- a/crates/analysis/src/pipelines.rs
+++ b/crates/analysis/src/pipelines.rs
@@ -1,5 +1,5 @@
 //! Pipelines of dependent jobs in the controllers' logs: how many were done and in time,
-//! judged by their last job, and how long their stages took.
+//! judged by their last job, and how long the jobs of each class waited and ran.
 
 use crate::job_counts::share;
 use crate::job_event::{field, is_cancelled, is_in_time, number_field, JobEvent};
@@ -29,13 +29,13 @@
     jobs: BTreeMap<String, Job>,
 }
 
-/// The jobs of one class in the pipelines of a [`PipelineRow`]. Times are means in seconds.
+/// Done jobs of one class, over all pipelines of a [`PipelineRow`]. Times are means in seconds.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Stage {
+pub struct ClassStats {
     /// Class of the jobs.
     pub class: String,
     /// Number of jobs that were done.
-    pub jobs: usize,
+    pub done: usize,
     /// Time from when a job's dependencies were done until its start.
     pub waited_s: f64,
     /// Time from start to end.
@@ -54,10 +54,11 @@
     pub done: usize,
     /// Number of pipelines whose last job was done in time.
     pub in_time: usize,
-    /// Mean time from submission to end of the last job, in seconds.
+    /// Mean time from the submission to the end of the last job, over the pipelines that were
+    /// done, in seconds.
     pub took_s: f64,
     /// Jobs of the pipelines by class.
-    pub stages: Vec<Stage>,
+    pub class_stats: Vec<ClassStats>,
 }
 
 impl PipelineStats {
@@ -81,6 +82,7 @@
                 job.cancelled = is_cancelled(line);
                 job.done |= !job.cancelled;
                 job.in_time |= !job.cancelled && is_in_time(line);
+                // `free_s`: time until the job was free of dependencies.
                 job.blocked_s = seconds("free_s");
                 job.ran_s = seconds("ran_s");
                 job.total_s = seconds("took_s");
@@ -129,23 +131,23 @@
             done: done.len(),
             in_time: done.iter().filter(|job| job.in_time).count(),
             took_s: mean(done.iter().map(|job| job.total_s)),
-            stages: self.stages(last_jobs),
+            class_stats: self.class_stats(last_jobs),
         }
     }
 
-    fn stages(&self, last_jobs: &[&str]) -> Vec<Stage> {
+    fn class_stats(&self, last_jobs: &[&str]) -> Vec<ClassStats> {
         let ids: BTreeSet<&str> = last_jobs.iter().flat_map(|id| self.pipeline_of(id)).collect();
         let mut by_class: BTreeMap<&str, Vec<&Job>> = BTreeMap::new();
         for job in ids.iter().filter_map(|id| self.jobs.get(*id)).filter(|job| job.done) {
             by_class.entry(&job.class).or_default().push(job);
         }
-        let stages = by_class.into_iter().map(|(class, jobs)| Stage {
+        let class_stats = by_class.into_iter().map(|(class, jobs)| ClassStats {
             class: class.to_string(),
-            jobs: jobs.len(),
+            done: jobs.len(),
             waited_s: mean(jobs.iter().map(|job| job.waited_s)),
             ran_s: mean(jobs.iter().map(|job| job.ran_s)),
         });
-        stages.collect()
+        class_stats.collect()
     }
 }
 
@@ -161,15 +163,15 @@
 
 impl fmt::Display for PipelineRow {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let PipelineRow { last_class, submitted, done, in_time, took_s, stages } = self;
+        let PipelineRow { last_class, submitted, done, in_time, took_s, class_stats } = self;
         let in_time_share = share(*in_time as f64, *submitted as f64);
         writeln!(
             f,
             "{last_class}: {submitted} asked, {done} done, {in_time} in time ({in_time_share:.3}), {took_s:.1} s each"
         )?;
-        for stage in stages {
-            let Stage { class, jobs, waited_s, ran_s } = stage;
-            writeln!(f, "  {class:<22}{jobs:>6} jobs  waited {waited_s:>6.1} s  ran {ran_s:>6.1} s")?;
+        for stats in class_stats {
+            let ClassStats { class, done, waited_s, ran_s } = stats;
+            writeln!(f, "  {class:<22}{done:>6} jobs  waited {waited_s:>6.1} s  ran {ran_s:>6.1} s")?;
         }
         Ok(())
     }
--- a/crates/analysis/tests/served.rs
+++ b/crates/analysis/tests/served.rs
@@ -88,9 +88,12 @@
         (&row.last_class[..], row.submitted, row.done, row.in_time, row.took_s),
         ("print", 2, 2, 1, 30.0)
     );
-    let stages: Vec<_> =
-        row.stages.iter().map(|stage| (&stage.class[..], stage.jobs, stage.waited_s, stage.ran_s)).collect();
-    assert_eq!(stages, [("clean", 2, 2.0, 15.0), ("plan", 1, 1.0, 5.0), ("print", 2, 3.0, 7.0)]);
+    let class_stats: Vec<_> = row
+        .class_stats
+        .iter()
+        .map(|stats| (&stats.class[..], stats.done, stats.waited_s, stats.ran_s))
+        .collect();
+    assert_eq!(class_stats, [("clean", 2, 2.0, 15.0), ("plan", 1, 1.0, 5.0), ("print", 2, 3.0, 7.0)]);
 }
 
 /// A class has twenty jobs; of the two largest, one starts after more than four minutes.
