--- a/crates/controller/src/autoscaling/fleet.rs
+++ b/crates/controller/src/autoscaling/fleet.rs
@@ -120,8 +120,9 @@
     leader_writes: Option<RateLimiter>,
     /// Whether the machine types are being read from the cloud.
     pub(super) types_in_flight: bool,
-    /// Time of the last read of the machine types from the cloud.
-    pub(super) types_read_at: Option<Time>,
+    /// Start of the current interval between reads of the machine types: the time of the last
+    /// request or, after a failed call, an earlier time that brings the next request forward.
+    pub(super) types_interval_started_at: Option<Time>,
     /// Number of scale-out requests so far; makes the name of each request unique.
     pub(super) scale_out_count: u64,
     /// Scale-out request whose outcome is not known yet.
--- a/crates/controller/src/autoscaling/machine_catalogue.rs
+++ b/crates/controller/src/autoscaling/machine_catalogue.rs
@@ -34,28 +34,33 @@
 }
 
 impl Controller {
-    /// Reads the catalogue from the cloud when it is due.
+    /// Requests the catalogue from the cloud when the next read is due.
     pub(super) fn tick_machine_types(&mut self) {
         let now = self.now;
         let Role::Leader(leader) = &self.role else { return };
         let token = leader.fencing_token;
-        let outdated = leader.fleet.types_read_at.is_none_or(|read_at| now - read_at > REFRESH_INTERVAL_S);
+        let outdated = leader
+            .fleet
+            .types_interval_started_at
+            .is_none_or(|started_at| now - started_at > REFRESH_INTERVAL_S);
         if leader.fleet.types_in_flight || !outdated || !self.try_acquire_cloud_call() {
             return;
         }
         self.call_cloud(CallContext::CloudTypes { token }, CloudRequest::Types);
         let Role::Leader(leader) = &mut self.role else { return };
         leader.fleet.types_in_flight = true;
-        leader.fleet.types_read_at = Some(now);
+        leader.fleet.types_interval_started_at = Some(now);
     }
 
-    /// Adopts the catalogue in the reply if it is valid, and stores it if it is the first one.
+    /// Adopts the catalogue in the reply if it is valid, and stores it if this node knew
+    /// none before, neither from the cloud nor from the store.
     pub(super) fn on_machine_types(&mut self, token: u64, reply: CloudReply) {
         let now = self.now;
         let Some(leader) = self.leader_state(token) else { return };
         leader.fleet.types_in_flight = false;
         let CloudReply::Types(catalogue) = reply else {
-            leader.fleet.types_read_at = Some(now - (REFRESH_INTERVAL_S - RETRY_INTERVAL_S));
+            // Moves the start into the past, so that the next read is due after the retry interval.
+            leader.fleet.types_interval_started_at = Some(now - (REFRESH_INTERVAL_S - RETRY_INTERVAL_S));
             return;
         };
         if !is_valid(&catalogue) {
--- a/crates/controller/src/client_api/feasibility.rs
+++ b/crates/controller/src/client_api/feasibility.rs
@@ -18,10 +18,11 @@
     /// A task fits none of the machine types that the job allows, in the zones that it allows.
     #[error("a task fits no allowed machine type")]
     FitsNoMachineType,
-    /// The tasks have to be spread over zones, but only one zone is available to the job.
+    /// The tasks have to be spread over zones, but the job requires one zone or only one
+    /// zone is available to it.
     #[error("a gang that is to be spread is bound to one zone")]
     SpreadInOneZone,
-    /// The tasks that run at the same time exceed the team's quota.
+    /// The tasks that must run at the same time exceed the team's quota.
     #[error("more than the team's limit")]
     OverQuota,
 }
@@ -46,9 +47,11 @@
     if is_spread_gang && (spec.one_zone || zones.len() < 2) {
         return Err(Infeasible::SpreadInOneZone);
     }
-    let concurrent_tasks = if spec.shape == Shape::Array { 1.0 } else { f64::from(spec.tasks) };
+    // An array can run one task at a time; gangs and services need all tasks at once.
+    let min_concurrent_tasks = if spec.shape == Shape::Array { 1.0 } else { f64::from(spec.tasks) };
+    // A limit of 0 means no limit.
     let exceeds =
-        |per_task: f64, limit: f64| limit > 0.0 && per_task * concurrent_tasks > limit + RESOURCE_EPSILON;
+        |per_task: f64, limit: f64| limit > 0.0 && per_task * min_concurrent_tasks > limit + RESOURCE_EPSILON;
     if exceeds(spec.cores, team.cores_max) || exceeds(spec.accelerators, team.accelerators_max) {
         return Err(Infeasible::OverQuota);
     }
--- a/crates/controller/src/client_api/hedged_requests.rs
+++ b/crates/controller/src/client_api/hedged_requests.rs
@@ -1,13 +1,14 @@
 //! Hedged requests: clients' transactions whose reply is overdue are read back and sent again.
 //!
 //! A transaction without a reply may have been executed, may still be executed, or may never be. The
-//! driver reports a missing reply only after a timeout that is longer than clients should wait.
-//! Therefore, once a reply is overdue, the key that the transaction writes is read back. If the key
-//! holds the written value, the transaction was executed, and the read-back serves as its reply. If
-//! not, the outcome is still unknown: another copy is sent, while the replies to earlier copies are
-//! still accepted. All copies have the same compares and write the same values to the same keys, so
-//! at most one is executed. For a transaction that only compares, or that puts chunks that no record
-//! names yet, it does not matter which copy is executed.
+//! transport's driver reports a missing reply only after a timeout that is longer than clients should
+//! wait. Therefore, once a reply is overdue, the key that the transaction writes is read back. If the
+//! key holds the written value, the transaction was executed, and the read-back serves as its reply.
+//! If not, the outcome is still unknown: another copy is sent, while the replies to earlier copies
+//! are still accepted. All copies have the same compares and write the same values to the same keys, so
+//! at most one is executed, provided that the transaction changes a key that it compares. Otherwise
+//! (it only compares, or puts chunks that no record refers to yet) it does not matter how many copies
+//! are executed.
 
 use crate::model::records::Value;
 use crate::{CallContext, Controller, RateLimiter, StoreReply, StoreRequest, Time};
@@ -35,7 +36,8 @@
     copies_in_flight: u32,
     /// Whether the key is being read back.
     read_back_in_flight: bool,
-    /// Time at which the last copy was sent, or the last read-back was due or answered.
+    /// Time at which the last copy was sent, or a read-back last became due (whether or not it was
+    /// sent) or was answered.
     last_attempt_at: Time,
 }
 
@@ -45,11 +47,12 @@
     in_flight: BTreeMap<HedgedRequestId, HedgedRequest>,
     /// Id of the next transaction.
     next_id: HedgedRequestId,
-    /// Budget of read-backs.
+    /// Budget of read-backs and of further copies without writes.
     reads: RateLimiter,
     /// Budget of writes by further copies.
     writes: RateLimiter,
-    /// Whether the store's last reply was a refusal. Nothing is read back until it serves a call again.
+    /// Whether the store's last reply was a refusal. Nothing is read back until it replies with
+    /// anything but a refusal; a missing reply changes nothing.
     store_refuses: bool,
 }
 
@@ -109,7 +112,8 @@
         id
     }
 
-    /// Returns the transactions whose last copy or read-back was at least `timeout_s` ago.
+    /// Returns the transactions that have an unanswered copy, no read-back in flight, and whose last
+    /// attempt was at least `timeout_s` ago.
     fn overdue(&self, now: Time, timeout_s: Time) -> Vec<HedgedRequestId> {
         let is_overdue = |request: &HedgedRequest| {
             request.copies_in_flight > 0
@@ -125,7 +129,8 @@
 }
 
 impl HedgedRequest {
-    /// Returns the write that shows the outcome; none if the written key is not compared as well.
+    /// Returns the write that shows the outcome: the first put, if its key is also compared; None
+    /// otherwise.
     fn outcome_key(&self) -> Option<OutcomeKey<'_>> {
         let (key, value) = self.transaction.mutations.iter().find_map(|mutation| match mutation {
             Mutation::Put { key, value, .. } => Some((key, value)),
@@ -144,9 +149,11 @@
             |revision| ReadBackOutcome::Superseded(CasConflict { failed: vec![key.to_string()], revision });
         match reply {
             StoreReply::Item(item) if item.value == *value => ReadBackOutcome::Stored(item.version),
+            // The key's version is a lower bound of the store's revision.
             StoreReply::Item(Item { version, .. }) if version != version_before => superseded(version),
             StoreReply::Item(_) => ReadBackOutcome::NotExecutedYet,
-            // The record may also have been archived; the compares of the next copy detect that.
+            // The transaction may have been executed and the record archived since; the compares of
+            // the next copy detect that.
             StoreReply::Missing(_) if version_before == 0 => ReadBackOutcome::NotExecutedYet,
             StoreReply::Missing(revision) => superseded(revision),
             _ => ReadBackOutcome::Inconclusive,
@@ -230,9 +237,14 @@
             return;
         }
         let writes = request.transaction.mutations.len() as f64;
-        let is_allowed =
-            if writes == 0.0 { self.try_acquire_read_back() } else { self.try_acquire_hedged_writes(writes) };
+        // A copy without writes is charged as one read.
+        let is_allowed = if writes == 0.0 {
+            self.try_acquire_hedged_read()
+        } else {
+            self.try_acquire_hedged_writes(writes)
+        };
         if is_allowed {
+            // Available, as checked above; takes nothing for a transaction without writes.
             self.client_writes.try_acquire(self.now, writes);
             self.send_copy(id);
         }
@@ -244,8 +256,9 @@
             && self.hedged_requests.writes.try_acquire(self.now, writes)
     }
 
-    /// Takes one read from the budget of read-backs if the client reads have a reserve.
-    fn try_acquire_read_back(&mut self) -> bool {
+    /// Takes one read from the budget of read-backs and of further copies without writes if the client
+    /// reads have a reserve.
+    fn try_acquire_hedged_read(&mut self) -> bool {
         self.client_reads.has_reserve(self.now)
             && self.hedged_requests.reads.try_acquire(self.now, 1.0)
             && self.client_reads.try_acquire(self.now, 1.0)
@@ -258,7 +271,8 @@
         }
         let store_timeout_s = self.timing.store_timeout_s;
         let hedge_after_s = self.store_health.latency.timeout_s(self.timing.hedge_after_s);
-        // With a store this slow, the driver's timeout may expire before the read-back is answered.
+        // With a store this slow, the transport driver's timeout may expire before the read-back is
+        // answered.
         if hedge_after_s > store_timeout_s / 2.0 {
             return;
         }
@@ -282,7 +296,7 @@
         let Some(key) = request.outcome_key().map(|outcome| outcome.key.to_string()) else {
             return self.resend_hedged(id);
         };
-        if !self.try_acquire_read_back() {
+        if !self.try_acquire_hedged_read() {
             return;
         }
         if let Some(request) = self.hedged_requests.in_flight.get_mut(&id) {
--- a/crates/controller/src/health.rs
+++ b/crates/controller/src/health.rs
@@ -68,7 +68,7 @@
         if !self.settings.peers.iter().any(|peer| peer.node == view.node) {
             return;
         }
-        let gap = self.view_gap_s();
+        let gap = self.max_view_gap_s();
         self.peer_liveness.record_contact(self.now, &view.node, gap);
         self.formats.record(&view.node, view.format);
         self.observe_token(view.token.max(view.newest), &view.node);
--- a/crates/controller/src/proxy/admission.rs
+++ b/crates/controller/src/proxy/admission.rs
@@ -77,7 +77,7 @@
 
     /// Returns this node and the other nodes that respond to heartbeats, with their worker counts.
     pub(crate) fn shard_members(&self) -> (ShardMember, Vec<ShardMember>) {
-        let max_age_s = self.view_gap_s();
+        let max_age_s = self.max_view_gap_s();
         let others = self
             .peers
             .values()
--- a/crates/controller/src/storage/write_queue/outcome.rs
+++ b/crates/controller/src/storage/write_queue/outcome.rs
@@ -38,17 +38,18 @@
             StoreReply::Invalid => self.on_transaction_invalid(token, &txn.entries),
             _ => {
                 // The transaction may have been applied, or may still be. The stored versions show
-                // which; if other writes come first, a late application fails on the versions.
+                // which; if other writes are committed first, the delayed transaction fails its
+                // version compares.
                 warn!(serial, "write outcome unknown, reading back");
                 let keys = leader.written_keys(&txn.entries);
                 self.read_back_keys(token, keys);
             }
         }
-        // Records stay deferred while keys are being read back.
+        // Records are deferred again while keys are being read back.
         self.replay_deferred_records();
     }
 
-    /// Delays the next write and the next retry of a failed reread.
+    /// Delays the next write and the next retry of a failed read-back.
     pub(super) fn delay_writes(&mut self, token: u64) {
         let retry_at = self.now + self.timing.renewal_interval_s / RETRIES_PER_RENEWAL_INTERVAL;
         if let Some(leader) = self.leader_state(token) {
@@ -57,7 +58,7 @@
     }
 
     /// Completes the transaction in flight if the watch shows its values before the reply arrives.
-    /// Otherwise a lost reply would block all writes until the call times out.
+    /// Without this, a lost reply would block all writes until the call times out.
     pub(crate) fn observe_own_write(&mut self, token: u64, events: &[Event<Value>]) {
         let Some(leader) = self.leader_state(token) else { return };
         let Some(revision) = leader.write_queue.in_flight.as_ref().and_then(|txn| txn.stored_at(events))
@@ -96,24 +97,27 @@
         }
     }
 
-    /// Handles the store's refusal of a transaction as invalid. The jobs are then written one by one
-    /// to find the refused record, so that only the writes of that job are suspended.
+    /// Handles a transaction that the store rejected as invalid. The jobs are then written one by
+    /// one to find the rejected record. If a record may exceed the announced limits, these are taken
+    /// to be in force now. Otherwise, once a transaction with a single job is rejected, only the
+    /// writes of that job are suspended.
     fn on_transaction_invalid(&mut self, token: u64, entries: &[TransactionEntry]) {
         let suspended_until = self.now + self.settings.params.workers.lease_s;
-        let current_value_bytes = self.store_limits.current_value_bytes();
+        let current_max_value_bytes = self.store_limits.current_value_bytes();
         let Some(leader) = self.leader_state(token) else { return };
-        let exceeds_next_limit = entries.iter().any(|entry| leader.may_exceed_next_limit(&entry.job_id));
-        if exceeds_next_limit {
+        let may_exceed_announced_limits =
+            entries.iter().any(|entry| leader.may_exceed_announced_limits(&entry.job_id));
+        if may_exceed_announced_limits {
             self.on_size_refused();
         }
         let Some(leader) = self.leader_state(token) else { return };
         leader.write_queue.isolate_jobs = true;
         leader.write_queue.write_now = true;
-        if exceeds_next_limit {
+        if may_exceed_announced_limits {
             return;
         }
         let [entry] = entries else { return };
-        warn!(job = %entry.job_id, present = current_value_bytes, "state service refused the record of a job as invalid, its writes are suspended");
+        warn!(job = %entry.job_id, present = current_max_value_bytes, "state service refused the record of a job as invalid, its writes are suspended");
         if let Some(job) = leader.cluster.jobs.get_mut(&entry.job_id) {
             job.persistence.write_suspended_until = suspended_until;
         }
@@ -129,12 +133,13 @@
         self.heartbeats.to_check.extend(machines);
     }
 
-    fn may_exceed_next_limit(&self, id: &str) -> bool {
+    fn may_exceed_announced_limits(&self, id: &str) -> bool {
         let exceeds = |job: &Job| job.needs_repagination() || job.page_layout.exceeds_next_limit();
         self.cluster.jobs.get(id).is_some_and(exceeds)
     }
 
-    /// Returns the keys that a transaction with these entries writes.
+    /// Returns the keys of the live records and pages that a transaction with these entries puts or
+    /// deletes.
     fn written_keys(&self, entries: &[TransactionEntry]) -> Vec<String> {
         let mut keys = Vec::new();
         for entry in entries {
--- a/crates/sharding/src/heartbeat_proxy.rs
+++ b/crates/sharding/src/heartbeat_proxy.rs
@@ -14,7 +14,7 @@
 pub use action::{ProxyAction, ProxySafetyChecks};
 
 use crate::{LeaderIdentity, RequestId, Time};
-use batch::InFlightForward;
+use batch::InFlightBatch;
 use holds::HoldDeadline;
 use protocol::worker::{Heartbeat, HeartbeatResponse};
 use settings::Timing;
@@ -52,10 +52,10 @@
     /// Machines to which only the leader may respond; true if a task there has to be killed.
     leader_only: BTreeMap<String, bool>,
     hold_deadlines: BTreeSet<HoldDeadline>,
-    in_flight: Option<InFlightForward>,
+    in_flight: Option<InFlightBatch>,
     forward_sequence: u64,
     acknowledged_sequence: u64,
-    next_forward_at: Time,
+    earliest_forward_at: Time,
     /// Number of consecutive forwarded batches that failed.
     consecutive_failures: u32,
     last_sweep_at: Time,
@@ -85,7 +85,7 @@
             in_flight: None,
             forward_sequence: 0,
             acknowledged_sequence: 0,
-            next_forward_at: 0.0,
+            earliest_forward_at: 0.0,
             consecutive_failures: 0,
             last_sweep_at: 0.0,
             actions: Vec::new(),
@@ -130,7 +130,7 @@
         self.leader = leader;
         self.leader_since = now;
         self.consecutive_failures = 0;
-        self.next_forward_at = now;
+        self.earliest_forward_at = now;
     }
 
     /// Resets the proxy and returns all held heartbeats. Called when this node has become
--- a/crates/sharding/src/heartbeat_proxy/batch.rs
+++ b/crates/sharding/src/heartbeat_proxy/batch.rs
@@ -17,10 +17,10 @@
 const TASK_BYTES: usize = 32;
 
 /// A batch that the leader has yet to reply to.
-pub(super) struct InFlightForward {
+pub(super) struct InFlightBatch {
     pub(super) sequence: u64,
     pub(super) sent_at: Time,
-    pub(super) forwarded: Vec<SentEntry>,
+    pub(super) sent_entries: Vec<SentEntry>,
 }
 
 /// A heartbeat that was forwarded with a batch.
@@ -34,7 +34,7 @@
 #[derive(Default)]
 struct Batch {
     entries: Vec<ForwardedHeartbeat>,
-    sent: Vec<SentEntry>,
+    sent_entries: Vec<SentEntry>,
 }
 
 fn forwarded_heartbeat(
@@ -43,14 +43,14 @@
     worker: &ProxiedWorker,
     fencing_token: u64,
 ) -> ForwardedHeartbeat {
-    let known_position = worker.known_position(fencing_token);
+    let position_known_to_leader = worker.position_known_to_leader(fencing_token);
     ForwardedHeartbeat {
         machine,
         session: worker.position.epoch,
         seq: worker.position.sequence,
-        same_as: known_position.map_or(0, |position| position.sequence),
+        same_as: position_known_to_leader.map_or(0, |position| position.sequence),
         held: worker.held.is_some(),
-        content: known_position.is_none().then(|| HeartbeatContent::from(&worker.heartbeat)),
+        content: position_known_to_leader.is_none().then(|| HeartbeatContent::from(&worker.heartbeat)),
         age_ms: to_millis(now - worker.received_at) as u32,
     }
 }
@@ -70,34 +70,40 @@
         }
     }
 
-    /// Sends the next batch if none is in flight. An empty batch renews the lease.
+    /// Sends the next batch if none is in flight and one is due. If there is nothing to forward, an
+    /// empty batch is sent after a longer interval, to renew the lease.
     pub(super) fn forward_batch(&mut self, now: Time) {
         let Some(leader) = &self.leader else { return };
-        if leader.node == self.node || self.in_flight.is_some() || now < self.next_forward_at {
+        if leader.node == self.node || self.in_flight.is_some() || now < self.earliest_forward_at {
             return;
         }
         // Only a leader that has delegated a lease and is ready processes heartbeats.
         let fencing_token = leader.fencing_token;
-        let leader_ready = self
+        let leader_accepts_heartbeats = self
             .lease
             .as_ref()
             .is_some_and(|lease| lease.leader_ready && lease.fencing_token == fencing_token);
-        let has_heartbeats = leader_ready && !self.forward_queue.is_empty();
-        if !has_heartbeats && now < self.next_forward_at + self.timing.forward_interval_s {
+        let has_heartbeats = leader_accepts_heartbeats && !self.forward_queue.is_empty();
+        // An empty batch waits one forwarding interval longer.
+        if !has_heartbeats && now < self.earliest_forward_at + self.timing.forward_interval_s {
             return;
         }
         let leader_node = leader.node.clone();
-        let batch = if leader_ready { self.take_batch(now, fencing_token) } else { Batch::default() };
+        let batch =
+            if leader_accepts_heartbeats { self.take_batch(now, fencing_token) } else { Batch::default() };
         self.forward_sequence += 1;
-        self.in_flight =
-            Some(InFlightForward { sequence: self.forward_sequence, sent_at: now, forwarded: batch.sent });
+        self.in_flight = Some(InFlightBatch {
+            sequence: self.forward_sequence,
+            sent_at: now,
+            sent_entries: batch.sent_entries,
+        });
         let request = ForwardRequest {
             node: self.node.clone(),
             incarnation: self.incarnation,
             number: self.forward_sequence,
             acked: self.acknowledged_sequence,
             token: fencing_token,
-            complete: leader_ready && self.forward_queue.is_empty(),
+            complete: leader_accepts_heartbeats && self.forward_queue.is_empty(),
             entries: batch.entries,
         };
         self.actions.push(ProxyAction::Forward(leader_node, request));
@@ -112,7 +118,7 @@
             worker.queued = false;
             let entry = forwarded_heartbeat(now, machine.clone(), worker, fencing_token);
             batch_bytes += estimated_bytes(&entry);
-            batch.sent.push(SentEntry {
+            batch.sent_entries.push(SentEntry {
                 machine,
                 position: worker.position,
                 in_full: entry.content.is_some(),
--- a/crates/sharding/src/heartbeat_proxy/reply.rs
+++ b/crates/sharding/src/heartbeat_proxy/reply.rs
@@ -1,6 +1,6 @@
 //! The leader's replies: delegated leases and commands for held heartbeats.
 
-use super::batch::{InFlightForward, SentEntry};
+use super::batch::{InFlightBatch, SentEntry};
 use super::worker::{ForwardedContent, HeartbeatPosition};
 use super::{DelegatedLease, HeartbeatProxy, ProxyAction};
 use crate::Time;
@@ -21,7 +21,7 @@
         };
         self.consecutive_failures = 0;
         self.acknowledged_sequence = batch.sequence;
-        self.next_forward_at = now.max(batch.sent_at + self.timing.forward_interval_s / 5.0);
+        self.earliest_forward_at = now.max(batch.sent_at + self.timing.forward_interval_s / 5.0);
         let is_new_leader = reply.token > current_token;
         let was_ready = self.lease.as_ref().is_some_and(|lease| lease.leader_ready);
         if is_new_leader || reply.afresh {
@@ -29,7 +29,7 @@
         }
         self.lease = Some(self.renewed_lease(batch.sent_at, &reply));
         self.update_leader_only(reply.attend, &reply.attend_no_more);
-        self.record_forwarded(batch.forwarded, reply.token, reply.ready);
+        self.record_forwarded(batch.sent_entries, reply.token, reply.ready);
         self.resend_in_full(&reply.unknown);
         if is_new_leader || !was_ready && reply.ready {
             self.on_lease_granted(now);
@@ -41,14 +41,14 @@
 
     /// Schedules the whole batch to be forwarded again after a backoff, because it may not
     /// have arrived.
-    fn on_forward_failed(&mut self, now: Time, batch: &InFlightForward) {
-        for entry in &batch.forwarded {
+    fn on_forward_failed(&mut self, now: Time, batch: &InFlightBatch) {
+        for entry in &batch.sent_entries {
             self.enqueue(&entry.machine);
         }
         self.consecutive_failures += 1;
         let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
         let backoff_s = self.timing.forward_interval_s * f64::from(1u32 << doublings);
-        self.next_forward_at = now + backoff_s.min(self.timing.renewal_interval_s);
+        self.earliest_forward_at = now + backoff_s.min(self.timing.renewal_interval_s);
     }
 
     /// Returns the lease that `reply` grants. It starts when the batch was sent, so that it
--- a/crates/sharding/src/heartbeat_proxy/worker.rs
+++ b/crates/sharding/src/heartbeat_proxy/worker.rs
@@ -93,7 +93,7 @@
 
     /// Returns the position with which the leader of the given term received the current
     /// content, if it did.
-    pub(super) fn known_position(&self, fencing_token: u64) -> Option<HeartbeatPosition> {
+    pub(super) fn position_known_to_leader(&self, fencing_token: u64) -> Option<HeartbeatPosition> {
         let forwarded = self.forwarded?;
         let is_current =
             forwarded.fencing_token == fencing_token && self.unchanged_since <= forwarded.position;
@@ -102,7 +102,7 @@
 
     /// Whether the leader of the given term has received the current content.
     pub(super) fn is_known_to_leader(&self, fencing_token: u64) -> bool {
-        self.known_position(fencing_token).is_some()
+        self.position_known_to_leader(fencing_token).is_some()
     }
 
     /// Whether all of the worker's tasks have exited, or it has none.
--- a/crates/simulation/src/sim/event.rs
+++ b/crates/simulation/src/sim/event.rs
@@ -40,6 +40,7 @@
         to: usize,
         request: ForwardRequest,
     },
+    /// Peers exchange their views of the cluster.
     ExchangeViews,
     ReplyArrives {
         node: usize,
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -10,7 +10,7 @@
 pub struct Setup {
     /// Number of controllers, up to five.
     pub nodes: usize,
-    /// Settings that the controllers receive and the rules are checked against.
+    /// Settings of the controllers, against which the rules are also checked.
     pub settings: Settings,
     /// Machine types that the cloud rents out.
     pub types: Vec<MachineType>,
@@ -89,7 +89,7 @@
     fn with_nodes(nodes: Vec<Node>, rng: SmallRng, setup: &Setup) -> Self {
         let params = &setup.settings.params;
         let default_timeout_s = Timing::from(&setup.settings).forward_timeout_s;
-        let no_write = |node| CallKey { node, incarnation: 0, call: 0 };
+        let before_first_write = |node| CallKey { node, incarnation: 0, call: 0 };
         Simulation {
             now: 0.0,
             history: History { cancel_s: params.workers.cancel_s, ..History::default() },
@@ -112,7 +112,7 @@
             users: BTreeMap::new(),
             open_calls: BTreeSet::new(),
             watches: Vec::new(),
-            last_applied_write: (0..nodes.len()).map(no_write).collect(),
+            last_applied_write: (0..nodes.len()).map(before_first_write).collect(),
             nodes,
             faults: ActiveFaults::default(),
             faults_end: 0.0,
@@ -133,7 +133,7 @@
     }
 }
 
-/// Creates an empty store with the present size limits and no rate limit.
+/// Creates an empty store with the current (not the announced) size limits and no rate limit.
 fn store_with_limits(settings: &Settings) -> Store {
     let params = &settings.params.store;
     let mut store = Store::default();
