--- a/crates/controller/src/agents/early_heartbeats.rs
+++ b/crates/controller/src/agents/early_heartbeats.rs
@@ -16,7 +16,7 @@
 #[derive(Default)]
 pub struct HeartbeatsBeforeRecovery {
     waiting: BTreeMap<String, EarlyHeartbeat>,
-    /// A lower bound of all deadlines, which spares most ticks a scan.
+    /// A lower bound of all deadlines, so that most ticks need no scan.
     next_deadline: Time,
 }
 
--- a/crates/controller/src/agents/failure_detection.rs
+++ b/crates/controller/src/agents/failure_detection.rs
@@ -23,7 +23,8 @@
     now: Time,
     /// Age of a response at which the lease that it renewed has expired, in seconds.
     expiry_s: Time,
-    /// Whether to assume that unresponsive proxies may have renewed the lease since.
+    /// Whether to assume that unresponsive proxies may have renewed the lease after the last
+    /// response that this leader knows of.
     wait_for_lost_proxies: bool,
 }
 
@@ -168,8 +169,8 @@
 
     /// Adds the machines that are named in stored placements and that this leader has not heard
     /// from. Their leases may be renewed until the grace period of an earlier leader ends, or
-    /// until a lease expires that was delegated just before that to an earlier incarnation of this
-    /// node.
+    /// until the leases expire that an earlier incarnation of this node delegated to proxies just
+    /// before its process ended.
     pub(crate) fn register_machines_of_placements(&mut self) {
         let now = self.now;
         let last_possible_response_at = self.previous_lease_expiry();
@@ -211,9 +212,9 @@
     /// Returns the machines that are up and have been silent for longer than their limit.
     fn find_silent_machines(&self, limits: &SilenceLimits, rule: &LeaseExpiryRule) -> SilentMachines {
         let now = rule.now;
-        // Silence from before this leader's term doesn't count. Otherwise a new leader declared a
-        // zone's machines dead by the age of their last heartbeats, before it could see that the
-        // whole zone was silent.
+        // Silence from before the leader's current tenure doesn't count. Otherwise a new leader
+        // declared a zone's machines dead by the age of their last heartbeats, before it could see
+        // that the whole zone was silent.
         let entitled_for_s = self.leadership.tenure.entitled_for_s(now);
         let mut silent = SilentMachines::default();
         for machine in self.cluster.machines.values() {
--- a/crates/controller/src/agents/one_way_partition.rs
+++ b/crates/controller/src/agents/one_way_partition.rs
@@ -8,8 +8,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Number of consecutive missed leases after which a machine is replaced. They take about as long
-/// as machines in an unreachable zone are kept.
+/// Number of consecutive missed leases after which a machine is replaced. This many leases
+/// last about as long as the machines of an unreachable zone are kept.
 const MAX_MISSED_LEASES: u32 = 3;
 
 /// Time limits and leader state by which reachability is judged.
--- a/crates/controller/src/agents/pending_kills.rs
+++ b/crates/controller/src/agents/pending_kills.rs
@@ -37,7 +37,7 @@
     machines: BTreeSet<String>,
     /// Machines that are called again unless their tasks are proven to have ended by then.
     retries: BTreeMap<String, Retry>,
-    /// A lower bound of all retry times, which spares most ticks a scan.
+    /// A lower bound of all retry times, so that most ticks need no scan.
     next_retry_at: Time,
     /// Number of direct calls in flight.
     calls_in_flight: usize,
--- a/crates/controller/src/election/machine_types.rs
+++ b/crates/controller/src/election/machine_types.rs
@@ -1,4 +1,4 @@
-//! Read of the machine type catalogue from the store, which every node does.
+//! Reads the machine type catalogue from the store, on every node.
 
 use crate::model::records::{parse_catalogue, Value, CATALOGUE_PREFIX, TYPES_KEY};
 use crate::{CallContext, Controller, StoreReply, StoreRequest};
--- a/crates/controller/src/election/previous_incarnation.rs
+++ b/crates/controller/src/election/previous_incarnation.rs
@@ -9,7 +9,7 @@
 /// remain leader forever.
 const MAX_QUICK_RESTARTS: u32 = 3;
 
-/// Leader key of an earlier incarnation of this node, while the key exists.
+/// Leader key, while it names an earlier incarnation of this node.
 ///
 /// Only one process runs under a node's name at a time, so the earlier process has ended and its
 /// lease need not expire first (`docs/failure_detection.md` has the argument).
--- a/crates/controller/src/leader/recovery.rs
+++ b/crates/controller/src/leader/recovery.rs
@@ -21,7 +21,7 @@
 /// images the machines hold.
 const MAX_IMAGE_AGE_S: f64 = 3600.0;
 
-/// Minimum number of tasks that a job's record holds as its first page, whatever its `per_page`.
+/// Number of tasks that any job's record can hold as its first page, regardless of `per_page`.
 const MIN_TASKS_PER_PAGE: u32 = 4;
 
 /// Phases of recovery, one for each kind of stored record, in the order in which they are read.
@@ -106,7 +106,7 @@
 struct RecoveryContext {
     now: Time,
     /// Time of day, in seconds.
-    time_of_day: f64,
+    wall_time_s: f64,
     store_limits: StoreLimits,
     /// Time until which tasks of an undecodable job may run without being reported.
     unreported_until: Time,
@@ -118,7 +118,7 @@
 impl RecoveryContext {
     /// Returns the time of a job's submission by the monotonic clock.
     fn submitted_at(&self, record: &JobRecord) -> Time {
-        self.now - (self.time_of_day - record.submitted_wall_s).max(0.0)
+        self.now - (self.wall_time_s - record.submitted_wall_s).max(0.0)
     }
 }
 
@@ -329,7 +329,7 @@
     fn recovery_context(&self) -> RecoveryContext {
         RecoveryContext {
             now: self.now,
-            time_of_day: self.wall_time_s,
+            wall_time_s: self.wall_time_s,
             store_limits: self.store_limits.clone(),
             unreported_until: self.unreported_work_expiry(),
             chunks_abandoned_before: self.wall_time_s - self.timing.abandoned_submission_s,
--- a/crates/controller/src/leader/step_down.rs
+++ b/crates/controller/src/leader/step_down.rs
@@ -1,4 +1,4 @@
-//! Giving up the leader role.
+//! Step-down of the leader.
 
 use crate::agents::heartbeat_queue::ReplyRoute;
 use crate::leader::state::{LeaderState, Role};
--- a/crates/controller/src/model/records/keys.rs
+++ b/crates/controller/src/model/records/keys.rs
@@ -13,7 +13,7 @@
 /// Prefix of the records of terminal jobs, stored apart so that a new leader lists only live jobs.
 pub const TERMINAL_JOB_PREFIX: &str = "jo/";
 /// Prefix of the watch on live and terminal jobs. At every revision, a job is stored under exactly
-/// one of the two prefixes.
+/// one of `JOB_PREFIX` and `TERMINAL_JOB_PREFIX`.
 pub const JOB_WATCH_PREFIX: &str = "j";
 /// Prefix of the chunks of specifications that are too large for the job's record.
 pub const SPEC_CHUNK_PREFIX: &str = "w/";
--- a/crates/controller/src/proxy/capacity.rs
+++ b/crates/controller/src/proxy/capacity.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use tracing::info;
 
-/// Number of machines below the capacity from which it is logged as reached.
+/// Maximum number of unused machine slots at which the capacity is logged as reached.
 const CAPACITY_LOG_MARGIN: u32 = 50;
 
 impl Controller {
--- a/crates/controller/src/routing.rs
+++ b/crates/controller/src/routing.rs
@@ -7,11 +7,11 @@
 impl Controller {
     /// Processes one input and returns the resulting outputs, to be carried out in order.
     ///
-    /// `now` is the time on the monotonic clock and `time_of_day` is the Unix time, both in
+    /// `now` is the time on the monotonic clock and `wall_time_s` is the Unix time, both in
     /// seconds.
-    pub fn handle(&mut self, now: Time, time_of_day: f64, input: Input) -> Vec<Output> {
+    pub fn handle(&mut self, now: Time, wall_time_s: f64, input: Input) -> Vec<Output> {
         self.now = self.now.max(now);
-        self.wall_time_s = time_of_day;
+        self.wall_time_s = wall_time_s;
         self.route(input);
         self.tick();
         std::mem::take(&mut self.outputs)
--- a/crates/controller/src/storage/archive.rs
+++ b/crates/controller/src/storage/archive.rs
@@ -1,4 +1,4 @@
-//! Archive of terminal jobs, kept apart from live jobs so that a new leader reads only the latter.
+//! Archive of terminal jobs, kept apart so that a new leader reads only live jobs.
 //!
 //! A job is stored under `j/` while it is live and under `jo/` once it has been archived. One
 //! transaction moves it, so at every revision it is in exactly one place. It never moves back, and
--- a/crates/controller/src/storage/archive/machine_images.rs
+++ b/crates/controller/src/storage/archive/machine_images.rs
@@ -157,8 +157,9 @@
         match reply {
             StoreReply::Committed(revision) => images.record(part, record, revision),
             StoreReply::Conflict(conflict) if is_fenced(&conflict) => self.step_down(LEADERSHIP_LOST),
-            // An earlier write may have been applied without a reply. The part is read back, or
-            // its outdated version would fail forever and no other part would be written.
+            // An earlier write may have been applied without a reply, so the part is read back.
+            // Otherwise writes with its outdated version would fail forever, and no other part
+            // would be written.
             StoreReply::Conflict(_) | StoreReply::Unknown => {
                 images.check_at = next_check_at;
                 let context = CallContext::ImagesRead { token, page: part };
--- a/crates/controller/src/storage/archive/moves.rs
+++ b/crates/controller/src/storage/archive/moves.rs
@@ -167,8 +167,8 @@
                 let unchanged = |job: &TerminalJob| !conflict.failed.contains(&job_key(&job.id));
                 archive.requeue(moving.into_iter().filter(unchanged));
             }
-            // The transaction may have been applied, or may still be. The versions in the next one
-            // reveal that.
+            // The transaction may have been applied, or may still be. The version conditions of
+            // the next transaction reveal it.
             _ => {
                 archive.requeue(moving.into_iter());
                 archive.retry_at = retry_at;
--- a/crates/controller/src/storage/write_queue.rs
+++ b/crates/controller/src/storage/write_queue.rs
@@ -222,8 +222,8 @@
                 job.page_layout.exceeds_next_limit() && job.is_stored() && !job.has_fully_ended()
             });
         let by_urgency = |a: &&mut Job, b: &&mut Job| {
-            let by_band = priority_level(&a.spec).cmp(&priority_level(&b.spec));
-            by_band.then(b.ready_at.total_cmp(&a.ready_at))
+            let by_priority = priority_level(&a.spec).cmp(&priority_level(&b.spec));
+            by_priority.then(b.ready_at.total_cmp(&a.ready_at))
         };
         if let Some(job) = oversized.max_by(by_urgency) {
             job.mark_main_dirty();
--- a/crates/controller/src/storage/write_queue/due_jobs.rs
+++ b/crates/controller/src/storage/write_queue/due_jobs.rs
@@ -49,7 +49,7 @@
 }
 
 /// Whether the write must not be delayed. The end of a job that was cancelled along with its
-/// dependency may be: until it is stored, it follows from the dependency's record.
+/// dependency may be delayed: until it is stored, it follows from the dependency's record.
 fn needs_urgent_write(job: &Job) -> bool {
     let follows_from_dependency = job.is_final() && job.placements.is_empty() && !job.is_complete();
     job.persistence.is_urgent() || job.is_final() && !follows_from_dependency
--- a/crates/controller/src/storage/write_queue/outcome.rs
+++ b/crates/controller/src/storage/write_queue/outcome.rs
@@ -38,7 +38,8 @@
             StoreReply::Invalid => self.on_transaction_invalid(token, &txn.entries),
             _ => {
                 // The transaction may have been applied, or may still be. The stored versions show
-                // which; if other writes come first, a late application fails on the versions.
+                // whether it was; if other writes come first, a late application fails on the
+                // versions.
                 warn!(serial, "write outcome unknown, reading back");
                 let keys = leader.written_keys(&txn.entries);
                 self.read_back_keys(token, keys);
--- a/crates/controller/src/storage/write_queue/read_back.rs
+++ b/crates/controller/src/storage/write_queue/read_back.rs
@@ -66,8 +66,8 @@
                     self.observe_cancellation_mark(id, mark.status, version);
                 }
             }
-            // The job is quarantined, or its record would be reread and rewritten in turns forever
-            // and block all other writes.
+            // The job is quarantined. Otherwise its record would be reread and rewritten in turns
+            // forever, which would block all other writes.
             Value::Undecodable => drop(leader.quarantine_undecodable(key, unreported_until)),
             _ => {}
         }
--- a/crates/sharding/src/forwarding.rs
+++ b/crates/sharding/src/forwarding.rs
@@ -235,10 +235,10 @@
     /// Whether the lease of a worker has certainly expired, if its last known renewal was at
     /// `renewed_at` and worker leases last for `worker_lease_s`.
     ///
-    /// A proxy may have renewed the lease without this node's knowledge. Such a renewal can't
-    /// be earlier than the time up to which the proxy has forwarded everything (a lease that
-    /// had expired by then had not been renewed), nor later than the end of the proxy's own
-    /// lease.
+    /// A proxy may have renewed the lease without this node's knowledge. Such a renewal is
+    /// later than the time up to which the proxy has forwarded everything, so a lease that had
+    /// expired by that time has not been renewed. It is not later than the end of the proxy's
+    /// own lease.
     pub fn lease_certainly_expired(&self, renewed_at: Time, worker_lease_s: f64, now: Time) -> bool {
         renewed_at + worker_lease_s < now
             && self.proxies.values().all(|proxy| proxy.has_certainly_expired(renewed_at, worker_lease_s, now))
--- a/crates/sharding/src/heartbeat_proxy/reply.rs
+++ b/crates/sharding/src/heartbeat_proxy/reply.rs
@@ -95,7 +95,7 @@
 
     /// Handles the first lease of a leader, and its first lease while it is ready. If the
     /// leader is ready, the heartbeats of all workers are forwarded, so that it sees the
-    /// whole fleet immediately. Before that, held heartbeats are answered without commands.
+    /// whole fleet immediately. Before that, held heartbeats get responses without commands.
     fn on_lease_granted(&mut self, now: Time) {
         let Some(lease) = self.valid_lease(now) else { return };
         let fencing_token = lease.fencing_token;
--- a/crates/sharding/src/zone_reachability.rs
+++ b/crates/sharding/src/zone_reachability.rs
@@ -73,8 +73,8 @@
     }
 
     /// Forgets unreachable zones without machines and returns whether there were any. Only a
-    /// new machine can show that such a zone is reachable again, because no other is left to be
-    /// heard. Without this, a zone whose machines were all scaled in stayed unreachable forever.
+    /// new machine can show that such a zone is reachable again, because no other is left
+    /// there. Without this, a zone whose machines were all scaled in stayed unreachable forever.
     fn forget_empty_zones(&mut self, zones: &BTreeMap<&str, ZoneCount>) -> bool {
         let count_before = self.unreachable.len();
         self.unreachable.retain(|zone, _| zones.contains_key(zone.as_str()));
