--- a/crates/controller/src/storage/write_queue/outcome.rs
+++ b/crates/controller/src/storage/write_queue/outcome.rs
@@ -38,8 +38,9 @@
             StoreReply::Invalid => self.on_transaction_invalid(token, &txn.entries),
             _ => {
                 // The transaction may have been applied, or may still be. The stored versions show
-                // which; if other writes are committed first, the delayed transaction fails its
-                // version compares.
+                // whether it was; if other writes are committed first, the delayed transaction fails its
+                // version
+                // compares.
                 warn!(serial, "write outcome unknown, reading back");
                 let keys = leader.written_keys(&txn.entries);
                 self.read_back_keys(token, keys);
