--- a/crates/controller/src/autoscaling/machine_catalogue.rs
+++ b/crates/controller/src/autoscaling/machine_catalogue.rs
@@ -73,7 +73,7 @@
 
     /// Stores the catalogue in one value or, if it is too large and every node can read the split
     /// form, in several. A catalogue that does not fit in one transaction is not stored, because a
-    /// partial catalogue would make nodes reject jobs that can run.
+    /// partial catalogue would make nodes refuse jobs that can run.
     fn store_machine_types(&mut self, token: u64, types: Vec<MachineType>) {
         let max_bytes = self.store_limits.value_bytes();
         let put = |(key, value)| Mutation::Put { key, value, lease: None };
--- a/crates/controller/src/autoscaling/scale_in.rs
+++ b/crates/controller/src/autoscaling/scale_in.rs
@@ -100,8 +100,8 @@
         idle
     }
 
-    /// Whether the machine is kept for latency-sensitive work. Where work has to start within seconds,
-    /// a machine is worth keeping for as long as a replacement would take to boot.
+    /// Whether the machine is kept for latency-sensitive work. If work has to start within seconds, a
+    /// machine is worth keeping for as long as a replacement would take to boot.
     fn is_latency_sensitive(&self, machine: &Machine) -> bool {
         self.latency_sensitive.contains(&pool_of(machine))
             && self.now - machine.idle_since <= self.boot_s(machine)
--- a/crates/controller/src/autoscaling/scale_out.rs
+++ b/crates/controller/src/autoscaling/scale_out.rs
@@ -209,7 +209,8 @@
         matching.count()
     }
 
-    /// Returns the first of `zones` in which machines of `pool` are specifically wanted, and how many.
+    /// Returns the first of `zones` in which machines of `pool` are specifically wanted, and their
+    /// number.
     fn wanted_in_one_zone<'z>(&self, pool: &MachinePool, zones: &[&'z String]) -> Option<(&'z String, u32)> {
         zones.iter().find_map(|&zone| {
             let wanted = *self.leader.fleet.targets.wanted_in_zone.get(&ZonalPool::new(pool, zone))?;
--- a/crates/controller/src/client_api/client_requests.rs
+++ b/crates/controller/src/client_api/client_requests.rs
@@ -21,8 +21,9 @@
 
 /// Share of the store's write rate that submissions through one node may use while the store
 /// accepts them. When the store refuses writes, the node reduces its rate, at the lowest to an equal
-/// share of what the leader leaves to the nodes, and raises it again when writes succeed. A fixed
-/// rate of that equal share rejected nine in ten submissions while the store was half idle.
+/// share of the rate that the leader leaves to the nodes, and raises it again when writes succeed.
+/// With a fixed rate of that equal share, nine in ten submissions were refused while the store was
+/// half idle.
 pub const MAX_CLIENT_WRITE_SHARE: f64 = 0.5;
 
 /// Clients' requests in progress at this node, by job id.
--- a/crates/controller/src/client_api/status_queries.rs
+++ b/crates/controller/src/client_api/status_queries.rs
@@ -10,8 +10,8 @@
 //! everything else needs.
 //!
 //! A job that waits for dependencies is cancelled as soon as one of them is, even if its own record
-//! does not say so yet: its status is derived from the records of the dependencies, which are read
-//! as fresh as its own record (`docs/dependencies.md`).
+//! does not say so yet: its status is derived from the records of the dependencies, which are as
+//! up to date as its own record (`docs/dependencies.md`).
 
 mod answers;
 mod job_cache;
--- a/crates/controller/src/client_api/status_queries/answers.rs
+++ b/crates/controller/src/client_api/status_queries/answers.rs
@@ -195,9 +195,9 @@
         self.record_job_state(id, record, version, is_cacheable);
     }
 
-    /// Records the state of a job. A terminal job never returns to the cache: a read that was answered
-    /// after the end of the job would leave it there as running, and that status would be answered
-    /// once the terminal state has been evicted.
+    /// Records the state of a job. A terminal job never returns to the cache. Otherwise, a read that
+    /// was answered after the end of the job would leave the job in the cache as running, and queries
+    /// would be answered with that status once the terminal state has been evicted.
     fn record_job_state(&mut self, id: &str, record: &JobRecord, version: u64, is_cacheable: bool) {
         self.terminal_states.insert(id, record.status, record.done);
         if self.terminal_states.get(id).is_some() {
--- a/crates/controller/src/client_api/status_queries/job_cache.rs
+++ b/crates/controller/src/client_api/status_queries/job_cache.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct CacheGeneration(u64);
 
-/// Cached status of a job, with what is needed to answer queries for it.
+/// Cached status of a job, and the other data needed to answer queries for it.
 pub(crate) struct CachedJob {
     /// Version of the record.
     version: u64,
--- a/crates/controller/src/client_api/status_queries/shared_reads.rs
+++ b/crates/controller/src/client_api/status_queries/shared_reads.rs
@@ -1,5 +1,5 @@
 //! Reads that answer many queries at once: the watch that updates the cache, and the existence check,
-//! a transaction that tells by comparing versions which jobs exist.
+//! a transaction that compares versions to find out which jobs exist.
 
 use crate::client_api::cancellation_lineage::UncancelledJobs;
 use crate::client_api::client_requests::{ERROR_BUSY, ERROR_STORE_UNREACHABLE};
--- a/crates/controller/src/client_api/submissions.rs
+++ b/crates/controller/src/client_api/submissions.rs
@@ -131,8 +131,8 @@
         let needs_chunks = json_size(&record) + RECORD_OVERHEAD_BYTES / 2 > max_value_bytes;
         let may_use_chunks = self.uses_current_format();
         // A restarted node that does not know the common format yet must not store such a job as a
-        // whole: under lower limits of the store the leader could not write the record again, and
-        // the job would never run.
+        // whole: under the next limits the leader could never write the record again, and the job
+        // would never run.
         if needs_chunks && !may_use_chunks && !self.formats.gate.was_answered() {
             return self.respond_error(request_id, 503, "not known yet whether all nodes read parts");
         }
--- a/crates/controller/src/health.rs
+++ b/crates/controller/src/health.rs
@@ -1,4 +1,4 @@
-//! Health of this node: whether it reaches the store, and what it reports to load balancers and peers.
+//! Health of this node: reachability of the store, and reports to load balancers and peers.
 
 use crate::client_api::store_latency::RoundTripEstimator;
 use crate::controller::Controller;
@@ -10,7 +10,7 @@
 /// Reachability of the store, according to its replies to the calls of this node.
 #[derive(Default)]
 pub(crate) struct StoreHealth {
-    /// Time of the last reply of the store other than [`StoreReply::Refused`].
+    /// Time of the last reply other than [`StoreReply::Refused`] and [`StoreReply::Unknown`].
     pub(crate) reached_at: Time,
     /// Time since which the store has refused or not answered every call; none if it answers.
     pub(crate) failing_since: Option<Time>,
--- a/crates/controller/src/model/job.rs
+++ b/crates/controller/src/model/job.rs
@@ -178,7 +178,7 @@
         self.persistence.outcome_stored(task, self.page_of(task))
     }
 
-    /// Adds a placement of `task`, which is to be stored without delay.
+    /// Adds a placement of `task` and requests that it is stored without delay.
     pub fn add_placement(&mut self, task: u32, machine: &str, attempt: u64, now: Time) {
         self.attempt = self.attempt.max(attempt);
         self.mark_task_dirty(task);
--- a/crates/controller/src/model/job/persistence.rs
+++ b/crates/controller/src/model/job/persistence.rs
@@ -134,7 +134,7 @@
         self.dirty_pages = pages.iter().map(|&page| (page, self.mutation_count)).collect();
     }
 
-    /// Handles that the pages of `write` were stored.
+    /// Records that the pages of `write` were stored.
     pub fn on_pages_stored(&mut self, write: &JobWrite) {
         self.round_robin_page = write.pages.last().copied().unwrap_or(0);
         for &page in &write.pages {
@@ -145,7 +145,7 @@
             .retain(|page, changed_at| !write.pages.contains(page) || *changed_at > write.mutation_count);
     }
 
-    /// Handles that `write`, which included the main record, was applied. `uncommitted_pages` are the
+    /// Records that `write`, which included the main record, was applied. `uncommitted_pages` are the
     /// pages with placements that are still not stored, and `completion_pending` is whether all tasks
     /// are done but the stored record does not say so yet.
     pub fn on_record_stored(
--- a/crates/controller/src/model/job/record.rs
+++ b/crates/controller/src/model/job/record.rs
@@ -1,4 +1,4 @@
-//! A job's main record: writes it and reconciles the job with what is stored.
+//! A job's main record: writes it and reconciles the job with the stored data.
 
 use super::{Job, JobWrite};
 use crate::model::records::{
@@ -100,7 +100,7 @@
         names
     }
 
-    /// Handles that `write` was applied at `revision`.
+    /// Records that `write` was applied at `revision`.
     pub fn on_stored(&mut self, write: &JobWrite, revision: u64) {
         self.page_layout.record_stored(&write.pages, revision);
         self.persistence.on_pages_stored(write);
@@ -162,7 +162,7 @@
     }
 
     /// Commits the placements on pages that were written before the stored record named the new
-    /// layout. Otherwise, if the response to the write that named the layout is lost, placements on
+    /// layout. Otherwise, if the reply to the write that named the layout is lost, placements on
     /// other pages would never be launched.
     fn commit_stored_pages(&mut self) {
         for (task, placement) in &mut self.placements {
--- a/crates/controller/src/scheduling/class_stats.rs
+++ b/crates/controller/src/scheduling/class_stats.rs
@@ -12,7 +12,7 @@
 /// Number of arrivals from which the arrival rate of a class is computed.
 const MAX_ARRIVALS: usize = 8;
 
-/// Number of run_samples after which the weight of a new run time stays constant.
+/// Number of recorded runs after which the weight of a new run time stays constant.
 const MAX_RUN_SAMPLES: u32 = 20;
 
 /// Range to which ratios of run times to estimates are clamped.
--- a/crates/controller/src/scheduling/effective_priority.rs
+++ b/crates/controller/src/scheduling/effective_priority.rs
@@ -97,8 +97,8 @@
 }
 
 impl LeaderState {
-    /// Records the priority that job `id` had inherited when it was done in the statistics of its
-    /// class.
+    /// Adds the priority that job `id` inherited to the statistics of its class. Called when the job
+    /// is done.
     pub(crate) fn record_inherited_priority(&mut self, id: &str) {
         let Some(job) = self.cluster.jobs.get(id) else { return };
         let class_stats = self.planning.classes.get(&job.spec.class);
@@ -181,9 +181,9 @@
         inherited.into_iter().map(|(id, priority)| (id.to_string(), priority)).collect()
     }
 
-    /// Returns the priority and deadline of a job that its dependencies inherit. Objectives for its
-    /// start or end do not affect them, because these are measured from the time when the job could
-    /// start.
+    /// Returns the priority and deadline of a job that its dependencies inherit. Objectives for the
+    /// start or end of the job do not affect the deadline, because objectives are measured from the
+    /// time when the job could start.
     fn own_priority(&self, leader: &LeaderState, job: &Job) -> OwnPriority {
         let spec = &job.spec;
         let due = |factor: f64| {
--- a/crates/controller/src/scheduling/free_capacity.rs
+++ b/crates/controller/src/scheduling/free_capacity.rs
@@ -7,10 +7,10 @@
 use crate::scheduling::pricing::{allows_type, resources_per_task};
 use protocol::job::JobSpec;
 
-/// Maximum number of unsuccessful searches in one plan.
+/// Maximum number of kinds of jobs for which one plan searches without success.
 const MAX_FAILED_SEARCHES: usize = 16;
 
-/// Search for room that remembers which jobs there is none for.
+/// Search for room that remembers the jobs for which no machine has room.
 #[derive(Debug, Default)]
 pub(super) struct FreeCapacitySearch<'a> {
     /// Jobs for which no machine has room.
--- a/crates/controller/src/scheduling/job_dependencies.rs
+++ b/crates/controller/src/scheduling/job_dependencies.rs
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Handles that the record of job `id` is no longer among those of live jobs while the job's
-    /// outcome is unknown.
+    /// Marks the state of job `id` as unknown in the graph. Called when the record of the job is no
+    /// longer among those of live jobs and the outcome of the job is not known.
     pub(crate) fn on_archived_with_unknown_outcome(&mut self, id: &str) {
         if let Role::Leader(leader) = &mut self.role {
             leader.dependencies.graph.mark_unknown(id);
--- a/crates/controller/src/scheduling/planner_input.rs
+++ b/crates/controller/src/scheduling/planner_input.rs
@@ -242,7 +242,7 @@
     tasks: &[PlacedTask],
     machines: &mut PlannerMachines,
 ) {
-    let spec = |owner: usize| context.leader.cluster.jobs.get(&tasks[owner].job).map(|job| &job.spec);
+    let spec = |task_id: usize| context.leader.cluster.jobs.get(&tasks[task_id].job).map(|job| &job.spec);
     starved
         .protect_from_preemption(machines.machines.iter_mut().flat_map(|machine| &mut machine.running), spec);
 }
--- a/crates/controller/src/scheduling/starvation.rs
+++ b/crates/controller/src/scheduling/starvation.rs
@@ -199,7 +199,7 @@
         if self.groups.is_empty() {
             return;
         }
-        let is_protected = |owner: usize| spec(owner).is_some_and(|spec| self.contains(spec));
+        let is_protected = |task_id: usize| spec(task_id).is_some_and(|spec| self.contains(spec));
         for task in tasks {
             task.preemption = task.preemption.filter(|candidate| !is_protected(candidate.task_id));
         }
--- a/crates/controller/src/ticking.rs
+++ b/crates/controller/src/ticking.rs
@@ -9,8 +9,7 @@
 const LEADER_TICK_S: f64 = 0.1;
 /// Maximum seconds between ticks of a follower.
 const FOLLOWER_TICK_S: f64 = 0.2;
-/// Divisor of the heartbeat interval that gives the delay of a timer up to which workers are not
-/// affected.
+/// A timer may be late by the heartbeat interval divided by this number before workers are affected.
 const TOLERATED_LAG_DIVISOR: f64 = 12.0;
 
 impl Controller {
--- a/crates/dependencies/src/inheritance.rs
+++ b/crates/dependencies/src/inheritance.rs
@@ -30,7 +30,7 @@
 }
 
 impl InheritedPriority {
-    /// Returns what a job demands of its dependencies, given what its own dependents demand of it.
+    /// Returns the demand of a job on its dependencies, given the demand of its own dependents on it.
     fn for_dependencies(
         own_priority: &OwnPriority,
         inherited: Option<InheritedPriority>,
@@ -71,8 +71,8 @@
 type Inherited<'a> = HashMap<&'a str, Option<InheritedPriority>>;
 
 impl DependencyGraph {
-    /// Returns what every job on which others depend inherits. `own_priority` returns the priority of a
-    /// waiting job by itself; a job for which it returns `None` demands nothing. Takes time
+    /// Returns the demand that each job with dependents inherits. `own_priority` returns the priority
+    /// of a waiting job by itself; a job for which it returns `None` demands nothing. Takes time
     /// proportional to the number of waiting jobs and their dependencies.
     pub fn inherited_priorities(
         &self,
@@ -103,7 +103,7 @@
         inherited.into_iter().filter_map(|(id, demand)| Some((id, demand?))).collect()
     }
 
-    /// Returns what the dependents of a job demand of it. All of them must have been visited.
+    /// Returns the demand of a job's dependents on it. All dependents must have been visited.
     fn demand_of_dependents(
         &self,
         id: &str,
