--- a/crates/analysis/src/day.rs
+++ b/crates/analysis/src/day.rs
@@ -52,7 +52,8 @@
     /// Further days, each with additional faults.
     #[serde(default, rename = "with")]
     variations: Vec<DayVariation>,
-    /// Whether to generate one day for every class; `class = "each"` refers to it.
+    /// Whether to generate one day for every class; `class = "each"` in a fault template stands
+    /// for the class of the day.
     #[serde(default)]
     each_class: bool,
     /// Whether to generate one day for every team, whose job weight is multiplied by
--- a/crates/analysis/src/job_counts.rs
+++ b/crates/analysis/src/job_counts.rs
@@ -40,8 +40,7 @@
     /// All jobs of a team.
     Team,
     /// The largest tenth of a class by number of tasks: at least one job, and all others of
-    /// the same size. Only jobs that
-    /// started within [`MAX_START_WAIT_S`] count as started.
+    /// the same size. Only jobs that started within [`MAX_START_WAIT_S`] count as started.
     Largest,
 }
 
--- a/crates/planner/src/cost.rs
+++ b/crates/planner/src/cost.rs
@@ -2,19 +2,19 @@
 
 use crate::problem::{InstanceType, Job};
 
-/// Multiple of its cheapest cost at which a job is priced that cannot meet its deadline, as if the
-/// work were bought elsewhere.
+/// A job that cannot meet its deadline is priced at this multiple of its cheapest cost, as if the work
+/// were bought elsewhere.
 const LATE_COST_FACTOR: f64 = 2.0;
 
 /// Choice of a machine type for a job.
 pub(crate) struct Configuration {
     /// Index of the machine type.
     pub(crate) instance_type: usize,
-    /// Price per second of the fraction of a machine that one task uses.
+    /// Price per second of the share of a machine that one task uses.
     pub(crate) task_price: f64,
 }
 
-/// Returns the price per second of the fraction of a machine that one task uses; `None` if no task
+/// Returns the price per second of the share of a machine that one task uses; `None` if no task
 /// fits on a machine of this type.
 fn task_price(instance_type: &InstanceType, job: &Job) -> Option<f64> {
     let instances = instance_type.size.instances_that_fit(&job.resources);
--- a/crates/planner/src/gang.rs
+++ b/crates/planner/src/gang.rs
@@ -149,7 +149,7 @@
         GangChoice { rank, instance_type: configuration.instance_type, machines, starts_at, ends_at }
     }
 
-    /// Returns the mean price per second of the fraction of a machine that one task uses. Some of the
+    /// Returns the mean price per second of the share of a machine that one task uses. Some of the
     /// machines may be on-demand machines although the job may use spot machines.
     fn gang_price(&self, job: &Job, configuration: &Configuration, machines: &[usize]) -> f64 {
         let instance_type = &self.problem.instance_types[configuration.instance_type];
--- a/crates/settings/src/timing.rs
+++ b/crates/settings/src/timing.rs
@@ -103,8 +103,8 @@
     /// certainly nothing runs there any more; the other two cost about as much as renting and booting
     /// new machines.
     pub unreachable_zone_retention_s: f64,
-    /// Time after which a class or team is starving whose jobs wait with almost nothing running: three
-    /// leases, by which time work that a partition or a crash delayed has been started again.
+    /// A class or team with almost nothing running is starving after its jobs have waited for this
+    /// time: three leases, by which work that a partition or a crash delayed has been started again.
     pub starvation_wait_s: f64,
     /// Time after which a job that waits while capacity that it could use is idle takes that capacity,
     /// whatever it is kept for: half of what the operators allow. The other half is for the plan, the
--- a/crates/simulation/src/explore/play.rs
+++ b/crates/simulation/src/explore/play.rs
@@ -11,8 +11,8 @@
 /// that a job waiting despite free capacity breaks the rule `LeftWaiting` first.
 const MAX_COMPLETION_S: f64 = 110.0;
 
-/// Time for which a run continues after all jobs have ended, in seconds. In it, users continue to
-/// query and stored jobs are archived.
+/// Time for which a run continues after all jobs have ended, in seconds. During this time, users
+/// continue to query and stored jobs are archived.
 const AFTER_END_S: f64 = 11.0;
 
 /// Failure of a run.
--- a/crates/simulation/src/explore/replay_line.rs
+++ b/crates/simulation/src/explore/replay_line.rs
@@ -73,7 +73,7 @@
     check_names().find(|known| *known == name).ok_or_else(unknown)
 }
 
-/// Returns the script of a name.
+/// Returns the script with the given name.
 ///
 /// # Errors
 /// If there is no script of that name.
--- a/crates/simulation/src/explore/script.rs
+++ b/crates/simulation/src/explore/script.rs
@@ -139,7 +139,7 @@
     },
 ];
 
-/// Returns the script of a name.
+/// Returns the script with the given name.
 pub fn script(name: &str) -> Option<&'static Script> {
     SCRIPTS.iter().find(|s| s.name == name)
 }
--- a/crates/simulation/src/sim.rs
+++ b/crates/simulation/src/sim.rs
@@ -1,5 +1,5 @@
-//! Seeded simulation of a deployment: several controllers, stand-ins for all other parties, and a
-//! network that loses, delays and holds back messages.
+//! Seeded simulation of a deployment: several controllers, a simulated store, cloud, workers and
+//! users, and a network that loses, delays and holds back messages.
 //!
 //! All events go through one queue in simulated time, and all random numbers come from one
 //! generator, so a run can be repeated exactly. `tests/digests.rs` compares every message of
@@ -75,7 +75,7 @@
     pub late_starts: Vec<LateStart>,
     settings: Settings,
     checks: SafetyChecks,
-    /// Fraction of all messages that is lost.
+    /// Share of all messages that is lost.
     loss: f64,
     forward_timeout_s: f64,
     rng: SmallRng,
--- a/crates/simulation/src/sim/fault.rs
+++ b/crates/simulation/src/sim/fault.rs
@@ -61,17 +61,17 @@
         /// Duration of the fault.
         duration_s: f64,
     },
-    /// A fraction of the transactions receives no response and is applied 2 to 12 s later,
+    /// A share of the transactions receives no response and is applied 2 to 12 s later,
     /// regardless of what was written in the meantime.
     DelayedWrites {
-        /// Fraction of all transactions, from 0 to 1.
+        /// Share of all transactions, from 0 to 1.
         share: f64,
         /// Duration of the fault.
         duration_s: f64,
     },
-    /// A fraction of the transactions is applied immediately, but the responses are lost.
+    /// A share of the transactions is applied immediately, but the responses are lost.
     LostWriteResponses {
-        /// Fraction of all transactions, from 0 to 1.
+        /// Share of all transactions, from 0 to 1.
         share: f64,
         /// Duration of the fault.
         duration_s: f64,
@@ -225,9 +225,9 @@
         /// Duration for which the machines hang.
         hang_s: f64,
     },
-    /// A fraction of the completing jobs is cancelled at the moment of completion.
+    /// A share of the completing jobs is cancelled at the moment of completion.
     CancelAtCompletion {
-        /// Fraction of all completing jobs, from 0 to 1.
+        /// Share of all completing jobs, from 0 to 1.
         share: f64,
         /// Duration of the fault.
         duration_s: f64,
--- a/crates/simulation/src/sim/fault_injection.rs
+++ b/crates/simulation/src/sim/fault_injection.rs
@@ -26,7 +26,7 @@
     pub(super) zone: &'static str,
 }
 
-/// Disturbance until a given time. Its strength is a fraction, a factor or a longest delay.
+/// Disturbance until a given time. Its strength is a share, a factor or a longest delay.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Disturbance {
     pub(super) until: f64,
--- a/crates/simulation/src/sim/inspection.rs
+++ b/crates/simulation/src/sim/inspection.rs
@@ -9,7 +9,7 @@
         controller.is_some_and(Controller::has_recovered)
     }
 
-    /// Returns the live workers that no controller considers usable or is scaling in.
+    /// Returns the live workers that no controller knows, neither as usable nor as not accepting work.
     pub fn unknown_workers(&self) -> Vec<&str> {
         let known: BTreeSet<&str> = self
             .controllers()
--- a/crates/simulation/src/sim/queries.rs
+++ b/crates/simulation/src/sim/queries.rs
@@ -35,7 +35,7 @@
     pub(super) concurrent_until: f64,
     /// End of the period in which users send invalid requests.
     pub(super) invalid_until: f64,
-    /// Period in which jobs are cancelled at their completion, and the fraction of these jobs.
+    /// Period in which jobs are cancelled at their completion, and the share of these jobs.
     pub(super) cancel_at_completion: Disturbance,
     counts: QueryCounts,
 }
--- a/crates/simulation/src/sim/setup.rs
+++ b/crates/simulation/src/sim/setup.rs
@@ -24,7 +24,7 @@
     pub faults: Vec<ScheduledFault>,
     /// Seed of all random draws.
     pub seed: u64,
-    /// Fraction of all messages that is lost, from 0 to 1.
+    /// Share of all messages that is lost, from 0 to 1.
     pub loss: f64,
     /// Timeout of a request that forwards heartbeats, in seconds. None for the value that follows
     /// from the settings.
--- a/crates/simulation/src/sim/tasks.rs
+++ b/crates/simulation/src/sim/tasks.rs
@@ -24,8 +24,7 @@
     finished: Vec<FinishedTask>,
 }
 
-/// Number of tasks of an attempt that wait for the others, and that run on machines that do not
-/// hang.
+/// Numbers of an attempt's tasks that wait for the others, and that run on machines that do not hang.
 #[derive(Default)]
 struct AttemptMembers {
     waiting: u32,
--- a/crates/transport/src/client.rs
+++ b/crates/transport/src/client.rs
@@ -11,7 +11,7 @@
 use std::net::{SocketAddrV4, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Bytes of a response body that are read at most; the store's pages are 512 KiB.
+/// Maximum number of bytes that are read of a response body; the store's pages are 512 KiB.
 const MAX_RESPONSE_BYTES: u64 = 4 * 1024 * 1024;
 /// Time after which an idle connection is closed instead of reused.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(8);
--- a/crates/transport/src/peers/server.rs
+++ b/crates/transport/src/peers/server.rs
@@ -21,8 +21,8 @@
 use tonic::body::BoxBody;
 use tracing::{debug, warn};
 
-/// Maximum number of open connections from other controllers; also of received views, and of
-/// forwarded batches, that wait for the driver.
+/// Maximum number of open connections from other controllers. The same limit applies to the
+/// received views and to the forwarded batches that wait for the driver.
 const MAX_PEER_CONNECTIONS: usize = 16;
 /// Maximum number of concurrent requests on a connection.
 const MAX_STREAMS_PER_CONNECTION: u32 = 4;
