--- a/crates/controller/src/calls.rs
+++ b/crates/controller/src/calls.rs
@@ -93,12 +93,12 @@
         /// Fencing token of the leadership that made the call.
         token: u64,
     },
-    /// Read of one page of the image locations.
+    /// Read of one part of the image locations.
     ImagesRead {
         /// Fencing token of the leadership that made the call.
         token: u64,
-        /// Number of the page.
-        page: usize,
+        /// Number of the part.
+        part: usize,
     },
     /// Read-back of a record whose write had an unknown outcome.
     ReadBackRecord {
--- a/crates/controller/src/inspection.rs
+++ b/crates/controller/src/inspection.rs
@@ -41,7 +41,7 @@
 
     /// Returns the ids of the machines that this leader has declared dead and that may still run,
     /// whether or not its lease still entitles it to act on that.
-    pub fn machines_given_up(&self) -> impl Iterator<Item = &str> {
+    pub fn machines_declared_dead(&self) -> impl Iterator<Item = &str> {
         self.machines().filter(|machine| machine.declared_dead).map(|machine| machine.id.as_str())
     }
 
--- a/crates/controller/src/routing.rs
+++ b/crates/controller/src/routing.rs
@@ -84,7 +84,7 @@
                 self.on_dependency_read(token, &id, in_archive, reply);
             }
             CallContext::ImagesWrite { token } => self.on_images_write(token, reply),
-            CallContext::ImagesRead { token, page } => self.on_images_read(token, page, reply),
+            CallContext::ImagesRead { token, part } => self.on_images_read(token, part, reply),
             CallContext::ReadBackRecord { token, key } => self.on_read_back_record(token, &key, reply),
             client_call => self.on_client_call_reply(client_call, reply),
         }
--- a/crates/controller/src/scheduling/planner_input.rs
+++ b/crates/controller/src/scheduling/planner_input.rs
@@ -9,7 +9,7 @@
 use crate::scheduling::pending_jobs::{open_jobs, PendingJobs};
 use crate::scheduling::pricing::{machine_resources, update_price_ratio};
 use crate::scheduling::running_tasks::{PlacedTask, RunningTasks};
-use crate::scheduling::starvation::{StarvationGuard, StarvedGroups};
+use crate::scheduling::starvation::{StarvationGuard, StarvingGroups};
 use crate::scheduling::teams::{guaranteed_jobs, TeamQuotas};
 use crate::{Controller, Time};
 use dependencies::InheritedPriority;
@@ -188,7 +188,7 @@
     /// Tasks that may be preempted; preemption candidates refer to them by index.
     pub preemptible_tasks: Vec<PlacedTask>,
     /// Classes and teams that are starved.
-    pub starved_groups: StarvedGroups,
+    pub starved_groups: StarvingGroups,
     /// Priorities that jobs inherit from their dependents, by job id.
     pub inherited_priorities: HashMap<String, InheritedPriority>,
     /// Price of all machines divided by the lowest possible price of the running tasks.
@@ -238,7 +238,7 @@
 /// Protects running tasks of starved classes and teams from preemption.
 fn protect_starved_groups(
     context: &PlanningContext,
-    starved: &StarvedGroups,
+    starved: &StarvingGroups,
     tasks: &[PlacedTask],
     machines: &mut PlannerMachines,
 ) {
--- a/crates/controller/src/scheduling/planning_state.rs
+++ b/crates/controller/src/scheduling/planning_state.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Time;
 use crate::scheduling::class_stats::ClassStats;
-use crate::scheduling::starvation::{GangReservation, StarvedGroups};
+use crate::scheduling::starvation::{GangReservation, StarvingGroups};
 use crate::scheduling::work_conservation::WaitingBesideCapacity;
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
     /// Peak number of machines used at the same time by work other than best-effort work.
     pub peak_non_best_effort_machines: usize,
     /// Classes and teams that were starved at the last plan.
-    pub starved_groups: StarvedGroups,
+    pub starved_groups: StarvingGroups,
     /// The overdue gang for which machines are reserved.
     pub gang_reservation: GangReservation,
     /// Jobs that wait although there is free capacity, with the start of their wait.
@@ -36,7 +36,7 @@
             planned_at: now - 1.0,
             next_plan_at: now,
             peak_non_best_effort_machines: 0,
-            starved_groups: StarvedGroups::default(),
+            starved_groups: StarvingGroups::default(),
             gang_reservation: GangReservation::default(),
             waiting_beside_capacity: WaitingBesideCapacity::default(),
             price_ratio: 1.0,
--- a/crates/controller/src/scheduling/starvation.rs
+++ b/crates/controller/src/scheduling/starvation.rs
@@ -115,7 +115,7 @@
 
     /// Gives precedence in the plan to overdue jobs and to jobs of starved groups. If that applies to
     /// only some tasks of a job, these become a separate job with the same id.
-    pub fn apply(&mut self, now: f64, ids: &mut Vec<String>, jobs: &mut Vec<Job>) -> StarvedGroups {
+    pub fn apply(&mut self, now: f64, ids: &mut Vec<String>, jobs: &mut Vec<Job>) -> StarvingGroups {
         let starved = starving_groups(now, &self.policy, &self.held_shares, &self.demands);
         let mut prioritized_tasks = overdue_tasks(now, &self.policy, &self.demands);
         self.reserve_for_overdue(&prioritized_tasks, jobs);
@@ -131,7 +131,7 @@
             }
         }
         let groups = self.group_indices.iter().filter(|(_, &index)| starved[index]);
-        StarvedGroups { groups: groups.map(|(group, _)| group.clone()).collect() }
+        StarvingGroups { groups: groups.map(|(group, _)| group.clone()).collect() }
     }
 
     /// Allows overdue jobs to reserve machines for a limited time.
@@ -178,13 +178,13 @@
     }
 }
 
-/// Classes and teams that are starved.
+/// Classes and teams that are starving; the name appears in a log line.
 #[derive(Debug, Default, PartialEq)]
-pub struct StarvedGroups {
+pub struct StarvingGroups {
     groups: Vec<StarvationGroup>,
 }
 
-impl StarvedGroups {
+impl StarvingGroups {
     fn contains(&self, spec: &JobSpec) -> bool {
         self.groups.iter().any(|group| group.contains(spec))
     }
--- a/crates/controller/src/storage/archive/machine_images.rs
+++ b/crates/controller/src/storage/archive/machine_images.rs
@@ -162,7 +162,7 @@
             // would be written.
             StoreReply::Conflict(_) | StoreReply::Unknown => {
                 images.check_at = next_check_at;
-                let context = CallContext::ImagesRead { token, page: part };
+                let context = CallContext::ImagesRead { token, part };
                 self.call_store(context, StoreRequest::Get(images_key(part)));
             }
             // The write is not urgent, since only the next leader needs it.
--- a/crates/simulation/src/sim/world.rs
+++ b/crates/simulation/src/sim/world.rs
@@ -63,7 +63,7 @@
                 })
             };
             // Each verdict is checked only once, when it is made: a hung machine may recover later.
-            for id in controller.machines_given_up() {
+            for id in controller.machines_declared_dead() {
                 let fencing_token = controller.token().unwrap_or(0);
                 let verdict = DeathVerdict { node: n, fencing_token, machine: id.to_string() };
                 if self.death_verdicts.insert(verdict) && is_alive(id) {
--- a/crates/simulation/tests/cancellation.rs
+++ b/crates/simulation/tests/cancellation.rs
@@ -281,7 +281,7 @@
     assert!(driver.now - silent_since > timing().failure_suspicion_s);
     let usable: Vec<&str> = driver.controller.usable_machines().collect();
     assert!(!usable.contains(&"vm-1"), "{usable:?}");
-    assert!(driver.controller.machines_given_up().any(|m| m == "vm-1"));
+    assert!(driver.controller.machines_declared_dead().any(|m| m == "vm-1"));
 }
 
 /// A leader that has recovered a job whose second page it cannot decode. The job's eight tasks run
