--- a/crates/analysis/tests/days.rs
+++ b/crates/analysis/tests/days.rs
@@ -71,10 +71,10 @@
         DayFile::parse(&text).unwrap().generate("gap", &site()).map_err(|error| error.to_string())
     };
     let day: toml::Table = generate("0.8").unwrap()[0].bench_file.parse().unwrap();
-    let jobs: Vec<_> = day["jobs"].as_array().unwrap().iter().map(|jobs| jobs.as_table().unwrap()).collect();
-    let names: Vec<_> = jobs.iter().map(|jobs| jobs["name"].as_str().unwrap()).collect();
+    let jobs: Vec<_> = day["jobs"].as_array().unwrap().iter().map(|job| job.as_table().unwrap()).collect();
+    let names: Vec<_> = jobs.iter().map(|job| job["name"].as_str().unwrap()).collect();
     assert_eq!(names, ["survey", "alarm"]);
-    assert!(jobs.iter().all(|jobs| jobs["cancelled"].as_float() == Some(0.8)));
+    assert!(jobs.iter().all(|job| job["cancelled"].as_float() == Some(0.8)));
     assert_eq!(generate("1.5").unwrap_err(), "invalid cancelled 1.5: expected a number from 0.0 to 1.0");
 }
 
@@ -166,7 +166,7 @@
     assert_eq!(generate("limits = -1.0").unwrap_err(), "invalid limits -1: expected a number above 0");
 }
 
-/// What the bench counts besides violations of its rules also makes a day fail.
+/// A day also fails for anything else that the bench counts besides violations of its rules.
 #[test]
 fn a_day_is_passed_only_without_other_violations() {
     let outcome = |idle: serde_json::Value, largest: u32, unread: &[&str]| {
--- a/crates/controller/src/agents/one_way_partition/tests.rs
+++ b/crates/controller/src/agents/one_way_partition/tests.rs
@@ -49,7 +49,7 @@
     assert!(!reachability.receives_nothing());
     send_heartbeats(&mut reachability, 60.0, 85.0, 5.0, Some(19.0));
     assert!(reachability.receives_nothing() && !reachability.is_lost());
-    // It receives responses again, so its epoch outlasts a lease.
+    // The machine receives responses again, so its epoch outlasts a lease.
     send_heartbeats(&mut reachability, 100.0, 140.0, 3.0, None);
     assert!(!reachability.receives_nothing());
     send_heartbeats(&mut reachability, 200.0, 270.0, 5.0, Some(19.0));
--- a/crates/planner/tests/work_conservation.rs
+++ b/crates/planner/tests/work_conservation.rs
@@ -37,7 +37,7 @@
     let without_room = plan_with(vec![partly_used_machine(60.0, false)], gang.clone());
     assert_eq!((without_room.starts.len(), without_room.waiting_beside_capacity.len()), (0, 0));
 
-    // On free capacity, a gang may use several machine types.
+    // A gang that has waited too long may use free capacity of several machine types.
     let gang = Job { pending_tasks: (0..3).collect(), ..gang };
     let on_two_types = plan_with(vec![partly_used_machine(60.0, false), machine(1, 1)], gang);
     assert_eq!(on_two_types.starts.len(), 3);
--- a/crates/sharding/tests/heartbeat_proxy.rs
+++ b/crates/sharding/tests/heartbeat_proxy.rs
@@ -28,7 +28,7 @@
     newest_position: (u64, u64),
     content_position: (u64, u64),
     last_response_at: f64,
-    /// Time until which its own lease is valid, so that it delegates leases.
+    /// Time at which its own lease expires. Until then it delegates leases.
     lease_expires_at: f64,
 }
 
--- a/crates/simulation/tests/combined_faults.rs
+++ b/crates/simulation/tests/combined_faults.rs
@@ -306,8 +306,8 @@
     let mut setup = cancelled_arrays(seed, checks);
     let workers = &mut setup.settings.params.workers;
     (workers.heartbeat_interval_s, workers.lease_s, workers.cancel_s) = (6.0, 31.0, 51.0);
-    // More jobs are submitted 2 s before each fault, when the machines are already busy, and are
-    // cancelled 2 s later.
+    // More jobs are submitted in the 2 s before each fault, when the machines are already busy, and are
+    // cancelled as the fault begins.
     let specs: Vec<_> = setup.jobs.iter().map(|Submission { spec, .. }| spec.clone()).collect();
     for (n, spec) in specs.into_iter().enumerate() {
         let resubmitted = |id: usize, at: f64| {
--- a/crates/simulation/tests/common/single_controller.rs
+++ b/crates/simulation/tests/common/single_controller.rs
@@ -296,7 +296,8 @@
         response.commands
     }
 
-    /// Exchanges heartbeats until `worker` runs tasks of `jobs` and the leader knows about them.
+    /// Exchanges twelve heartbeats, so that the leader launches tasks on `worker` and learns that they
+    /// run, and checks that `worker` has a task of each of `jobs`.
     pub fn run_until_launched(&mut self, worker: &mut ManualWorker, jobs: &[&str]) {
         for _ in 0..12 {
             self.exchange_heartbeat(worker);
--- a/crates/simulation/tests/explorer.rs
+++ b/crates/simulation/tests/explorer.rs
@@ -89,8 +89,8 @@
     assert!(check_names().all(|name| enabled_count(Some(name)) == enabled_count(None) - 1));
 }
 
-/// Safety checks whose failures take hundreds or thousands of runs to find: `cargo test --release -p anisecroft-simulation
-/// --test explorer -- --ignored`.
+/// Safety checks whose failures take hundreds or thousands of runs to find: `cargo test --release
+/// -p anisecroft-simulation --test explorer -- --ignored`.
 #[test]
 #[ignore = "a minute"]
 fn other_disabled_safety_checks_are_found() {
--- a/crates/simulation/tests/failover.rs
+++ b/crates/simulation/tests/failover.rs
@@ -191,7 +191,7 @@
     inject_faults(&mut sim, failover_faults(kind, leader, nodes));
     assert_eq!(sim.run(FAILOVER_AT_S + CANCEL_AFTER_S + 3.0), [], "{label}");
     if (seed + seed / FAILOVER_KINDS as u64) % 3 == 1 {
-        // No leader can read the last cancellations for longer than `cancel_s`.
+        // For longer than `cancel_s`, no leader can read the last cancellations.
         sim.inject(Fault::StoreOutage { duration_s: 45.0 });
     }
     assert_eq!(sim.run(500.0), [], "{label}");
--- a/crates/simulation/tests/failure_detection.rs
+++ b/crates/simulation/tests/failure_detection.rs
@@ -9,7 +9,8 @@
 
 /// A zone is partitioned for so long that its machines are deleted. When the partition ends, the
 /// proxy in the zone forwards the old heartbeats of those machines to the leader that deleted them,
-/// or to one that never knew them. Neither may take them for alive and place tasks on them.
+/// or to one that never knew them. Neither may take them for alive and place tasks on them, as
+/// happened with a third of a fleet.
 #[test]
 fn deleted_machines_do_not_return_with_their_proxy() {
     let mut deleted = 0;
@@ -57,9 +58,10 @@
 
 /// While a zone is partitioned for longer than a lease, its tasks are placed elsewhere, but its
 /// machines are not deleted and none is rented in that zone; when the zone returns, its machines
-/// resume work and no task runs twice. In every other pair of seeds a controller outside the zone
-/// crashes meanwhile: a new leader must not declare the zone's machines dead by the age of
-/// forwarded heartbeats.
+/// resume work and no task runs twice. Without this rule, the machines were scaled in after three
+/// heartbeats, and as many were rented in the unreachable zone. In every other pair of seeds a
+/// controller outside the zone crashes meanwhile: a new leader must not declare the zone's machines
+/// dead by the age of forwarded heartbeats.
 #[test]
 fn partitioned_zone_keeps_its_machines() {
     for seed in 0..12 {
@@ -130,7 +132,7 @@
         let mut sim = busy_cluster_with(nodes, seed, 40);
         let (connected_node, duration_s) = (seed as usize / 3 % nodes, 20.0 + seed as f64);
         let cut = |node, index: usize| match seed % 4 {
-            // In the second case one controller per second, otherwise all at once.
+            // In case 0 all controllers at once, in case 1 one per second.
             0 | 1 => ScheduledFault::new(
                 index as f64 * (seed % 4) as f64,
                 Fault::NodePartition { node, store: false, workers: true, duration_s },
--- a/crates/simulation/tests/heartbeat_proxying.rs
+++ b/crates/simulation/tests/heartbeat_proxying.rs
@@ -9,7 +9,8 @@
 use protocol::job::*;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 
-/// Ten faults, most of them of the network between controllers.
+/// Ten random faults. About half of them disturb the network between controllers or the choice of the
+/// controller that gets a heartbeat.
 fn seeded_faults(seed: u64) -> Vec<ScheduledFault> {
     faults_with_restarts(seed, restart_delays(seed))
 }
@@ -117,8 +118,8 @@
 fn without_waiting_for_lost_proxies_a_task_runs_twice() {
     let checks = SafetyChecks { wait_for_lost_proxies: false, ..SafetyChecks::default() };
     let long_lease_day = |seed| {
-        // With the short lease, most seeds find no free machine in the few seconds by which the
-        // leader waits too briefly.
+        // The leader's wait is a few seconds too short. With the usual worker lease, most seeds find
+        // no free machine in that time.
         let mut setup = zone_partitions(200 + seed);
         setup.settings.params.workers.lease_s = 30.0;
         setup.settings.params.workers.cancel_s = 90.0;
--- a/crates/simulation/tests/lost_write_responses.rs
+++ b/crates/simulation/tests/lost_write_responses.rs
@@ -345,7 +345,8 @@
 }
 
 /// A job is split into pages in several transactions, and the response to the one that switches to
-/// the new pages is lost. The placements on pages that were written before it are still launched.
+/// the new pages is lost. The placements on pages that were written before it must still be launched
+/// instead of waiting forever.
 #[test]
 fn page_split_with_lost_response_takes_effect() {
     let mut settings = example_settings();
--- a/crates/simulation/tests/status_consistency.rs
+++ b/crates/simulation/tests/status_consistency.rs
@@ -407,7 +407,7 @@
 }
 
 /// Runs `short_jobs_with_faults` for each seed, checks that no rule is broken and that all jobs
-/// finish, and returns the requests of each run.
+/// finish, and returns the counts of user requests of each run.
 fn query_counts(seeds: Range<u64>) -> Vec<QueryCounts> {
     let run = |seed| {
         let mut sim = Simulation::new(short_jobs_with_faults(seed));
--- a/crates/simulation/tests/version_compatibility.rs
+++ b/crates/simulation/tests/version_compatibility.rs
@@ -144,7 +144,7 @@
     assert_eq!(reply.token, 41);
 }
 
-/// As long as some controller runs production's version, production can decode every write and
+/// While some controller runs production's version, production can decode every write and
 /// encode it again to the same bytes, also with announced store limits and under seeded faults.
 #[test]
 fn writes_before_the_format_gate_are_readable_by_production() {
